--- a/elmline-bench/src/main/java/org/elmline/bench/control/ApplyCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/ApplyCostExperiment.java
@@ -23,7 +23,7 @@
             ControlState state = Decoding.restore(snapshot);
             List<byte[]> log = new ArrayList<>();
             for (int i = 0; i < TICKETS; i++) {
-                log.add(Codecs.MESSAGE_PACK.encode(samples.object(objects + i + 1L, 1 + i % (objects - 1))));
+                log.add(Codecs.MESSAGE_PACK.encode(samples.objectTicket(objects + i + 1L, 1 + i % (objects - 1))));
             }
             return replayMicros(state, log) / TICKETS;
         });
@@ -33,11 +33,11 @@
     public Spread claimMicros(int batch) {
         return Spread.of(() -> {
             List<byte[]> log = new ArrayList<>();
-            List<ClaimBegin> begins = samples.begins(CLAIMS);
+            List<ClaimBegin> begins = samples.claimBegins(CLAIMS);
             for (int i = 0; i < CLAIMS; i += batch) {
                 List<ClaimBegin> part = begins.subList(i, Math.min(CLAIMS, i + batch));
                 List<ClaimFinish> finishes =
-                        part.stream().map(ControlSamples::finish).toList();
+                        part.stream().map(ControlSamples::claimFinish).toList();
                 log.add(Codecs.MESSAGE_PACK.encode(new Command.BeginClaims(ControlSamples.WALL_MILLIS, part)));
                 log.add(Codecs.MESSAGE_PACK.encode(new Command.FinishClaims(ControlSamples.WALL_MILLIS, finishes)));
             }
@@ -47,8 +47,9 @@
 
     /** Bytes in the log for one claim begun and finished, in commands of this many claims. */
     public double claimLogBytes(int batch) {
-        List<ClaimBegin> begins = samples.begins(batch);
-        List<ClaimFinish> finishes = begins.stream().map(ControlSamples::finish).toList();
+        List<ClaimBegin> begins = samples.claimBegins(batch);
+        List<ClaimFinish> finishes =
+                begins.stream().map(ControlSamples::claimFinish).toList();
         int bytes = Codecs.MESSAGE_PACK.encode(new Command.BeginClaims(ControlSamples.WALL_MILLIS, begins)).length
                 + Codecs.MESSAGE_PACK.encode(new Command.FinishClaims(ControlSamples.WALL_MILLIS, finishes)).length;
         return (double) bytes / batch;
@@ -56,7 +57,7 @@
 
     /** Bytes in the log for a ticket on one backend role. */
     public int ticketLogBytes() {
-        return Codecs.MESSAGE_PACK.encode(samples.object(1, ControlSamples.ROLE_PLACE)).length;
+        return Codecs.MESSAGE_PACK.encode(samples.objectTicket(1, ControlSamples.ROLE_OBJECT_INDEX)).length;
     }
 
     private static double replayMicros(ControlState state, List<byte[]> log) {
--- a/elmline-bench/src/main/java/org/elmline/bench/control/ControlSamples.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/ControlSamples.java
@@ -33,10 +33,10 @@
 final class ControlSamples {
     static final long WALL_MILLIS = 1_800_000_000_000L;
     static final ModelName MODEL = ModelName.of("elm-desk");
-    private static final int ORGANISATIONS_AMONG_THOUSAND = 200;
+    private static final int ORGANISATIONS_PER_THOUSAND = 200;
     private static final int THOUSAND = 1_000;
     /** Place of an object that is a role. */
-    static final int ROLE_PLACE = THOUSAND - 1;
+    static final int ROLE_OBJECT_INDEX = THOUSAND - 1;
 
     private static final int FIRST_PORT = 10_000;
 
@@ -47,14 +47,14 @@
         ControlState state = new ControlState();
         state.apply(1, ticket(1, new Model(MODEL, "2026-11", List.of("roster"), 1_000_000, 4_096, 2, false)));
         for (int i = 1; i < objects; i++) {
-            state.apply(i + 1L, object(i + 1L, i));
+            state.apply(i + 1L, objectTicket(i + 1L, i));
         }
         return state;
     }
 
     /** A ticket on the object of this place: one in five an organisation, the others roles of replicas. */
-    Command.ApplyTicket object(long number, int place) {
-        if (place % THOUSAND < ORGANISATIONS_AMONG_THOUSAND) {
+    Command.ApplyTicket objectTicket(long number, int place) {
+        if (place % THOUSAND < ORGANISATIONS_PER_THOUSAND) {
             String id = "organisation-" + place;
             String keyHash = hexadecimal() + hexadecimal() + hexadecimal() + hexadecimal();
             return ticket(
@@ -77,7 +77,7 @@
                 false);
     }
 
-    List<ClaimBegin> begins(int count) {
+    List<ClaimBegin> claimBegins(int count) {
         List<ClaimBegin> begins = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             OrganisationId organisation = OrganisationId.of("organisation-" + i % THOUSAND);
@@ -90,7 +90,7 @@
     }
 
     /** A finish with the answer of a seat hold, about 160 bytes with its headers. */
-    static ClaimFinish finish(ClaimBegin begin) {
+    static ClaimFinish claimFinish(ClaimBegin begin) {
         byte[] body = "{\"hold\":\"3f1c9a\",\"seats\":2,\"tour\":\"northern-highland-7\",\"expires\":\"12:30\"}"
                 .getBytes(StandardCharsets.UTF_8);
         List<RecordedAnswer.Header> headers = List.of(
--- a/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
@@ -17,7 +17,7 @@
 /** Renews leases of many entries against one keeper, with the messages as they are on the wire, unframed. */
 public final class LeaseCostExperiment {
     private static final int RENEWALS = 10_000;
-    private static final long FOR_LONG = Long.MAX_VALUE / 2;
+    private static final long LEADER_UNTIL_NANOS = Long.MAX_VALUE / 2;
 
     private final ControlSamples samples = new ControlSamples();
     private final int objects;
@@ -43,8 +43,8 @@
         int requestBytes = Codecs.MESSAGE_PACK.encode(idle).length;
         int idleBytes = answerBytes(keeper, idle);
         int joinBytes = answerBytes(keeper, joining);
-        Spread micros = Spread.of(() -> renewals(keeper, entries, version, members) / RENEWALS);
-        state.apply(state.index() + 1, samples.object(objects + 1L, ControlSamples.ROLE_PLACE));
+        Spread micros = Spread.of(() -> renewalMicros(keeper, entries, version, members) / RENEWALS);
+        state.apply(state.index() + 1, samples.objectTicket(objects + 1L, ControlSamples.ROLE_OBJECT_INDEX));
         int objectBytes = answerBytes(keeper, idle);
         state.apply(state.index() + 1, new Command.JoinHost(samples.host(0)));
         LeaseRequest behind =
@@ -53,7 +53,7 @@
                 entries, requestBytes, idleBytes, objectBytes, answerBytes(keeper, behind), joinBytes, micros);
     }
 
-    private double renewals(LeaseKeeper keeper, int entries, ConfigVersion version, long members) {
+    private double renewalMicros(LeaseKeeper keeper, int entries, ConfigVersion version, long members) {
         byte[][] requests = new byte[entries][];
         for (int i = 0; i < entries; i++) {
             requests[i] = Codecs.MESSAGE_PACK.encode(new LeaseRequest(samples.host(i), version, members));
@@ -70,7 +70,7 @@
     }
 
     private int answerBytes(LeaseKeeper keeper, LeaseRequest request) {
-        LeaseDecision decision = keeper.renew(request, 0, FOR_LONG, controlHosts);
+        LeaseDecision decision = keeper.renew(request, 0, LEADER_UNTIL_NANOS, controlHosts);
         LeaseAnswer answer = ((LeaseDecision.Answer) decision).answer();
         return Codecs.MESSAGE_PACK.encode((LeaseAnswer.Granted) answer).length;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/control/StateCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/StateCostExperiment.java
@@ -55,13 +55,13 @@
 
     private ControlState withClaims(int claims) {
         ControlState state = new ControlState();
-        List<ClaimBegin> begins = samples.begins(claims);
+        List<ClaimBegin> begins = samples.claimBegins(claims);
         state.apply(1, new Command.BeginClaims(ControlSamples.WALL_MILLIS, begins));
         state.apply(
                 2,
                 new Command.FinishClaims(
                         ControlSamples.WALL_MILLIS,
-                        begins.stream().map(ControlSamples::finish).toList()));
+                        begins.stream().map(ControlSamples::claimFinish).toList()));
         return state;
     }
 
--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoad.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoad.java
@@ -27,8 +27,8 @@
 public final class HttpLoad {
     private static final MediaType JSON = MediaType.get("application/json");
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final String DATA = "data:";
-    private static final String DONE = "[DONE]";
+    private static final String EVENT_PREFIX = "data:";
+    private static final String LAST_EVENT = "[DONE]";
 
     /** Body of a completion in the OpenAI API's form. */
     private record Completion(String model, String prompt, @JsonProperty("max_tokens") int maxTokens, boolean stream) {}
@@ -59,13 +59,14 @@
     private static void send(HttpLoadOptions options, OkHttpClient client, HttpLoadResult result)
             throws InterruptedException {
         int planned = (int) Math.min(
-                options.maxRequests(), options.perSecond() * options.duration().toNanos() / 1e9);
+                options.maxRequests(),
+                options.requestsPerSecond() * options.duration().toNanos() / 1e9);
         CountDownLatch open = new CountDownLatch(planned);
         long start = System.nanoTime();
         for (int i = 0; i < planned; i++) {
-            long intended = start + (long) (i * (NANOS_PER_SECOND / options.perSecond()));
+            long intended = start + (long) (i * (NANOS_PER_SECOND / options.requestsPerSecond()));
             TimeUnit.NANOSECONDS.sleep(intended - System.nanoTime());
-            client.newCall(request(options, i)).enqueue(new Reader(intended, result, open));
+            client.newCall(request(options, i)).enqueue(new AnswerReader(intended, result, open));
         }
         // The queue in the client is bounded by the plan; each call ends by its own timeout once started.
         long rounds = 1 + planned / options.maxInFlight();
@@ -92,38 +93,38 @@
     }
 
     /** Reads one answer's events. */
-    private static final class Reader implements Callback {
+    private static final class AnswerReader implements Callback {
         private final long intendedNanos;
         private final HttpLoadResult result;
-        private final CountDownLatch open;
+        private final CountDownLatch openRequests;
 
-        Reader(long intendedNanos, HttpLoadResult result, CountDownLatch open) {
+        AnswerReader(long intendedNanos, HttpLoadResult result, CountDownLatch open) {
             this.intendedNanos = intendedNanos;
             this.result = result;
-            this.open = open;
+            this.openRequests = open;
         }
 
         @Override
         public void onFailure(Call call, IOException e) {
-            end(e.getClass().getSimpleName());
+            finish(e.getClass().getSimpleName());
         }
 
         @Override
         public void onResponse(Call call, Response response) {
             try (response) {
-                end(response.isSuccessful() ? read(response.body().source()) : Integer.toString(response.code()));
+                finish(response.isSuccessful() ? read(response.body().source()) : Integer.toString(response.code()));
             } catch (IOException e) {
-                end(e.getClass().getSimpleName());
+                finish(e.getClass().getSimpleName());
             }
         }
 
         private String read(BufferedSource source) throws IOException {
             boolean first = true;
             for (String line = source.readUtf8Line(); line != null; line = source.readUtf8Line()) {
-                if (!line.startsWith(DATA)) {
+                if (!line.startsWith(EVENT_PREFIX)) {
                     continue;
                 }
-                if (line.endsWith(DONE)) {
+                if (line.endsWith(LAST_EVENT)) {
                     return "done";
                 }
                 if (first) {
@@ -134,9 +135,9 @@
             return "cut";
         }
 
-        private void end(String outcome) {
-            result.ended(outcome, System.nanoTime() - intendedNanos);
-            open.countDown();
+        private void finish(String outcome) {
+            result.recordEnd(outcome, System.nanoTime() - intendedNanos);
+            openRequests.countDown();
         }
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadOptions.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadOptions.java
@@ -9,7 +9,7 @@
  * One run of open-loop load.
  *
  * @param targets callers' addresses to spread over, loopback only
- * @param perSecond requests intended a second
+ * @param requestsPerSecond requests intended a second
  * @param maxRequests most requests sent in all
  * @param maxInFlight most requests open at one time; later ones wait, and the wait counts
  * @param promptTokens lengths of prompts, used in turn
@@ -19,16 +19,16 @@
         List<Address> targets,
         String apiKey,
         String model,
-        double perSecond,
+        double requestsPerSecond,
         Duration duration,
         int maxRequests,
         int maxInFlight,
         List<Integer> promptTokens,
         int maxOutputTokens,
         Duration timeout) {
-    private static final double HIGHEST_RATE = 10_000;
-    private static final Duration LONGEST = Duration.ofMinutes(10);
-    private static final int MOST_REQUESTS = 1_000_000;
+    private static final double MAX_REQUESTS_PER_SECOND = 10_000;
+    private static final Duration MAX_DURATION = Duration.ofMinutes(10);
+    private static final int MAX_REQUESTS = 1_000_000;
 
     public HttpLoadOptions {
         targets = List.copyOf(targets);
@@ -41,13 +41,13 @@
                 throw new IllegalArgumentException("load goes to 127.0.0.1 only, not to " + each);
             }
         }
-        if (!(perSecond > 0 && perSecond <= HIGHEST_RATE)) {
-            throw new IllegalArgumentException("perSecond must lie above 0 and up to " + HIGHEST_RATE);
+        if (!(requestsPerSecond > 0 && requestsPerSecond <= MAX_REQUESTS_PER_SECOND)) {
+            throw new IllegalArgumentException("perSecond must lie above 0 and up to " + MAX_REQUESTS_PER_SECOND);
         }
-        if (duration.isNegative() || duration.compareTo(LONGEST) > 0) {
-            throw new IllegalArgumentException("a run lasts at most " + LONGEST);
+        if (duration.isNegative() || duration.compareTo(MAX_DURATION) > 0) {
+            throw new IllegalArgumentException("a run lasts at most " + MAX_DURATION);
         }
-        if (maxRequests < 1 || maxRequests > MOST_REQUESTS || maxInFlight < 1) {
+        if (maxRequests < 1 || maxRequests > MAX_REQUESTS || maxInFlight < 1) {
             throw new IllegalArgumentException("maxRequests lies between 1 and 1,000,000, maxInFlight from 1");
         }
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadResult.java
@@ -11,15 +11,15 @@
     private static final long HIGHEST_MICROS = 3_600_000_000L;
 
     private final Histogram firstToken = new Histogram(HIGHEST_MICROS, 3);
-    private final Histogram whole = new Histogram(HIGHEST_MICROS, 3);
+    private final Histogram totalLatency = new Histogram(HIGHEST_MICROS, 3);
     private final Map<String, Integer> outcomes = new TreeMap<>();
 
     synchronized void firstToken(long nanos) {
         firstToken.recordValue(Math.min(HIGHEST_MICROS, nanos / 1_000));
     }
 
-    synchronized void ended(String outcome, long nanos) {
-        whole.recordValue(Math.min(HIGHEST_MICROS, nanos / 1_000));
+    synchronized void recordEnd(String outcome, long nanos) {
+        totalLatency.recordValue(Math.min(HIGHEST_MICROS, nanos / 1_000));
         outcomes.merge(outcome, 1, Integer::sum);
     }
 
@@ -29,15 +29,15 @@
     }
 
     public synchronized long requests() {
-        return whole.getTotalCount();
+        return totalLatency.getTotalCount();
     }
 
     public synchronized double firstTokenMillis(double percentile) {
         return firstToken.getValueAtPercentile(percentile) / 1e3;
     }
 
-    public synchronized double wholeMillis(double percentile) {
-        return whole.getValueAtPercentile(percentile) / 1e3;
+    public synchronized double totalMillis(double percentile) {
+        return totalLatency.getValueAtPercentile(percentile) / 1e3;
     }
 
     public String summary() {
@@ -50,8 +50,8 @@
                 firstTokenMillis(50),
                 firstTokenMillis(95),
                 firstTokenMillis(99),
-                wholeMillis(50),
-                wholeMillis(95),
-                wholeMillis(99));
+                totalMillis(50),
+                totalMillis(95),
+                totalMillis(99));
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/DecisionCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/DecisionCost.java
@@ -26,8 +26,8 @@
 public final class DecisionCost {
     private static final int ROUNDS = 9;
     private static final long ROUND_NANOS = 60_000_000;
-    private static final int PREFILLS = 12;
-    private static final int CHUNK = 16;
+    private static final int PREFILLS_PER_REPLICA = 12;
+    private static final int BATCH_SIZE = 16;
 
     private final EngineProfile profile = EngineProfile.builder().build();
     private int sink;
@@ -61,7 +61,7 @@
             long start = System.nanoTime();
             long end = start;
             while (end - start < ROUND_NANOS) {
-                for (int i = 0; i < CHUNK; i++) {
+                for (int i = 0; i < BATCH_SIZE; i++) {
                     Demand demand = demands.get((int) (decisions++ % demands.size()));
                     sink += policy.choose(demand, replicas, random).isPresent() ? 1 : 0;
                 }
@@ -82,11 +82,11 @@
         List<Replica> replicas = new ArrayList<>();
         Random random = new Random(size);
         for (int i = 0; i < size; i++) {
-            BenchReplica replica = new BenchReplica(i, profile, 1, 0);
-            for (int k = 0; k < PREFILLS; k++) {
+            SimulatedReplica replica = new SimulatedReplica(i, profile, 1, 0);
+            for (int k = 0; k < PREFILLS_PER_REPLICA; k++) {
                 LengthClass lengthClass = LengthClass.values()[random.nextInt(3)];
-                replica.backlog().placed(lengthClass, 1_000 + random.nextInt(20_000), 1, 0);
-                replica.placed(lengthClass, 10_000);
+                replica.backlog().recordPlacement(lengthClass, 1_000 + random.nextInt(20_000), 1, 0);
+                replica.reserve(lengthClass, 10_000);
             }
             replicas.add(replica);
         }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Fault.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Fault.java
@@ -4,13 +4,13 @@
 public enum Fault {
     NONE("none"),
     /** Every second engine dies and comes back empty. */
-    HALF_DIE("half the engines die"),
+    HALF_FAIL("half the engines die"),
     /** One of three failure domains dies and comes back empty. */
-    DOMAIN_DIES("a failure domain dies"),
+    DOMAIN_FAILS("a failure domain dies"),
     /** One engine runs at a tenth of its speed, to the end of the run, and reports no load. */
-    ONE_SLOW("one engine at a tenth"),
+    SLOW_ENGINE("one engine at a tenth"),
     /** Cache events claim that every engine holds what any of them stored. */
-    CACHE_LIES("cache events lie");
+    FALSE_CACHE_EVENTS("cache events lie");
 
     private static final int DOMAINS = 3;
 
@@ -25,11 +25,11 @@
         return title;
     }
 
-    boolean kills(int engine) {
-        return this == HALF_DIE && engine % 2 == 0 || this == DOMAIN_DIES && engine % DOMAINS == 0;
+    boolean stops(int engine) {
+        return this == HALF_FAIL && engine % 2 == 0 || this == DOMAIN_FAILS && engine % DOMAINS == 0;
     }
 
     boolean slows(int engine) {
-        return this == ONE_SLOW && engine == 1;
+        return this == SLOW_ENGINE && engine == 1;
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Job.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Job.java
@@ -17,7 +17,7 @@
      * @param sequence the engine model's number for it, unique in a run
      * @param contextTokens tokens of the prompt before this segment
      */
-    record Placed(
+    record PlacedSegment(
             int engine,
             long sequence,
             LengthClass lengthClass,
@@ -31,15 +31,15 @@
 
     final Arrival arrival;
     final int number;
-    final Set<BackendServerId> failed = new HashSet<>();
-    List<Placed> placed = new ArrayList<>();
-    int running;
-    int tries;
-    int delivered;
+    final Set<BackendServerId> failedServers = new HashSet<>();
+    List<PlacedSegment> segments = new ArrayList<>();
+    int runningSegment;
+    int placements;
+    int deliveredTokens;
     long firstTokenNanos = -1;
     long endNanos = -1;
-    boolean refused;
-    boolean over;
+    boolean isRefused;
+    boolean isFinished;
 
     Job(Arrival arrival, int number) {
         this.arrival = arrival;
@@ -52,10 +52,10 @@
 
     /** Tokens to prefill: the prompt, and after a loss the answer so far. */
     int promptTokens() {
-        return arrival.promptTokens() + delivered;
+        return arrival.promptTokens() + deliveredTokens;
     }
 
     int outputTokens() {
-        return arrival.outputTokens() - delivered;
+        return arrival.outputTokens() - deliveredTokens;
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerDesk.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
@@ -48,36 +48,36 @@
  * themselves every second; the owner learns of a dead one by calls that fail, or when its lease ends. A refused request
  * isn't tried again.
  */
-final class OwnerDesk implements Desk {
+final class OwnerScheduler implements Scheduler {
     private static final ModelName MODEL = ModelName.of("elm");
     private static final Address ADDRESS = new Address("127.0.0.1", 9_000);
-    private static final Incarnation FIRST = Incarnation.of(1);
+    private static final Incarnation FIRST_INCARNATION = Incarnation.of(1);
     private static final HostId HOST = HostId.of("entry-1");
     private static final int TICKS_PER_ANNOUNCEMENT = 10;
-    private static final int TICKS_PER_GROUP_TRY = 5;
+    private static final int TICKS_PER_GROUP_ATTEMPT = 5;
     private static final long CACHE_DELAY_NANOS = 500_000_000L;
-    private static final double LOST_CACHE_EVENTS = 0.000_2;
+    private static final double CACHE_EVENT_LOSS_PROBABILITY = 0.000_2;
     private static final double IMPORT_SHARE = 0;
 
     private final Scenario scenario;
     private final Owner owner;
-    private final OwnerTable table;
+    private final OwnerTable ownerTable;
     private final CacheEventLog[] cacheEvents;
     private final long[] incarnations;
     private final boolean[] alive;
-    private final Map<AttemptId, Job> asked = new HashMap<>();
-    private final Map<Long, AttemptId> attempts = new HashMap<>();
-    private final Map<Long, Long> reserved = new HashMap<>();
-    private final Set<Long> unread = new HashSet<>();
-    private final Map<Job, PlaceRequest> groups = new LinkedHashMap<>();
-    private final List<Decision> decided = new ArrayList<>();
+    private final Map<AttemptId, Job> pendingJobs = new HashMap<>();
+    private final Map<Long, AttemptId> attemptsBySequence = new HashMap<>();
+    private final Map<Long, Long> kvTokensBySequence = new HashMap<>();
+    private final Set<Long> awaitingFirstToken = new HashSet<>();
+    private final Map<Job, PlaceRequest> waitingGroups = new LinkedHashMap<>();
+    private final List<Decision> decisions = new ArrayList<>();
     private long lastSequence;
     private int ticks;
 
-    OwnerDesk(Scenario scenario, PlacementPolicy policy) {
+    OwnerScheduler(Scenario scenario, PlacementPolicy policy) {
         this.scenario = scenario;
         HostRecord host = new HostRecord(
-                HOST, FIRST, FailureDomain.of("a"), Region.of("north"), ADDRESS, ADDRESS, ADDRESS, false);
+                HOST, FIRST_INCARNATION, FailureDomain.of("a"), Region.of("north"), ADDRESS, ADDRESS, ADDRESS, false);
         OwnerSettings settings = OwnerSettings.builder()
                 .ledger(new LedgerSettings(
                         scenario.settings(), scenario.profile().blockTokens()))
@@ -85,16 +85,16 @@
         owner = new Owner(host, policy, new Random(scenario.seed()), settings);
         owner.leaseUntil(Long.MAX_VALUE);
         owner.members(List.of(host), 0);
-        table = new OwnerTable(host, OwnerTableSettings.DEFAULT);
-        table.members(List.of(host));
+        ownerTable = new OwnerTable(host, OwnerTableSettings.DEFAULT);
+        ownerTable.members(List.of(host));
         cacheEvents = new CacheEventLog[scenario.engines()];
         incarnations = new long[scenario.engines()];
         alive = new boolean[scenario.engines()];
     }
 
     @Override
-    public void arrive(Job job, long now) {
-        AttemptId attempt = AttemptId.of("job-" + job.number + "-" + job.tries + "-" + job.failed.size());
+    public void submit(Job job, long now) {
+        AttemptId attempt = AttemptId.of("job-" + job.number + "-" + job.placements + "-" + job.failedServers.size());
         Demand demand = new Demand(
                 MODEL,
                 "",
@@ -103,25 +103,25 @@
                 job.arrival.blockHashes(),
                 0,
                 Math.max(0, (job.deadlineNanos() - now) / 1_000_000),
-                job.failed);
+                job.failedServers);
         OrganisationId organisation = OrganisationId.of("organisation-" + job.arrival.organisation());
-        PlaceRequest request = new PlaceRequest(attempt, HOST, FIRST, organisation, demand);
+        PlaceRequest request = new PlaceRequest(attempt, HOST, FIRST_INCARNATION, organisation, demand);
         if (demand.kvTokens() > scenario.profile().capacityKvTokens()) {
-            groups.put(job, request);
-            tryGroup(job, now);
+            waitingGroups.put(job, request);
+            tryPlaceGroup(job, now);
             return;
         }
-        asked.put(attempt, job);
-        owner.place(request, now).ifPresent(answer -> answered(request, answer));
+        pendingJobs.put(attempt, job);
+        owner.place(request, now).ifPresent(answer -> onAnswer(request, answer));
     }
 
     @Override
-    public List<Decision> settle(long now) {
+    public List<Decision> takeDecisions(long now) {
         for (Decided each : owner.advance(now)) {
-            answered(each.request(), each.answer());
+            onAnswer(each.request(), each.answer());
         }
-        List<Decision> taken = List.copyOf(decided);
-        decided.clear();
+        List<Decision> taken = List.copyOf(decisions);
+        decisions.clear();
         return taken;
     }
 
@@ -136,26 +136,26 @@
                 owner.cacheEvents(id, cacheEvents[i].after(owner.lastCacheEvent(id), now));
             }
         }
-        if (ticks % TICKS_PER_GROUP_TRY == 0) {
-            List.copyOf(groups.keySet()).forEach(job -> tryGroup(job, now));
+        if (ticks % TICKS_PER_GROUP_ATTEMPT == 0) {
+            List.copyOf(waitingGroups.keySet()).forEach(job -> tryPlaceGroup(job, now));
         }
         ticks++;
     }
 
     @Override
-    public void withdraw(Job job, long now) {
-        groups.remove(job);
-        for (Map.Entry<AttemptId, Job> each : List.copyOf(asked.entrySet())) {
+    public void cancel(Job job, long now) {
+        waitingGroups.remove(job);
+        for (Map.Entry<AttemptId, Job> each : List.copyOf(pendingJobs.entrySet())) {
             if (each.getValue() == job) {
-                asked.remove(each.getKey());
+                pendingJobs.remove(each.getKey());
                 report(List.of(), List.of(), List.of(new Release(each.getKey(), ReleaseCause.NOT_STARTED)), now);
             }
         }
     }
 
     @Override
-    public void begun(Job.Placed placed, long now) {
-        AttemptId attempt = attempts.get(placed.sequence());
+    public void prefillStarted(Job.PlacedSegment placed, long now) {
+        AttemptId attempt = attemptsBySequence.get(placed.sequence());
         boolean segment = attempt.value().contains("/");
         if (segment) {
             report(List.of(attempt), List.of(), List.of(), now);
@@ -163,30 +163,31 @@
     }
 
     @Override
-    public void prefilled(Job.Placed placed, long now) {
-        if (unread.remove(placed.sequence())) {
-            report(List.of(), List.of(new FirstToken(attempts.get(placed.sequence()), 0)), List.of(), now);
+    public void prefillFinished(Job.PlacedSegment placed, long now) {
+        if (awaitingFirstToken.remove(placed.sequence())) {
+            report(List.of(), List.of(new FirstToken(attemptsBySequence.get(placed.sequence()), 0)), List.of(), now);
         }
     }
 
     @Override
-    public void released(Job.Placed placed, boolean engineLost, long now) {
-        unread.remove(placed.sequence());
-        reserved.remove(placed.sequence());
+    public void released(Job.PlacedSegment placed, boolean engineLost, long now) {
+        awaitingFirstToken.remove(placed.sequence());
+        kvTokensBySequence.remove(placed.sequence());
         ReleaseCause cause = engineLost ? ReleaseCause.ENGINE_FAILED : ReleaseCause.FINISHED;
-        report(List.of(), List.of(), List.of(new Release(attempts.remove(placed.sequence()), cause)), now);
+        report(List.of(), List.of(), List.of(new Release(attemptsBySequence.remove(placed.sequence()), cause)), now);
     }
 
     @Override
-    public void engineUp(int engine, long now) {
+    public void engineStarted(int engine, long now) {
         incarnations[engine]++;
         alive[engine] = true;
-        cacheEvents[engine] = new CacheEventLog(CACHE_DELAY_NANOS, LOST_CACHE_EVENTS, scenario.seed() + engine);
+        cacheEvents[engine] =
+                new CacheEventLog(CACHE_DELAY_NANOS, CACHE_EVENT_LOSS_PROBABILITY, scenario.seed() + engine);
         owner.announce(announcement(engine), now);
     }
 
     @Override
-    public void engineDown(int engine, long now) {
+    public void engineStopped(int engine, long now) {
         alive[engine] = false;
     }
 
@@ -198,31 +199,39 @@
     /** As the owner counts it: grants that are open, whatever was released here. */
     @Override
     public long reservedTokens() {
-        return reserved.size() + owner.counts().openGrants();
+        return kvTokensBySequence.size() + owner.counts().openGrants();
     }
 
-    private void answered(PlaceRequest request, PlaceAnswer answer) {
-        Job job = asked.remove(request.attempt());
+    private void onAnswer(PlaceRequest request, PlaceAnswer answer) {
+        Job job = pendingJobs.remove(request.attempt());
         if (job == null) {
             return;
         }
         if (answer instanceof PlaceAnswer.Placed placed) {
-            decided.add(new Decision(job, List.of(place(job, placed.grant(), job.outputTokens(), 0))));
+            decisions.add(new Decision(job, List.of(addSegment(job, placed.grant(), job.outputTokens(), 0))));
         } else {
-            decided.add(new Decision(job, List.of()));
+            decisions.add(new Decision(job, List.of()));
         }
     }
 
-    private void tryGroup(Job job, long now) {
-        PlaceRequest whole = groups.get(job);
-        table.accept(owner.summary(now), now);
+    private void tryPlaceGroup(Job job, long now) {
+        PlaceRequest whole = waitingGroups.get(job);
+        ownerTable.accept(owner.summary(now), now);
         Optional<GroupPlan> plan = GroupPlan.of(
-                job.promptTokens(), job.outputTokens(), table.slots(MODEL, now), IMPORT_SHARE, PrefillCost.DEFAULT);
+                job.promptTokens(),
+                job.outputTokens(),
+                ownerTable.slots(MODEL, now),
+                IMPORT_SHARE,
+                PrefillCost.DEFAULT);
         if (plan.isEmpty()) {
             return;
         }
         PlaceRequest attempt = new PlaceRequest(
-                AttemptId.of(whole.attempt().value() + "-" + ticks), HOST, FIRST, whole.organisation(), whole.demand());
+                AttemptId.of(whole.attempt().value() + "-" + ticks),
+                HOST,
+                FIRST_INCARNATION,
+                whole.organisation(),
+                whole.demand());
         GroupReservation reservation = new GroupReservation(attempt, plan.get());
         for (Optional<GroupReservation.Ask> ask = reservation.next(); ask.isPresent(); ask = reservation.next()) {
             Optional<PlaceAnswer> answer = owner.place(ask.get().request(), now);
@@ -234,32 +243,32 @@
             report(List.of(), List.of(), back, now);
             return;
         }
-        groups.remove(job);
-        List<Job.Placed> placed = new ArrayList<>();
+        waitingGroups.remove(job);
+        List<Job.PlacedSegment> placed = new ArrayList<>();
         for (int i = 0; i < reservation.grants().size(); i++) {
             boolean last = i == reservation.grants().size() - 1;
             int context = plan.get().segments().get(i).contextTokens();
-            placed.add(place(job, reservation.grants().get(i), last ? job.outputTokens() : 0, context));
+            placed.add(addSegment(job, reservation.grants().get(i), last ? job.outputTokens() : 0, context));
         }
-        decided.add(new Decision(job, placed));
+        decisions.add(new Decision(job, placed));
     }
 
-    private Job.Placed place(Job job, Grant grant, int outputTokens, long contextTokens) {
-        Job.Placed placed = new Job.Placed(
+    private Job.PlacedSegment addSegment(Job job, Grant grant, int outputTokens, long contextTokens) {
+        Job.PlacedSegment placed = new Job.PlacedSegment(
                 index(grant.server()),
                 ++lastSequence,
                 job.arrival.lengthClass(),
                 grant.promptTokens(),
                 outputTokens,
                 contextTokens);
-        attempts.put(placed.sequence(), grant.attempt());
-        reserved.put(placed.sequence(), grant.kvTokens());
-        unread.add(placed.sequence());
+        attemptsBySequence.put(placed.sequence(), grant.attempt());
+        kvTokensBySequence.put(placed.sequence(), grant.kvTokens());
+        awaitingFirstToken.add(placed.sequence());
         return placed;
     }
 
     private void report(List<AttemptId> begun, List<FirstToken> firstTokens, List<Release> releases, long now) {
-        owner.report(new GrantReport(HOST, FIRST, begun, firstTokens, releases), now);
+        owner.report(new GrantReport(HOST, FIRST_INCARNATION, begun, firstTokens, releases), now);
     }
 
     private Announcement announcement(int engine) {
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyBench.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyBench.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.Future;
 
 import org.elmline.bench.workload.Arrival;
-import org.elmline.bench.workload.Mix;
+import org.elmline.bench.workload.PromptMix;
 import org.elmline.bench.workload.Workload;
 import org.elmline.core.common.LengthClass;
 import org.elmline.standin.model.EngineProfile;
@@ -25,17 +25,17 @@
 
     /** Runs the measurement, prints its tables and writes them with plots to the options' folder. */
     public void run(PolicyOptions options, PrintWriter out) throws IOException, InterruptedException {
-        List<Row> rows = measure(options);
-        String tables = new Tables(rows).markdown();
+        List<ResultRow> rows = measure(options);
+        String tables = new MarkdownTables(rows).markdown();
         out.print(tables);
         if (options.output() != null) {
-            new Report(options.output()).write(rows, tables);
+            new ReportWriter(options.output()).write(rows, tables);
         }
     }
 
-    List<Row> measure(PolicyOptions options) throws InterruptedException {
+    List<ResultRow> measure(PolicyOptions options) throws InterruptedException {
         List<Point> points = new ArrayList<>();
-        for (Mix mix : options.mixes()) {
+        for (PromptMix mix : options.mixes()) {
             for (double load : options.loads()) {
                 points.add(new Point(mix, load, Fault.NONE));
             }
@@ -47,7 +47,7 @@
         }
         ExecutorService pool = Executors.newFixedThreadPool(options.threads());
         try {
-            List<Row> rows = new ArrayList<>();
+            List<ResultRow> rows = new ArrayList<>();
             for (Point each : points) {
                 rows.addAll(rows(each, options, pool));
             }
@@ -57,34 +57,39 @@
         }
     }
 
-    private record Point(Mix mix, double load, Fault fault) {
-        Point withoutFault() {
+    private record Point(PromptMix mix, double load, Fault fault) {
+        Point withoutFaults() {
             return new Point(mix, load, Fault.NONE);
         }
     }
 
-    private List<Row> rows(Point point, PolicyOptions options, ExecutorService pool) throws InterruptedException {
+    private List<ResultRow> rows(Point point, PolicyOptions options, ExecutorService pool) throws InterruptedException {
         List<List<Arrival>> arrivals = new ArrayList<>();
         for (long seed : options.seeds()) {
-            arrivals.add(new Workload(point.mix(), profile).draw(point.load(), options.seconds(), seed));
+            arrivals.add(new Workload(point.mix(), profile).generate(point.load(), options.seconds(), seed));
         }
         List<Variant> variants = Variant.all();
         List<Callable<RunResult>> shared = new ArrayList<>();
         List<Callable<RunResult>> alone = new ArrayList<>();
         for (Variant each : variants) {
             shared.add(() -> result(point, options, arrivals, each, false));
-            alone.add(() -> result(point.withoutFault(), options, arrivals, each, true));
+            alone.add(() -> result(point.withoutFaults(), options, arrivals, each, true));
         }
         List<Future<RunResult>> sharedResults = pool.invokeAll(shared);
         List<Future<RunResult>> aloneResults = pool.invokeAll(alone);
         double shortAlone = Double.POSITIVE_INFINITY;
         for (Future<RunResult> each : aloneResults) {
-            shortAlone = Math.min(shortAlone, of(each).firstTokenSeconds(LengthClass.SHORT, 95));
+            shortAlone = Math.min(shortAlone, resultOf(each).firstTokenSeconds(LengthClass.SHORT, 95));
         }
-        List<Row> rows = new ArrayList<>();
+        List<ResultRow> rows = new ArrayList<>();
         for (int i = 0; i < variants.size(); i++) {
-            rows.add(new Row(
-                    point.mix(), point.load(), point.fault(), variants.get(i), of(sharedResults.get(i)), shortAlone));
+            rows.add(new ResultRow(
+                    point.mix(),
+                    point.load(),
+                    point.fault(),
+                    variants.get(i),
+                    resultOf(sharedResults.get(i)),
+                    shortAlone));
         }
         return rows;
     }
@@ -105,13 +110,13 @@
             if (sum == null) {
                 sum = one;
             } else {
-                sum.add(one);
+                sum.merge(one);
             }
         }
         return sum;
     }
 
-    private static RunResult of(Future<RunResult> future) throws InterruptedException {
+    private static RunResult resultOf(Future<RunResult> future) throws InterruptedException {
         try {
             return future.get();
         } catch (ExecutionException e) {
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyOptions.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyOptions.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-import org.elmline.bench.workload.Mix;
+import org.elmline.bench.workload.PromptMix;
 
 /**
  * What a policy measurement runs.
@@ -15,7 +15,7 @@
  * @param output folder for tables and plots, or null to print only
  */
 public record PolicyOptions(
-        List<Mix> mixes,
+        List<PromptMix> mixes,
         List<Double> loads,
         double faultLoad,
         double seconds,
@@ -25,11 +25,11 @@
     /** The measurement of docs/MEASUREMENTS.md: seeds on which nothing was tuned. */
     public static PolicyOptions full(Path output) {
         return new PolicyOptions(
-                List.of(Mix.values()), List.of(0.5, 0.8, 0.95, 1.2), 0.8, 600, List.of(11L, 12L, 13L), 4, output);
+                List.of(PromptMix.values()), List.of(0.5, 0.8, 0.95, 1.2), 0.8, 600, List.of(11L, 12L, 13L), 4, output);
     }
 
     /** A look that takes seconds. */
     public static PolicyOptions quick() {
-        return new PolicyOptions(List.of(Mix.SNOWPAW), List.of(0.8), 0, 120, List.of(11L), 2, null);
+        return new PolicyOptions(List.of(PromptMix.SNOWPAW), List.of(0.8), 0, 120, List.of(11L), 2, null);
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyDesk.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
@@ -25,51 +25,51 @@
  * What finds no room waits, in order of arrival with ten seconds for each length class. A prompt larger than one engine
  * is cut evenly over the fewest engines, placed all or none.
  */
-final class PolicyDesk implements Desk {
+final class PolicyScheduler implements Scheduler {
     private static final ModelName MODEL = ModelName.of("elm");
-    private static final long CLASS_NANOS = 10_000_000_000L;
-    private static final long HUGE_PATIENCE_NANOS = 60_000_000_000L;
-    private static final int MOST_TRIED = 16;
-    private static final int SEGMENT_HEADROOM = 1_024;
+    private static final long QUEUE_DELAY_PER_CLASS_NANOS = 10_000_000_000L;
+    private static final long MAX_HUGE_BYPASS_NANOS = 60_000_000_000L;
+    private static final int MAX_PLACEMENT_TRIES = 16;
+    private static final int SEGMENT_HEADROOM_TOKENS = 1_024;
 
     private final Scenario scenario;
     private final PlacementPolicy policy;
     private final WaitPredictor predictor;
     private final Random random;
-    private final BenchReplica[] replicas;
+    private final SimulatedReplica[] replicas;
     private final boolean[] alive;
     private final Map<Long, PrefillBacklog.Prefill> prefills = new HashMap<>();
     private final TreeSet<Job> waiting = new TreeSet<>(Comparator.<Job>comparingLong(
-                    j -> j.arrival.atNanos() + j.arrival.lengthClass().ordinal() * CLASS_NANOS)
+                    j -> j.arrival.atNanos() + j.arrival.lengthClass().ordinal() * QUEUE_DELAY_PER_CLASS_NANOS)
             .thenComparingInt(j -> j.number));
-    private final List<Decision> decided = new ArrayList<>();
+    private final List<Decision> decisions = new ArrayList<>();
     private long lastSequence;
     private boolean released;
 
-    PolicyDesk(Scenario scenario, PlacementPolicy policy) {
+    PolicyScheduler(Scenario scenario, PlacementPolicy policy) {
         this.scenario = scenario;
         this.policy = policy;
         predictor = new WaitPredictor(scenario.settings());
         random = new Random(scenario.seed());
-        replicas = new BenchReplica[scenario.engines()];
+        replicas = new SimulatedReplica[scenario.engines()];
         alive = new boolean[scenario.engines()];
     }
 
     @Override
-    public void arrive(Job job, long now) {
-        if (hugeWaits(job, now) || !place(job, now)) {
+    public void submit(Job job, long now) {
+        if (mustWaitForHuge(job, now) || !tryPlace(job, now)) {
             waiting.add(job);
         }
     }
 
     @Override
-    public List<Decision> settle(long now) {
+    public List<Decision> takeDecisions(long now) {
         if (released && !waiting.isEmpty()) {
             released = false;
             placeWaiting(now);
         }
-        List<Decision> taken = List.copyOf(decided);
-        decided.clear();
+        List<Decision> taken = List.copyOf(decisions);
+        decisions.clear();
         return taken;
     }
 
@@ -77,52 +77,52 @@
     public void tick(long now) {}
 
     @Override
-    public void withdraw(Job job, long now) {
+    public void cancel(Job job, long now) {
         waiting.remove(job);
     }
 
     @Override
-    public void begun(Job.Placed placed, long now) {}
+    public void prefillStarted(Job.PlacedSegment placed, long now) {}
 
     @Override
-    public void prefilled(Job.Placed placed, long now) {
+    public void prefillFinished(Job.PlacedSegment placed, long now) {
         PrefillBacklog.Prefill prefill = prefills.remove(placed.sequence());
         if (prefill != null) {
-            replicas[placed.engine()].backlog().firstToken(prefill, now);
+            replicas[placed.engine()].backlog().recordFirstToken(prefill, now);
         }
     }
 
     @Override
-    public void released(Job.Placed placed, boolean engineLost, long now) {
+    public void released(Job.PlacedSegment placed, boolean engineLost, long now) {
         PrefillBacklog.Prefill prefill = prefills.remove(placed.sequence());
         if (prefill != null) {
-            replicas[placed.engine()].backlog().dropped(prefill, now);
+            replicas[placed.engine()].backlog().cancel(prefill, now);
         }
-        replicas[placed.engine()].released(placed.lengthClass(), placed.kvTokens());
+        replicas[placed.engine()].release(placed.lengthClass(), placed.kvTokens());
         released = true;
     }
 
     @Override
-    public void engineUp(int engine, long now) {
-        replicas[engine] = new BenchReplica(engine, scenario.profile(), scenario.seed(), now);
+    public void engineStarted(int engine, long now) {
+        replicas[engine] = new SimulatedReplica(engine, scenario.profile(), scenario.seed(), now);
         alive[engine] = true;
         released = true;
     }
 
     @Override
-    public void engineDown(int engine, long now) {
+    public void engineStopped(int engine, long now) {
         alive[engine] = false;
     }
 
     @Override
     public void cacheChanged(int engine, long hash, boolean stored, long atNanos) {
-        replicas[engine].cache().published(hash, stored, atNanos);
+        replicas[engine].cache().publish(hash, stored, atNanos);
     }
 
     @Override
     public long reservedTokens() {
         long sum = 0;
-        for (BenchReplica each : replicas) {
+        for (SimulatedReplica each : replicas) {
             sum += each.reservedKvTokens();
         }
         return sum;
@@ -132,20 +132,20 @@
      * Whether a prompt over 128k tokens must take its turn: once one has waited for long, later smaller ones may no longer
      * pass it, or a group of engines would never find its room.
      */
-    private boolean hugeWaits(Job job, long now) {
+    private boolean mustWaitForHuge(Job job, long now) {
         if (job.arrival.lengthClass() != LengthClass.HUGE) {
             return false;
         }
         for (Job each : waiting) {
-            if (each.arrival.lengthClass() == LengthClass.HUGE && waitsLong(each, now)) {
+            if (each.arrival.lengthClass() == LengthClass.HUGE && exceedsBypassTime(each, now)) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean waitsLong(Job job, long now) {
-        return now - job.arrival.atNanos() > HUGE_PATIENCE_NANOS;
+    private static boolean exceedsBypassTime(Job job, long now) {
+        return now - job.arrival.atNanos() > MAX_HUGE_BYPASS_NANOS;
     }
 
     private void placeWaiting(long now) {
@@ -156,19 +156,19 @@
             if (huge && hugeFailed) {
                 continue;
             }
-            if (tried++ == MOST_TRIED) {
+            if (tried++ == MAX_PLACEMENT_TRIES) {
                 return;
             }
-            if (place(each, now)) {
+            if (tryPlace(each, now)) {
                 waiting.remove(each);
             } else {
-                hugeFailed |= huge && waitsLong(each, now);
+                hugeFailed |= huge && exceedsBypassTime(each, now);
             }
         }
     }
 
     /** Places all segments or none. */
-    private boolean place(Job job, long now) {
+    private boolean tryPlace(Job job, long now) {
         List<Replica> usable = usable(now);
         List<Demand> demands = demands(job, now);
         List<Integer> chosen = new ArrayList<>();
@@ -183,18 +183,18 @@
             taken.add(replica.get().id());
             chosen.add(indexOf(replica.get()));
         }
-        decided.add(new Decision(job, reserve(job, demands, chosen, now)));
+        decisions.add(new Decision(job, reserve(job, demands, chosen, now)));
         return true;
     }
 
-    private List<Job.Placed> reserve(Job job, List<Demand> demands, List<Integer> chosen, long now) {
-        List<Job.Placed> all = new ArrayList<>();
+    private List<Job.PlacedSegment> reserve(Job job, List<Demand> demands, List<Integer> chosen, long now) {
+        List<Job.PlacedSegment> all = new ArrayList<>();
         long context = 0;
         double previousSeconds = 0;
         for (int i = 0; i < chosen.size(); i++) {
             Demand demand = demands.get(i);
-            BenchReplica replica = replicas[chosen.get(i)];
-            Job.Placed placed = new Job.Placed(
+            SimulatedReplica replica = replicas[chosen.get(i)];
+            Job.PlacedSegment placed = new Job.PlacedSegment(
                     chosen.get(i),
                     ++lastSequence,
                     job.arrival.lengthClass(),
@@ -205,8 +205,10 @@
                     * (1 + context / scenario.settings().attentionDoublingTokens());
             // A segment starts after the one before it.
             previousSeconds += predictor.secondsToFirstToken(demand, replica);
-            prefills.put(placed.sequence(), replica.backlog().placed(placed.lengthClass(), cost, previousSeconds, now));
-            replica.placed(placed.lengthClass(), placed.kvTokens());
+            prefills.put(
+                    placed.sequence(),
+                    replica.backlog().recordPlacement(placed.lengthClass(), cost, previousSeconds, now));
+            replica.reserve(placed.lengthClass(), placed.kvTokens());
             all.add(placed);
             context += demand.promptTokens();
         }
@@ -217,7 +219,7 @@
         List<Replica> usable = new ArrayList<>(replicas.length);
         for (int i = 0; i < replicas.length; i++) {
             if (alive[i]) {
-                replicas[i].now(now);
+                replicas[i].advanceTo(now);
                 usable.add(replicas[i]);
             }
         }
@@ -235,7 +237,7 @@
 
     private List<Demand> demands(Job job, long now) {
         int prompt = job.promptTokens();
-        int largest = (int) scenario.profile().capacityKvTokens() - SEGMENT_HEADROOM;
+        int largest = (int) scenario.profile().capacityKvTokens() - SEGMENT_HEADROOM_TOKENS;
         int count = (prompt + largest - 1) / largest;
         List<Demand> demands = new ArrayList<>(count);
         int left = prompt;
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Report.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/ReportWriter.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-import org.elmline.bench.workload.Mix;
+import org.elmline.bench.workload.PromptMix;
 import org.elmline.core.common.LengthClass;
 import org.jfree.chart.ChartFactory;
 import org.jfree.chart.JFreeChart;
@@ -18,34 +18,35 @@
 import org.jfree.graphics2d.svg.SVGGraphics2D;
 
 /** Writes a measurement's tables and its plots, as SVG, into one folder. */
-final class Report {
+final class ReportWriter {
     private static final int WIDTH = 900;
     private static final int HEIGHT = 520;
 
     private final Path folder;
 
-    Report(Path folder) {
+    ReportWriter(Path folder) {
         this.folder = folder;
     }
 
-    void write(List<Row> rows, String tables) throws IOException {
+    void write(List<ResultRow> rows, String tables) throws IOException {
         Path plots = Files.createDirectories(folder.resolve("plots"));
         Path measurements = Files.createDirectories(folder.resolve("measurements"));
         Files.writeString(
                 measurements.resolve("placement.md"),
                 "# Placement: all figures\n\nWritten by `elmline bench policy`; see ../MEASUREMENTS.md.\n" + tables);
-        for (Mix mix : Mix.values()) {
+        for (PromptMix mix : PromptMix.values()) {
             for (LengthClass each : List.of(LengthClass.SHORT, LengthClass.LONG, LengthClass.HUGE)) {
                 plot(rows, mix, each, plots);
             }
         }
     }
 
-    private static void plot(List<Row> rows, Mix mix, LengthClass lengthClass, Path plots) throws IOException {
+    private static void plot(List<ResultRow> rows, PromptMix mix, LengthClass lengthClass, Path plots)
+            throws IOException {
         XYSeriesCollection data = new XYSeriesCollection();
         for (Variant variant : Variant.all()) {
             XYSeries series = new XYSeries(variant.title());
-            for (Row row : rows) {
+            for (ResultRow row : rows) {
                 boolean own = row.mix() == mix && row.variant().title().equals(variant.title());
                 if (own && row.fault() == Fault.NONE) {
                     series.add(row.load() * 100, row.result().firstTokenSeconds(lengthClass, 95));
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
@@ -13,55 +13,55 @@
  */
 public final class RunResult {
     private static final long HIGHEST_MICROS = 1_000_000_000L;
-    private static final int DIGITS = 3;
+    private static final int SIGNIFICANT_DIGITS = 3;
     private static final long NANOS_PER_MICRO = 1_000;
 
-    private final long countedFromNanos;
+    private final long measureFromNanos;
     private final Map<LengthClass, Histogram> firstToken = new EnumMap<>(LengthClass.class);
-    private final Histogram betweenTokens = new Histogram(HIGHEST_MICROS, DIGITS);
-    private final Map<LengthClass, long[]> inLimit = new EnumMap<>(LengthClass.class);
-    private final double[] offered = new double[Workload.ORGANISATIONS];
-    private final double[] served = new double[Workload.ORGANISATIONS];
-    private int open;
-    private long refused;
+    private final Histogram interTokenLatency = new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS);
+    private final Map<LengthClass, long[]> inLimitCounts = new EnumMap<>(LengthClass.class);
+    private final double[] offeredTokens = new double[Workload.ORGANISATIONS];
+    private final double[] servedTokens = new double[Workload.ORGANISATIONS];
+    private int openRequests;
+    private long refusedRequests;
     private long cachedTokens;
     private long promptTokens;
 
     RunResult(long countedFromNanos) {
-        this.countedFromNanos = countedFromNanos;
+        this.measureFromNanos = countedFromNanos;
         for (LengthClass each : LengthClass.values()) {
-            firstToken.put(each, new Histogram(HIGHEST_MICROS, DIGITS));
-            inLimit.put(each, new long[2]);
+            firstToken.put(each, new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS));
+            inLimitCounts.put(each, new long[2]);
         }
     }
 
-    void arrived() {
-        open++;
+    void recordArrival() {
+        openRequests++;
     }
 
-    int open() {
-        return open;
+    int openRequests() {
+        return openRequests;
     }
 
-    void ended(Job job) {
-        open--;
-        if (job.arrival.atNanos() < countedFromNanos) {
+    void recordEnd(Job job) {
+        openRequests--;
+        if (job.arrival.atNanos() < measureFromNanos) {
             return;
         }
         LengthClass lengthClass = job.arrival.lengthClass();
         long waited = job.firstTokenNanos < 0 ? job.arrival.limitNanos() : job.firstTokenNanos - job.arrival.atNanos();
         firstToken.get(lengthClass).recordValue(Math.min(HIGHEST_MICROS, waited / NANOS_PER_MICRO));
-        refused += job.refused ? 1 : 0;
+        refusedRequests += job.isRefused ? 1 : 0;
         boolean whole = job.endNanos >= 0;
-        inLimit.get(lengthClass)[0] += whole ? 1 : 0;
-        inLimit.get(lengthClass)[1]++;
+        inLimitCounts.get(lengthClass)[0] += whole ? 1 : 0;
+        inLimitCounts.get(lengthClass)[1]++;
         int organisation = job.arrival.organisation();
         long tokens = (long) job.arrival.promptTokens() + job.arrival.outputTokens();
-        offered[organisation] += tokens;
-        served[organisation] += whole ? tokens : 0;
+        offeredTokens[organisation] += tokens;
+        servedTokens[organisation] += whole ? tokens : 0;
         if (whole && job.arrival.outputTokens() > 1) {
             long each = (job.endNanos - job.firstTokenNanos) / (job.arrival.outputTokens() - 1);
-            betweenTokens.recordValue(Math.min(HIGHEST_MICROS, each / NANOS_PER_MICRO));
+            interTokenLatency.recordValue(Math.min(HIGHEST_MICROS, each / NANOS_PER_MICRO));
         }
     }
 
@@ -71,17 +71,17 @@
     }
 
     /** Adds the requests of another run of the same scenario under another seed. */
-    void add(RunResult other) {
+    void merge(RunResult other) {
         for (LengthClass each : LengthClass.values()) {
             firstToken.get(each).add(other.firstToken.get(each));
-            inLimit.get(each)[0] += other.inLimit.get(each)[0];
-            inLimit.get(each)[1] += other.inLimit.get(each)[1];
+            inLimitCounts.get(each)[0] += other.inLimitCounts.get(each)[0];
+            inLimitCounts.get(each)[1] += other.inLimitCounts.get(each)[1];
         }
-        betweenTokens.add(other.betweenTokens);
-        refused += other.refused;
-        for (int i = 0; i < offered.length; i++) {
-            offered[i] += other.offered[i];
-            served[i] += other.served[i];
+        interTokenLatency.add(other.interTokenLatency);
+        refusedRequests += other.refusedRequests;
+        for (int i = 0; i < offeredTokens.length; i++) {
+            offeredTokens[i] += other.offeredTokens[i];
+            servedTokens[i] += other.servedTokens[i];
         }
         cachedTokens += other.cachedTokens;
         promptTokens += other.promptTokens;
@@ -93,35 +93,35 @@
     }
 
     /** Milliseconds between tokens, the mean of each whole answer, at a percentile. */
-    public double betweenTokensMillis(double percentile) {
-        return betweenTokens.getValueAtPercentile(percentile) / 1e3;
+    public double interTokenMillis(double percentile) {
+        return interTokenLatency.getValueAtPercentile(percentile) / 1e3;
     }
 
     public long requests() {
         long sum = 0;
-        for (long[] each : inLimit.values()) {
+        for (long[] each : inLimitCounts.values()) {
             sum += each[1];
         }
         return sum;
     }
 
     /** Share of requests whose whole answer came within their limit. */
-    public double shareInLimit() {
+    public double inLimitFraction() {
         long whole = 0;
-        for (long[] each : inLimit.values()) {
+        for (long[] each : inLimitCounts.values()) {
             whole += each[0];
         }
         return requests() == 0 ? 1 : (double) whole / requests();
     }
 
-    public double shareInLimit(LengthClass lengthClass) {
-        long[] counts = inLimit.get(lengthClass);
+    public double inLimitFraction(LengthClass lengthClass) {
+        long[] counts = inLimitCounts.get(lengthClass);
         return counts[1] == 0 ? 1 : (double) counts[0] / counts[1];
     }
 
     /** Share of requests that were refused at once, to be tried again later by their callers. */
-    public double shareRefused() {
-        return requests() == 0 ? 0 : (double) refused / requests();
+    public double refusedFraction() {
+        return requests() == 0 ? 0 : (double) refusedRequests / requests();
     }
 
     /** Share of prompt tokens that a prefix cache spared. */
@@ -134,9 +134,9 @@
         double sum = 0;
         double squares = 0;
         int count = 0;
-        for (int i = 0; i < offered.length; i++) {
-            if (offered[i] > 0) {
-                double share = served[i] / offered[i];
+        for (int i = 0; i < offeredTokens.length; i++) {
+            if (offeredTokens[i] > 0) {
+                double share = servedTokens[i] / offeredTokens[i];
                 sum += share;
                 squares += share * share;
                 count++;
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Scenario.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Scenario.java
@@ -29,7 +29,7 @@
         return new Scenario(engines, profile, only, seconds, fault, settings, seed);
     }
 
-    long nanos(double share) {
+    long nanosAt(double share) {
         return (long) (seconds * share * 1e9);
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/BenchReplica.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/SimulatedReplica.java
@@ -8,28 +8,28 @@
 import org.elmline.standin.model.EngineProfile;
 
 /** An owner's exact account of one engine, as far as placement reads it. */
-final class BenchReplica implements Replica {
+final class SimulatedReplica implements Replica {
     private final BackendServerId id;
     private final EngineProfile profile;
-    private final CacheView cache;
+    private final DelayedCacheView cache;
     private final PrefillBacklog backlog;
-    private final int[] streams = new int[LengthClass.values().length];
-    private long reserved;
+    private final int[] streamsByClass = new int[LengthClass.values().length];
+    private long reservedTokens;
     private long nowNanos;
 
-    BenchReplica(int index, EngineProfile profile, long seed, long nowNanos) {
+    SimulatedReplica(int index, EngineProfile profile, long seed, long nowNanos) {
         backlog = new PrefillBacklog(profile.prefillTokensPerSecond(), nowNanos);
         this.nowNanos = nowNanos;
         id = BackendServerId.of("engine-" + index);
         this.profile = profile;
-        cache = new CacheView(seed + index);
+        cache = new DelayedCacheView(seed + index);
     }
 
-    void now(long nanos) {
+    void advanceTo(long nanos) {
         nowNanos = nanos;
     }
 
-    CacheView cache() {
+    DelayedCacheView cache() {
         return cache;
     }
 
@@ -37,14 +37,14 @@
         return backlog;
     }
 
-    void placed(LengthClass lengthClass, long kvTokens) {
-        reserved += kvTokens;
-        streams[lengthClass.ordinal()]++;
+    void reserve(LengthClass lengthClass, long kvTokens) {
+        reservedTokens += kvTokens;
+        streamsByClass[lengthClass.ordinal()]++;
     }
 
-    void released(LengthClass lengthClass, long kvTokens) {
-        reserved -= kvTokens;
-        streams[lengthClass.ordinal()]--;
+    void release(LengthClass lengthClass, long kvTokens) {
+        reservedTokens -= kvTokens;
+        streamsByClass[lengthClass.ordinal()]--;
     }
 
     @Override
@@ -59,7 +59,7 @@
 
     @Override
     public long reservedKvTokens() {
-        return reserved;
+        return reservedTokens;
     }
 
     @Override
@@ -73,13 +73,13 @@
 
     @Override
     public long prefillBacklogTokens(LengthClass lengthClass) {
-        return (long) backlog.tokens(lengthClass, nowNanos);
+        return (long) backlog.remainingTokens(lengthClass, nowNanos);
     }
 
     @Override
     public int openStreams() {
         int sum = 0;
-        for (int each : streams) {
+        for (int each : streamsByClass) {
             sum += each;
         }
         return sum;
@@ -87,7 +87,7 @@
 
     @Override
     public int openStreams(LengthClass lengthClass) {
-        return streams[lengthClass.ordinal()];
+        return streamsByClass[lengthClass.ordinal()];
     }
 
     @Override
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/FleetRun.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
@@ -19,43 +19,43 @@
  * One run of a workload through one desk and a fleet of engine models, on a manual clock. Same arguments, same result.
  * Segments of a prompt that is larger than one engine are prefilled in turn, each engine holding its own.
  */
-final class FleetRun {
-    private static final long LOSS_NOTICED_NANOS = 1_000_000_000L;
+final class Simulation {
+    private static final long FAILURE_DETECTION_NANOS = 1_000_000_000L;
     private static final long TICK_NANOS = 100_000_000L;
 
     private final Scenario scenario;
-    private final Desk desk;
+    private final Scheduler scheduler;
     private final EngineModel[] engines;
     private final boolean[] alive;
-    private final Map<Long, Job> bySequence = new HashMap<>();
+    private final Map<Long, Job> jobsBySequence = new HashMap<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingLong(Timer::atNanos).thenComparingLong(Timer::number));
     private final RunResult result;
     private long now;
-    private long timersSet;
-    private long cachedGone;
-    private long promptGone;
+    private long timerCount;
+    private long retiredCachedTokens;
+    private long retiredPromptTokens;
 
     /** Something to do at a set time; the number keeps those of one time in their order. */
     private record Timer(long atNanos, long number, Runnable action) {}
 
-    FleetRun(Scenario scenario, Desk desk) {
+    Simulation(Scenario scenario, Scheduler desk) {
         this.scenario = scenario;
-        this.desk = desk;
+        this.scheduler = desk;
         engines = new EngineModel[scenario.engines()];
         alive = new boolean[scenario.engines()];
         for (int i = 0; i < engines.length; i++) {
             startEngine(i);
         }
-        result = new RunResult(scenario.nanos(0.1));
+        result = new RunResult(scenario.nanosAt(0.1));
     }
 
     RunResult run() {
         scheduleFaults();
-        at(0, this::tick);
+        scheduleAt(0, this::tick);
         int next = 0;
         List<Arrival> arrivals = scenario.arrivals();
-        while (next < arrivals.size() || result.open() > 0) {
+        while (next < arrivals.size() || result.openRequests() > 0) {
             long arrivalAt = next < arrivals.size() ? arrivals.get(next).atNanos() : Long.MAX_VALUE;
             long timerAt = timers.peek().atNanos();
             int engine = earliestEngine();
@@ -66,28 +66,28 @@
             } else if (timerAt == now) {
                 timers.poll().action().run();
             } else {
-                arrive(new Job(arrivals.get(next), next));
+                onArrival(new Job(arrivals.get(next), next));
                 next++;
             }
-            settle();
+            applyDecisions();
         }
         for (int i = 0; i < engines.length; i++) {
-            retireCounts(i);
+            retireCounters(i);
         }
-        result.prefixHits(cachedGone, promptGone);
-        checkNothingHeld();
+        result.prefixHits(retiredCachedTokens, retiredPromptTokens);
+        checkNothingReserved();
         return result;
     }
 
     /** A reservation or sequence left over would be memory lost for good. */
-    private void checkNothingHeld() {
+    private void checkNothingReserved() {
         for (EngineModel each : engines) {
             if (each.openSequences() != 0 || each.usedKvTokens() != 0) {
                 throw new IllegalStateException("an engine holds memory after all requests ended");
             }
         }
-        if (desk.reservedTokens() != 0) {
-            throw new IllegalStateException("reserved after all requests ended: " + desk.reservedTokens());
+        if (scheduler.reservedTokens() != 0) {
+            throw new IllegalStateException("reserved after all requests ended: " + scheduler.reservedTokens());
         }
     }
 
@@ -101,46 +101,46 @@
         return earliest;
     }
 
-    private void at(long nanos, Runnable action) {
-        timers.add(new Timer(nanos, timersSet++, action));
+    private void scheduleAt(long nanos, Runnable action) {
+        timers.add(new Timer(nanos, timerCount++, action));
     }
 
     private void tick() {
-        desk.tick(now);
-        at(now + TICK_NANOS, this::tick);
+        scheduler.tick(now);
+        scheduleAt(now + TICK_NANOS, this::tick);
     }
 
-    private void arrive(Job job) {
-        result.arrived();
-        at(job.deadlineNanos(), () -> end(job));
-        desk.arrive(job, now);
+    private void onArrival(Job job) {
+        result.recordArrival();
+        scheduleAt(job.deadlineNanos(), () -> finish(job));
+        scheduler.submit(job, now);
     }
 
-    private void settle() {
-        List<Desk.Decision> decided = desk.settle(now);
+    private void applyDecisions() {
+        List<Scheduler.Decision> decided = scheduler.takeDecisions(now);
         while (!decided.isEmpty()) {
-            for (Desk.Decision each : decided) {
-                take(each);
+            for (Scheduler.Decision each : decided) {
+                apply(each);
             }
-            decided = desk.settle(now);
+            decided = scheduler.takeDecisions(now);
         }
     }
 
-    private void take(Desk.Decision decision) {
+    private void apply(Scheduler.Decision decision) {
         Job job = decision.job();
-        if (decision.placed().isEmpty()) {
-            job.refused = true;
-            end(job);
+        if (decision.segments().isEmpty()) {
+            job.isRefused = true;
+            finish(job);
             return;
         }
-        job.placed = decision.placed();
-        job.tries++;
-        job.placed.forEach(each -> bySequence.put(each.sequence(), job));
-        for (Job.Placed each : job.placed) {
+        job.segments = decision.segments();
+        job.placements++;
+        job.segments.forEach(each -> jobsBySequence.put(each.sequence(), job));
+        for (Job.PlacedSegment each : job.segments) {
             if (!alive[each.engine()]) {
-                giveUpPlace(job, -1);
-                job.failed.add(BackendServerId.of("engine-" + each.engine()));
-                desk.arrive(job, now);
+                releaseSegments(job, -1);
+                job.failedServers.add(BackendServerId.of("engine-" + each.engine()));
+                scheduler.submit(job, now);
                 return;
             }
         }
@@ -148,10 +148,10 @@
     }
 
     private void submit(Job job, int segment) {
-        job.running = segment;
-        Job.Placed placed = job.placed.get(segment);
-        desk.begun(placed, now);
-        long[] blocks = job.placed.size() > 1
+        job.runningSegment = segment;
+        Job.PlacedSegment placed = job.segments.get(segment);
+        scheduler.prefillStarted(placed, now);
+        long[] blocks = job.segments.size() > 1
                 ? new long[0]
                 : job.arrival.blockHashes().stream().mapToLong(Long::longValue).toArray();
         SequenceRequest request = new SequenceRequest(
@@ -170,11 +170,11 @@
         return new StepListener() {
             @Override
             public void token(long id, int index, long atNanos) {
-                Job job = bySequence.get(id);
+                Job job = jobsBySequence.get(id);
                 if (index == 0) {
-                    desk.prefilled(job.placed.get(job.running), atNanos);
+                    scheduler.prefillFinished(job.segments.get(job.runningSegment), atNanos);
                 }
-                job.delivered++;
+                job.deliveredTokens++;
                 if (job.firstTokenNanos < 0) {
                     job.firstTokenNanos = atNanos;
                 }
@@ -182,90 +182,90 @@
 
             @Override
             public void finished(long id, long atNanos) {
-                Job job = bySequence.get(id);
-                desk.prefilled(job.placed.get(job.running), atNanos);
-                if (job.running < job.placed.size() - 1) {
-                    submit(job, job.running + 1);
+                Job job = jobsBySequence.get(id);
+                scheduler.prefillFinished(job.segments.get(job.runningSegment), atNanos);
+                if (job.runningSegment < job.segments.size() - 1) {
+                    submit(job, job.runningSegment + 1);
                     return;
                 }
                 job.endNanos = atNanos;
-                end(job);
+                finish(job);
             }
         };
     }
 
     /** Ends a job, answered or not; a second call does nothing. */
-    private void end(Job job) {
-        if (job.over) {
+    private void finish(Job job) {
+        if (job.isFinished) {
             return;
         }
-        job.over = true;
-        if (job.placed.isEmpty()) {
-            desk.withdraw(job, now);
+        job.isFinished = true;
+        if (job.segments.isEmpty()) {
+            scheduler.cancel(job, now);
         }
-        giveUpPlace(job, -1);
-        result.ended(job);
+        releaseSegments(job, -1);
+        result.recordEnd(job);
     }
 
     /** Frees all that a job holds; {@code lost} is the engine that died with it, or -1. */
-    private void giveUpPlace(Job job, int lost) {
-        for (Job.Placed each : job.placed) {
-            bySequence.remove(each.sequence());
+    private void releaseSegments(Job job, int lost) {
+        for (Job.PlacedSegment each : job.segments) {
+            jobsBySequence.remove(each.sequence());
             engines[each.engine()].release(each.sequence());
-            desk.released(each, each.engine() == lost || !alive[each.engine()], now);
+            scheduler.released(each, each.engine() == lost || !alive[each.engine()], now);
         }
-        job.placed = List.of();
+        job.segments = List.of();
     }
 
     private void scheduleFaults() {
         Fault fault = scenario.fault();
         for (int i = 0; i < engines.length; i++) {
             int engine = i;
-            if (fault.kills(engine)) {
-                at(scenario.nanos(1 / 3.0), () -> kill(engine));
-                at(scenario.nanos(2 / 3.0), () -> startEngine(engine));
+            if (fault.stops(engine)) {
+                scheduleAt(scenario.nanosAt(1 / 3.0), () -> stopEngine(engine));
+                scheduleAt(scenario.nanosAt(2 / 3.0), () -> startEngine(engine));
             }
             if (fault.slows(engine)) {
-                at(scenario.nanos(1 / 3.0), () -> engines[engine].slowdown(10));
+                scheduleAt(scenario.nanosAt(1 / 3.0), () -> engines[engine].slowdown(10));
             }
         }
     }
 
-    private void kill(int engine) {
-        desk.engineDown(engine, now);
-        List<Long> ids = new ArrayList<>(bySequence.keySet());
+    private void stopEngine(int engine) {
+        scheduler.engineStopped(engine, now);
+        List<Long> ids = new ArrayList<>(jobsBySequence.keySet());
         ids.sort(null);
         Set<Job> lost = new LinkedHashSet<>();
         for (long id : ids) {
-            Job job = bySequence.get(id);
-            if (job.placed.stream().anyMatch(p -> p.engine() == engine)) {
+            Job job = jobsBySequence.get(id);
+            if (job.segments.stream().anyMatch(p -> p.engine() == engine)) {
                 lost.add(job);
             }
         }
         for (Job each : lost) {
-            giveUpPlace(each, engine);
-            at(now + LOSS_NOTICED_NANOS, () -> retry(each));
+            releaseSegments(each, engine);
+            scheduleAt(now + FAILURE_DETECTION_NANOS, () -> resubmit(each));
         }
-        retireCounts(engine);
+        retireCounters(engine);
         engines[engine] = newModel(engine);
         alive[engine] = false;
     }
 
-    private void retry(Job job) {
-        if (!job.over) {
-            desk.arrive(job, now);
+    private void resubmit(Job job) {
+        if (!job.isFinished) {
+            scheduler.submit(job, now);
         }
     }
 
-    private void retireCounts(int engine) {
-        cachedGone += engines[engine].cachedPromptTokens();
-        promptGone += engines[engine].promptTokens();
+    private void retireCounters(int engine) {
+        retiredCachedTokens += engines[engine].cachedPromptTokens();
+        retiredPromptTokens += engines[engine].promptTokens();
     }
 
     private void startEngine(int engine) {
         engines[engine] = newModel(engine);
         alive[engine] = true;
-        desk.engineUp(engine, now);
+        scheduler.engineStarted(engine, now);
     }
 
     private EngineModel newModel(int engine) {
@@ -274,12 +274,12 @@
     }
 
     private void cacheChanged(int engine, long hash, boolean stored, long atNanos) {
-        if (scenario.fault() != Fault.CACHE_LIES) {
-            desk.cacheChanged(engine, hash, stored, atNanos);
+        if (scenario.fault() != Fault.FALSE_CACHE_EVENTS) {
+            scheduler.cacheChanged(engine, hash, stored, atNanos);
             return;
         }
         for (int i = 0; stored && i < engines.length; i++) {
-            desk.cacheChanged(i, hash, true, atNanos);
+            scheduler.cacheChanged(i, hash, true, atNanos);
         }
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Variant.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Variant.java
@@ -12,22 +12,23 @@
  *
  * @param title its name in tables
  * @param policy name of the placement policy
- * @param lengthBlind whether nothing in it looks at a prompt's length
- * @param wholeOwner whether the daemons' owner runs, with admission, ledger and groups, or the policy alone
+ * @param isLengthBlind whether nothing in it looks at a prompt's length
+ * @param usesOwner whether the daemons' owner runs, with admission, ledger and groups, or the policy alone
  */
 public record Variant(
-        String title, String policy, PlacementSettings settings, boolean lengthBlind, boolean wholeOwner) {
+        String title, String policy, PlacementSettings settings, boolean isLengthBlind, boolean usesOwner) {
     /** A policy alone. */
-    public Variant(String title, String policy, PlacementSettings settings, boolean lengthBlind) {
-        this(title, policy, settings, lengthBlind, false);
+    public Variant(String title, String policy, PlacementSettings settings, boolean isLengthBlind) {
+        this(title, policy, settings, isLengthBlind, false);
     }
 
-    private static final List<String> BLIND = List.of("round-robin", "random", "least-requests", "power-of-two");
+    private static final List<String> LENGTH_BLIND_POLICIES =
+            List.of("round-robin", "random", "least-requests", "power-of-two");
 
     /** All that a measurement compares: blind placement without and with class priorities in the engines, then the rest. */
     public static List<Variant> all() {
         List<Variant> all = new ArrayList<>();
-        for (String each : BLIND) {
+        for (String each : LENGTH_BLIND_POLICIES) {
             all.add(blind(each));
         }
         for (String each : List.of("round-robin", "least-requests", "power-of-two", "fixed-split", "shortest-wait")) {
@@ -52,7 +53,7 @@
     }
 
     /** What elmline does by default. */
-    public static Variant chosen() {
+    public static Variant defaultVariant() {
         return prioritised(PlacementPolicies.DEFAULT);
     }
 
@@ -62,12 +63,12 @@
     }
 
     RunResult run(Scenario scenario) {
-        return new FleetRun(scenario, newDesk(scenario)).run();
+        return new Simulation(scenario, newScheduler(scenario)).run();
     }
 
-    private Desk newDesk(Scenario scenario) {
+    private Scheduler newScheduler(Scenario scenario) {
         PlacementPolicy chosen = PlacementPolicies.named(policy, settings).orElseThrow();
-        return wholeOwner ? new OwnerDesk(scenario, chosen) : new PolicyDesk(scenario, chosen);
+        return usesOwner ? new OwnerScheduler(scenario, chosen) : new PolicyScheduler(scenario, chosen);
     }
 
     private static PlacementSettings noPriorities(double maxLongShare) {
--- a/elmline-bench/src/main/java/org/elmline/bench/route/Fleet.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/BenchCluster.java
@@ -15,13 +15,13 @@
 import org.elmline.core.control.HostRecord;
 
 /** Hosts and engines spread evenly over failure domains. */
-final class Fleet {
+final class BenchCluster {
     static final ModelName MODEL = ModelName.of("elm-small");
-    private static final long CAPACITY = 4_000_000;
-    private static final long SPEED = 10_000;
+    private static final long CAPACITY_KV_TOKENS = 4_000_000;
+    private static final long PREFILL_TOKENS_PER_SECOND = 10_000;
     private static final Address ADDRESS = new Address("10.1.2.3", 9_000);
 
-    private Fleet() {}
+    private BenchCluster() {}
 
     static List<HostRecord> hosts(int count, int domains) {
         List<HostRecord> hosts = new ArrayList<>();
@@ -56,8 +56,8 @@
                 List.of("1"),
                 List.of(),
                 "",
-                CAPACITY,
-                SPEED,
+                CAPACITY_KV_TOKENS,
+                PREFILL_TOKENS_PER_SECOND,
                 null,
                 false,
                 false);
--- a/elmline-bench/src/main/java/org/elmline/bench/route/HeapCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/HeapCost.java
@@ -22,19 +22,19 @@
 final class HeapCost {
     private static final int ROUNDS = 5;
     private static final int COLLECTIONS = 3;
-    private static final int BLOCKS = 4_096;
+    private static final int CACHED_BLOCKS = 4_096;
     private static final int PREFIX_BLOCKS = 8;
 
     private HeapCost() {}
 
     /** Bytes for each of {@code count} things that {@code build} makes together. */
-    static Samples each(int count, IntFunction<Object> build) {
+    static Samples bytesEach(int count, IntFunction<Object> build) {
         double[] values = new double[ROUNDS];
         List<Object> kept = new ArrayList<>();
-        long before = used();
+        long before = usedBytes();
         for (int round = 0; round < ROUNDS; round++) {
             kept.add(build.apply(count));
-            long after = used();
+            long after = usedBytes();
             values[round] = (double) (after - before) / count;
             before = after;
         }
@@ -45,19 +45,19 @@
     static Object engines(int count) {
         Ledger ledger = new Ledger(LedgerSettings.DEFAULT);
         for (int i = 0; i < count; i++) {
-            ledger.announce(Fleet.engine(i, 1), 0);
+            ledger.announce(BenchCluster.engine(i, 1), 0);
         }
         return ledger;
     }
 
-    static Object enginesWithFullCacheBelief(int count) {
+    static Object enginesWithFullPrefixCache(int count) {
         Ledger ledger = (Ledger) engines(count);
         for (int i = 0; i < count; i++) {
             List<CacheEvents.Event> events = new ArrayList<>();
-            for (int block = 1; block <= BLOCKS; block++) {
+            for (int block = 1; block <= CACHED_BLOCKS; block++) {
                 events.add(new CacheEvents.Event(block, i * 1_000_003L + block, true));
             }
-            ledger.cacheEvents(Fleet.engine(i, 1).id(), new CacheEvents(events, BLOCKS));
+            ledger.cacheEvents(BenchCluster.engine(i, 1).id(), new CacheEvents(events, CACHED_BLOCKS));
         }
         return ledger;
     }
@@ -88,7 +88,7 @@
         for (int i = 0; i < count; i++) {
             Organisation organisation =
                     new Organisation(OrganisationId.of("org-" + i), 1, 0, List.of(), 10, 10_000, false);
-            limits.granted(new ShareAnswer(organisation.id(), 10, 10_000, 2_000), 0, 0);
+            limits.applyShare(new ShareAnswer(organisation.id(), 10, 10_000, 2_000), 0, 0);
             limits.admit(organisation, 1_000, 0);
         }
         return limits;
@@ -100,10 +100,10 @@
                 HostId.of("host-" + number % 370),
                 Incarnation.of(number % 7),
                 OrganisationId.of("org-" + number % 1_400),
-                Fleet.MODEL,
-                Fleet.engine(0, 1).id(),
+                BenchCluster.MODEL,
+                BenchCluster.engine(0, 1).id(),
                 Incarnation.of(1),
-                Fleet.engine(0, 1).address(),
+                BenchCluster.engine(0, 1).address(),
                 "standin",
                 3_000,
                 3_200,
@@ -113,7 +113,7 @@
                 true);
     }
 
-    private static long used() {
+    private static long usedBytes() {
         for (int i = 0; i < COLLECTIONS; i++) {
             System.gc();
         }
--- a/elmline-bench/src/main/java/org/elmline/bench/route/PlaceCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/PlaceCost.java
@@ -26,7 +26,7 @@
 /** Time and allocation of {@link Owner#place} with the default policy, for prompts of 1,000 to 8,000 tokens. */
 final class PlaceCost {
     private static final int ROUNDS = 11;
-    private static final int BATCH = 16;
+    private static final int BATCH_SIZE = 16;
     private static final int BATCHES = 200;
     private static final int WARM_UP_ROUNDS = 4;
     private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -35,19 +35,19 @@
     private final Random random = new Random(1);
     private long now;
     private int attempts;
-    private long nanos;
-    private long bytes;
+    private long totalNanos;
+    private long totalBytes;
     private int refused;
 
     PlaceCost(int engines) {
         PlacementPolicy policy = PlacementPolicies.named(PlacementPolicies.DEFAULT, PlacementSettings.defaults())
                 .orElseThrow();
         owner = new Owner(
-                Fleet.host(0, 1), policy, random, OwnerSettings.builder().build());
+                BenchCluster.host(0, 1), policy, random, OwnerSettings.builder().build());
         owner.leaseUntil(Long.MAX_VALUE);
-        owner.members(List.of(Fleet.host(0, 1)), now);
+        owner.members(List.of(BenchCluster.host(0, 1)), now);
         for (int i = 0; i < engines; i++) {
-            owner.announce(Fleet.engine(i, 1), now);
+            owner.announce(BenchCluster.engine(i, 1), now);
         }
     }
 
@@ -56,14 +56,14 @@
         double[] nanosEach = new double[ROUNDS];
         double[] bytesEach = new double[ROUNDS];
         for (int round = -WARM_UP_ROUNDS; round < ROUNDS; round++) {
-            nanos = 0;
-            bytes = 0;
+            totalNanos = 0;
+            totalBytes = 0;
             for (int batch = 0; batch < BATCHES; batch++) {
-                batch();
+                runBatch();
             }
             if (round >= 0) {
-                nanosEach[round] = (double) nanos / (BATCH * BATCHES);
-                bytesEach[round] = (double) bytes / (BATCH * BATCHES);
+                nanosEach[round] = (double) totalNanos / (BATCH_SIZE * BATCHES);
+                bytesEach[round] = (double) totalBytes / (BATCH_SIZE * BATCHES);
             }
         }
         return List.of(new Samples(nanosEach), new Samples(bytesEach));
@@ -73,9 +73,9 @@
         return refused;
     }
 
-    private void batch() {
+    private void runBatch() {
         List<PlaceRequest> requests = new ArrayList<>();
-        for (int i = 0; i < BATCH; i++) {
+        for (int i = 0; i < BATCH_SIZE; i++) {
             requests.add(request());
         }
         List<PlaceRequest> placed = new ArrayList<>();
@@ -86,8 +86,8 @@
                 placed.add(each);
             }
         }
-        nanos += System.nanoTime() - start;
-        bytes += THREADS.getCurrentThreadAllocatedBytes() - allocated;
+        totalNanos += System.nanoTime() - start;
+        totalBytes += THREADS.getCurrentThreadAllocatedBytes() - allocated;
         refused += requests.size() - placed.size();
         now += 1_000_000;
         finish(placed);
@@ -100,13 +100,14 @@
             firstTokens.add(new FirstToken(each.attempt(), 100));
             releases.add(new Release(each.attempt(), ReleaseCause.FINISHED));
         }
-        owner.report(new GrantReport(Fleet.host(0, 1).id(), Incarnation.of(1), firstTokens, releases), now);
+        owner.report(new GrantReport(BenchCluster.host(0, 1).id(), Incarnation.of(1), firstTokens, releases), now);
     }
 
     private PlaceRequest request() {
-        Demand demand = new Demand(Fleet.MODEL, "", 1_000 + random.nextInt(7_000), 200, List.of(), 0, 30_000, Set.of());
+        Demand demand =
+                new Demand(BenchCluster.MODEL, "", 1_000 + random.nextInt(7_000), 200, List.of(), 0, 30_000, Set.of());
         AttemptId attempt = AttemptId.of("host-0/" + attempts++);
         OrganisationId organisation = OrganisationId.of("org-" + random.nextInt(50));
-        return new PlaceRequest(attempt, Fleet.host(0, 1).id(), Incarnation.of(1), organisation, demand);
+        return new PlaceRequest(attempt, BenchCluster.host(0, 1).id(), Incarnation.of(1), organisation, demand);
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/route/RouteMeasurement.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/RouteMeasurement.java
@@ -33,12 +33,12 @@
                     + ", not placed at once " + cost.refused());
         }
         printSummaries();
-        System.out.println("heap bytes an owned engine: " + HeapCost.each(5_000, HeapCost::engines));
+        System.out.println("heap bytes an owned engine: " + HeapCost.bytesEach(5_000, HeapCost::engines));
         System.out.println("heap bytes an engine with 4,096 believed blocks: "
-                + HeapCost.each(100, HeapCost::enginesWithFullCacheBelief));
-        System.out.println("heap bytes an open grant: " + HeapCost.each(50_000, HeapCost::grants));
-        System.out.println("heap bytes an organisation, counter: " + HeapCost.each(50_000, HeapCost::counters));
-        System.out.println("heap bytes an organisation, limits: " + HeapCost.each(50_000, HeapCost::limits));
+                + HeapCost.bytesEach(100, HeapCost::enginesWithFullPrefixCache));
+        System.out.println("heap bytes an open grant: " + HeapCost.bytesEach(50_000, HeapCost::grants));
+        System.out.println("heap bytes an organisation, counter: " + HeapCost.bytesEach(50_000, HeapCost::counters));
+        System.out.println("heap bytes an organisation, limits: " + HeapCost.bytesEach(50_000, HeapCost::limits));
         printOwnership();
     }
 
@@ -55,7 +55,7 @@
     private static OwnerSummary summary(int models, int prefixes) {
         List<Integer> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS / HOSTS; i++) {
-            servers.add(Ownership.shortHash(Fleet.engine(i, DOMAINS).id()));
+            servers.add(Ownership.shortHash(BenchCluster.engine(i, DOMAINS).id()));
         }
         List<ModelSummary> all = new ArrayList<>();
         for (int i = 0; i < models; i++) {
@@ -63,7 +63,8 @@
             for (int j = 0; j < prefixes; j++) {
                 hashes.add(ModelSummary.shortHash((i * 31L + j) * 0x9e3779b97f4a7c15L));
             }
-            all.add(new ModelSummary(Fleet.MODEL, 4, List.of(12, 150, 900, 4_000), 9_800, 90_000, 300_000, hashes));
+            all.add(new ModelSummary(
+                    BenchCluster.MODEL, 4, List.of(12, 150, 900, 4_000), 9_800, 90_000, 300_000, hashes));
         }
         return new OwnerSummary(HostId.of("host-123"), Incarnation.of(12), 123_456, servers, all, List.of());
     }
@@ -71,9 +72,9 @@
     private static void printOwnership() {
         List<Announcement> servers = new ArrayList<>();
         for (int i = 0; i < SERVERS; i++) {
-            servers.add(Fleet.engine(i, DOMAINS));
+            servers.add(BenchCluster.engine(i, DOMAINS));
         }
-        List<HostRecord> hosts = Fleet.hosts(HOSTS, DOMAINS);
+        List<HostRecord> hosts = BenchCluster.hosts(HOSTS, DOMAINS);
         double[] build = new double[ROUNDS];
         double[] first = new double[ROUNDS];
         double[] bounded = new double[ROUNDS];
--- a/elmline-bench/src/main/java/org/elmline/bench/timeline/ClockOrderExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/timeline/ClockOrderExperiment.java
@@ -21,7 +21,8 @@
     private final ClockOrderSetup setup;
     private final SplittableRandom random;
     private final List<Host> hosts = new ArrayList<>();
-    private final PriorityQueue<Message> inFlight = new PriorityQueue<>(Comparator.comparingLong(Message::arrival));
+    private final PriorityQueue<Message> inFlight =
+            new PriorityQueue<>(Comparator.comparingLong(Message::arrivalMicros));
     private long nowMicros;
     private int wallInversions;
     private int hybridInversions;
@@ -58,9 +59,9 @@
     }
 
     private void deliverUntil(long limitMicros) {
-        while (!inFlight.isEmpty() && inFlight.peek().arrival() <= limitMicros) {
+        while (!inFlight.isEmpty() && inFlight.peek().arrivalMicros() <= limitMicros) {
             Message message = inFlight.poll();
-            nowMicros = message.arrival();
+            nowMicros = message.arrivalMicros();
             receive(message);
         }
     }
@@ -80,14 +81,14 @@
 
     /** A host's clocks: the wall clock is off by a constant and drifts. */
     private final class Host {
-        private final double offMicros = (2 * random.nextDouble() - 1) * setup.skewMillis() * MICROS_PER_MILLI;
+        private final double skewMicros = (2 * random.nextDouble() - 1) * setup.skewMillis() * MICROS_PER_MILLI;
         private final double drift = (2 * random.nextDouble() - 1) * MAX_DRIFT;
         private final HybridClock clock = new HybridClock(() -> wallMicros() / MICROS_PER_MILLI);
 
         long wallMicros() {
-            return START_MICROS + nowMicros + (long) (offMicros + nowMicros * drift);
+            return START_MICROS + nowMicros + (long) (skewMicros + nowMicros * drift);
         }
     }
 
-    private record Message(long arrival, Host to, long sentWallMicros, HybridTime sentHybrid) {}
+    private record Message(long arrivalMicros, Host to, long sentWallMicros, HybridTime sentHybrid) {}
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/timeline/ClockOrderResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/timeline/ClockOrderResult.java
@@ -9,7 +9,7 @@
  */
 public record ClockOrderResult(
         ClockOrderSetup setup, int messages, int wallInversions, int hybridInversions, long maxAheadMillis) {
-    public double wallShare() {
+    public double wallInversionRate() {
         return (double) wallInversions / messages;
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/workload/Mix.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/workload/PromptMix.java
@@ -1,21 +1,21 @@
 package org.elmline.bench.workload;
 
 /** Prompt lengths of the two member bodies: shares of requests in four bands, log-uniform inside each. */
-public enum Mix {
+public enum PromptMix {
     /** Mostly guides' questions, some office work, whole season rosters. */
     SNOWPAW(20, 0.80, 0.13, 0.05),
     /** Coach answers, module logs, whole course archives. */
     ZRNO(15, 0.62, 0.26, 0.10);
 
     /** One prompt in fifty is over 100k tokens, in both bodies. */
-    public static final double OVER_100K = 0.02;
+    public static final double OVER_100K_SHARE = 0.02;
 
     private final int engines;
     private final double shortShare;
     private final double mediumShare;
     private final double longShare;
 
-    Mix(int engines, double shortShare, double mediumShare, double longShare) {
+    PromptMix(int engines, double shortShare, double mediumShare, double longShare) {
         this.engines = engines;
         this.shortShare = shortShare;
         this.mediumShare = mediumShare;
--- a/elmline-bench/src/main/java/org/elmline/bench/workload/Workload.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/workload/Workload.java
@@ -20,15 +20,15 @@
     private static final double BURST_PERIOD_SECONDS = 50;
     private static final double BURST_SECONDS = 5;
     private static final int COST_SAMPLES = 20_000;
-    private static final int PREFIXES_EACH = 3;
-    private static final double SHARED_SHORT = 0.4;
-    private static final double SHARED_LONG = 0.3;
+    private static final int PREFIXES_PER_ORGANISATION = 3;
+    private static final double SHORT_SHARED_PREFIX_PROBABILITY = 0.4;
+    private static final double LONG_SHARED_PREFIX_PROBABILITY = 0.3;
     private static final int MEAN_DECODE_BATCH = 16;
 
-    private final Mix mix;
+    private final PromptMix mix;
     private final EngineProfile profile;
 
-    public Workload(Mix mix, EngineProfile profile) {
+    public Workload(PromptMix mix, EngineProfile profile) {
         this.mix = mix;
         this.profile = profile;
     }
@@ -38,7 +38,7 @@
      *
      * @param load offered work over what the engines can do, 1 for just as much, prefix hits not counted
      */
-    public List<Arrival> draw(double load, double seconds, long seed) {
+    public List<Arrival> generate(double load, double seconds, long seed) {
         double perSecond = load * mix.engines() / meanCostSeconds(seed);
         double quiet = perSecond / (1 + (BURST_FACTOR - 1) * BURST_SECONDS / BURST_PERIOD_SECONDS);
         SplittableRandom random = new SplittableRandom(seed);
@@ -52,7 +52,7 @@
             }
             boolean burst = now % BURST_PERIOD_SECONDS < BURST_SECONDS;
             if (burst || random.nextDouble() < 1 / BURST_FACTOR) {
-                arrivals.add(arrival((long) (now * NANOS_PER_SECOND), random));
+                arrivals.add(drawArrival((long) (now * NANOS_PER_SECOND), random));
             }
         }
     }
@@ -62,7 +62,7 @@
         double nanos = 0;
         for (int i = 0; i < COST_SAMPLES; i++) {
             int prompt = mix.promptTokens(random.nextDouble(), random.nextDouble());
-            nanos += costNanos(prompt, output(prompt, random));
+            nanos += costNanos(prompt, drawOutputTokens(prompt, random));
         }
         return nanos / COST_SAMPLES / NANOS_PER_SECOND;
     }
@@ -73,20 +73,20 @@
         return profile.wholePrefillNanos(promptTokens, 0) + outputTokens * decode;
     }
 
-    private static int output(int promptTokens, SplittableRandom random) {
+    private static int drawOutputTokens(int promptTokens, SplittableRandom random) {
         int most = promptTokens > 32_000 ? 512 : 256;
         return 16 + random.nextInt(most - 16);
     }
 
-    private Arrival arrival(long atNanos, SplittableRandom random) {
+    private Arrival drawArrival(long atNanos, SplittableRandom random) {
         int prompt = mix.promptTokens(random.nextDouble(), random.nextDouble());
-        int output = output(prompt, random);
-        int organisation = organisation(random.nextDouble());
-        return new Arrival(atNanos, organisation, prompt, output, blocks(prompt, organisation, random));
+        int output = drawOutputTokens(prompt, random);
+        int organisation = drawOrganisation(random.nextDouble());
+        return new Arrival(atNanos, organisation, prompt, output, drawBlockHashes(prompt, organisation, random));
     }
 
     /** Zipf: organisation k sends in proportion to 1/(k+1). */
-    private static int organisation(double draw) {
+    private static int drawOrganisation(double draw) {
         double total = 0;
         for (int k = 0; k < ORGANISATIONS; k++) {
             total += 1.0 / (k + 1);
@@ -101,10 +101,10 @@
         return ORGANISATIONS - 1;
     }
 
-    private static List<Long> blocks(int prompt, int organisation, SplittableRandom random) {
+    private static List<Long> drawBlockHashes(int prompt, int organisation, SplittableRandom random) {
         int count = prompt / BLOCK_TOKENS;
-        int shared = sharedBlocks(prompt, random);
-        long hash = 31L * organisation + random.nextInt(PREFIXES_EACH) + (shared > 8 ? 1_000 : 0);
+        int shared = drawSharedBlocks(prompt, random);
+        long hash = 31L * organisation + random.nextInt(PREFIXES_PER_ORGANISATION) + (shared > 8 ? 1_000 : 0);
         long own = random.nextLong();
         List<Long> blocks = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
@@ -115,12 +115,12 @@
     }
 
     /** A system prompt before short questions; a manual or roster of up to 64k tokens before long ones. */
-    private static int sharedBlocks(int prompt, SplittableRandom random) {
+    private static int drawSharedBlocks(int prompt, SplittableRandom random) {
         double draw = random.nextDouble();
         if (prompt <= 32_000) {
-            return draw < SHARED_SHORT ? 2 : 0;
+            return draw < SHORT_SHARED_PREFIX_PROBABILITY ? 2 : 0;
         }
-        return draw < SHARED_LONG ? Math.min(prompt, 64_000) / BLOCK_TOKENS : 0;
+        return draw < LONG_SHARED_PREFIX_PROBABILITY ? Math.min(prompt, 64_000) / BLOCK_TOKENS : 0;
     }
 
     private static long mix(long value) {
--- a/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
@@ -4,7 +4,7 @@
 import java.io.StringWriter;
 import java.util.List;
 
-import org.elmline.bench.workload.Mix;
+import org.elmline.bench.workload.PromptMix;
 import org.elmline.bench.workload.Workload;
 import org.elmline.core.common.LengthClass;
 import org.elmline.core.placement.PlacementPolicies;
@@ -20,18 +20,18 @@
     private static final double SECONDS = 150;
     private static final EngineProfile PROFILE = EngineProfile.builder().build();
 
-    private static Scenario scenario(Mix mix, double load, Fault fault, Variant variant) {
+    private static Scenario scenario(PromptMix mix, double load, Fault fault, Variant variant) {
         return new Scenario(
                 mix.engines(),
                 PROFILE,
-                new Workload(mix, PROFILE).draw(load, SECONDS, 5),
+                new Workload(mix, PROFILE).generate(load, SECONDS, 5),
                 SECONDS,
                 fault,
                 variant.settings(),
                 5);
     }
 
-    private static RunResult run(Mix mix, double load, Fault fault, Variant variant) {
+    private static RunResult run(PromptMix mix, double load, Fault fault, Variant variant) {
         return variant.run(scenario(mix, load, fault, variant));
     }
 
@@ -41,8 +41,8 @@
 
     @Test
     void sameOptionsSameFigures() {
-        RunResult one = run(Mix.ZRNO, 0.8, Fault.HALF_DIE, Variant.chosen());
-        RunResult two = run(Mix.ZRNO, 0.8, Fault.HALF_DIE, Variant.chosen());
+        RunResult one = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
+        RunResult two = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
         for (LengthClass each : LengthClass.values()) {
             assertEquals(one.firstTokenSeconds(each, 99), two.firstTokenSeconds(each, 99));
         }
@@ -53,13 +53,13 @@
     /** The aim: short questions keep their time to first token while long reads share the fleet. */
     @Test
     void shortRequestsAreSlowedDownByLessThanAFifth() {
-        for (Mix mix : Mix.values()) {
-            Scenario shared = scenario(mix, 0.8, Fault.NONE, Variant.chosen());
-            double alone = shortP95(Variant.chosen().run(shared.shortOnly()));
-            RunResult result = Variant.chosen().run(shared);
+        for (PromptMix mix : PromptMix.values()) {
+            Scenario shared = scenario(mix, 0.8, Fault.NONE, Variant.defaultVariant());
+            double alone = shortP95(Variant.defaultVariant().run(shared.shortOnly()));
+            RunResult result = Variant.defaultVariant().run(shared);
             double slowdown = shortP95(result) / alone;
             assertTrue(slowdown <= 1.2, mix + ": " + slowdown);
-            assertTrue(result.shareInLimit() >= 0.999, mix + ": " + result.shareInLimit());
+            assertTrue(result.inLimitFraction() >= 0.999, mix + ": " + result.inLimitFraction());
             for (String blind : List.of("round-robin", "random", "least-requests", "power-of-two")) {
                 double other = shortP95(run(mix, 0.8, Fault.NONE, Variant.blind(blind)));
                 assertTrue(other > 3 * shortP95(result), mix + ", " + blind + ": " + other);
@@ -70,8 +70,8 @@
     @Test
     void shortWorkIsServedThroughOverloadAndFaults() {
         for (Fault each : Fault.values()) {
-            RunResult result = run(Mix.SNOWPAW, 1.2, each, Variant.chosen());
-            assertTrue(result.shareInLimit(LengthClass.SHORT) >= 0.99, each + ": " + result.shareInLimit());
+            RunResult result = run(PromptMix.SNOWPAW, 1.2, each, Variant.defaultVariant());
+            assertTrue(result.inLimitFraction(LengthClass.SHORT) >= 0.99, each + ": " + result.inLimitFraction());
         }
     }
 
@@ -81,8 +81,8 @@
         for (String name : PlacementPolicies.names()) {
             for (Fault fault : Fault.values()) {
                 Variant variant = new Variant(name, name, PlacementSettings.defaults(), false);
-                RunResult result = run(Mix.ZRNO, 1.2, fault, variant);
-                assertEquals(0, result.open(), name + ", " + fault);
+                RunResult result = run(PromptMix.ZRNO, 1.2, fault, variant);
+                assertEquals(0, result.openRequests(), name + ", " + fault);
             }
         }
     }
@@ -90,15 +90,15 @@
     /** The daemons' owner in place of a policy alone: its admission and ledger must keep the same promises. */
     @Test
     void theOwnerKeepsShortWorkFast() {
-        for (Mix mix : Mix.values()) {
+        for (PromptMix mix : PromptMix.values()) {
             Variant owner = Variant.owner(PlacementPolicies.DEFAULT);
             Scenario shared = scenario(mix, 0.8, Fault.NONE, owner);
             double slowdown = shortP95(owner.run(shared)) / shortP95(owner.run(shared.shortOnly()));
             assertTrue(slowdown <= 1.2, mix + ": " + slowdown);
             for (Fault fault : Fault.values()) {
                 RunResult result = run(mix, 1.2, fault, owner);
-                assertEquals(0, result.open());
-                assertTrue(result.shareInLimit(LengthClass.SHORT) >= 0.98, mix + ", " + fault);
+                assertEquals(0, result.openRequests());
+                assertTrue(result.inLimitFraction(LengthClass.SHORT) >= 0.98, mix + ", " + fault);
             }
         }
     }
@@ -106,7 +106,7 @@
     @Test
     void tablesAndDecisionCostArePrinted() throws Exception {
         StringWriter printed = new StringWriter();
-        PolicyOptions small = new PolicyOptions(List.of(Mix.SNOWPAW), List.of(0.8), 0, 20, List.of(1L), 2, null);
+        PolicyOptions small = new PolicyOptions(List.of(PromptMix.SNOWPAW), List.of(0.8), 0, 20, List.of(1L), 2, null);
         new PolicyBench().run(small, new PrintWriter(printed, true));
         new DecisionCost().run(List.of(2), new PrintWriter(printed, true));
         String text = printed.toString();
--- a/elmline-bench/src/test/java/org/elmline/bench/timeline/ClockOrderExperimentTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/timeline/ClockOrderExperimentTest.java
@@ -20,7 +20,7 @@
     @Test
     void wallClocksInvertUnderSkewAndNotWithout() {
         assertEquals(0, run(0).wallInversions());
-        assertTrue(run(5).wallShare() > 0.2, () -> run(5).toString());
+        assertTrue(run(5).wallInversionRate() > 0.2, () -> run(5).toString());
     }
 
     @Test
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/TimelineBenchCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/TimelineBenchCommand.java
@@ -59,7 +59,7 @@
                     "%7.1f %17d %9.2f %19d %12d%n",
                     skew,
                     result.wallInversions(),
-                    PERCENT * result.wallShare(),
+                    PERCENT * result.wallInversionRate(),
                     result.hybridInversions(),
                     result.maxAheadMillis());
         }
--- a/elmline-core/src/main/java/org/elmline/core/admission/AdmissionQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/admission/AdmissionQueue.java
@@ -20,8 +20,8 @@
  */
 public final class AdmissionQueue {
     private final int capacity;
-    private final Map<Line, TreeSet<Waiting>> lines = new HashMap<>();
-    private final Map<AttemptId, Waiting> byAttempt = new HashMap<>();
+    private final Map<QueueKey, TreeSet<QueuedRequest>> queuesByKey = new HashMap<>();
+    private final Map<AttemptId, QueuedRequest> byAttempt = new HashMap<>();
     private final Map<OrganisationId, Integer> countByOrganisation = new HashMap<>();
     private final Map<OrganisationId, Integer> weights = new HashMap<>();
 
@@ -30,8 +30,9 @@
     }
 
     /** Adds a request and returns the one that had to go for it, which may be the request itself. */
-    public Optional<Waiting> add(Waiting waiting) {
-        lines.computeIfAbsent(Line.of(waiting), line -> new TreeSet<>(Waiting.ORDER))
+    public Optional<QueuedRequest> add(QueuedRequest waiting) {
+        queuesByKey
+                .computeIfAbsent(QueueKey.of(waiting), line -> new TreeSet<>(QueuedRequest.PLACEMENT_ORDER))
                 .add(waiting);
         byAttempt.put(waiting.request().attempt(), waiting);
         countByOrganisation.merge(waiting.request().organisation(), 1, Integer::sum);
@@ -39,19 +40,19 @@
         if (byAttempt.size() <= capacity) {
             return Optional.empty();
         }
-        Waiting shed = firstToShed();
+        QueuedRequest shed = selectToShed();
         remove(shed);
         return Optional.of(shed);
     }
 
-    public void remove(Waiting waiting) {
+    public void remove(QueuedRequest waiting) {
         if (byAttempt.remove(waiting.request().attempt()) == null) {
             return;
         }
-        TreeSet<Waiting> line = lines.get(Line.of(waiting));
+        TreeSet<QueuedRequest> line = queuesByKey.get(QueueKey.of(waiting));
         line.remove(waiting);
         if (line.isEmpty()) {
-            lines.remove(Line.of(waiting));
+            queuesByKey.remove(QueueKey.of(waiting));
         }
         OrganisationId organisation = waiting.request().organisation();
         if (countByOrganisation.merge(organisation, -1, Integer::sum) == 0) {
@@ -60,19 +61,19 @@
         }
     }
 
-    public Optional<Waiting> find(AttemptId attempt) {
+    public Optional<QueuedRequest> find(AttemptId attempt) {
         return Optional.ofNullable(byAttempt.get(attempt));
     }
 
     /** The request to place next among the lines that are not blocked. */
-    public Optional<Waiting> next(Set<Line> blocked) {
-        Waiting best = null;
-        for (Map.Entry<Line, TreeSet<Waiting>> each : lines.entrySet()) {
-            Waiting head = each.getValue().first();
+    public Optional<QueuedRequest> next(Set<QueueKey> blocked) {
+        QueuedRequest best = null;
+        for (Map.Entry<QueueKey, TreeSet<QueuedRequest>> each : queuesByKey.entrySet()) {
+            QueuedRequest head = each.getValue().first();
             if (blocked.contains(each.getKey())) {
                 continue;
             }
-            if (best == null || Waiting.ORDER.compare(head, best) < 0) {
+            if (best == null || QueuedRequest.PLACEMENT_ORDER.compare(head, best) < 0) {
                 best = head;
             }
         }
@@ -80,23 +81,23 @@
     }
 
     /** Prompt work of the requests that will be read before this one: those ahead in the lines up to its own. */
-    public long workAhead(Waiting waiting) {
+    public long costTokensAhead(QueuedRequest waiting) {
         long work = 0;
-        for (Map.Entry<Line, TreeSet<Waiting>> each : lines.entrySet()) {
+        for (Map.Entry<QueueKey, TreeSet<QueuedRequest>> each : queuesByKey.entrySet()) {
             if (each.getKey().lengthClass().compareTo(waiting.lengthClass()) > 0) {
                 continue;
             }
-            for (Waiting ahead : each.getValue().headSet(waiting)) {
-                work += ahead.work();
+            for (QueuedRequest ahead : each.getValue().headSet(waiting)) {
+                work += ahead.costTokens();
             }
         }
         return work;
     }
 
     /** All requests in the order in which they should be placed. */
-    public List<Waiting> all() {
-        List<Waiting> all = new ArrayList<>(byAttempt.values());
-        all.sort(Waiting.ORDER);
+    public List<QueuedRequest> inPlacementOrder() {
+        List<QueuedRequest> all = new ArrayList<>(byAttempt.values());
+        all.sort(QueuedRequest.PLACEMENT_ORDER);
         return all;
     }
 
@@ -109,26 +110,26 @@
      * longest, then the newest. Without the share, an organisation that fills the queue with short prompts would push
      * out every other one's longer prompts.
      */
-    private Waiting firstToShed() {
+    private QueuedRequest selectToShed() {
         int totalWeight = weights.values().stream().mapToInt(Integer::intValue).sum();
-        Comparator<Waiting> order = Comparator.comparingInt(Waiting::priority)
-                .thenComparing(each -> overShare(each, totalWeight))
-                .thenComparingLong(Waiting::work)
-                .thenComparingDouble(Waiting::start)
-                .thenComparingLong(Waiting::arrival);
+        Comparator<QueuedRequest> order = Comparator.comparingInt(QueuedRequest::priority)
+                .thenComparing(each -> exceedsShare(each, totalWeight))
+                .thenComparingLong(QueuedRequest::costTokens)
+                .thenComparingDouble(QueuedRequest::virtualStart)
+                .thenComparingLong(QueuedRequest::arrivalOrder);
         return byAttempt.values().stream().max(order).orElseThrow();
     }
 
-    private boolean overShare(Waiting waiting, int totalWeight) {
+    private boolean exceedsShare(QueuedRequest waiting, int totalWeight) {
         long count = countByOrganisation.get(waiting.request().organisation());
         return count * totalWeight > (long) byAttempt.size() * waiting.weight();
     }
 
     /** Requests that wait for the same kind of room. */
-    public record Line(LengthClass lengthClass, String adapter) {
-        public static Line of(Waiting waiting) {
+    public record QueueKey(LengthClass lengthClass, String adapter) {
+        public static QueueKey of(QueuedRequest waiting) {
             String adapter = waiting.request().demand().adapter();
-            return new Line(waiting.lengthClass(), adapter == null ? "" : adapter);
+            return new QueueKey(waiting.lengthClass(), adapter == null ? "" : adapter);
         }
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/admission/Deadlines.java
+++ b/elmline-core/src/main/java/org/elmline/core/admission/TimingWheel.java
@@ -13,14 +13,14 @@
  *
  * @param <K> what waits
  */
-public final class Deadlines<K> {
+public final class TimingWheel<K> {
     private final long tickNanos;
     private final List<Map<K, Long>> slots;
     private final Map<K, Long> deadlines = new HashMap<>();
     private long nextTick;
     private boolean started;
 
-    public Deadlines(long tickNanos, int slotCount) {
+    public TimingWheel(long tickNanos, int slotCount) {
         if (tickNanos < 1 || slotCount < 1) {
             throw new IllegalArgumentException("a wheel needs a tick and slots");
         }
@@ -33,7 +33,7 @@
 
     /** Sets or moves a deadline; one that is past already expires at the next tick. */
     public void set(K key, long deadline, long now) {
-        clear(key);
+        cancel(key);
         start(now);
         long effective = Math.max(deadline, nextTick * tickNanos);
         deadlines.put(key, effective);
@@ -41,7 +41,7 @@
     }
 
     /** Forgets a deadline; false when there is none. */
-    public boolean clear(K key) {
+    public boolean cancel(K key) {
         Long deadline = deadlines.remove(key);
         if (deadline == null) {
             return false;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/AttemptEnd.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/AttemptEnd.java
@@ -3,32 +3,32 @@
 /** How one try of a call on a backend server ended, and what that says of the server. */
 public enum AttemptEnd {
     /** Answered, be it with a failure of the call's own. */
-    DONE(Sign.GOOD),
+    DONE(HealthSignal.SUCCESS),
     /** Answered that it failed. */
-    SERVER_ERROR(Sign.BAD),
+    SERVER_ERROR(HealthSignal.FAILURE),
     /** Said that it did not run the call. */
-    NOT_EXECUTED(Sign.BUSY),
+    NOT_EXECUTED(HealthSignal.BUSY),
     /** Another server has the address. */
-    WRONG_SERVER(Sign.UNREACHABLE),
+    WRONG_SERVER(HealthSignal.UNREACHABLE),
     /** No connection could be made. */
-    NOT_SENT(Sign.UNREACHABLE),
+    NOT_SENT(HealthSignal.UNREACHABLE),
     /** Was not sent for a reason that lies elsewhere. */
-    NOT_SENT_HERE(Sign.NONE),
+    NOT_SENT_HERE(HealthSignal.NONE),
     /** Broke off, or answered what can't be understood. */
-    BROKEN(Sign.BAD),
+    BROKEN(HealthSignal.FAILURE),
     /** Did not answer within the time expected. */
-    SILENT(Sign.SILENT),
+    SILENT(HealthSignal.TIMEOUT),
     /** The caller left, or its time ended. */
-    CANCELLED(Sign.NONE);
+    CANCELLED(HealthSignal.NONE);
 
-    private final Sign sign;
+    private final HealthSignal healthSignal;
 
-    AttemptEnd(Sign sign) {
-        this.sign = sign;
+    AttemptEnd(HealthSignal sign) {
+        this.healthSignal = sign;
     }
 
-    Sign sign() {
-        return sign;
+    HealthSignal healthSignal() {
+        return healthSignal;
     }
 
     /** Whether the server may have begun to work on the call. */
@@ -40,11 +40,11 @@
     }
 
     /** What an end says of a server's health. */
-    enum Sign {
-        GOOD,
-        BAD,
+    enum HealthSignal {
+        SUCCESS,
+        FAILURE,
         BUSY,
-        SILENT,
+        TIMEOUT,
         UNREACHABLE,
         NONE
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PlaceAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchAnswer.java
@@ -7,9 +7,9 @@
 import org.elmline.core.common.Address;
 import org.elmline.core.common.BackendServerId;
 
-/** What a dispatcher answers to a {@link PlaceCall}. */
+/** What a dispatcher answers to a {@link DispatchCall}. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
-public sealed interface PlaceAnswer {
+public sealed interface DispatchAnswer {
     /**
      * The call may be sent.
      *
@@ -28,7 +28,7 @@
             long engineMillis,
             long backlogMillis,
             int running)
-            implements PlaceAnswer {
+            implements DispatchAnswer {
         public Granted {
             helpers = helpers == null ? List.of() : List.copyOf(helpers);
         }
@@ -36,16 +36,16 @@
 
     /** Waits for a place; the decision is pushed to the asking entry. */
     @JsonTypeName("queued")
-    record Queued(String attempt, int ahead) implements PlaceAnswer {}
+    record Queued(String attempt, int ahead) implements DispatchAnswer {}
 
     /** Was not and will not be placed under this attempt. */
     @JsonTypeName("refused")
-    record Refused(String attempt, Why why, long retryAfterMillis) implements PlaceAnswer {}
+    record Refused(String attempt, RefusalCause why, long retryAfterMillis) implements DispatchAnswer {}
 
     String attempt();
 
     /** Why a call was not placed. */
-    enum Why {
+    enum RefusalCause {
         /** No backend server of the service is known that could take it. */
         NO_SERVER,
         /** It can't be done within its time. */
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PlaceCall.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchCall.java
@@ -25,7 +25,7 @@
  * @param repeated whether the call was sent to a backend server before
  * @param avoid servers that it was sent to, or that could not be reached
  */
-public record PlaceCall(
+public record DispatchCall(
         String attempt,
         HostId host,
         long incarnation,
@@ -42,28 +42,28 @@
         long deadlineLeftMillis,
         boolean repeated,
         List<BackendServerId> avoid) {
-    public PlaceCall {
+    public DispatchCall {
         shard = shard == null ? Shard.WHOLE : shard;
         avoid = avoid == null ? List.of() : List.copyOf(avoid);
     }
 
     /** What is asked for a place. */
-    public ServiceShard key() {
+    public ServiceShard serviceShard() {
         return new ServiceShard(service, shard);
     }
 
     /** The same call, asked for at a shard. */
-    public PlaceCall at(Shard other) {
+    public DispatchCall withShard(Shard other) {
         return with(other, aimLeftMillis, firstLeftMillis, deadlineLeftMillis);
     }
 
     /** The same call with the times that are left of it now. */
-    PlaceCall withTimes(long aimMillis, long firstMillis, long deadlineMillis) {
+    DispatchCall withRemainingTimes(long aimMillis, long firstMillis, long deadlineMillis) {
         return with(shard, aimMillis, firstMillis, deadlineMillis);
     }
 
-    private PlaceCall with(Shard other, long aimMillis, long firstMillis, long deadlineMillis) {
-        return new PlaceCall(
+    private DispatchCall with(Shard other, long aimMillis, long firstMillis, long deadlineMillis) {
+        return new DispatchCall(
                 attempt,
                 host,
                 incarnation,
@@ -88,7 +88,7 @@
     }
 
     /** How much work a caller loses with the call: tokens read, and ten for each written as it takes about as long. */
-    public long size() {
+    public long workTokens() {
         return promptTokens + 10 * answerTokens;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchChannels.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchChannels.java
@@ -9,17 +9,20 @@
 /** What entries ask of the dispatcher of a service, and what it tells them. */
 public final class DispatchChannels {
     /** Asks for a place; answered at once, if need be with "queued". */
-    public static final Channel<PlaceCall, PlaceAnswer> PLACE =
-            new Channel<>("dispatch.place", PlaceCall.class, PlaceAnswer.class);
+    public static final Channel<DispatchCall, DispatchAnswer> PLACE =
+            new Channel<>("dispatch.place", DispatchCall.class, DispatchAnswer.class);
 
     /** Tells what became of attempts. */
-    public static final Channel<Reports, Taken> REPORT = new Channel<>("dispatch.report", Reports.class, Taken.class);
+    public static final Channel<Reports, Acknowledgement> REPORT =
+            new Channel<>("dispatch.report", Reports.class, Acknowledgement.class);
 
     /** Tells a dispatcher of attempts that another one has granted. */
-    public static final Channel<Adoption, Taken> ADOPT = new Channel<>("dispatch.adopt", Adoption.class, Taken.class);
+    public static final Channel<Adoption, Acknowledgement> ADOPT =
+            new Channel<>("dispatch.adopt", Adoption.class, Acknowledgement.class);
 
     /** Tells an entry the decision on a call that waited. */
-    public static final Channel<Decided, Taken> DECIDED = new Channel<>("dispatch.decided", Decided.class, Taken.class);
+    public static final Channel<QueuedDecision, Acknowledgement> DECIDED =
+            new Channel<>("dispatch.decided", QueuedDecision.class, Acknowledgement.class);
 
     private DispatchChannels() {}
 
@@ -41,21 +44,21 @@
             long incarnation,
             boolean all,
             List<OpenGrant> open,
-            List<ServerLimits.Named> limits) {
+            List<ServerRateLimits.ReportedLimit> limits) {
         public Adoption {
             shard = shard == null ? Shard.WHOLE : shard;
             open = open == null ? List.of() : List.copyOf(open);
             limits = limits == null ? List.of() : List.copyOf(limits);
         }
 
-        public ServiceShard key() {
+        public ServiceShard serviceShard() {
             return new ServiceShard(service, shard);
         }
     }
 
     /** A dispatcher's decision on a call that waited there. */
-    public record Decided(HostId dispatcher, PlaceAnswer answer) {}
+    public record QueuedDecision(HostId dispatcher, DispatchAnswer answer) {}
 
     /** Whether the receiver knew what it was told of. */
-    public record Taken(boolean known) {}
+    public record Acknowledgement(boolean known) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
@@ -24,13 +24,13 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** Calls that may wait; beyond this the newest is refused, as it could hardly be in time. */
-    private static final int MAX_WAITING = 512;
+    private static final int MAX_WAITING_CALLS = 512;
 
     /** Time after a call's deadline for which its grant is kept when nobody reports its end. */
-    private static final long FORGOTTEN_NANOS = 2_000 * NANOS_PER_MILLI;
+    private static final long UNREPORTED_GRANT_RETENTION_NANOS = 2_000 * NANOS_PER_MILLI;
 
     /** Time that engines are kept from short calls for a long prompt that waits; about a short answer's length. */
-    private static final long CLOSE_NANOS = 400 * NANOS_PER_MILLI;
+    private static final long LONG_RESERVATION_NANOS = 400 * NANOS_PER_MILLI;
 
     /**
      * Time for which a new dispatcher that knows no server yet lets calls wait: two heartbeats. After a restart of
@@ -43,54 +43,55 @@
      * one entry that lost a packet, it would read a huge prompt on all engines, and the questions that the first dispatcher
      * has there would be late. Within this time the first one answers again, or is found to be gone.
      */
-    private static final long SECONDARY_WAIT_NANOS = 1_000 * NANOS_PER_MILLI;
+    private static final long SECONDARY_HOLD_NANOS = 1_000 * NANOS_PER_MILLI;
 
     /** Part of the engines that is kept free for a long prompt that waits, at least one. */
-    private static final int CLOSE_ONE_OF = 5;
+    private static final int ENGINES_PER_RESERVATION = 5;
 
     /**
      * Calls of a kind, short or long, that find no place in one look before the rest of that kind isn't tried: in a full
      * house they would all miss, and looking at hundreds every few milliseconds costs more than the host has.
      */
-    private static final int MAX_MISSES = 4;
+    private static final int MAX_FAILED_PLACEMENTS = 4;
 
     /** Callers are told to come back no sooner than this, or their retries would only add to a queue. */
-    private static final long SHORTEST_RETRY_MILLIS = 100;
+    private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
     /** Nor later than this: a server may be back by then. */
-    private static final long LONGEST_RETRY_MILLIS = 2_000;
+    private static final long MAX_RETRY_AFTER_MILLIS = 2_000;
 
     private final Placement placement;
-    private final RetryWindow retries;
-    private final ServerAccounts accounts = new ServerAccounts();
-    private final RequestLimits limits;
-    private final Map<String, Granted> grants = new HashMap<>();
+    private final ServiceRetryBudget retryBudget;
+    private final ServerLoads serverLoads = new ServerLoads();
+    private final RateLimitEnforcer rateLimits;
+    private final Map<String, ActiveGrant> grants = new HashMap<>();
     private final List<WaitingCall> waiting = new ArrayList<>();
-    private final boolean engines;
-    private final long warmUntil;
-    private boolean knewServers;
-    private boolean first = true;
-    private long secondSince;
+    private final boolean servesEngines;
+    private final long warmUpUntilNanos;
+    private boolean hasSeenServers;
+    private boolean isPrimary = true;
+    private long secondarySinceNanos;
 
-    private record Granted(PlaceCall call, PlaceAnswer.Granted answer, List<ServerAccount> members, long until) {}
+    private record ActiveGrant(
+            DispatchCall call, DispatchAnswer.Granted answer, List<ServerLoad> members, long expiresAtNanos) {}
 
     public Dispatcher(RoutedService service, RetryLimit limit, long now) {
-        this(service, limit, new ServerLimits(), now);
+        this(service, limit, new ServerRateLimits(), now);
     }
 
     /** @param limits what servers say of the requests that they take; also learned from reports */
-    public Dispatcher(RoutedService service, RetryLimit limit, ServerLimits limits, long now) {
-        this.limits = new RequestLimits(limits, accounts);
-        engines = service.timing() != null;
-        placement = engines ? new EnginePlacement() : new PlainPlacement();
-        retries = new RetryWindow(limit, now);
-        warmUntil = now + WARM_UP_NANOS;
-        secondSince = now;
+    public Dispatcher(RoutedService service, RetryLimit limit, ServerRateLimits limits, long now) {
+        this.rateLimits = new RateLimitEnforcer(limits, serverLoads);
+        servesEngines = service.timing() != null;
+        placement = servesEngines ? new EnginePlacement() : new PlainPlacement();
+        retryBudget = new ServiceRetryBudget(limit, now);
+        warmUpUntilNanos = now + WARM_UP_NANOS;
+        secondarySinceNanos = now;
     }
 
     /** Whether this dispatcher fits a service as it is described now. */
-    public boolean fits(RoutedService service) {
-        return engines == (service.timing() != null);
+    public boolean isCompatibleWith(RoutedService service) {
+        return servesEngines == (service.timing() != null);
     }
 
     /**
@@ -100,16 +101,16 @@
      *
      * @param now monotonic time in nanoseconds
      */
-    public void askedFirst(boolean isFirst, long now) {
-        if (first && !isFirst) {
-            secondSince = now;
+    public void updatePrimary(boolean isFirst, long now) {
+        if (isPrimary && !isFirst) {
+            secondarySinceNanos = now;
         }
-        first = isFirst;
+        isPrimary = isFirst;
     }
 
     /** Takes how many entries there are; while none of them knows who is asked first, each may send on its own. */
-    public void entries(int count) {
-        limits.entries(count);
+    public void updateEntryCount(int count) {
+        rateLimits.entryCount(count);
     }
 
     /**
@@ -117,52 +118,52 @@
      * first, too: from then on entries tell it to forget. A prompt that had waited for as long before would
      * then go to engines that only seem to be free.
      */
-    private boolean heldAsSecond(WaitingCall waited, long now) {
-        long since = Math.max(waited.since(), secondSince);
-        return !first && now - since < SECONDARY_WAIT_NANOS;
+    private boolean isHeldAsSecondary(WaitingCall waited, long now) {
+        long since = Math.max(waited.enqueuedAtNanos(), secondarySinceNanos);
+        return !isPrimary && now - since < SECONDARY_HOLD_NANOS;
     }
 
     /** Takes the servers that may be used now. */
-    public void servers(RoutedService service, Collection<Registration> usable, long now) {
-        knewServers |= !usable.isEmpty();
-        accounts.update(usable, service.timing(), now);
-        limits.serversChanged();
+    public void updateServers(RoutedService service, Collection<Registration> usable, long now) {
+        hasSeenServers |= !usable.isEmpty();
+        serverLoads.update(usable, service.timing(), now);
+        rateLimits.onServersChanged();
     }
 
     /** Asks for a place. The same attempt asked again gets the same answer while it waits or runs. */
-    public PlaceAnswer place(PlaceCall call, long now) {
-        Granted held = grants.get(call.attempt());
+    public DispatchAnswer place(DispatchCall call, long now) {
+        ActiveGrant held = grants.get(call.attempt());
         if (held != null) {
             return held.answer();
         }
-        int ahead = position(call.attempt());
+        int ahead = queuePosition(call.attempt());
         if (ahead >= 0) {
-            return new PlaceAnswer.Queued(call.attempt(), ahead);
+            return new DispatchAnswer.Queued(call.attempt(), ahead);
         }
-        limits.keep(first, now);
-        List<ServerAccount> usable = accounts.usable(call.avoid(), now);
-        Optional<PlaceAnswer> refusal = refusal(call, usable, now);
+        rateLimits.applyChanges(isPrimary, now);
+        List<ServerLoad> usable = serverLoads.usable(call.avoid(), now);
+        Optional<DispatchAnswer> refusal = refusal(call, usable, now);
         if (refusal.isPresent()) {
             return refusal.get();
         }
         WaitingCall next = WaitingCall.of(call, now);
-        if (!usable.isEmpty() && isFirstOfItsKind(next, usable, now)) {
-            Optional<PlaceAnswer> granted = tryToPlace(next, usable, now);
+        if (!usable.isEmpty() && isNextOfItsKind(next, usable, now)) {
+            Optional<DispatchAnswer> granted = tryPlace(next, usable, now);
             if (granted.isPresent()) {
                 return granted.get();
             }
         }
         waiting.add(next);
-        return new PlaceAnswer.Queued(call.attempt(), waiting.size() - 1);
+        return new DispatchAnswer.Queued(call.attempt(), waiting.size() - 1);
     }
 
     /**
      * Whether no call that waits goes before this one. One that isn't first is left to the next look: each new call would
      * else have all that wait looked through, and in a burst the host that decides would hear nobody for a second.
      */
-    private boolean isFirstOfItsKind(WaitingCall next, List<ServerAccount> usable, long now) {
+    private boolean isNextOfItsKind(WaitingCall next, List<ServerLoad> usable, long now) {
         boolean isLong = placement.isLong(next.call(), usable);
-        Comparator<WaitingCall> order = WaitingCall.order(now);
+        Comparator<WaitingCall> order = WaitingCall.placementOrder(now);
         for (WaitingCall each : waiting) {
             if (order.compare(each, next) <= 0 && placement.isLong(each.call(), usable) == isLong) {
                 return false;
@@ -172,20 +173,21 @@
     }
 
     /** Grants a place if there is one; if not, and the call is long, engines are kept free for it. */
-    private Optional<PlaceAnswer> tryToPlace(WaitingCall next, List<ServerAccount> usable, long now) {
+    private Optional<DispatchAnswer> tryPlace(WaitingCall next, List<ServerLoad> usable, long now) {
         boolean isLong = placement.isLong(next.call(), usable);
-        if (isLong && heldAsSecond(next, now)) {
+        if (isLong && isHeldAsSecondary(next, now)) {
             return Optional.empty();
         }
-        PlaceCall call = next.callAt(now);
-        Optional<Plan> plan = placement.plan(call, limits.within(usable, isLong, now), !first, now);
+        DispatchCall call = next.callAt(now);
+        Optional<PlacementPlan> plan =
+                placement.plan(call, rateLimits.withinLimits(usable, isLong, now), !isPrimary, now);
         if (plan.isEmpty() && isLong) {
-            keepEnginesFree(usable, now);
+            reserveEnginesForLong(usable, now);
         }
         return plan.map(each -> grant(next, call, each, now));
     }
 
-    private int position(String attempt) {
+    private int queuePosition(String attempt) {
         for (int i = 0; i < waiting.size(); i++) {
             if (waiting.get(i).call().attempt().equals(attempt)) {
                 return i;
@@ -194,67 +196,69 @@
         return -1;
     }
 
-    private Optional<PlaceAnswer> refusal(PlaceCall call, List<ServerAccount> usable, long now) {
+    private Optional<DispatchAnswer> refusal(DispatchCall call, List<ServerLoad> usable, long now) {
         if (usable.isEmpty()) {
-            return warming(now) ? Optional.empty() : refuse(call, PlaceAnswer.Why.NO_SERVER, SHORTEST_RETRY_MILLIS);
+            return isWarmingUp(now)
+                    ? Optional.empty()
+                    : refuse(call, DispatchAnswer.RefusalCause.NO_SERVER, MIN_RETRY_AFTER_MILLIS);
         }
-        long wait = waitMillis(usable, now);
-        if (waiting.size() >= MAX_WAITING) {
-            return refuse(call, PlaceAnswer.Why.QUEUE_FULL, wait);
+        long wait = queueWaitMillis(usable, now);
+        if (waiting.size() >= MAX_WAITING_CALLS) {
+            return refuse(call, DispatchAnswer.RefusalCause.QUEUE_FULL, wait);
         }
-        if (engines && call.memoryTokens() > allMemory(usable)) {
-            return refuse(call, PlaceAnswer.Why.TOO_LARGE, LONGEST_RETRY_MILLIS);
+        if (servesEngines && call.memoryTokens() > totalMemoryTokens(usable)) {
+            return refuse(call, DispatchAnswer.RefusalCause.TOO_LARGE, MAX_RETRY_AFTER_MILLIS);
         }
-        boolean hopeless = wait + placement.workMillis(call, usable) / 2 > call.deadlineLeftMillis();
+        boolean hopeless = wait + placement.serviceMillis(call, usable) / 2 > call.deadlineLeftMillis();
         if (hopeless) {
-            return refuse(call, PlaceAnswer.Why.TOO_LATE, wait);
+            return refuse(call, DispatchAnswer.RefusalCause.TOO_LATE, wait);
         }
-        if (call.repeated() && !retries.repeat(now)) {
-            return refuse(call, PlaceAnswer.Why.RETRY_BUDGET, LONGEST_RETRY_MILLIS);
+        if (call.repeated() && !retryBudget.tryAcquireRetry(now)) {
+            return refuse(call, DispatchAnswer.RefusalCause.RETRY_BUDGET, MAX_RETRY_AFTER_MILLIS);
         }
         if (!call.repeated()) {
-            retries.first(now);
+            retryBudget.recordFirstSend(now);
         }
         return Optional.empty();
     }
 
-    private boolean warming(long now) {
-        return !knewServers && now - warmUntil < 0;
+    private boolean isWarmingUp(long now) {
+        return !hasSeenServers && now - warmUpUntilNanos < 0;
     }
 
-    private static long allMemory(List<ServerAccount> servers) {
+    private static long totalMemoryTokens(List<ServerLoad> servers) {
         long all = 0;
-        for (ServerAccount each : servers) {
+        for (ServerLoad each : servers) {
             all += each.timing().memoryTokens();
         }
         return all;
     }
 
-    private static Optional<PlaceAnswer> refuse(PlaceCall call, PlaceAnswer.Why why, long millis) {
-        long after = Math.max(SHORTEST_RETRY_MILLIS, Math.min(LONGEST_RETRY_MILLIS, millis));
-        return Optional.of(new PlaceAnswer.Refused(call.attempt(), why, after));
+    private static Optional<DispatchAnswer> refuse(DispatchCall call, DispatchAnswer.RefusalCause why, long millis) {
+        long after = Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, millis));
+        return Optional.of(new DispatchAnswer.Refused(call.attempt(), why, after));
     }
 
     /** Milliseconds until all that waits now has begun, by the work it is. */
-    private long waitMillis(List<ServerAccount> usable, long now) {
+    private long queueWaitMillis(List<ServerLoad> usable, long now) {
         double work = 0;
         int places = 0;
-        for (ServerAccount each : usable) {
-            places += each.places();
+        for (ServerLoad each : usable) {
+            places += each.slots();
         }
         for (WaitingCall each : waiting) {
-            work += placement.workMillis(each.call(), usable);
+            work += placement.serviceMillis(each.call(), usable);
         }
-        return (long) Math.max(work / Math.max(1, places), limits.waitMillis(usable, waiting.size(), now));
+        return (long) Math.max(work / Math.max(1, places), rateLimits.waitMillis(usable, waiting.size(), now));
     }
 
     /** Lets time pass: decisions on calls that waited, to be told to their entries. */
-    public List<PlaceAnswer> tick(long now) {
-        dropForgotten(now);
-        limits.keep(first, now);
-        List<PlaceAnswer> decided = new ArrayList<>();
-        List<ServerAccount> all = accounts.usable(List.of(), now);
-        waiting.sort(WaitingCall.order(now));
+    public List<DispatchAnswer> tick(long now) {
+        expireGrants(now);
+        rateLimits.applyChanges(isPrimary, now);
+        List<DispatchAnswer> decided = new ArrayList<>();
+        List<ServerLoad> all = serverLoads.usable(List.of(), now);
+        waiting.sort(WaitingCall.placementOrder(now));
         int shortMisses = 0;
         int longMisses = 0;
         int ahead = 0;
@@ -262,28 +266,29 @@
         while (each.hasNext()) {
             WaitingCall next = each.next();
             List<BackendServerId> avoid = next.call().avoid();
-            List<ServerAccount> usable = avoid.isEmpty() ? all : accounts.usable(avoid, now);
-            if (usable.isEmpty() && warming(now) && next.deadlineLeftMillis(now) > 0) {
+            List<ServerLoad> usable = avoid.isEmpty() ? all : serverLoads.usable(avoid, now);
+            if (usable.isEmpty() && isWarmingUp(now) && next.deadlineLeftMillis(now) > 0) {
                 continue;
             }
-            if (usable.isEmpty() || isHopeless(next, usable, ahead, now)) {
+            if (usable.isEmpty() || willMissDeadline(next, usable, ahead, now)) {
                 each.remove();
-                PlaceAnswer.Why why = usable.isEmpty() ? PlaceAnswer.Why.NO_SERVER : PlaceAnswer.Why.TOO_LATE;
-                refuse(next.call(), why, SHORTEST_RETRY_MILLIS).ifPresent(decided::add);
+                DispatchAnswer.RefusalCause why =
+                        usable.isEmpty() ? DispatchAnswer.RefusalCause.NO_SERVER : DispatchAnswer.RefusalCause.TOO_LATE;
+                refuse(next.call(), why, MIN_RETRY_AFTER_MILLIS).ifPresent(decided::add);
                 continue;
             }
             ahead++;
             boolean isLong = placement.isLong(next.call(), usable);
-            if ((isLong ? longMisses : shortMisses) >= MAX_MISSES) {
+            if ((isLong ? longMisses : shortMisses) >= MAX_FAILED_PLACEMENTS) {
                 continue;
             }
-            Optional<PlaceAnswer> granted = tryToPlace(next, usable, now);
+            Optional<DispatchAnswer> granted = tryPlace(next, usable, now);
             if (granted.isPresent()) {
                 each.remove();
                 ahead--;
                 decided.add(granted.get());
             } else if (isLong) {
-                longMisses += heldAsSecond(next, now) ? 0 : 1;
+                longMisses += isHeldAsSecondary(next, now) ? 0 : 1;
             } else {
                 shortMisses++;
             }
@@ -292,77 +297,80 @@
     }
 
     /** @param ahead calls that wait and go before this one */
-    private boolean isHopeless(WaitingCall waited, List<ServerAccount> usable, int ahead, long now) {
-        double wait = limits.waitMillis(usable, ahead, now);
-        return wait + placement.workMillis(waited.call(), usable) / 2 > waited.deadlineLeftMillis(now);
+    private boolean willMissDeadline(WaitingCall waited, List<ServerLoad> usable, int ahead, long now) {
+        double wait = rateLimits.waitMillis(usable, ahead, now);
+        return wait + placement.serviceMillis(waited.call(), usable) / 2 > waited.deadlineLeftMillis(now);
     }
 
     /**
      * Turns short calls away from the engines that are nearest to being free of them. Without it, engines that are all
      * packed with short answers never suit a long prompt, and it waits until its caller gives up.
      */
-    private void keepEnginesFree(List<ServerAccount> usable, long now) {
-        List<ServerAccount> tight = new ArrayList<>();
-        for (ServerAccount each : usable) {
-            if (placement.isTight(each, now)) {
+    private void reserveEnginesForLong(List<ServerLoad> usable, long now) {
+        List<ServerLoad> tight = new ArrayList<>();
+        for (ServerLoad each : usable) {
+            if (placement.isUnsuitableForLong(each, now)) {
                 tight.add(each);
             } else {
-                each.closeToShort(now + CLOSE_NANOS);
+                each.reserveForLong(now + LONG_RESERVATION_NANOS);
             }
         }
-        tight.sort(Comparator.comparingInt(ServerAccount::running));
-        int count = Math.max(1, usable.size() / CLOSE_ONE_OF);
-        for (ServerAccount each : tight.subList(0, Math.min(count, tight.size()))) {
-            each.closeToShort(now + CLOSE_NANOS);
+        tight.sort(Comparator.comparingInt(ServerLoad::running));
+        int count = Math.max(1, usable.size() / ENGINES_PER_RESERVATION);
+        for (ServerLoad each : tight.subList(0, Math.min(count, tight.size()))) {
+            each.reserveForLong(now + LONG_RESERVATION_NANOS);
         }
     }
 
-    private PlaceAnswer grant(WaitingCall waited, PlaceCall call, Plan plan, long now) {
-        ServerAccount primary = plan.primary();
+    private DispatchAnswer grant(WaitingCall waited, DispatchCall call, PlacementPlan plan, long now) {
+        ServerLoad primary = plan.primary();
         List<Helper> helpers = new ArrayList<>();
         for (int i = 1; i < plan.members().size(); i++) {
             Registration member = plan.members().get(i).registration();
             helpers.add(new Helper(
                     member.id(), member.address(), plan.memoryTokens().get(i)));
         }
-        PlaceAnswer.Granted answer = new PlaceAnswer.Granted(
+        DispatchAnswer.Granted answer = new DispatchAnswer.Granted(
                 call.attempt(),
                 primary.registration().id(),
                 primary.registration().address(),
                 helpers,
                 (long) plan.firstMillis(),
-                (long) (plan.firstMillis() + placement.workMillis(call, plan.members())),
-                engines ? (long) primary.backlogMillis(now) : 0,
+                (long) (plan.firstMillis() + placement.serviceMillis(call, plan.members())),
+                servesEngines ? (long) primary.backlogMillis(now) : 0,
                 primary.running());
         for (int i = 0; i < plan.members().size(); i++) {
-            Share share = new Share(
+            Allocation share = new Allocation(
                     call,
                     i == 0,
-                    engines ? plan.partMillis() : 0,
+                    servesEngines ? plan.partPrefillMillis() : 0,
                     plan.memoryTokens().get(i));
             plan.members().get(i).grant(share, now);
-            plan.members().get(i).requests().take(now);
+            plan.members().get(i).requestPacer().recordSend(now);
         }
-        grants.put(call.attempt(), new Granted(call, answer, plan.members(), waited.deadlineAt() + FORGOTTEN_NANOS));
+        grants.put(
+                call.attempt(),
+                new ActiveGrant(
+                        call, answer, plan.members(), waited.deadlineNanos() + UNREPORTED_GRANT_RETENTION_NANOS));
         return answer;
     }
 
     /** Takes what became of an attempt; one that isn't known, or is reported twice, changes nothing. */
     public void report(AttemptReport report, long now) {
-        Granted granted = grants.get(report.attempt());
+        ActiveGrant granted = grants.get(report.attempt());
         if (granted == null) {
             waiting.removeIf(each -> each.call().attempt().equals(report.attempt()));
             return;
         }
         if (report.limit() != null) {
-            limits.learn(granted.answer().server(), report.limit(), now);
+            rateLimits.update(granted.answer().server(), report.limit(), now);
         }
         if (report.end() == null) {
-            granted.members().forEach(each -> each.startWriting(report.attempt(), now));
+            granted.members().forEach(each -> each.startDecoding(report.attempt(), now));
             return;
         }
         grants.remove(report.attempt());
-        granted.members().get(0).health().take(report.end(), now);
+        granted.members().get(0).health().record(report.end(), now);
         granted.members().forEach(each -> each.end(report.attempt(), now));
     }
 
@@ -372,12 +380,12 @@
      *
      * @param incarnation start of the entry; nothing of an earlier one runs
      */
-    public void keepOnly(HostId host, long incarnation, List<OpenGrant> open, long now) {
+    public void reconcileGrants(HostId host, long incarnation, List<OpenGrant> open, long now) {
         Set<String> running = new HashSet<>();
         open.forEach(each -> running.add(each.call().attempt()));
         List<String> ended = new ArrayList<>();
-        for (Granted each : grants.values()) {
-            PlaceCall call = each.call();
+        for (ActiveGrant each : grants.values()) {
+            DispatchCall call = each.call();
             boolean theirs = call.host().equals(host) && call.incarnation() <= incarnation;
             if (theirs && !running.contains(call.attempt())) {
                 ended.add(call.attempt());
@@ -387,43 +395,43 @@
     }
 
     /** Counts a request that another dispatcher of this service has just had sent. */
-    public void sentElsewhere(BackendServerId server, long now) {
-        limits.keep(first, now);
-        Optional.ofNullable(accounts.of(server))
-                .ifPresent(each -> each.requests().take(now));
+    public void recordRemoteSend(BackendServerId server, long now) {
+        rateLimits.applyChanges(isPrimary, now);
+        Optional.ofNullable(serverLoads.find(server))
+                .ifPresent(each -> each.requestPacer().recordSend(now));
     }
 
     /** Takes a grant of another dispatcher of this service, which would otherwise be counted as a free place. */
     public void adopt(OpenGrant open, long now) {
-        PlaceCall call = open.call();
+        DispatchCall call = open.call();
         if (grants.containsKey(call.attempt())) {
             return;
         }
-        List<ServerAccount> members = new ArrayList<>();
-        ServerAccount primary = accounts.of(open.granted().server());
+        List<ServerLoad> members = new ArrayList<>();
+        ServerLoad primary = serverLoads.find(open.granted().server());
         if (primary == null) {
             return;
         }
         members.add(primary);
         for (Helper each : open.granted().helpers()) {
-            Optional.ofNullable(accounts.of(each.server())).ifPresent(members::add);
+            Optional.ofNullable(serverLoads.find(each.server())).ifPresent(members::add);
         }
-        double read = engines ? primary.timing().readMillis(call.promptTokens()) / members.size() : 0;
-        for (ServerAccount each : members) {
+        double read = servesEngines ? primary.timing().prefillMillis(call.promptTokens()) / members.size() : 0;
+        for (ServerLoad each : members) {
             boolean first = each == primary;
-            each.grant(new Share(call, first, open.writing() ? 0 : read, first ? call.memoryTokens() : 0), now);
+            each.grant(new Allocation(call, first, open.writing() ? 0 : read, first ? call.memoryTokens() : 0), now);
             if (open.writing()) {
-                each.startWriting(call.attempt(), now);
+                each.startDecoding(call.attempt(), now);
             }
         }
-        long until = now + call.deadlineLeftMillis() * NANOS_PER_MILLI + FORGOTTEN_NANOS;
-        grants.put(call.attempt(), new Granted(call, open.granted(), members, until));
+        long until = now + call.deadlineLeftMillis() * NANOS_PER_MILLI + UNREPORTED_GRANT_RETENTION_NANOS;
+        grants.put(call.attempt(), new ActiveGrant(call, open.granted(), members, until));
     }
 
     /** Frees what a start of an entry had that is gone. */
-    public void entryGone(HostId host, long incarnation, long now) {
+    public void removeEntry(HostId host, long incarnation, long now) {
         List<String> theirs = new ArrayList<>();
-        for (Granted each : grants.values()) {
+        for (ActiveGrant each : grants.values()) {
             if (each.call().host().equals(host) && each.call().incarnation() == incarnation) {
                 theirs.add(each.call().attempt());
             }
@@ -432,10 +440,10 @@
         waiting.removeIf(each -> each.call().host().equals(host) && each.call().incarnation() == incarnation);
     }
 
-    private void dropForgotten(long now) {
+    private void expireGrants(long now) {
         List<String> over = new ArrayList<>();
-        for (Granted each : grants.values()) {
-            if (now - each.until() >= 0) {
+        for (ActiveGrant each : grants.values()) {
+            if (now - each.expiresAtNanos() >= 0) {
                 over.add(each.call().attempt());
             }
         }
@@ -443,7 +451,7 @@
     }
 
     /** Entries, with their starts, that hold grants or wait. */
-    public Map<HostId, Long> holders() {
+    public Map<HostId, Long> activeEntries() {
         Map<HostId, Long> holders = new HashMap<>();
         grants.values()
                 .forEach(each -> holders.put(each.call().host(), each.call().incarnation()));
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatcherChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatcherChoice.java
@@ -15,36 +15,41 @@
  * on the same free place, which costs waiting and breaks no promise.
  */
 public final class DispatcherChoice {
-    private static final long MULTIPLIER = 0x9E3779B97F4A7C15L;
+    private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
-    private static final Comparator<Weighed> BY_WEIGHT = Comparator.comparingLong(Weighed::weight)
+    private static final Comparator<WeightedEntry> BY_WEIGHT = Comparator.comparingLong(WeightedEntry::weight)
             .thenComparing(each -> each.entry().host());
 
     private DispatcherChoice() {}
 
     /** An entry with its weight, worked out once: names are compared many times as they are sorted. */
-    private record Weighed(EntryRecord entry, long weight) {}
+    private record WeightedEntry(EntryRecord entry, long weight) {}
 
     /** The entries that may dispatch, the one to ask first in front. */
     public static List<EntryRecord> order(ServiceShard shard, Collection<EntryRecord> entries) {
-        return weighed(shard, entries).sorted(BY_WEIGHT).map(Weighed::entry).toList();
+        return weightedEntries(shard, entries)
+                .sorted(BY_WEIGHT)
+                .map(WeightedEntry::entry)
+                .toList();
     }
 
     /** The entry to ask first; empty when none may dispatch. */
     public static Optional<EntryRecord> first(ServiceShard shard, Collection<EntryRecord> entries) {
-        return weighed(shard, entries).min(BY_WEIGHT).map(Weighed::entry);
+        return weightedEntries(shard, entries).min(BY_WEIGHT).map(WeightedEntry::entry);
     }
 
-    private static Stream<Weighed> weighed(ServiceShard shard, Collection<EntryRecord> entries) {
+    private static Stream<WeightedEntry> weightedEntries(ServiceShard shard, Collection<EntryRecord> entries) {
         String name = shard.toString();
-        return entries.stream().filter(EntryRecord::serving).map(each -> new Weighed(each, weight(name, each.host())));
+        return entries.stream()
+                .filter(EntryRecord::serving)
+                .map(each -> new WeightedEntry(each, weight(name, each.host())));
     }
 
     private static long weight(String name, HostId host) {
         long hash = 17;
         String text = name + '/' + host.value();
         for (int i = 0; i < text.length(); i++) {
-            hash = (hash ^ text.charAt(i)) * MULTIPLIER;
+            hash = (hash ^ text.charAt(i)) * HASH_MULTIPLIER;
             hash ^= hash >>> 29;
         }
         return hash;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/GrantHolders.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/GrantHolders.java
@@ -18,19 +18,19 @@
     private final Map<String, Set<HostId>> holders = new HashMap<>();
 
     /** Notes that a dispatcher was asked for a place, or told of the attempt, and so may count it. */
-    public void asked(String attempt, HostId dispatcher) {
+    public void addHolder(String attempt, HostId dispatcher) {
         holders.computeIfAbsent(attempt, each -> new LinkedHashSet<>()).add(dispatcher);
     }
 
     /** Leaves the attempt to one dispatcher. Returns the others, which are to forget it. */
-    public List<HostId> leaveTo(String attempt, HostId dispatcher) {
-        List<HostId> others = othersThan(attempt, dispatcher);
+    public List<HostId> retainOnly(String attempt, HostId dispatcher) {
+        List<HostId> others = otherHolders(attempt, dispatcher);
         holders.put(attempt, new LinkedHashSet<>(List.of(dispatcher)));
         return others;
     }
 
     /** Notes that a dispatcher was told to forget the attempt. */
-    public void forgotten(String attempt, HostId dispatcher) {
+    public void removeHolder(String attempt, HostId dispatcher) {
         Set<HostId> all = holders.get(attempt);
         if (all != null) {
             all.remove(dispatcher);
@@ -38,17 +38,19 @@
     }
 
     /** Those that count the attempt. */
-    public List<HostId> of(String attempt) {
+    public List<HostId> holdersOf(String attempt) {
         return List.copyOf(holders.getOrDefault(attempt, Set.of()));
     }
 
     /** Ends the attempt. Returns those that are to be told. */
-    public List<HostId> ended(String attempt) {
+    public List<HostId> removeAttempt(String attempt) {
         Set<HostId> all = holders.remove(attempt);
         return all == null ? List.of() : List.copyOf(all);
     }
 
-    private List<HostId> othersThan(String attempt, HostId dispatcher) {
-        return of(attempt).stream().filter(each -> !each.equals(dispatcher)).toList();
+    private List<HostId> otherHolders(String attempt, HostId dispatcher) {
+        return holdersOf(attempt).stream()
+                .filter(each -> !each.equals(dispatcher))
+                .toList();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/OpenGrant.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/OpenGrant.java
@@ -5,4 +5,4 @@
  *
  * @param writing whether its first token has come
  */
-public record OpenGrant(PlaceCall call, PlaceAnswer.Granted granted, boolean writing) {}
+public record OpenGrant(DispatchCall call, DispatchAnswer.Granted granted, boolean writing) {}
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Placement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Placement.java
@@ -11,18 +11,18 @@
      * @param servers servers that may be used, none that the call avoids
      * @param blind whether others place on these servers, too, of whose calls nothing is known here
      */
-    Optional<Plan> plan(PlaceCall call, List<ServerAccount> servers, boolean blind, long now);
+    Optional<PlacementPlan> plan(DispatchCall call, List<ServerLoad> servers, boolean blind, long now);
 
     /** Milliseconds that a server works on the call, waiting not counted. */
-    double workMillis(PlaceCall call, List<ServerAccount> servers);
+    double serviceMillis(DispatchCall call, List<ServerLoad> servers);
 
     /** Whether a server is kept from long calls by what it does now. */
-    default boolean isTight(ServerAccount server, long now) {
+    default boolean isUnsuitableForLong(ServerLoad server, long now) {
         return false;
     }
 
     /** Whether a call that waits needs servers that short calls keep away from it. */
-    default boolean isLong(PlaceCall call, List<ServerAccount> servers) {
+    default boolean isLong(DispatchCall call, List<ServerLoad> servers) {
         return false;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PlainPlacement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/PlainPlacement.java
@@ -9,28 +9,28 @@
  */
 final class PlainPlacement implements Placement {
     /** Part of a server's places that being in another failure domain weighs. */
-    private static final double ELSEWHERE = 0.1;
+    private static final double REMOTE_DOMAIN_PENALTY = 0.1;
 
     /** Expected time of one call; only used to tell callers when to come back. */
-    private static final double WORK_MILLIS = 50;
+    private static final double ASSUMED_SERVICE_MILLIS = 50;
 
     @Override
-    public Optional<Plan> plan(PlaceCall call, List<ServerAccount> servers, boolean blind, long now) {
-        ServerAccount best = null;
+    public Optional<PlacementPlan> plan(DispatchCall call, List<ServerLoad> servers, boolean blind, long now) {
+        ServerLoad best = null;
         double bestLoad = Double.MAX_VALUE;
-        for (ServerAccount each : servers) {
+        for (ServerLoad each : servers) {
             boolean near = each.registration().failureDomain().equals(call.failureDomain());
-            double load = (double) each.running() / each.places() + (near ? 0 : ELSEWHERE);
-            if (each.freePlaces() > 0 && load < bestLoad) {
+            double load = (double) each.running() / each.slots() + (near ? 0 : REMOTE_DOMAIN_PENALTY);
+            if (each.freeSlots() > 0 && load < bestLoad) {
                 best = each;
                 bestLoad = load;
             }
         }
-        return Optional.ofNullable(best).map(server -> Plan.single(server, 0, 0, WORK_MILLIS));
+        return Optional.ofNullable(best).map(server -> PlacementPlan.single(server, 0, 0, ASSUMED_SERVICE_MILLIS));
     }
 
     @Override
-    public double workMillis(PlaceCall call, List<ServerAccount> servers) {
-        return WORK_MILLIS;
+    public double serviceMillis(DispatchCall call, List<ServerLoad> servers) {
+        return ASSUMED_SERVICE_MILLIS;
     }
 }
--- /dev/null
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/PrefillHeadroom.java
@@ -0,0 +1,49 @@
+package org.elmline.core.dispatch;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.function.BiPredicate;
+
+/**
+ * How long a part of a prompt each engine could read without disturbing its answers, the most first. Worked out once for
+ * a prompt: groups of many sizes are weighed, and most are ruled out by one comparison.
+ */
+final class PrefillHeadroom {
+    private final List<ServerHeadroom> headrooms;
+
+    private record ServerHeadroom(ServerLoad server, double maxPrefillMillis) {}
+
+    private PrefillHeadroom(List<ServerHeadroom> reads) {
+        this.headrooms = reads;
+    }
+
+    /** @param mayBegin whether an engine may begin with a part at a time */
+    static PrefillHeadroom of(List<ServerLoad> servers, BiPredicate<ServerLoad, Long> mayBegin, long now) {
+        List<ServerHeadroom> reads = new ArrayList<>(servers.size());
+        for (ServerLoad each : servers) {
+            if (mayBegin.test(each, now)) {
+                reads.add(new ServerHeadroom(each, DecodeInterference.maxPrefillMillis(each, now)));
+            }
+        }
+        reads.sort(Comparator.comparingDouble(ServerHeadroom::maxPrefillMillis).reversed());
+        return new PrefillHeadroom(reads);
+    }
+
+    /** Whether so many engines bear a part of this length. */
+    boolean hasRoom(double partMillis, int engines) {
+        return engines <= headrooms.size() && headrooms.get(engines - 1).maxPrefillMillis() >= partMillis;
+    }
+
+    /** The engines that bear a part of this length. */
+    List<ServerLoad> serversWithRoom(double partMillis) {
+        List<ServerLoad> servers = new ArrayList<>();
+        for (ServerHeadroom each : headrooms) {
+            if (each.maxPrefillMillis() < partMillis) {
+                break;
+            }
+            servers.add(each.server());
+        }
+        return servers;
+    }
+}
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/RetryLimit.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/RetryLimit.java
@@ -9,7 +9,7 @@
  */
 public record RetryLimit(double ratio, long slack, long windowNanos) {
     /** The limit of each of so many parts that together must keep this one. */
-    public RetryLimit of(int parts) {
+    public RetryLimit dividedInto(int parts) {
         return parts == 1 ? this : new RetryLimit(ratio, slack / parts, windowNanos);
     }
 }
--- /dev/null
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoad.java
@@ -0,0 +1,200 @@
+package org.elmline.core.dispatch;
+
+import java.util.Collection;
+import java.util.LinkedHashMap;
+import java.util.Map;
+
+import org.elmline.core.registry.Registration;
+import org.elmline.core.routing.BatchTiming;
+
+/** What a dispatcher has granted on one backend server, and what follows for the next call. */
+final class ServerLoad {
+    private static final double NANOS_PER_MILLI = 1e6;
+
+    /** Part of an engine's memory that grants may fill: the rest is for rounding to blocks. */
+    private static final double USABLE_MEMORY_FRACTION = 0.96;
+
+    private final ServerHealth health = new ServerHealth();
+    private final RequestPacer requestPacer = new RequestPacer();
+    private final Map<String, Allocation> allocations = new LinkedHashMap<>();
+    private Registration registration;
+    private BatchTiming timing;
+    private boolean isAvailable = true;
+    private long prefillFreeAtNanos;
+    private long reservedForLongUntilNanos = Long.MIN_VALUE;
+
+    /** Sums over the shares: each decision asks every server for them. */
+    private int running;
+
+    private int decodingCount;
+    private int prefillingCount;
+    private long usedMemoryTokens;
+    private long contextTokens;
+    private int shortestGapMillis = Integer.MAX_VALUE;
+
+    ServerLoad(Registration registration, BatchTiming timing, long now) {
+        this.registration = registration;
+        this.timing = timing;
+        this.prefillFreeAtNanos = now;
+    }
+
+    void update(Registration next, BatchTiming nextTiming) {
+        registration = next;
+        timing = nextTiming;
+        isAvailable = true;
+    }
+
+    Registration registration() {
+        return registration;
+    }
+
+    BatchTiming timing() {
+        return timing;
+    }
+
+    /** False once the server has left or fallen silent; its running calls still count. */
+    boolean isAvailable() {
+        return isAvailable;
+    }
+
+    void markUnavailable() {
+        isAvailable = false;
+    }
+
+    ServerHealth health() {
+        return health;
+    }
+
+    /** What it may be sent, where it names a limit. */
+    RequestPacer requestPacer() {
+        return requestPacer;
+    }
+
+    Collection<Allocation> allocations() {
+        return allocations.values();
+    }
+
+    boolean isIdle() {
+        return allocations.isEmpty();
+    }
+
+    int slots() {
+        return Math.max(1, timing == null ? registration.places() : Math.min(timing.slots(), registration.places()));
+    }
+
+    /** Calls that this server answers itself. */
+    int running() {
+        return running;
+    }
+
+    int freeSlots() {
+        return slots() - running();
+    }
+
+    /** Prompts that it reads a part of for others. */
+    int helpedPrompts() {
+        return allocations.size() - running();
+    }
+
+    long freeMemoryTokens() {
+        return (long) (timing.memoryTokens() * USABLE_MEMORY_FRACTION) - usedMemoryTokens;
+    }
+
+    /** Milliseconds of reading that is granted and, by the model, not done. */
+    double backlogMillis(long now) {
+        return Math.max(0, (prefillFreeAtNanos - now) / NANOS_PER_MILLI);
+    }
+
+    /** Milliseconds of a pass with all granted calls writing and one more. */
+    double passMillis(long moreContextTokens, int moreWriters) {
+        return timing.passMillis(running + moreWriters, contextTokens + moreContextTokens);
+    }
+
+    boolean isDecoding() {
+        return decodingCount > 0;
+    }
+
+    /** The shortest pause that a call here allows between events, in milliseconds; a large number without calls. */
+    int shortestGapMillis() {
+        return shortestGapMillis;
+    }
+
+    /**
+     * Takes a grant. While answers are written a read begins only with the next pass, so half a pass is added where none
+     * waited: left out, the next part would be granted as the last one still reads, and both would stretch one pause.
+     */
+    void grant(Allocation share, long now) {
+        double pass = timing != null && backlogMillis(now) == 0 && isDecoding() ? passMillis(0, 0) / 2 : 0;
+        Allocation before = allocations.put(share.call().attempt(), share);
+        if (before != null) {
+            addToTotals(before, -1);
+        }
+        addToTotals(share, 1);
+        prefillFreeAtNanos =
+                Math.max(prefillFreeAtNanos, now) + (long) ((pass + share.prefillMillis()) * NANOS_PER_MILLI);
+    }
+
+    void startDecoding(String attempt, long now) {
+        Allocation share = allocations.get(attempt);
+        if (share == null) {
+            return;
+        }
+        if (share.isPrefilling()) {
+            addToTotals(share, -1);
+            share.startDecoding();
+            addToTotals(share, 1);
+        }
+        clearBacklogIfNotPrefilling(now);
+    }
+
+    void end(String attempt, long now) {
+        Allocation share = allocations.remove(attempt);
+        if (share != null) {
+            addToTotals(share, -1);
+            clearBacklogIfNotPrefilling(now);
+        }
+    }
+
+    private void addToTotals(Allocation share, int sign) {
+        usedMemoryTokens += sign * share.memoryTokens();
+        prefillingCount += share.isPrefilling() ? sign : 0;
+        if (!share.isPrimary()) {
+            return;
+        }
+        running += sign;
+        decodingCount += share.isPrefilling() ? 0 : sign;
+        contextTokens += sign * share.meanContextTokens();
+        int gap = share.call().gapMillis();
+        if (sign > 0 && gap > 0) {
+            shortestGapMillis = Math.min(shortestGapMillis, gap);
+        } else if (gap == shortestGapMillis) {
+            shortestGapMillis = computeShortestGapMillis();
+        }
+    }
+
+    private int computeShortestGapMillis() {
+        int shortest = Integer.MAX_VALUE;
+        for (Allocation each : allocations.values()) {
+            if (each.isPrimary() && each.call().gapMillis() > 0) {
+                shortest = Math.min(shortest, each.call().gapMillis());
+            }
+        }
+        return shortest;
+    }
+
+    /** Corrects the model by what was seen: with nobody reading there is no backlog. */
+    private void clearBacklogIfNotPrefilling(long now) {
+        if (prefillingCount == 0) {
+            prefillFreeAtNanos = now;
+        }
+    }
+
+    /** Keeps new short calls away, so that a long prompt that waits finds an engine without short writers. */
+    void reserveForLong(long until) {
+        reservedForLongUntilNanos = until;
+    }
+
+    boolean isReservedForLong(long now) {
+        return reservedForLongUntilNanos != Long.MIN_VALUE && now - reservedForLongUntilNanos < 0;
+    }
+}
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLimit.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimit.java
@@ -5,8 +5,8 @@
  *
  * @param spacingMicros microseconds from one request to the next; 0 for a server that names no limit
  */
-public record ServerLimit(long spacingMicros) {
-    public static final ServerLimit NONE = new ServerLimit(0);
+public record ServerRateLimit(long spacingMicros) {
+    public static final ServerRateLimit NONE = new ServerRateLimit(0);
 
     private static final double MICROS_PER_SECOND = 1e6;
 
@@ -14,18 +14,18 @@
      * Slowest pace that is kept. A server whose limit is lower, or zero, would else hardly be asked again, and the end of
      * its need would not be seen.
      */
-    private static final long LONGEST_SPACING_MICROS = 4_000_000;
+    private static final long MAX_SPACING_MICROS = 4_000_000;
 
-    public ServerLimit {
+    public ServerRateLimit {
         if (spacingMicros < 0) {
             throw new IllegalArgumentException("negative spacing: " + spacingMicros);
         }
     }
 
     /** A limit of so many requests a second. */
-    public static ServerLimit ofPerSecond(double requests) {
+    public static ServerRateLimit ofPerSecond(double requests) {
         double spacing = MICROS_PER_SECOND / Math.max(requests, 0);
-        return new ServerLimit((long) Math.max(1, Math.min(LONGEST_SPACING_MICROS, spacing)));
+        return new ServerRateLimit((long) Math.max(1, Math.min(MAX_SPACING_MICROS, spacing)));
     }
 
     public boolean isLimited() {
@@ -33,7 +33,7 @@
     }
 
     /** Requests a second; infinite without a limit. */
-    public double perSecond() {
+    public double requestsPerSecond() {
         return MICROS_PER_SECOND / spacingMicros;
     }
 }
--- /dev/null
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServiceRetryBudget.java
@@ -0,0 +1,48 @@
+package org.elmline.core.dispatch;
+
+/**
+ * Bounds how many calls are sent a second time, over all entries together: without a bound a fault of a few servers
+ * doubles the load on the rest. Counts in two half windows, so that the sum over any window stays within the bound.
+ */
+final class ServiceRetryBudget {
+    private final RetryLimit limit;
+    private long halfWindowStartNanos;
+    private long currentFirstSends;
+    private long previousFirstSends;
+    private long currentRetries;
+    private long previousRetries;
+
+    ServiceRetryBudget(RetryLimit limit, long now) {
+        this.limit = limit;
+        this.halfWindowStartNanos = now;
+    }
+
+    void recordFirstSend(long now) {
+        advanceWindow(now);
+        currentFirstSends++;
+    }
+
+    /** Takes one repetition out of the budget; false when there is none left. */
+    boolean tryAcquireRetry(long now) {
+        advanceWindow(now);
+        double allowed = limit.ratio() * (currentFirstSends + previousFirstSends) + limit.slack();
+        if (currentRetries + previousRetries + 1 > allowed) {
+            return false;
+        }
+        currentRetries++;
+        return true;
+    }
+
+    private void advanceWindow(long now) {
+        long half = limit.windowNanos() / 2;
+        if (now - halfWindowStartNanos < half) {
+            return;
+        }
+        boolean adjacent = now - halfWindowStartNanos < 2 * half;
+        previousFirstSends = adjacent ? currentFirstSends : 0;
+        previousRetries = adjacent ? currentRetries : 0;
+        currentFirstSends = 0;
+        currentRetries = 0;
+        halfWindowStartNanos = now;
+    }
+}
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Shard.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Shard.java
@@ -17,13 +17,13 @@
     public static final Shard WHOLE = new Shard(0, 1);
 
     /** Servers of a shard, at most; groups of engines want as many to choose from as a host can look through. */
-    private static final int MOST_SERVERS = 100;
+    private static final int MAX_SERVERS = 100;
 
     /** Shards become so many times more at once: hosts that count servers differently for a moment mostly agree on them. */
-    private static final int STEP = 2;
+    private static final int COUNT_GROWTH_FACTOR = 2;
 
     /** Odd, with bits all over, so that names that are alike fall into unlike shards. */
-    private static final int SPREADER = 0x9E3779B1;
+    private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
     public Shard {
         if (count < 1 || index < 0 || index >= count) {
@@ -32,10 +32,10 @@
     }
 
     /** The shards of a service with so many servers. */
-    public static List<Shard> of(int servers) {
+    public static List<Shard> forServerCount(int servers) {
         int count = 1;
-        while (servers > (long) count * MOST_SERVERS) {
-            count *= STEP;
+        while (servers > (long) count * MAX_SERVERS) {
+            count *= COUNT_GROWTH_FACTOR;
         }
         List<Shard> shards = new ArrayList<>();
         for (int i = 0; i < count; i++) {
@@ -45,13 +45,13 @@
     }
 
     /** Whether a server is of this shard. */
-    public boolean holds(BackendServerId server) {
+    public boolean contains(BackendServerId server) {
         return indexOf(server, count) == index;
     }
 
     /** The shard that a server is of among so many. */
     static int indexOf(BackendServerId server, int count) {
-        int hash = server.value().hashCode() * SPREADER;
+        int hash = server.value().hashCode() * HASH_MULTIPLIER;
         return Math.floorMod(hash ^ hash >>> 15, count);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ShardChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ShardChoice.java
@@ -17,7 +17,7 @@
      * @param servers all servers of the service that may be used
      */
     public static List<Shard> order(List<BackendServerId> servers, RandomGenerator random) {
-        List<Shard> left = new ArrayList<>(Shard.of(servers.size()));
+        List<Shard> left = new ArrayList<>(Shard.forServerCount(servers.size()));
         if (left.size() == 1) {
             return left;
         }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/WaitingCall.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/WaitingCall.java
@@ -5,15 +5,16 @@
 /**
  * A call that waits for a place, with its times as moments rather than as what is left of them.
  *
- * @param since when it came
- * @param dueAt when it becomes late
- * @param uselessAt until when a first token is of use
- * @param deadlineAt until when its caller waits
+ * @param enqueuedAtNanos when it came
+ * @param dueAtNanos when it becomes late
+ * @param firstTokenDeadlineNanos until when a first token is of use
+ * @param deadlineNanos until when its caller waits
  */
-record WaitingCall(PlaceCall call, long since, long dueAt, long uselessAt, long deadlineAt) {
+record WaitingCall(
+        DispatchCall call, long enqueuedAtNanos, long dueAtNanos, long firstTokenDeadlineNanos, long deadlineNanos) {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    static WaitingCall of(PlaceCall call, long now) {
+    static WaitingCall of(DispatchCall call, long now) {
         return new WaitingCall(
                 call,
                 now,
@@ -26,25 +27,25 @@
      * The order in which calls get places: those that can still be in time before those that can't; within both the more
      * urgent, then the one due first.
      */
-    static Comparator<WaitingCall> order(long now) {
-        return Comparator.comparing((WaitingCall each) -> each.lateAt(now))
+    static Comparator<WaitingCall> placementOrder(long now) {
+        return Comparator.comparing((WaitingCall each) -> each.isLate(now))
                 .thenComparingInt(each -> each.call().priority())
-                .thenComparingLong(WaitingCall::dueAt);
+                .thenComparingLong(WaitingCall::dueAtNanos);
     }
 
     /** The call with the times that are left of it now. */
-    PlaceCall callAt(long now) {
-        return call.withTimes(
-                (dueAt - now) / NANOS_PER_MILLI,
-                (uselessAt - now) / NANOS_PER_MILLI,
-                (deadlineAt - now) / NANOS_PER_MILLI);
+    DispatchCall callAt(long now) {
+        return call.withRemainingTimes(
+                (dueAtNanos - now) / NANOS_PER_MILLI,
+                (firstTokenDeadlineNanos - now) / NANOS_PER_MILLI,
+                (deadlineNanos - now) / NANOS_PER_MILLI);
     }
 
     long deadlineLeftMillis(long now) {
-        return (deadlineAt - now) / NANOS_PER_MILLI;
+        return (deadlineNanos - now) / NANOS_PER_MILLI;
     }
 
-    private boolean lateAt(long now) {
-        return now - dueAt >= 0;
+    private boolean isLate(long now) {
+        return now - dueAtNanos >= 0;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/fairness/LimitAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/LimitDecision.java
@@ -1,7 +1,7 @@
 package org.elmline.core.fairness;
 
 /** Whether a request fits in its organisation's limits. */
-public enum LimitAnswer {
+public enum LimitDecision {
     ADMITTED,
     /** Too many requests in flight on this entry. */
     TOO_MANY_REQUESTS,
--- a/elmline-core/src/main/java/org/elmline/core/fairness/LimitShares.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/LimitShareAllocator.java
@@ -16,13 +16,13 @@
  * reports can sum to several times it.) When another entry takes over, both may hand out shares for one lease: at most
  * twice the limit for that time. An entry that can't renew keeps what it has in flight, and may exceed its share by it. All methods may be called from any thread.
  */
-public final class LimitShares {
+public final class LimitShareAllocator {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final long leaseMillis;
-    private final Map<OrganisationId, Map<HostId, Share>> shares = new HashMap<>();
+    private final Map<OrganisationId, Map<HostId, GrantedShare>> shares = new HashMap<>();
 
-    public LimitShares(long leaseMillis) {
+    public LimitShareAllocator(long leaseMillis) {
         this.leaseMillis = leaseMillis;
     }
 
@@ -32,44 +32,44 @@
      * @param entries live entries that may ask
      */
     public synchronized ShareAnswer renew(Organisation organisation, ShareRequest request, int entries, long now) {
-        Map<HostId, Share> held = shares.computeIfAbsent(organisation.id(), id -> new HashMap<>());
-        held.values().removeIf(each -> now - each.until >= 0);
+        Map<HostId, GrantedShare> held = shares.computeIfAbsent(organisation.id(), id -> new HashMap<>());
+        held.values().removeIf(each -> now - each.expiresAtNanos >= 0);
         held.remove(request.host());
-        Share share = new Share();
+        GrantedShare share = new GrantedShare();
         share.wantedRequests = request.requests();
         share.wantedTokens = request.tokensPerMinute();
-        share.until = now + leaseMillis * NANOS_PER_MILLI;
-        share.requests = split(
+        share.expiresAtNanos = now + leaseMillis * NANOS_PER_MILLI;
+        share.grantedRequests = allocate(
                 entries,
                 organisation.maxConcurrentRequests(),
                 request.inFlight(),
                 share.wantedRequests,
                 held.values().stream().mapToLong(each -> each.wantedRequests).sum(),
-                held.values().stream().mapToLong(each -> each.requests).sum());
-        share.tokens = split(
+                held.values().stream().mapToLong(each -> each.grantedRequests).sum());
+        share.grantedTokens = allocate(
                 entries,
                 organisation.maxTokensPerMinute(),
                 0,
                 share.wantedTokens,
                 held.values().stream().mapToLong(each -> each.wantedTokens).sum(),
-                held.values().stream().mapToLong(each -> each.tokens).sum());
+                held.values().stream().mapToLong(each -> each.grantedTokens).sum());
         held.put(request.host(), share);
-        return new ShareAnswer(organisation.id(), (int) share.requests, share.tokens, leaseMillis);
+        return new ShareAnswer(organisation.id(), (int) share.grantedRequests, share.grantedTokens, leaseMillis);
     }
 
     /** Forgets what ran out, so that organisations no longer active cost nothing. */
     public synchronized void expire(long now) {
-        Iterator<Map<HostId, Share>> each = shares.values().iterator();
+        Iterator<Map<HostId, GrantedShare>> each = shares.values().iterator();
         while (each.hasNext()) {
-            Map<HostId, Share> held = each.next();
-            held.values().removeIf(share -> now - share.until >= 0);
+            Map<HostId, GrantedShare> held = each.next();
+            held.values().removeIf(share -> now - share.expiresAtNanos >= 0);
             if (held.isEmpty()) {
                 each.remove();
             }
         }
     }
 
-    public synchronized int organisations() {
+    public synchronized int organisationCount() {
         return shares.size();
     }
 
@@ -78,7 +78,7 @@
      * never more than the others leave. The rest isn't given whole to whoever asks first: all others would have to refuse
      * until that entry renews.
      */
-    private static long split(
+    private static long allocate(
             int entries, long limit, long inUse, long wanted, long wantedByOthers, long heldByOthers) {
         long all = wanted + wantedByOthers;
         long fair =
@@ -88,11 +88,11 @@
         return Math.max(0, Math.min(Math.max(fair, least), limit - heldByOthers));
     }
 
-    private static final class Share {
+    private static final class GrantedShare {
         private long wantedRequests;
         private long wantedTokens;
-        private long requests;
-        private long tokens;
-        private long until;
+        private long grantedRequests;
+        private long grantedTokens;
+        private long expiresAtNanos;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/fairness/VirtualCounters.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/VirtualCounters.java
@@ -13,46 +13,46 @@
  * weights. Not thread-safe.
  */
 public final class VirtualCounters {
-    private static final int PRUNE_FROM = 256;
+    private static final int MIN_PRUNE_SIZE = 256;
 
-    private final Map<OrganisationId, Double> finishes = new HashMap<>();
-    private double served;
-    private int pruneAt = PRUNE_FROM;
+    private final Map<OrganisationId, Double> virtualFinishes = new HashMap<>();
+    private double virtualTime;
+    private int pruneThreshold = MIN_PRUNE_SIZE;
 
     /** Charges a request and returns its start. */
     public double charge(OrganisationId organisation, int weight, long tokens) {
-        double start = Math.max(served, finishes.getOrDefault(organisation, served));
-        finishes.put(organisation, start + (double) tokens / weight);
+        double start = Math.max(virtualTime, virtualFinishes.getOrDefault(organisation, virtualTime));
+        virtualFinishes.put(organisation, start + (double) tokens / weight);
         prune();
         return start;
     }
 
     /** Takes a charge back, for a request that was never served. */
     public void refund(OrganisationId organisation, int weight, long tokens) {
-        finishes.computeIfPresent(organisation, (id, finish) -> finish - (double) tokens / weight);
+        virtualFinishes.computeIfPresent(organisation, (id, finish) -> finish - (double) tokens / weight);
     }
 
     /** A request with this start begins to be served. */
-    public void serve(double start) {
-        served = Math.max(served, start);
+    public void recordServed(double start) {
+        virtualTime = Math.max(virtualTime, start);
     }
 
     /** Nobody waits: all had what they asked for, so nobody owes or is owed. Ends what the counters remember. */
-    public void idle() {
-        finishes.clear();
-        served = 0;
+    public void reset() {
+        virtualFinishes.clear();
+        virtualTime = 0;
     }
 
     int size() {
-        return finishes.size();
+        return virtualFinishes.size();
     }
 
     /** A counter that fell behind the served one says the same as none; without this each name ever seen would stay. */
     private void prune() {
-        if (finishes.size() < pruneAt) {
+        if (virtualFinishes.size() < pruneThreshold) {
             return;
         }
-        finishes.values().removeIf(finish -> finish <= served);
-        pruneAt = Math.max(PRUNE_FROM, 2 * finishes.size());
+        virtualFinishes.values().removeIf(finish -> finish <= virtualTime);
+        pruneThreshold = Math.max(MIN_PRUNE_SIZE, 2 * virtualFinishes.size());
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
@@ -78,7 +78,7 @@
             }
             tokens = last ? tokens : wholeBlocks(tokens, promptTokens - context);
             segments.add(new Segment(slot.owner(), tokens, context, extra));
-            seconds += cost.of(context + tokens, context) / slot.tokensPerSecond();
+            seconds += cost.costTokens(context + tokens, context) / slot.tokensPerSecond();
             context += tokens;
         }
         boolean whole = context == promptTokens;
--- a/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
@@ -87,7 +87,7 @@
         if (entry.awaitingFirstToken()) {
             unread[entry.lengthClass().ordinal()] -= entry.grant().promptTokens();
             finishedWork += entry.cost();
-            backlog.dropped(entry.prefill(), now);
+            backlog.cancel(entry.prefill(), now);
         }
         if (engineFault) {
             restAfterFault(now);
@@ -102,7 +102,7 @@
         unread[entry.lengthClass().ordinal()] -= entry.grant().promptTokens();
         entry.finishReading();
         finishedWork += entry.cost();
-        backlog.firstToken(entry.prefill(), now);
+        backlog.recordFirstToken(entry.prefill(), now);
         prefixes.stored(entry.prefixHashes());
         faults = 0;
     }
@@ -253,7 +253,7 @@
 
     @Override
     public long prefillBacklogTokens(LengthClass lengthClass) {
-        return (long) Math.ceil(backlog.tokens(lengthClass, viewedAt));
+        return (long) Math.ceil(backlog.remainingTokens(lengthClass, viewedAt));
     }
 
     @Override
@@ -295,7 +295,7 @@
     private void startReading(LedgerEntry entry, long now) {
         viewedAt = now;
         double work = (double) workAhead(entry.lengthClass()) + entry.cost();
-        entry.reads(backlog.placed(entry.lengthClass(), entry.cost(), work / prefillTokensPerSecond(), now));
+        entry.reads(backlog.recordPlacement(entry.lengthClass(), entry.cost(), work / prefillTokensPerSecond(), now));
         unread[entry.lengthClass().ordinal()] += entry.grant().promptTokens();
         placedWork += entry.cost();
     }
--- a/elmline-core/src/main/java/org/elmline/core/ledger/Ledger.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/Ledger.java
@@ -100,7 +100,8 @@
         if (engineByAttempt.containsKey(grant.attempt()) || tombstones.containsKey(grant.attempt())) {
             return false;
         }
-        long cost = settings.cost().of(contextTokens + grant.promptTokens(), contextTokens + grant.cachedTokens());
+        long cost =
+                settings.cost().costTokens(contextTokens + grant.promptTokens(), contextTokens + grant.cachedTokens());
         long deadline = now + grant.remainingMillis() * NANOS_PER_MILLI;
         engine.reserve(new LedgerEntry(grant, prefixHashes, cost, now, deadline, engine.finishedWork()), now);
         engineByAttempt.put(grant.attempt(), engine);
--- a/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
@@ -10,7 +10,7 @@
 import java.util.random.RandomGenerator;
 
 import org.elmline.core.admission.AdmissionQueue;
-import org.elmline.core.admission.Waiting;
+import org.elmline.core.admission.QueuedRequest;
 import org.elmline.core.common.AttemptId;
 import org.elmline.core.common.LengthClass;
 import org.elmline.core.common.ModelName;
@@ -67,18 +67,19 @@
     void add(PlaceRequest request, int weight, long now) {
         ledger.viewAt(model, now);
         Demand demand = request.demand();
-        long work = settings.ledger().cost().of(demand.promptTokens(), 0);
+        long work = settings.ledger().cost().costTokens(demand.promptTokens(), 0);
         double start = counters.charge(request.organisation(), weight, demand.kvTokens());
         long deadline = now + demand.remainingMillis() * NANOS_PER_MILLI;
-        Waiting waiting = new Waiting(request, weight, work, demand.kvTokens(), start, deadline, arrivals++);
-        Optional<Waiting> shed = queue.add(waiting);
+        QueuedRequest waiting =
+                new QueuedRequest(request, weight, work, demand.kvTokens(), start, deadline, arrivals++);
+        Optional<QueuedRequest> shed = queue.add(waiting);
         shed.ifPresent(each -> refuse(each, overloaded(each, "queue is full", now), now));
         place(now);
         if (waits(request.attempt()) && !request.mode().mayWait()) {
             refuse(waiting, overloaded(waiting, "no engine has the memory now", now), now);
         }
         if (waits(request.attempt())) {
-            refuseIfHopeless(waiting, queue.workAhead(waiting), now);
+            refuseIfHopeless(waiting, queue.costTokensAhead(waiting), now);
         }
     }
 
@@ -88,7 +89,7 @@
 
     /** The caller left before its request was placed. */
     boolean withdraw(AttemptId attempt) {
-        Optional<Waiting> waiting = queue.find(attempt);
+        Optional<QueuedRequest> waiting = queue.find(attempt);
         waiting.ifPresent(this::drop);
         return waiting.isPresent();
     }
@@ -100,31 +101,31 @@
     /** Places what has room now, in order. */
     void place(long now) {
         ledger.viewAt(model, now);
-        Set<AdmissionQueue.Line> blocked = new HashSet<>();
-        Optional<Waiting> next = queue.next(blocked);
+        Set<AdmissionQueue.QueueKey> blocked = new HashSet<>();
+        Optional<QueuedRequest> next = queue.next(blocked);
         while (next.isPresent()) {
             if (!tryPlace(next.get(), now)) {
-                blocked.add(AdmissionQueue.Line.of(next.get()));
+                blocked.add(AdmissionQueue.QueueKey.of(next.get()));
             }
             next = queue.next(blocked);
         }
         if (queue.size() == 0) {
-            counters.idle();
+            counters.reset();
         }
     }
 
     /** Refuses every waiting request that can no longer meet its deadline, so that its caller can go elsewhere. */
     void refuseHopeless(long now) {
         long[] work = new long[LengthClass.values().length];
-        for (Waiting each : queue.all()) {
+        for (QueuedRequest each : queue.inPlacementOrder()) {
             int index = each.lengthClass().ordinal();
             refuseIfHopeless(each, Arrays.stream(work, 0, index + 1).sum(), now);
-            work[index] += waits(each.request().attempt()) ? each.work() : 0;
+            work[index] += waits(each.request().attempt()) ? each.costTokens() : 0;
         }
     }
 
     void refuseAll(Refusal refusal, long now) {
-        for (Waiting each : queue.all()) {
+        for (QueuedRequest each : queue.inPlacementOrder()) {
             refuse(each, refusal, now);
         }
     }
@@ -175,8 +176,8 @@
 
     private List<Integer> waits(List<EngineLedger> ready) {
         long[] queued = new long[LengthClass.values().length];
-        for (Waiting each : queue.all()) {
-            queued[each.lengthClass().ordinal()] += each.work();
+        for (QueuedRequest each : queue.inPlacementOrder()) {
+            queued[each.lengthClass().ordinal()] += each.costTokens();
         }
         double speed = totalSpeed(ready);
         List<Integer> waits = new ArrayList<>();
@@ -192,7 +193,7 @@
     }
 
     /** True when the request got an answer, false when it must wait. */
-    private boolean tryPlace(Waiting waiting, long now) {
+    private boolean tryPlace(QueuedRequest waiting, long now) {
         Demand demand = waiting.request().demand();
         if (waiting.remainingMillis(now) <= 0) {
             refuse(waiting, late(), now);
@@ -211,7 +212,7 @@
         return tryEngine(waiting, chosen.get(), ready, now);
     }
 
-    private boolean tryEngine(Waiting waiting, EngineLedger chosen, List<EngineLedger> ready, long now) {
+    private boolean tryEngine(QueuedRequest waiting, EngineLedger chosen, List<EngineLedger> ready, long now) {
         Demand demand = waiting.request().demand();
         EngineLedger engine = chosen;
         if (engine.firstTokenMillis(demand) > waiting.remainingMillis(now)) {
@@ -229,7 +230,7 @@
         return true;
     }
 
-    private void grant(Waiting waiting, EngineLedger engine, long predictedMillis, long now) {
+    private void grant(QueuedRequest waiting, EngineLedger engine, long predictedMillis, long now) {
         PlaceRequest request = waiting.request();
         Demand demand = request.demand();
         Grant grant = new Grant(
@@ -252,7 +253,7 @@
             throw new IllegalStateException("attempt " + request.attempt() + " waits though the ledger knows it");
         }
         queue.remove(waiting);
-        counters.serve(waiting.start());
+        counters.recordServed(waiting.virtualStart());
         decided.add(new Decided(request, new PlaceAnswer.Placed(grant, recentSummary(now))));
     }
 
@@ -320,14 +321,14 @@
                 .toList();
     }
 
-    private void refuseIfHopeless(Waiting waiting, long workAhead, long now) {
+    private void refuseIfHopeless(QueuedRequest waiting, long workAhead, long now) {
         long predicted = predictedMillis(waiting, workAhead, now);
         if (predicted > waiting.remainingMillis(now)) {
             refuse(waiting, overloaded(waiting, "the queue is longer than the time left", now), now);
         }
     }
 
-    private long predictedMillis(Waiting waiting, long workAhead, long now) {
+    private long predictedMillis(QueuedRequest waiting, long workAhead, long now) {
         Demand demand = waiting.request().demand();
         List<EngineLedger> ready = ready(demand, now);
         if (ready.isEmpty()) {
@@ -340,8 +341,8 @@
         return best + Math.round(workAhead * MILLIS_PER_SECOND / totalSpeed(ready));
     }
 
-    private Refusal overloaded(Waiting waiting, String why, long now) {
-        long predicted = predictedMillis(waiting, queue.workAhead(waiting), now);
+    private Refusal overloaded(QueuedRequest waiting, String why, long now) {
+        long predicted = predictedMillis(waiting, queue.costTokensAhead(waiting), now);
         long late = predicted - Math.max(0, waiting.remainingMillis(now));
         return Refusal.comeBack(RefusalReason.OVERLOADED, why, Math.max(LEAST_RETRY_MILLIS, late));
     }
@@ -350,14 +351,14 @@
         return Refusal.comeBack(RefusalReason.DEADLINE, "not placed before its deadline", LEAST_RETRY_MILLIS);
     }
 
-    private void refuse(Waiting waiting, Refusal refusal, long now) {
+    private void refuse(QueuedRequest waiting, Refusal refusal, long now) {
         drop(waiting);
         decided.add(new Decided(waiting.request(), new PlaceAnswer.Refused(refusal, recentSummary(now))));
     }
 
-    private void drop(Waiting waiting) {
+    private void drop(QueuedRequest waiting) {
         queue.remove(waiting);
-        counters.refund(waiting.request().organisation(), waiting.weight(), waiting.tokens());
+        counters.refund(waiting.request().organisation(), waiting.weight(), waiting.chargedTokens());
     }
 
     private static double totalSpeed(List<EngineLedger> engines) {
