--- a/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
@@ -11,7 +11,7 @@
 import java.util.function.Predicate;
 import java.util.random.RandomGenerator;
 
-import org.elmline.core.admission.Deadlines;
+import org.elmline.core.admission.TimingWheel;
 import org.elmline.core.backend.AnnounceAnswer;
 import org.elmline.core.backend.AnnounceResult;
 import org.elmline.core.backend.Announcement;
@@ -74,7 +74,7 @@
     private final ServerTable servers;
     private final Ledger ledger;
     private final Map<ModelName, ModelPlacer> placers = new HashMap<>();
-    private final Deadlines<AttemptId> deadlines = new Deadlines<>(TICK_NANOS, WHEEL_SLOTS);
+    private final TimingWheel<AttemptId> deadlines = new TimingWheel<>(TICK_NANOS, WHEEL_SLOTS);
     private final Map<AttemptId, ModelName> waiting = new HashMap<>();
     private final List<Decided> undelivered = new ArrayList<>();
     private final CancelQueue cancels = new CancelQueue();
@@ -350,7 +350,7 @@
     private void collect(ModelPlacer placer) {
         for (Decided each : placer.takeDecided()) {
             waiting.remove(each.request().attempt());
-            deadlines.clear(each.request().attempt());
+            deadlines.cancel(each.request().attempt());
             placed += each.answer() instanceof PlaceAnswer.Placed ? 1 : 0;
             refused += each.answer() instanceof PlaceAnswer.Refused ? 1 : 0;
             undelivered.add(each);
@@ -376,7 +376,7 @@
     private boolean release(Release release, long now) {
         ModelName model = waiting.remove(release.attempt());
         if (model != null) {
-            deadlines.clear(release.attempt());
+            deadlines.cancel(release.attempt());
             placers.get(model).withdraw(release.attempt());
             ledger.release(release.attempt(), false, now);
             return true;
--- a/elmline-core/src/main/java/org/elmline/core/placement/FixedSplit.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/FixedSplit.java
@@ -6,9 +6,9 @@
 
 /** Baseline: a fixed part of the replicas is for long work, the rest for all other; fewest requests within a part. */
 public final class FixedSplit implements PlacementPolicy {
-    private static final double LONG_PART = 0.5;
+    private static final double LONG_REPLICA_FRACTION = 0.5;
 
-    private final ReplicaOrders orders = new ReplicaOrders();
+    private final ReplicaOrderCache orders = new ReplicaOrderCache();
 
     @Override
     public String name() {
@@ -18,14 +18,14 @@
     @Override
     public Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random) {
         int size = replicas.size();
-        int forLong = LongBound.replicasForLong(size, LONG_PART);
-        boolean isLong = LongBound.isLong(demand);
-        ReplicaOrder order = orders.of(demand.model(), replicas);
+        int forLong = LongReplicaLimit.replicasForLong(size, LONG_REPLICA_FRACTION);
+        boolean isLong = LongReplicaLimit.isLong(demand);
+        ReplicaOrder order = orders.orderFor(demand.model(), replicas);
         Replica best = null;
         for (int i = 0; i < size; i++) {
             boolean ownPart = size < 2 || order.rank(i) < forLong == isLong;
             Replica each = replicas.get(i);
-            if (!ownPart || !Fit.holds(each, demand)) {
+            if (!ownPart || !Eligibility.isEligible(each, demand)) {
                 continue;
             }
             if (best == null || each.openStreams() < best.openStreams()) {
--- a/elmline-core/src/main/java/org/elmline/core/placement/LeastRequests.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/LeastRequests.java
@@ -21,7 +21,7 @@
         Replica best = null;
         for (int i = 0; i < size; i++) {
             Replica each = replicas.get((start + i) % size);
-            if (Fit.holds(each, demand) && (best == null || each.openStreams() < best.openStreams())) {
+            if (Eligibility.isEligible(each, demand) && (best == null || each.openStreams() < best.openStreams())) {
                 best = each;
             }
         }
--- a/elmline-core/src/main/java/org/elmline/core/placement/LongBound.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/LongReplicaLimit.java
@@ -3,8 +3,8 @@
 import org.elmline.core.common.LengthClass;
 
 /** How far from the long end long work may reach. */
-final class LongBound {
-    private LongBound() {}
+final class LongReplicaLimit {
+    private LongReplicaLimit() {}
 
     /** Prompts over 32k tokens: each takes an engine for seconds to minutes. */
     static boolean isLong(Demand demand) {
--- a/elmline-core/src/main/java/org/elmline/core/placement/PlacementSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PlacementSettings.java
@@ -4,7 +4,7 @@
 
 /** Weights of the policies that predict; see docs/POLICY.md for how to choose them. */
 public final class PlacementSettings {
-    private final double harmWeight;
+    private final double shortSlowdownWeight;
     private final double displacementWeight;
     private final double maxLongShare;
     private final double attentionDoublingTokens;
@@ -12,7 +12,7 @@
     private final int[] priorities;
 
     private PlacementSettings(Builder builder) {
-        harmWeight = builder.harmWeight;
+        shortSlowdownWeight = builder.shortSlowdownWeight;
         displacementWeight = builder.displacementWeight;
         maxLongShare = builder.maxLongShare;
         attentionDoublingTokens = builder.attentionDoublingTokens;
@@ -29,8 +29,8 @@
     }
 
     /** Seconds of own wait that a read accepts for each second in which it would slow short requests down. */
-    public double harmWeight() {
-        return harmWeight;
+    public double shortSlowdownWeight() {
+        return shortSlowdownWeight;
     }
 
     /** Seconds of own wait that a request accepts for each second by which it would hold up a longer prefill. */
@@ -60,7 +60,7 @@
 
     /** Builds settings; every value has a default. */
     public static final class Builder {
-        private double harmWeight = 0.2;
+        private double shortSlowdownWeight = 0.2;
         private double displacementWeight = 0.5;
         private double maxLongShare = 0.95;
         private double attentionDoublingTokens = 200_000;
@@ -69,8 +69,8 @@
 
         private Builder() {}
 
-        public Builder harmWeight(double value) {
-            harmWeight = value;
+        public Builder shortSlowdownWeight(double value) {
+            shortSlowdownWeight = value;
             return this;
         }
 
@@ -110,7 +110,7 @@
         }
 
         public PlacementSettings build() {
-            if (!(harmWeight >= 0) || !(displacementWeight >= 0) || !(longStepSeconds >= 0)) {
+            if (!(shortSlowdownWeight >= 0) || !(displacementWeight >= 0) || !(longStepSeconds >= 0)) {
                 throw new IllegalArgumentException("placement weights must not be negative");
             }
             if (!(maxLongShare >= 0 && maxLongShare <= 1)) {
--- a/elmline-core/src/main/java/org/elmline/core/placement/PowerOfTwo.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PowerOfTwo.java
@@ -9,7 +9,7 @@
  * with room when neither has it.
  */
 public final class PowerOfTwo implements PlacementPolicy {
-    private final RandomReplica any = new RandomReplica();
+    private final RandomReplica randomReplica = new RandomReplica();
 
     @Override
     public String name() {
@@ -18,8 +18,8 @@
 
     @Override
     public Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random) {
-        Optional<Replica> first = any.choose(demand, replicas, random);
-        Optional<Replica> second = any.choose(demand, replicas, random);
+        Optional<Replica> first = randomReplica.choose(demand, replicas, random);
+        Optional<Replica> second = randomReplica.choose(demand, replicas, random);
         if (first.isEmpty() || second.isEmpty()) {
             return first;
         }
--- a/elmline-core/src/main/java/org/elmline/core/placement/PrefillBacklog.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PrefillBacklog.java
@@ -16,36 +16,36 @@
  */
 public final class PrefillBacklog {
     /** A prefill whose first token hasn't come keeps this share of its cost, however long ago it should have. */
-    private static final double LEAST_LEFT = 0.05;
+    private static final double MIN_REMAINING_FRACTION = 0.05;
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final LengthClass[] CLASSES = LengthClass.values();
 
     private final double announcedTokensPerSecond;
-    private final SpeedMeter speed = new SpeedMeter();
-    private final double[] left = new double[CLASSES.length];
+    private final PrefillSpeedEstimator speedEstimator = new PrefillSpeedEstimator();
+    private final double[] remainingTokensByClass = new double[CLASSES.length];
     private final List<Deque<Prefill>> queues = new ArrayList<>();
-    private long lastNanos;
+    private long lastDrainNanos;
 
     /** One prefill that is placed and has no first token yet. */
     public static final class Prefill {
         private final LengthClass lengthClass;
-        private final double floor;
-        private final SpeedMeter.Prefill timing;
-        private double left;
-        private boolean open = true;
+        private final double minRemainingTokens;
+        private final PrefillSpeedEstimator.InFlightPrefill speedSample;
+        private double remainingTokens;
+        private boolean isOpen = true;
 
-        private Prefill(LengthClass lengthClass, double cost, SpeedMeter.Prefill timing) {
+        private Prefill(LengthClass lengthClass, double cost, PrefillSpeedEstimator.InFlightPrefill timing) {
             this.lengthClass = lengthClass;
-            this.timing = timing;
-            left = cost;
-            floor = cost * LEAST_LEFT;
+            this.speedSample = timing;
+            remainingTokens = cost;
+            minRemainingTokens = cost * MIN_REMAINING_FRACTION;
         }
     }
 
     public PrefillBacklog(double announcedTokensPerSecond, long nowNanos) {
         this.announcedTokensPerSecond = announcedTokensPerSecond;
-        lastNanos = nowNanos;
+        lastDrainNanos = nowNanos;
         for (int i = 0; i < CLASSES.length; i++) {
             queues.add(new ArrayDeque<>());
         }
@@ -57,61 +57,63 @@
      * @param costTokens see {@link WaitPredictor#costTokens}
      * @param predictedSeconds until its first token
      */
-    public Prefill placed(LengthClass lengthClass, double costTokens, double predictedSeconds, long nowNanos) {
+    public Prefill recordPlacement(LengthClass lengthClass, double costTokens, double predictedSeconds, long nowNanos) {
         drain(nowNanos);
-        Prefill prefill = new Prefill(lengthClass, costTokens, speed.placed(predictedSeconds, nowNanos));
+        Prefill prefill =
+                new Prefill(lengthClass, costTokens, speedEstimator.recordPlacement(predictedSeconds, nowNanos));
         queues.get(lengthClass.ordinal()).addLast(prefill);
-        left[lengthClass.ordinal()] += costTokens;
+        remainingTokensByClass[lengthClass.ordinal()] += costTokens;
         return prefill;
     }
 
     /** The first token came; a second call does nothing. */
-    public void firstToken(Prefill prefill, long nowNanos) {
-        if (prefill.open) {
-            speed.firstToken(prefill.timing, nowNanos);
+    public void recordFirstToken(Prefill prefill, long nowNanos) {
+        if (prefill.isOpen) {
+            speedEstimator.recordFirstToken(prefill.speedSample, nowNanos);
             close(prefill, nowNanos);
         }
     }
 
     /** The prefill was given up or lost; a second call does nothing. */
-    public void dropped(Prefill prefill, long nowNanos) {
-        if (prefill.open) {
-            speed.dropped(prefill.timing);
+    public void cancel(Prefill prefill, long nowNanos) {
+        if (prefill.isOpen) {
+            speedEstimator.cancel(prefill.speedSample);
             close(prefill, nowNanos);
         }
     }
 
     /** Cost tokens left of one class. */
-    public double tokens(LengthClass lengthClass, long nowNanos) {
+    public double remainingTokens(LengthClass lengthClass, long nowNanos) {
         drain(nowNanos);
-        return left[lengthClass.ordinal()];
+        return remainingTokensByClass[lengthClass.ordinal()];
     }
 
     /** Measured speed, in cost tokens a second. */
     public double tokensPerSecond(long nowNanos) {
-        return announcedTokensPerSecond * speed.factor(nowNanos);
+        return announcedTokensPerSecond * speedEstimator.speedFactor(nowNanos);
     }
 
     private void close(Prefill prefill, long nowNanos) {
         drain(nowNanos);
-        prefill.open = false;
+        prefill.isOpen = false;
         int index = prefill.lengthClass.ordinal();
         Deque<Prefill> queue = queues.get(index);
         queue.remove(prefill);
-        left[index] = queue.isEmpty() ? 0 : Math.max(0, left[index] - prefill.left);
+        remainingTokensByClass[index] =
+                queue.isEmpty() ? 0 : Math.max(0, remainingTokensByClass[index] - prefill.remainingTokens);
     }
 
     private void drain(long nowNanos) {
-        if (nowNanos <= lastNanos) {
+        if (nowNanos <= lastDrainNanos) {
             return;
         }
-        double budget = (nowNanos - lastNanos) / NANOS_PER_SECOND * tokensPerSecond(lastNanos);
-        lastNanos = nowNanos;
+        double budget = (nowNanos - lastDrainNanos) / NANOS_PER_SECOND * tokensPerSecond(lastDrainNanos);
+        lastDrainNanos = nowNanos;
         for (int i = 0; i < CLASSES.length && budget > 0; i++) {
             for (Prefill each : queues.get(i)) {
-                double done = Math.min(budget, Math.max(0, each.left - each.floor));
-                each.left -= done;
-                left[i] -= done;
+                double done = Math.min(budget, Math.max(0, each.remainingTokens - each.minRemainingTokens));
+                each.remainingTokens -= done;
+                remainingTokensByClass[i] -= done;
                 budget -= done;
                 if (budget <= 0) {
                     return;
--- a/elmline-core/src/main/java/org/elmline/core/placement/RandomReplica.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/RandomReplica.java
@@ -20,7 +20,7 @@
         int start = random.nextInt(size);
         for (int i = 0; i < size; i++) {
             Replica each = replicas.get((start + i) % size);
-            if (Fit.holds(each, demand)) {
+            if (Eligibility.isEligible(each, demand)) {
                 return Optional.of(each);
             }
         }
--- a/elmline-core/src/main/java/org/elmline/core/placement/ReplicaOrder.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/ReplicaOrder.java
@@ -12,7 +12,7 @@
  * its neighbours (rendezvous hashing, Thaler and Ravishankar 1998).
  */
 final class ReplicaOrder {
-    private static final long GOLDEN = 0x9e3779b97f4a7c15L;
+    private static final long MIX_MULTIPLIER = 0x9e3779b97f4a7c15L;
     private static final int INDEX_BITS = 20;
     private static final long INDEX_MASK = (1L << INDEX_BITS) - 1;
 
@@ -70,7 +70,7 @@
     }
 
     private static long mix(long value) {
-        long bits = (value ^ (value >>> 30)) * GOLDEN;
+        long bits = (value ^ (value >>> 30)) * MIX_MULTIPLIER;
         bits = (bits ^ (bits >>> 27)) * 0x94d049bb133111ebL;
         return bits ^ (bits >>> 31);
     }
--- a/elmline-core/src/main/java/org/elmline/core/placement/ReplicaOrders.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/ReplicaOrderCache.java
@@ -7,14 +7,14 @@
 import org.elmline.core.common.ModelName;
 
 /** Keeps each model's latest order, since its replicas change far more seldom than requests come. */
-final class ReplicaOrders {
-    private final Map<ModelName, ReplicaOrder> latest = new ConcurrentHashMap<>();
+final class ReplicaOrderCache {
+    private final Map<ModelName, ReplicaOrder> latestByModel = new ConcurrentHashMap<>();
 
-    ReplicaOrder of(ModelName model, List<Replica> replicas) {
-        ReplicaOrder order = latest.get(model);
+    ReplicaOrder orderFor(ModelName model, List<Replica> replicas) {
+        ReplicaOrder order = latestByModel.get(model);
         if (order == null || !order.matches(replicas)) {
             order = ReplicaOrder.of(model, replicas);
-            latest.put(model, order);
+            latestByModel.put(model, order);
         }
         return order;
     }
--- a/elmline-core/src/main/java/org/elmline/core/placement/RoundRobin.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/RoundRobin.java
@@ -23,7 +23,7 @@
         int start = Math.floorMod(next.getAndIncrement(), size);
         for (int i = 0; i < size; i++) {
             Replica each = replicas.get((start + i) % size);
-            if (Fit.holds(each, demand)) {
+            if (Eligibility.isEligible(each, demand)) {
                 return Optional.of(each);
             }
         }
--- a/elmline-core/src/main/java/org/elmline/core/placement/ShortestWait.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/ShortestWait.java
@@ -31,7 +31,7 @@
         Replica best = null;
         double least = Double.POSITIVE_INFINITY;
         for (Replica each : replicas) {
-            if (!Fit.holds(each, demand)) {
+            if (!Eligibility.isEligible(each, demand)) {
                 continue;
             }
             double wait = predictor.secondsToFirstToken(demand, each);
--- a/elmline-core/src/main/java/org/elmline/core/placement/TwoEnded.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/TwoEnded.java
@@ -15,7 +15,7 @@
 public final class TwoEnded implements PlacementPolicy {
     private final PlacementSettings settings;
     private final WaitPredictor predictor;
-    private final ReplicaOrders orders = new ReplicaOrders();
+    private final ReplicaOrderCache orders = new ReplicaOrderCache();
 
     public TwoEnded() {
         this(PlacementSettings.defaults());
@@ -39,14 +39,16 @@
     @Override
     public Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random) {
         int size = replicas.size();
-        ReplicaOrder order = orders.of(demand.model(), replicas);
-        int reach = LongBound.isLong(demand) ? LongBound.replicasForLong(size, settings.maxLongShare()) : size;
+        ReplicaOrder order = orders.orderFor(demand.model(), replicas);
+        int reach = LongReplicaLimit.isLong(demand)
+                ? LongReplicaLimit.replicasForLong(size, settings.maxLongShare())
+                : size;
         Replica best = null;
         double least = Double.POSITIVE_INFINITY;
         for (int i = 0; i < size; i++) {
             Replica each = replicas.get(i);
             int rank = order.rank(i);
-            if (rank >= reach || !Fit.holds(each, demand)) {
+            if (rank >= reach || !Eligibility.isEligible(each, demand)) {
                 continue;
             }
             double score = score(demand, each, (rank + 0.5) / size);
@@ -60,15 +62,15 @@
 
     /** Seconds; {@code position} runs from 0 at the long end to 1 at the short end. */
     private double score(Demand demand, Replica replica, double position) {
-        double own = predictor.ownSeconds(demand, replica);
+        double own = predictor.prefillSeconds(demand, replica);
         double wait = predictor.secondsToFirstToken(demand, replica, own);
         double weight = 0;
-        if (predictor.lessUrgentPresent(demand, replica)) {
+        if (predictor.hasLessUrgentPrefill(demand, replica)) {
             weight += settings.displacementWeight();
         }
         if (demand.lengthClass() != LengthClass.SHORT) {
             // Short requests come to a replica the more, the nearer it is to their end.
-            weight += settings.harmWeight() * position;
+            weight += settings.shortSlowdownWeight() * position;
         }
         return wait + weight * own;
     }
--- a/elmline-core/src/main/java/org/elmline/core/placement/WaitPredictor.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/WaitPredictor.java
@@ -8,8 +8,8 @@
     /** Share by which each open stream's decoding slows a step. */
     private static final double SLOWDOWN_PER_STREAM = 0.003;
 
-    private static final double MEDIUM_STEP = 0.1;
-    private static final double LONG_STEP = 0.3;
+    private static final double MEDIUM_STEP_FACTOR = 0.1;
+    private static final double LONG_STEP_FACTOR = 0.3;
 
     private final PlacementSettings settings;
 
@@ -19,18 +19,18 @@
 
     /** Seconds until the first token: the work that the engine does before, and the prompt's own prefill. */
     public double secondsToFirstToken(Demand demand, Replica replica) {
-        return secondsToFirstToken(demand, replica, ownSeconds(demand, replica));
+        return secondsToFirstToken(demand, replica, prefillSeconds(demand, replica));
     }
 
-    /** The same, for a caller that has {@link #ownSeconds} already. */
+    /** The same, for a caller that has {@link #prefillSeconds} already. */
     double secondsToFirstToken(Demand demand, Replica replica, double ownSeconds) {
-        double alone = ownSeconds + aheadSeconds(demand.lengthClass(), replica);
+        double alone = ownSeconds + queuedSeconds(demand.lengthClass(), replica);
         return alone * (1 + replica.openStreams() * SLOWDOWN_PER_STREAM);
     }
 
     /** Seconds of prefill that the demand asks of the replica, cached prefix subtracted. */
-    public double ownSeconds(Demand demand, Replica replica) {
-        return costTokens(demand.promptTokens(), replica.cachedTokens(demand)) / rate(replica);
+    public double prefillSeconds(Demand demand, Replica replica) {
+        return costTokens(demand.promptTokens(), replica.cachedTokens(demand)) / prefillRate(replica);
     }
 
     /** Cost of a prefill in tokens of a short prompt: attention makes each token dearer, the more come before it. */
@@ -40,7 +40,7 @@
         return uncached * (1 + meanContext / settings.attentionDoublingTokens());
     }
 
-    private double aheadSeconds(LengthClass own, Replica replica) {
+    private double queuedSeconds(LengthClass own, Replica replica) {
         double tokens = 0;
         double step = 0;
         for (LengthClass each : CLASSES) {
@@ -52,11 +52,11 @@
             tokens += backlog;
         }
         // A longer prefill gives way only between steps, and its chunks make those steps long.
-        return tokens / rate(replica) + step;
+        return tokens / prefillRate(replica) + step;
     }
 
     /** Whether prefills of a less urgent class are under way on the replica; they give way to the demand. */
-    boolean lessUrgentPresent(Demand demand, Replica replica) {
+    boolean hasLessUrgentPrefill(Demand demand, Replica replica) {
         int own = settings.priority(demand.lengthClass());
         for (LengthClass each : CLASSES) {
             if (settings.priority(each) > own && replica.prefillBacklogTokens(each) > 0) {
@@ -69,13 +69,13 @@
     /** Longer prefills attend to more, and make longer steps. */
     private double stepSeconds(LengthClass present) {
         return switch (present) {
-            case SHORT, MEDIUM -> settings.longStepSeconds() * MEDIUM_STEP;
-            case LONG -> settings.longStepSeconds() * LONG_STEP;
+            case SHORT, MEDIUM -> settings.longStepSeconds() * MEDIUM_STEP_FACTOR;
+            case LONG -> settings.longStepSeconds() * LONG_STEP_FACTOR;
             case HUGE -> settings.longStepSeconds();
         };
     }
 
-    private static double rate(Replica replica) {
+    private static double prefillRate(Replica replica) {
         return Math.max(1, replica.prefillTokensPerSecond());
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
@@ -95,7 +95,7 @@
         }
         Known chosen = equal.get(random.nextInt(equal.size()));
         OwnerChoice choice = new OwnerChoice(members.get(chosen.summary.owner()), predict(chosen, demand));
-        chosen.sent(demand, settings.cost().of(demand.promptTokens(), 0));
+        chosen.sent(demand, settings.cost().costTokens(demand.promptTokens(), 0));
         return Optional.of(choice);
     }
 
@@ -207,7 +207,7 @@
         double speed = Math.max(1, model.prefillTokensPerSecond());
         long believed = (long) demand.prefixHashes().size() * settings.blockTokens();
         int cached = known.mayCache(demand) ? (int) (PREFIX_CONFIDENCE * Math.min(believed, demand.promptTokens())) : 0;
-        double own = settings.cost().of(demand.promptTokens(), cached) / speed;
+        double own = settings.cost().costTokens(demand.promptTokens(), cached) / speed;
         double sent = known.sentWork(demand) / (speed * model.readyReplicas());
         long penalty = model.freeKvTokens() < demand.kvTokens() ? FULL_PENALTY_MILLIS : 0;
         HostRecord owner = members.get(known.summary.owner());
--- a/elmline-core/src/main/java/org/elmline/core/routing/RepeatKind.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/CallKind.java
@@ -1,29 +1,29 @@
 package org.elmline.core.routing;
 
 /** What may be repeated of a route's calls. */
-public enum RepeatKind {
+public enum CallKind {
     /** May run more than once. */
     IDEMPOTENT {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean mayRetry(boolean resumable) {
             return true;
         }
     },
     /** Runs at most once for each attempt of a caller. */
     NOT_IDEMPOTENT {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean mayRetry(boolean resumable) {
             return false;
         }
     },
     /** Answers in numbered events; another run may go on after the last one received, where the route allows it. */
     STREAMING {
         @Override
-        public boolean mayRepeat(boolean resumable) {
+        public boolean mayRetry(boolean resumable) {
             return resumable;
         }
     };
 
     /** Whether a call that may have run can be sent to another backend server. */
-    public abstract boolean mayRepeat(boolean resumable);
+    public abstract boolean mayRetry(boolean resumable);
 }
--- a/elmline-core/src/main/java/org/elmline/core/routing/CallRoute.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/CallRoute.java
@@ -13,66 +13,66 @@
  * @param aimMillis time to the answer, or to a stream's first event, within which the call is of full use
  * @param gapMillis longest pause between two events within which a stream is of full use; 0 when not a stream
  * @param priority rank among routes, 0 is the most urgent
- * @param attempts backend servers that one call may be sent to, at most
- * @param open whether callers need no key
- * @param resumable whether another run may continue a broken stream after its last event
+ * @param maxAttempts backend servers that one call may be sent to, at most
+ * @param allowsAnonymous whether callers need no key
+ * @param isResumable whether another run may continue a broken stream after its last event
  */
 public record CallRoute(
         String name,
         String host,
         String pathPrefix,
-        RepeatKind kind,
-        List<WeightedService> split,
+        CallKind kind,
+        List<WeightedService> weightedServices,
         int timeoutMillis,
         int aimMillis,
         int gapMillis,
         int priority,
-        int attempts,
-        boolean open,
-        boolean resumable) {
+        int maxAttempts,
+        boolean allowsAnonymous,
+        boolean isResumable) {
     /** Callers leave a stream after this long without an event, however short its aims. */
-    private static final int LEAST_PATIENCE_MILLIS = 2_000;
+    private static final int MIN_EVENT_TIMEOUT_MILLIS = 2_000;
 
     /** Multiples of the aim and of the allowed pause after which callers leave a stream, if that is longer. */
-    private static final int PATIENCE_AIMS = 4;
+    private static final int EVENT_TIMEOUT_AIMS = 4;
 
-    private static final int PATIENCE_GAPS = 8;
+    private static final int EVENT_TIMEOUT_GAPS = 8;
 
     public CallRoute {
-        split = List.copyOf(split);
+        weightedServices = List.copyOf(weightedServices);
     }
 
     /** How long callers wait for a stream's first event, or for the next one, before they leave. */
-    public int patienceMillis() {
-        int byAim = Math.max(LEAST_PATIENCE_MILLIS, PATIENCE_AIMS * aimMillis);
-        return Math.min(timeoutMillis, Math.max(byAim, PATIENCE_GAPS * gapMillis));
+    public int eventTimeoutMillis() {
+        int byAim = Math.max(MIN_EVENT_TIMEOUT_MILLIS, EVENT_TIMEOUT_AIMS * aimMillis);
+        return Math.min(timeoutMillis, Math.max(byAim, EVENT_TIMEOUT_GAPS * gapMillis));
     }
 
     /** Whether a call that may have run can be sent to another backend server. */
-    public boolean mayRepeat() {
-        return kind.mayRepeat(resumable);
+    public boolean mayRetry() {
+        return kind.mayRetry(isResumable);
     }
 
-    public boolean streaming() {
-        return kind == RepeatKind.STREAMING;
+    public boolean isStreaming() {
+        return kind == CallKind.STREAMING;
     }
 
     /** The service for a call, drawn by weight; {@code draw} is uniform in [0, 1). */
-    public ServiceName service(double draw) {
+    public ServiceName chooseService(double draw) {
         double left = draw * totalWeight();
-        for (WeightedService each : split) {
+        for (WeightedService each : weightedServices) {
             left -= each.weight();
             if (left < 0) {
                 return each.service();
             }
         }
-        return split.get(split.size() - 1).service();
+        return weightedServices.get(weightedServices.size() - 1).service();
     }
 
     /** Sum of all weights; a route whose weights add up to nothing leads nowhere. */
     public long totalWeight() {
         long total = 0;
-        for (WeightedService each : split) {
+        for (WeightedService each : weightedServices) {
             total += each.weight();
         }
         return total;
@@ -87,15 +87,15 @@
         private String name = "";
         private String host = "";
         private String pathPrefix = "/";
-        private RepeatKind kind = RepeatKind.NOT_IDEMPOTENT;
-        private List<WeightedService> split = List.of();
+        private CallKind kind = CallKind.NOT_IDEMPOTENT;
+        private List<WeightedService> weightedServices = List.of();
         private int timeoutMillis = 10_000;
         private int aimMillis = 1_000;
         private int gapMillis;
         private int priority;
-        private int attempts = 1;
-        private boolean open;
-        private boolean resumable;
+        private int maxAttempts = 1;
+        private boolean allowsAnonymous;
+        private boolean isResumable;
 
         private Builder() {}
 
@@ -104,19 +104,19 @@
             return this;
         }
 
-        public Builder place(String hostName, String prefix) {
+        public Builder hostAndPath(String hostName, String prefix) {
             host = hostName;
             pathPrefix = prefix;
             return this;
         }
 
-        public Builder kind(RepeatKind value) {
+        public Builder kind(CallKind value) {
             kind = value;
             return this;
         }
 
-        public Builder split(List<WeightedService> value) {
-            split = value;
+        public Builder weightedServices(List<WeightedService> value) {
+            weightedServices = value;
             return this;
         }
 
@@ -140,18 +140,18 @@
             return this;
         }
 
-        public Builder attempts(int value) {
-            attempts = value;
+        public Builder maxAttempts(int value) {
+            maxAttempts = value;
             return this;
         }
 
-        public Builder open(boolean value) {
-            open = value;
+        public Builder allowsAnonymous(boolean value) {
+            allowsAnonymous = value;
             return this;
         }
 
-        public Builder resumable(boolean value) {
-            resumable = value;
+        public Builder isResumable(boolean value) {
+            isResumable = value;
             return this;
         }
 
@@ -161,14 +161,14 @@
                     host,
                     pathPrefix,
                     kind,
-                    split,
+                    weightedServices,
                     timeoutMillis,
                     aimMillis,
                     gapMillis,
                     priority,
-                    attempts,
-                    open,
-                    resumable);
+                    maxAttempts,
+                    allowsAnonymous,
+                    isResumable);
         }
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/routing/RoutingFormat.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/RoutingFormat.java
@@ -3,5 +3,5 @@
 /** Reads the document in which operators write a routing table. A plug-in, found by {@link java.util.ServiceLoader}. */
 public interface RoutingFormat {
     /** The table that the document describes, or why it describes none. */
-    RoutingTable.Built read(byte[] document);
+    RoutingTable.BuildResult read(byte[] document);
 }
--- a/elmline-core/src/main/java/org/elmline/core/routing/RoutingTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/RoutingTable.java
@@ -15,18 +15,18 @@
     private final long version;
     private final Map<String, List<CallRoute>> routesByHost;
     private final Map<ServiceName, RoutedService> services;
-    private final Map<String, KeyHolder> holders;
-    private final boolean keyed;
+    private final Map<String, KeyHolder> keyHolders;
+    private final boolean requiresKey;
     private final CallerLimits limits;
 
     private RoutingTable(Builder parts) {
         version = parts.version;
         limits = parts.limits;
-        keyed = parts.keyed;
+        requiresKey = parts.requiresKey;
         services = new HashMap<>();
         parts.services.forEach(each -> services.put(each.name(), each));
-        holders = new HashMap<>();
-        parts.holders.forEach(holder -> holder.keys().forEach(key -> holders.put(key, holder)));
+        keyHolders = new HashMap<>();
+        parts.keyHolders.forEach(holder -> holder.keys().forEach(key -> keyHolders.put(key, holder)));
         routesByHost = new HashMap<>();
         for (CallRoute each : parts.routes) {
             routesByHost.computeIfAbsent(each.host(), host -> new ArrayList<>()).add(each);
@@ -62,15 +62,15 @@
     public RouteMatch match(String hostHeader, String path, String key) {
         for (CallRoute each : routesByHost.getOrDefault(hostName(hostHeader), List.of())) {
             if (path.startsWith(each.pathPrefix())) {
-                return allowed(each, key);
+                return authorise(each, key);
             }
         }
         return new RouteMatch.NoRoute();
     }
 
-    private RouteMatch allowed(CallRoute route, String key) {
-        KeyHolder holder = key == null ? null : holders.get(key);
-        boolean needsKey = keyed && !route.open();
+    private RouteMatch authorise(CallRoute route, String key) {
+        KeyHolder holder = key == null ? null : keyHolders.get(key);
+        boolean needsKey = requiresKey && !route.allowsAnonymous();
         return needsKey && holder == null ? new RouteMatch.UnknownKey(route) : new RouteMatch.Allowed(route, holder);
     }
 
@@ -92,8 +92,8 @@
         private final long version;
         private final List<CallRoute> routes = new ArrayList<>();
         private final List<RoutedService> services = new ArrayList<>();
-        private final List<KeyHolder> holders = new ArrayList<>();
-        private boolean keyed;
+        private final List<KeyHolder> keyHolders = new ArrayList<>();
+        private boolean requiresKey;
         private CallerLimits limits = CallerLimits.DEFAULT;
 
         private Builder(long version) {
@@ -110,14 +110,14 @@
             return this;
         }
 
-        public Builder holder(KeyHolder value) {
-            holders.add(value);
+        public Builder keyHolder(KeyHolder value) {
+            keyHolders.add(value);
             return this;
         }
 
         /** Whether callers must show a key on routes that are not open. */
-        public Builder keyed(boolean value) {
-            keyed = value;
+        public Builder requiresKey(boolean value) {
+            requiresKey = value;
             return this;
         }
 
@@ -127,18 +127,19 @@
         }
 
         /** The table, or in words why it can't be one. */
-        public Built build() {
-            Optional<String> fault = new RoutingFaults(routes, services, holders).first();
-            return fault.<Built>map(Built.Invalid::new).orElseGet(() -> new Built.Table(new RoutingTable(this)));
+        public BuildResult build() {
+            Optional<String> fault = new RoutingTableValidator(routes, services, keyHolders).firstError();
+            return fault.<BuildResult>map(BuildResult.Invalid::new)
+                    .orElseGet(() -> new BuildResult.Valid(new RoutingTable(this)));
         }
     }
 
     /** Outcome of building a table. */
-    public sealed interface Built {
+    public sealed interface BuildResult {
         /** The parts fit together. */
-        record Table(RoutingTable table) implements Built {}
+        record Valid(RoutingTable table) implements BuildResult {}
 
         /** They don't; {@code why} is fit to be shown to the operator. */
-        record Invalid(String why) implements Built {}
+        record Invalid(String reason) implements BuildResult {}
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/routing/RoutingFaults.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/RoutingTableValidator.java
@@ -11,23 +11,23 @@
 import org.elmline.core.common.ServiceName;
 
 /** Finds what makes a routing table unfit to be put in force. */
-final class RoutingFaults {
+final class RoutingTableValidator {
     private final List<CallRoute> routes;
     private final List<RoutedService> services;
-    private final List<KeyHolder> holders;
+    private final List<KeyHolder> keyHolders;
 
-    RoutingFaults(List<CallRoute> routes, List<RoutedService> services, List<KeyHolder> holders) {
+    RoutingTableValidator(List<CallRoute> routes, List<RoutedService> services, List<KeyHolder> holders) {
         this.routes = routes;
         this.services = services;
-        this.holders = holders;
+        this.keyHolders = holders;
     }
 
     /** The first fault, in words; empty when there is none. */
-    Optional<String> first() {
-        return serviceFault().or(this::routeFault).or(this::keyFault);
+    Optional<String> firstError() {
+        return serviceError().or(this::routeError).or(this::keyError);
     }
 
-    private Optional<String> serviceFault() {
+    private Optional<String> serviceError() {
         Set<ServiceName> names = new HashSet<>();
         for (RoutedService each : services) {
             if (!names.add(each.name())) {
@@ -37,7 +37,7 @@
         return Optional.empty();
     }
 
-    private Optional<String> routeFault() {
+    private Optional<String> routeError() {
         Set<ServiceName> known = new HashSet<>();
         services.forEach(each -> known.add(each.name()));
         Set<String> places = new HashSet<>();
@@ -45,7 +45,7 @@
             if (!places.add(each.host() + each.pathPrefix())) {
                 return Optional.of("two routes share " + each.host() + each.pathPrefix());
             }
-            Optional<String> fault = fault(each, known);
+            Optional<String> fault = routeError(each, known);
             if (fault.isPresent()) {
                 return fault;
             }
@@ -53,8 +53,8 @@
         return Optional.empty();
     }
 
-    private static Optional<String> fault(CallRoute route, Set<ServiceName> known) {
-        for (WeightedService each : route.split()) {
+    private static Optional<String> routeError(CallRoute route, Set<ServiceName> known) {
+        for (WeightedService each : route.weightedServices()) {
             if (!known.contains(each.service())) {
                 return Optional.of("route " + route.name() + " names the unknown service " + each.service());
             }
@@ -71,9 +71,9 @@
     }
 
     /** Two organisations under one key could be taken for each other. */
-    private Optional<String> keyFault() {
+    private Optional<String> keyError() {
         Map<String, OrganisationId> owners = new HashMap<>();
-        for (KeyHolder each : holders) {
+        for (KeyHolder each : keyHolders) {
             for (String key : each.keys()) {
                 OrganisationId other = owners.put(key, each.organisation());
                 if (other != null && !other.equals(each.organisation())) {
--- a/elmline-core/src/test/java/org/elmline/core/admission/DeadlinesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/admission/DeadlinesTest.java
@@ -19,13 +19,13 @@
     @Property(tries = 300, seed = "5002")
     void expiresLikeAPlainMap(@ForAll long seed) {
         Random random = new Random(seed);
-        Deadlines<Integer> wheel = new Deadlines<>(TICK, 8);
+        TimingWheel<Integer> wheel = new TimingWheel<>(TICK, 8);
         Map<Integer, Long> plain = new HashMap<>();
         long now = random.nextInt(1_000) - 500;
         for (int step = 0; step < 200; step++) {
             int key = random.nextInt(20);
             if (random.nextInt(4) == 0) {
-                assertEquals(plain.remove(key) != null, wheel.clear(key));
+                assertEquals(plain.remove(key) != null, wheel.cancel(key));
             } else if (random.nextBoolean()) {
                 long deadline = now + random.nextInt(300) - 20;
                 wheel.set(key, deadline, now);
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoad.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoad.java
@@ -146,14 +146,14 @@
          */
         Deployment scaled(double speed, double patience, double memory) {
             BatchTiming scaled = new BatchTiming(
-                    timing.places(),
+                    timing.slots(),
                     (long) (timing.memoryTokens() * memory),
                     timing.stepsPerPass(),
                     timing.stepMillis() / speed,
-                    timing.perWriterMillis() / speed,
+                    timing.perDecodingRequestMillis() / speed,
                     timing.perThousandContextMillis() / speed,
-                    timing.readTokensPerMilli() * speed,
-                    timing.pairsMillisPerMillion() / speed,
+                    timing.prefillTokensPerMilli() * speed,
+                    timing.attentionMillisPerMillionPairs() / speed,
                     timing.chunkTokens(),
                     timing.helperHopMillis());
             Map<Kind, Figures> other = new EnumMap<>(Kind.class);
@@ -164,7 +164,7 @@
 
     /** Where a call goes. */
     interface Policy {
-        void ask(PlaceCall call, PassEngine.Job job, int now);
+        void ask(DispatchCall call, PassEngine.Job job, int now);
 
         void step(int now);
     }
@@ -263,9 +263,12 @@
                 long tokens = figures.draw(random);
                 PassEngine.Job job = new PassEngine.Job(tokens, figures.events(), 0, figures.aim(), figures.gap());
                 held.add(job);
-                PlaceCall call = call("held-" + kind + i, figures, tokens);
+                DispatchCall call = call("held-" + kind + i, figures, tokens);
                 int left = Math.min(figures.deadline() - HELD_MILLIS, PATIENCE_LEFT_MILLIS);
-                policy.ask(call.withTimes(figures.aim() - HELD_MILLIS, left, figures.deadline() - HELD_MILLIS), job, 0);
+                policy.ask(
+                        call.withRemainingTimes(figures.aim() - HELD_MILLIS, left, figures.deadline() - HELD_MILLIS),
+                        job,
+                        0);
             }
         }
     }
@@ -311,9 +314,9 @@
         return earned / owed;
     }
 
-    private PlaceCall call(String attempt, Figures figures, long tokens) {
+    private DispatchCall call(String attempt, Figures figures, long tokens) {
         long answer = (long) deployment.timing.stepsPerPass() * figures.events();
-        return new PlaceCall(
+        return new DispatchCall(
                 attempt,
                 HostId.of("e"),
                 1,
@@ -344,7 +347,7 @@
         private final Map<String, Asking> waiting = new HashMap<>();
         private final Random random = new Random(seed);
 
-        private record Asking(PlaceCall call, int askedAt, int nextAt) {}
+        private record Asking(DispatchCall call, int askedAt, int nextAt) {}
 
         Dispatched() {
             RoutedService service = new RoutedService(DESK, 819, deployment.timing);
@@ -360,12 +363,12 @@
                         .add(new Registration(id, DESK, address, FailureDomain.of("a"), 11, ServerState.READY, 1, 1));
             }
             for (int i = 0; i < shards; i++) {
-                dispatchers.get(i).servers(service, servers.get(i), 0);
+                dispatchers.get(i).updateServers(service, servers.get(i), 0);
             }
         }
 
         @Override
-        public void ask(PlaceCall call, PassEngine.Job job, int now) {
+        public void ask(DispatchCall call, PassEngine.Job job, int now) {
             jobs.put(call.attempt(), job);
             ask(new Asking(call, now, now + ASK_AGAIN_MILLIS), now);
         }
@@ -384,24 +387,24 @@
         private boolean askOne(Asking asking, int shard, int now) {
             String attempt = asking.call().attempt();
             int age = now - asking.askedAt();
-            PlaceCall call = asking.call();
-            PlaceCall left = call.withTimes(
+            DispatchCall call = asking.call();
+            DispatchCall left = call.withRemainingTimes(
                     call.aimLeftMillis() - age, call.firstLeftMillis() - age, call.deadlineLeftMillis() - age);
             dispatchers.get(shard).tick(now * MILLI).forEach(each -> take(each, shard));
-            PlaceAnswer answer = dispatchers.get(shard).place(left, now * MILLI);
+            DispatchAnswer answer = dispatchers.get(shard).place(left, now * MILLI);
             Integer before = at.put(attempt, shard);
             if (before != null && before != shard) {
                 dispatchers.get(before).report(new AttemptReport(attempt, AttemptEnd.CANCELLED), now * MILLI);
             }
-            if (!(answer instanceof PlaceAnswer.Queued)) {
+            if (!(answer instanceof DispatchAnswer.Queued)) {
                 take(answer, shard);
             }
-            return !(answer instanceof PlaceAnswer.Queued);
+            return !(answer instanceof DispatchAnswer.Queued);
         }
 
-        private void take(PlaceAnswer answer, int shard) {
+        private void take(DispatchAnswer answer, int shard) {
             waiting.remove(answer.attempt());
-            if (!(answer instanceof PlaceAnswer.Granted grant)) {
+            if (!(answer instanceof DispatchAnswer.Granted grant)) {
                 return;
             }
             at.put(grant.attempt(), shard);
@@ -460,7 +463,7 @@
         }
 
         @Override
-        public void ask(PlaceCall call, PassEngine.Job job, int now) {
+        public void ask(DispatchCall call, PassEngine.Job job, int now) {
             engines.stream().min(order.apply(now)).orElseThrow().answer(job, 1);
         }
 
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
@@ -54,12 +54,12 @@
 
     private static Dispatcher dispatcher(RoutedService service, int servers, int places) {
         Dispatcher dispatcher = new Dispatcher(service, RETRIES, 0);
-        dispatcher.servers(service, servers(servers, places), 0);
+        dispatcher.updateServers(service, servers(servers, places), 0);
         return dispatcher;
     }
 
-    private PlaceCall call(long prompt, long answer, long aim, int gap, long deadline, boolean repeated) {
-        return new PlaceCall(
+    private DispatchCall call(long prompt, long answer, long aim, int gap, long deadline, boolean repeated) {
+        return new DispatchCall(
                 "c" + next++,
                 HostId.of("e"),
                 1,
@@ -78,20 +78,20 @@
                 List.of());
     }
 
-    private PlaceCall question() {
+    private DispatchCall question() {
         return call(5_000, 1_600, 300, 200, 10_000, false);
     }
 
-    private PlaceCall manual(long tokens) {
+    private DispatchCall manual(long tokens) {
         return call(tokens, 800, 3_000, 800, 15_000, false);
     }
 
-    private PlaceCall booking(long deadline) {
+    private DispatchCall booking(long deadline) {
         return call(0, 0, 100, 0, deadline, false);
     }
 
-    private static PlaceAnswer.Granted granted(PlaceAnswer answer) {
-        return assertInstanceOf(PlaceAnswer.Granted.class, answer);
+    private static DispatchAnswer.Granted granted(DispatchAnswer answer) {
+        return assertInstanceOf(DispatchAnswer.Granted.class, answer);
     }
 
     /**
@@ -103,12 +103,12 @@
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
         List<BackendServerId> busy = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            PlaceAnswer.Granted grant = granted(dispatcher.place(question(), 0));
+            DispatchAnswer.Granted grant = granted(dispatcher.place(question(), 0));
             dispatcher.report(new AttemptReport(grant.attempt(), null), 0);
             busy.add(grant.server());
         }
         assertEquals(1, busy.stream().distinct().count(), "questions are packed");
-        PlaceAnswer.Granted read = granted(dispatcher.place(manual(210_000), 10 * MILLI));
+        DispatchAnswer.Granted read = granted(dispatcher.place(manual(210_000), 10 * MILLI));
         assertNotEquals(busy.get(0), read.server());
         assertTrue(read.helpers().stream().noneMatch(each -> busy.contains(each.server())));
         assertEquals(4, read.helpers().size(), "all five free engines read");
@@ -119,25 +119,25 @@
     @Test
     void hugePromptsAreKeptOnSeveralEngines() {
         Dispatcher dispatcher = dispatcher(ENGINES, 10, 11);
-        PlaceAnswer.Granted grant = granted(dispatcher.place(manual(700_000), 0));
+        DispatchAnswer.Granted grant = granted(dispatcher.place(manual(700_000), 0));
         long reserved = grant.helpers().stream().mapToLong(Helper::memoryTokens).sum();
         assertTrue(reserved >= 700_800 - 450_000, "reserved " + reserved);
         assertTrue(grant.helpers().stream().allMatch(each -> each.memoryTokens() <= 450_000));
-        PlaceAnswer.Refused refused = assertInstanceOf(
-                PlaceAnswer.Refused.class, dispatcher(ENGINES, 2, 11).place(manual(1_000_000), 0));
-        assertEquals(PlaceAnswer.Why.TOO_LARGE, refused.why());
+        DispatchAnswer.Refused refused = assertInstanceOf(
+                DispatchAnswer.Refused.class, dispatcher(ENGINES, 2, 11).place(manual(1_000_000), 0));
+        assertEquals(DispatchAnswer.RefusalCause.TOO_LARGE, refused.why());
     }
 
     /** A second long prompt waits for engines that read, and is placed when they are done. */
     @Test
     void aLongPromptWaitsForItsTurn() {
         Dispatcher dispatcher = dispatcher(ENGINES, 4, 11);
-        PlaceAnswer.Granted first = granted(dispatcher.place(manual(210_000), 0));
-        PlaceCall second = manual(210_000);
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(second, 0));
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(second, 100 * MILLI), "asked again");
+        DispatchAnswer.Granted first = granted(dispatcher.place(manual(210_000), 0));
+        DispatchCall second = manual(210_000);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(second, 0));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(second, 100 * MILLI), "asked again");
         dispatcher.report(new AttemptReport(first.attempt(), null), 800 * MILLI);
-        List<PlaceAnswer> decided = dispatcher.tick(810 * MILLI);
+        List<DispatchAnswer> decided = dispatcher.tick(810 * MILLI);
         assertEquals(second.attempt(), granted(decided.get(0)).attempt());
     }
 
@@ -149,14 +149,14 @@
     void enginesAreKeptFreeForALongPromptThatWaits() {
         Dispatcher dispatcher = dispatcher(ENGINES, 3, 11);
         Map<String, Long> ends = new HashMap<>();
-        PlaceCall read = manual(300_000);
+        DispatchCall read = manual(300_000);
         boolean placed = false;
         for (int step = 0; step < 500 && !placed; step++) {
             long now = step * 10L * MILLI;
             if (step == 100) {
                 dispatcher.place(read, now);
             }
-            if (step % 2 == 0 && dispatcher.place(question(), now) instanceof PlaceAnswer.Granted grant) {
+            if (step % 2 == 0 && dispatcher.place(question(), now) instanceof DispatchAnswer.Granted grant) {
                 dispatcher.report(new AttemptReport(grant.attempt(), null), now);
                 ends.put(grant.attempt(), now + 400 * MILLI);
             }
@@ -168,7 +168,7 @@
                 return over;
             });
             placed = dispatcher.tick(now).stream()
-                    .anyMatch(each -> each.attempt().equals(read.attempt()) && each instanceof PlaceAnswer.Granted);
+                    .anyMatch(each -> each.attempt().equals(read.attempt()) && each instanceof DispatchAnswer.Granted);
         }
         assertTrue(placed);
     }
@@ -179,13 +179,13 @@
         Map<BackendServerId, Integer> counts = new HashMap<>();
         List<String> attempts = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            PlaceAnswer.Granted grant = granted(dispatcher.place(booking(1_000), 0));
+            DispatchAnswer.Granted grant = granted(dispatcher.place(booking(1_000), 0));
             counts.merge(grant.server(), 1, Integer::sum);
             attempts.add(grant.attempt());
         }
         assertEquals(List.of(2, 2, 2), List.copyOf(counts.values()));
-        PlaceCall waits = booking(1_000);
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(waits, 0));
+        DispatchCall waits = booking(1_000);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(waits, 0));
         dispatcher.report(new AttemptReport(attempts.get(0), AttemptEnd.DONE), MILLI);
         assertEquals(waits.attempt(), dispatcher.tick(MILLI).get(0).attempt());
     }
@@ -198,8 +198,9 @@
         for (int i = 0; i < 20; i++) {
             dispatcher.place(booking(1_000), 0);
         }
-        PlaceAnswer.Refused refused = assertInstanceOf(PlaceAnswer.Refused.class, dispatcher.place(booking(1_000), 0));
-        assertEquals(PlaceAnswer.Why.TOO_LATE, refused.why());
+        DispatchAnswer.Refused refused =
+                assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(booking(1_000), 0));
+        assertEquals(DispatchAnswer.RefusalCause.TOO_LATE, refused.why());
         assertTrue(refused.retryAfterMillis() >= 100);
     }
 
@@ -212,8 +213,8 @@
         }
         int granted = 0;
         for (int i = 0; i < 10; i++) {
-            PlaceCall again = call(0, 0, 100, 0, 1_000, true);
-            granted += dispatcher.place(again, 0) instanceof PlaceAnswer.Granted ? 1 : 0;
+            DispatchCall again = call(0, 0, 100, 0, 1_000, true);
+            granted += dispatcher.place(again, 0) instanceof DispatchAnswer.Granted ? 1 : 0;
         }
         assertEquals(4, granted, "a fifth of ten, and the slack of two");
     }
@@ -221,7 +222,7 @@
     @Test
     void aServerThatCantBeReachedRestsAndIsTriedAgain() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3, 10);
-        PlaceAnswer.Granted grant = granted(dispatcher.place(booking(1_000), 0));
+        DispatchAnswer.Granted grant = granted(dispatcher.place(booking(1_000), 0));
         dispatcher.report(new AttemptReport(grant.attempt(), AttemptEnd.NOT_SENT), 0);
         for (int i = 0; i < 9; i++) {
             assertNotEquals(
@@ -241,13 +242,13 @@
     @Test
     void aNewDispatcherWaitsForServers() {
         Dispatcher dispatcher = new Dispatcher(PLAIN, RETRIES, 0);
-        PlaceCall first = booking(2_000);
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(first, 0));
-        dispatcher.servers(PLAIN, servers(1, 2), 900 * MILLI);
+        DispatchCall first = booking(2_000);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(first, 0));
+        dispatcher.updateServers(PLAIN, servers(1, 2), 900 * MILLI);
         assertEquals(
                 first.attempt(), granted(dispatcher.tick(900 * MILLI).get(0)).attempt());
-        dispatcher.servers(PLAIN, List.of(), 1_000 * MILLI);
-        assertInstanceOf(PlaceAnswer.Refused.class, dispatcher.place(booking(2_000), 1_000 * MILLI));
+        dispatcher.updateServers(PLAIN, List.of(), 1_000 * MILLI);
+        assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(booking(2_000), 1_000 * MILLI));
     }
 
     @Test
@@ -255,9 +256,9 @@
         Dispatcher dispatcher = dispatcher(PLAIN, 1, 2);
         granted(dispatcher.place(booking(1_000), 0));
         granted(dispatcher.place(booking(1_000), 0));
-        dispatcher.entryGone(HostId.of("e"), 2, 0);
+        dispatcher.removeEntry(HostId.of("e"), 2, 0);
         assertEquals(2, dispatcher.running(), "another start of the entry");
-        dispatcher.entryGone(HostId.of("e"), 1, 0);
+        dispatcher.removeEntry(HostId.of("e"), 1, 0);
         assertEquals(0, dispatcher.running());
         granted(dispatcher.place(booking(1_000), 0));
         dispatcher.tick(2_900 * MILLI);
@@ -270,12 +271,12 @@
     @Test
     void adoptedGrantsTakeTheirPlaces() {
         Dispatcher old = dispatcher(PLAIN, 1, 1);
-        PlaceCall running = booking(5_000);
-        PlaceAnswer.Granted grant = granted(old.place(running, 0));
+        DispatchCall running = booking(5_000);
+        DispatchAnswer.Granted grant = granted(old.place(running, 0));
         Dispatcher successor = dispatcher(PLAIN, 1, 1);
         successor.adopt(new OpenGrant(running, grant, false), 0);
-        PlaceCall waits = booking(5_000);
-        assertInstanceOf(PlaceAnswer.Queued.class, successor.place(waits, 0));
+        DispatchCall waits = booking(5_000);
+        assertInstanceOf(DispatchAnswer.Queued.class, successor.place(waits, 0));
         successor.report(new AttemptReport(running.attempt(), AttemptEnd.DONE), MILLI);
         assertEquals(1, successor.tick(MILLI).size());
     }
@@ -291,16 +292,16 @@
         int refused = 0;
         for (int step = 0; step < 300; step++) {
             long now = step * 7L * MILLI;
-            List<PlaceAnswer> answers = new ArrayList<>(dispatcher.tick(now));
+            List<DispatchAnswer> answers = new ArrayList<>(dispatcher.tick(now));
             if (random.nextInt(3) > 0) {
-                PlaceCall call = engines ? (random.nextInt(4) == 0 ? manual(150_000) : question()) : booking(1_000);
+                DispatchCall call = engines ? (random.nextInt(4) == 0 ? manual(150_000) : question()) : booking(1_000);
                 answers.add(dispatcher.place(call, now));
             }
-            for (PlaceAnswer each : answers) {
-                if (each instanceof PlaceAnswer.Granted grant) {
+            for (DispatchAnswer each : answers) {
+                if (each instanceof DispatchAnswer.Granted grant) {
                     assertEquals(null, running.put(grant.attempt(), grant.server()), "one decision each");
                     decided++;
-                } else if (each instanceof PlaceAnswer.Refused) {
+                } else if (each instanceof DispatchAnswer.Refused) {
                     refused++;
                 }
             }
@@ -312,7 +313,7 @@
             }
             Map<BackendServerId, Integer> counts = new HashMap<>();
             running.values().forEach(each -> counts.merge(each, 1, Integer::sum));
-            int places = engines ? Math.min(3, TIMING.places()) : 3;
+            int places = engines ? Math.min(3, TIMING.slots()) : 3;
             counts.values().forEach(each -> assertTrue(each <= places));
             assertEquals(running.size(), dispatcher.running());
         }
@@ -328,9 +329,9 @@
     @Test
     void aSecondDispatcherHoldsLongCallsForASecond() {
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
-        dispatcher.askedFirst(false, 0);
+        dispatcher.updatePrimary(false, 0);
         granted(dispatcher.place(question(), 0));
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
         assertEquals(List.of(), dispatcher.tick(999 * MILLI));
         assertEquals(1, dispatcher.tick(1_000 * MILLI).size());
     }
@@ -347,8 +348,8 @@
         for (int i = 0; i < 4; i++) {
             running.add(granted(dispatcher.place(question(), 0)).attempt());
         }
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
-        dispatcher.askedFirst(false, 900 * MILLI);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
+        dispatcher.updatePrimary(false, 900 * MILLI);
         running.forEach(each -> dispatcher.report(new AttemptReport(each, AttemptEnd.CANCELLED), 950 * MILLI));
         assertEquals(List.of(), dispatcher.tick(1_100 * MILLI));
         assertEquals(List.of(), dispatcher.tick(1_899 * MILLI));
@@ -359,9 +360,9 @@
     @Test
     void aSecondDispatcherThatBecomesTheFirstPlacesLongCalls() {
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
-        dispatcher.askedFirst(false, 0);
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
-        dispatcher.askedFirst(true, 5 * MILLI);
+        dispatcher.updatePrimary(false, 0);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
+        dispatcher.updatePrimary(true, 5 * MILLI);
         assertEquals(1, dispatcher.tick(10 * MILLI).size());
     }
 
@@ -372,13 +373,13 @@
     @Test
     void aQuestionDoesNotQueueBehindALongRead() {
         Dispatcher dispatcher = dispatcher(ENGINES, 2, 11);
-        PlaceAnswer.Granted first = granted(dispatcher.place(question(), 0));
+        DispatchAnswer.Granted first = granted(dispatcher.place(question(), 0));
         dispatcher.report(new AttemptReport(first.attempt(), null), 0);
-        PlaceAnswer.Granted read = granted(dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), 0));
+        DispatchAnswer.Granted read = granted(dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), 0));
         assertNotEquals(first.server(), read.server());
         assertInstanceOf(
-                PlaceAnswer.Queued.class, dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), MILLI));
-        PlaceAnswer.Granted second = granted(dispatcher.place(question(), 2 * MILLI));
+                DispatchAnswer.Queued.class, dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), MILLI));
+        DispatchAnswer.Granted second = granted(dispatcher.place(question(), 2 * MILLI));
         assertEquals(first.server(), second.server());
         assertTrue(second.firstMillis() <= 300, "first token in " + second.firstMillis());
     }
@@ -387,7 +388,7 @@
     @Test
     void noEngineIsTakenForAFirstTokenThatNobodyWaitsFor() {
         Dispatcher dispatcher = dispatcher(ENGINES, 1, 11);
-        PlaceCall tooLong = new PlaceCall(
+        DispatchCall tooLong = new DispatchCall(
                 "long",
                 HostId.of("e"),
                 1,
@@ -404,7 +405,7 @@
                 20_000,
                 false,
                 List.of());
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(tooLong, 0));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(tooLong, 0));
     }
 
     /**
@@ -414,15 +415,15 @@
     @Test
     void aDispatcherThatWasFrozenForgetsWhatHasEnded() {
         Dispatcher dispatcher = dispatcher(ENGINES, 1, 11);
-        List<PlaceCall> calls = new ArrayList<>();
-        List<PlaceAnswer.Granted> grants = new ArrayList<>();
+        List<DispatchCall> calls = new ArrayList<>();
+        List<DispatchAnswer.Granted> grants = new ArrayList<>();
         for (int i = 0; i < 11; i++) {
             calls.add(question());
             grants.add(granted(dispatcher.place(calls.get(i), 0)));
         }
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(question(), MILLI));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(question(), MILLI));
         OpenGrant still = new OpenGrant(calls.get(0), grants.get(0), true);
-        dispatcher.keepOnly(HostId.of("e"), 1, List.of(still), 4_000 * MILLI);
+        dispatcher.reconcileGrants(HostId.of("e"), 1, List.of(still), 4_000 * MILLI);
         assertEquals(1, dispatcher.running());
         granted(dispatcher.place(question(), 4_001 * MILLI));
     }
@@ -438,7 +439,7 @@
         Map<BackendServerId, Integer> running = new HashMap<>();
         for (int entry = 0; entry < 13; entry++) {
             Dispatcher dispatcher = dispatcher(ENGINES, 21, places);
-            dispatcher.askedFirst(false, 0);
+            dispatcher.updatePrimary(false, 0);
             for (int i = 0; i < 6; i++) {
                 running.merge(granted(dispatcher.place(question(), 0)).server(), 1, Integer::sum);
             }
@@ -458,17 +459,17 @@
     @Test
     void aNewCallHasNobodyElseLookedAt() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1, 1);
-        PlaceAnswer.Granted running = granted(dispatcher.place(booking(60_000), 0));
-        PlaceCall first = booking(60_000);
+        DispatchAnswer.Granted running = granted(dispatcher.place(booking(60_000), 0));
+        DispatchCall first = booking(60_000);
         dispatcher.place(first, 0);
         for (int i = 0; i < 300; i++) {
             dispatcher.place(booking(60_000), 0);
         }
         dispatcher.report(new AttemptReport(running.attempt(), AttemptEnd.DONE), MILLI);
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(booking(60_000), MILLI));
-        List<PlaceAnswer> decided = dispatcher.tick(MILLI);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(booking(60_000), MILLI));
+        List<DispatchAnswer> decided = dispatcher.tick(MILLI);
         assertEquals(
                 List.of(first.attempt()),
-                decided.stream().map(PlaceAnswer::attempt).toList());
+                decided.stream().map(DispatchAnswer::attempt).toList());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/GrantHoldersTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/GrantHoldersTest.java
@@ -15,11 +15,11 @@
 
     @Test
     void theOneThatGrantedHearsOfTheEnd() {
-        holders.asked("a", OLD);
-        assertEquals(List.of(), holders.leaveTo("a", OLD));
-        assertEquals(List.of(OLD), holders.of("a"));
-        assertEquals(List.of(OLD), holders.ended("a"));
-        assertEquals(List.of(), holders.ended("a"), "told once");
+        holders.addHolder("a", OLD);
+        assertEquals(List.of(), holders.retainOnly("a", OLD));
+        assertEquals(List.of(OLD), holders.holdersOf("a"));
+        assertEquals(List.of(OLD), holders.removeAttempt("a"));
+        assertEquals(List.of(), holders.removeAttempt("a"), "told once");
     }
 
     /**
@@ -29,34 +29,34 @@
      */
     @Test
     void aSecondGrantIsGivenBack() {
-        holders.asked("a", OLD);
-        holders.asked("a", NEW);
-        assertEquals(List.of(NEW), holders.leaveTo("a", OLD), "forgets the call");
-        assertEquals(List.of(OLD), holders.ended("a"));
+        holders.addHolder("a", OLD);
+        holders.addHolder("a", NEW);
+        assertEquals(List.of(NEW), holders.retainOnly("a", OLD), "forgets the call");
+        assertEquals(List.of(OLD), holders.removeAttempt("a"));
     }
 
     /** An attempt is granted by an old dispatcher and told to the new one as well: both must hear of its end. */
     @Test
     void whoeverIsToldOfAnAttemptHearsOfItsEnd() {
-        holders.asked("a", OLD);
-        holders.leaveTo("a", OLD);
-        holders.asked("a", NEW);
-        assertEquals(List.of(OLD, NEW), holders.ended("a"));
+        holders.addHolder("a", OLD);
+        holders.retainOnly("a", OLD);
+        holders.addHolder("a", NEW);
+        assertEquals(List.of(OLD, NEW), holders.removeAttempt("a"));
     }
 
     @Test
     void whoWasToldToForgetHearsNothingMore() {
-        holders.asked("a", OLD);
-        holders.forgotten("a", OLD);
-        holders.asked("a", NEW);
-        holders.leaveTo("a", NEW);
-        assertEquals(List.of(NEW), holders.ended("a"));
+        holders.addHolder("a", OLD);
+        holders.removeHolder("a", OLD);
+        holders.addHolder("a", NEW);
+        holders.retainOnly("a", NEW);
+        assertEquals(List.of(NEW), holders.removeAttempt("a"));
     }
 
     @Test
     void aCallerThatLeavesFreesEveryQueue() {
-        holders.asked("a", OLD);
-        holders.asked("a", NEW);
-        assertEquals(List.of(OLD, NEW), holders.ended("a"));
+        holders.addHolder("a", OLD);
+        holders.addHolder("a", NEW);
+        assertEquals(List.of(OLD, NEW), holders.removeAttempt("a"));
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/LimitedServersTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/LimitedServersTest.java
@@ -31,7 +31,7 @@
             DESK, 819, new BatchTiming(11, 450_000, 46, 0.925, 0.007, 0.00254, 256, 0.0917, 2048, 0.1));
     private static final RetryLimit RETRIES = new RetryLimit(0.2, 2, 10 * SECOND);
 
-    private final ServerLimits limits = new ServerLimits();
+    private final ServerRateLimits limits = new ServerRateLimits();
     private int next;
 
     private Dispatcher dispatcher(RoutedService service, int servers) {
@@ -48,7 +48,7 @@
                     1));
         }
         Dispatcher dispatcher = new Dispatcher(service, RETRIES, limits, 0);
-        dispatcher.servers(service, all, 0);
+        dispatcher.updateServers(service, all, 0);
         return dispatcher;
     }
 
@@ -56,9 +56,9 @@
         return BackendServerId.of("s" + number);
     }
 
-    private PlaceCall call(long prompt, long aim, long deadline) {
+    private DispatchCall call(long prompt, long aim, long deadline) {
         next++;
-        return new PlaceCall(
+        return new DispatchCall(
                 "c" + next,
                 HostId.of("e" + next % 18),
                 1,
@@ -81,11 +81,12 @@
     @Test
     void allEntriesTogetherKeepALimitAndNobodyWaitsForIt() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3);
-        limits.learn(server(0), ServerLimit.ofPerSecond(1.5), 0);
+        limits.update(server(0), ServerRateLimit.ofPerSecond(1.5), 0);
         List<Long> sent = new ArrayList<>();
         for (long now = 0; now < 20 * SECOND; now += 10 * MILLI) {
-            PlaceCall call = call(0, 100, 1_000);
-            PlaceAnswer.Granted granted = assertInstanceOf(PlaceAnswer.Granted.class, dispatcher.place(call, now));
+            DispatchCall call = call(0, 100, 1_000);
+            DispatchAnswer.Granted granted =
+                    assertInstanceOf(DispatchAnswer.Granted.class, dispatcher.place(call, now));
             if (granted.server().equals(server(0))) {
                 sent.add(now);
             }
@@ -111,24 +112,24 @@
     @Test
     void whereAllAreLimitedCallsAreServedInTurnOrRefusedAtOnce() {
         Dispatcher dispatcher = dispatcher(PLAIN, 2);
-        limits.learn(server(0), ServerLimit.ofPerSecond(2), 0);
-        limits.learn(server(1), ServerLimit.ofPerSecond(2), 0);
+        limits.update(server(0), ServerRateLimit.ofPerSecond(2), 0);
+        limits.update(server(1), ServerRateLimit.ofPerSecond(2), 0);
         int served = 0;
         int refused = 0;
         int inVain = 0;
         Map<String, Long> since = new HashMap<>();
         for (long now = 0; now < 20 * SECOND; now += 10 * MILLI) {
-            for (PlaceAnswer each : dispatcher.tick(now)) {
-                served += each instanceof PlaceAnswer.Granted ? 1 : 0;
+            for (DispatchAnswer each : dispatcher.tick(now)) {
+                served += each instanceof DispatchAnswer.Granted ? 1 : 0;
                 boolean over = now - since.get(each.attempt()) >= 900 * MILLI;
-                inVain += each instanceof PlaceAnswer.Refused && over ? 1 : 0;
-                refused += each instanceof PlaceAnswer.Refused ? 1 : 0;
+                inVain += each instanceof DispatchAnswer.Refused && over ? 1 : 0;
+                refused += each instanceof DispatchAnswer.Refused ? 1 : 0;
                 dispatcher.report(new AttemptReport(each.attempt(), AttemptEnd.DONE), now);
             }
             if (now % (100 * MILLI) == 0) {
-                PlaceCall call = call(0, 100, 1_000);
+                DispatchCall call = call(0, 100, 1_000);
                 since.put(call.attempt(), now);
-                refused += dispatcher.place(call, now) instanceof PlaceAnswer.Refused ? 1 : 0;
+                refused += dispatcher.place(call, now) instanceof DispatchAnswer.Refused ? 1 : 0;
             }
         }
         assertEquals(80, served, 3);
@@ -140,11 +141,12 @@
     @Test
     void longPromptsAreReadByServersThatAreNotInNeed() {
         Dispatcher dispatcher = dispatcher(ENGINES, 4);
-        limits.learn(server(1), ServerLimit.ofPerSecond(100), 0);
+        limits.update(server(1), ServerRateLimit.ofPerSecond(100), 0);
         for (int i = 0; i < 6; i++) {
             long now = i * 2 * SECOND;
-            PlaceCall manual = call(210_000, 3_000, 15_000);
-            PlaceAnswer.Granted granted = assertInstanceOf(PlaceAnswer.Granted.class, dispatcher.place(manual, now));
+            DispatchCall manual = call(210_000, 3_000, 15_000);
+            DispatchAnswer.Granted granted =
+                    assertInstanceOf(DispatchAnswer.Granted.class, dispatcher.place(manual, now));
             assertFalse(granted.server().equals(server(1)));
             assertTrue(
                     granted.helpers().stream().noneMatch(each -> each.server().equals(server(1))));
@@ -156,13 +158,14 @@
     @Test
     void oneOfManyThatDecideForThemselvesKeepsToItsPart() {
         Dispatcher dispatcher = dispatcher(PLAIN, 2);
-        dispatcher.entries(18);
-        dispatcher.askedFirst(false, 0);
-        limits.learn(server(0), ServerLimit.ofPerSecond(9), 0);
+        dispatcher.updateEntryCount(18);
+        dispatcher.updatePrimary(false, 0);
+        limits.update(server(0), ServerRateLimit.ofPerSecond(9), 0);
         int sent = 0;
         for (long now = 0; now < 20 * SECOND; now += 50 * MILLI) {
-            PlaceCall call = call(0, 100, 1_000);
-            PlaceAnswer.Granted granted = assertInstanceOf(PlaceAnswer.Granted.class, dispatcher.place(call, now));
+            DispatchCall call = call(0, 100, 1_000);
+            DispatchAnswer.Granted granted =
+                    assertInstanceOf(DispatchAnswer.Granted.class, dispatcher.place(call, now));
             sent += granted.server().equals(server(0)) ? 1 : 0;
             dispatcher.report(new AttemptReport(call.attempt(), AttemptEnd.DONE), now + 5 * MILLI);
         }
@@ -173,12 +176,12 @@
     @Test
     void oneThatIsAskedFirstAgainHasTheWholeLimitAtOnce() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1);
-        dispatcher.entries(18);
-        dispatcher.askedFirst(false, 0);
-        limits.learn(server(0), ServerLimit.ofPerSecond(1), 0);
-        assertInstanceOf(PlaceAnswer.Refused.class, dispatcher.place(call(0, 100, 1_000), 10 * MILLI));
-        dispatcher.askedFirst(true, SECOND);
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(call(0, 100, 5_000), SECOND));
+        dispatcher.updateEntryCount(18);
+        dispatcher.updatePrimary(false, 0);
+        limits.update(server(0), ServerRateLimit.ofPerSecond(1), 0);
+        assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(call(0, 100, 1_000), 10 * MILLI));
+        dispatcher.updatePrimary(true, SECOND);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(call(0, 100, 5_000), SECOND));
         assertEquals(1, dispatcher.tick(2_100 * MILLI).size());
     }
 
@@ -186,24 +189,24 @@
     @Test
     void aLimitIsLearnedFromReportsAndLiftedByThem() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1);
-        PlaceCall first = call(0, 100, 1_000);
+        DispatchCall first = call(0, 100, 1_000);
         dispatcher.place(first, 0);
-        dispatcher.report(new AttemptReport(first.attempt(), AttemptEnd.DONE, ServerLimit.ofPerSecond(1)), 0);
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(call(0, 100, 3_000), 10 * MILLI));
-        PlaceAnswer second = dispatcher.tick(1_100 * MILLI).get(0);
-        dispatcher.report(new AttemptReport(second.attempt(), AttemptEnd.DONE, ServerLimit.NONE), 1_100 * MILLI);
-        assertInstanceOf(PlaceAnswer.Granted.class, dispatcher.place(call(0, 100, 1_000), 1_110 * MILLI));
-        assertInstanceOf(PlaceAnswer.Granted.class, dispatcher.place(call(0, 100, 1_000), 1_120 * MILLI));
+        dispatcher.report(new AttemptReport(first.attempt(), AttemptEnd.DONE, ServerRateLimit.ofPerSecond(1)), 0);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(call(0, 100, 3_000), 10 * MILLI));
+        DispatchAnswer second = dispatcher.tick(1_100 * MILLI).get(0);
+        dispatcher.report(new AttemptReport(second.attempt(), AttemptEnd.DONE, ServerRateLimit.NONE), 1_100 * MILLI);
+        assertInstanceOf(DispatchAnswer.Granted.class, dispatcher.place(call(0, 100, 1_000), 1_110 * MILLI));
+        assertInstanceOf(DispatchAnswer.Granted.class, dispatcher.place(call(0, 100, 1_000), 1_120 * MILLI));
     }
 
     /** Guards against a request that another dispatcher had sent and that is counted by nobody. */
     @Test
     void whatAnotherDispatcherHadSentCounts() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1);
-        limits.learn(server(0), ServerLimit.ofPerSecond(1), 0);
+        limits.update(server(0), ServerRateLimit.ofPerSecond(1), 0);
         dispatcher.tick(0);
-        dispatcher.sentElsewhere(server(0), 900 * MILLI);
-        assertInstanceOf(PlaceAnswer.Queued.class, dispatcher.place(call(0, 100, 5_000), 1_100 * MILLI));
+        dispatcher.recordRemoteSend(server(0), 900 * MILLI);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(call(0, 100, 5_000), 1_100 * MILLI));
         assertTrue(dispatcher.tick(1_900 * MILLI).isEmpty());
         assertEquals(1, dispatcher.tick(2_100 * MILLI).size());
     }
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/PassEngine.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/PassEngine.java
@@ -77,7 +77,7 @@
 
     /** Takes a part of another's prompt. */
     void help(Job job, int members) {
-        parts.add(new Part(job, timing.readMillis(job.promptTokens) / members));
+        parts.add(new Part(job, timing.prefillMillis(job.promptTokens) / members));
     }
 
     int running() {
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/ServerAccountTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/ServerAccountTest.java
@@ -35,8 +35,8 @@
 
     private int next;
 
-    private PlaceCall call(long prompt, int gap) {
-        return new PlaceCall(
+    private DispatchCall call(long prompt, int gap) {
+        return new DispatchCall(
                 "c" + next++,
                 HostId.of("e"),
                 1,
@@ -59,32 +59,33 @@
     @Property(tries = 40, seed = "12")
     void anEngineThatIsIdleAgainHasItsWholeRoom(@ForAll long seed) {
         Random random = new Random(seed);
-        ServerAccount account = new ServerAccount(SERVER, TIMING, 0);
-        ServerAccount fresh = new ServerAccount(SERVER, TIMING, 0);
+        ServerLoad account = new ServerLoad(SERVER, TIMING, 0);
+        ServerLoad fresh = new ServerLoad(SERVER, TIMING, 0);
         List<String> attempts = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            PlaceCall call = random.nextBoolean() ? call(5_000, 200) : call(1_000 * (1 + random.nextInt(300)), 800);
-            account.grant(new Share(call, random.nextInt(3) > 0, random.nextInt(200), call.memoryTokens()), i * MILLI);
+            DispatchCall call = random.nextBoolean() ? call(5_000, 200) : call(1_000 * (1 + random.nextInt(300)), 800);
+            account.grant(
+                    new Allocation(call, random.nextInt(3) > 0, random.nextInt(200), call.memoryTokens()), i * MILLI);
             attempts.add(call.attempt());
             if (random.nextBoolean()) {
-                account.startWriting(attempts.get(random.nextInt(attempts.size())), i * MILLI);
+                account.startDecoding(attempts.get(random.nextInt(attempts.size())), i * MILLI);
             }
             if (random.nextBoolean()) {
                 account.end(attempts.remove(random.nextInt(attempts.size())), i * MILLI);
             }
-            int tightest = account.shares().stream()
-                    .filter(Share::primary)
+            int tightest = account.allocations().stream()
+                    .filter(Allocation::isPrimary)
                     .mapToInt(each -> each.call().gapMillis())
                     .min()
                     .orElse(Integer.MAX_VALUE);
-            assertEquals(tightest, account.tightestGap());
+            assertEquals(tightest, account.shortestGapMillis());
         }
         attempts.forEach(each -> account.end(each, 300 * MILLI));
-        assertEquals(fresh.freeMemory(), account.freeMemory());
-        assertEquals(fresh.freePlaces(), account.freePlaces());
+        assertEquals(fresh.freeMemoryTokens(), account.freeMemoryTokens());
+        assertEquals(fresh.freeSlots(), account.freeSlots());
         assertEquals(fresh.passMillis(0, 0), account.passMillis(0, 0));
         assertEquals(0, account.backlogMillis(300 * MILLI));
-        assertEquals(Integer.MAX_VALUE, account.tightestGap());
-        assertTrue(!account.writes() && account.idle());
+        assertEquals(Integer.MAX_VALUE, account.shortestGapMillis());
+        assertTrue(!account.isDecoding() && account.isIdle());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/ShardTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/ShardTest.java
@@ -25,8 +25,8 @@
 
     @Test
     void aServiceOfFewServersIsWhole() {
-        assertEquals(List.of(Shard.WHOLE), Shard.of(0));
-        assertEquals(List.of(Shard.WHOLE), Shard.of(100));
+        assertEquals(List.of(Shard.WHOLE), Shard.forServerCount(0));
+        assertEquals(List.of(Shard.WHOLE), Shard.forServerCount(100));
     }
 
     /** Guards against a dispatcher whose work grows with the service. */
@@ -35,8 +35,8 @@
         for (int count : new int[] {101, 172, 700, 6_000}) {
             Map<Shard, Integer> sizes = new HashMap<>();
             for (BackendServerId server : servers(count)) {
-                List<Shard> holders = Shard.of(count).stream()
-                        .filter(each -> each.holds(server))
+                List<Shard> holders = Shard.forServerCount(count).stream()
+                        .filter(each -> each.contains(server))
                         .toList();
                 assertEquals(1, holders.size());
                 sizes.merge(holders.get(0), 1, Integer::sum);
@@ -53,12 +53,12 @@
         int rounds = 4_000;
         for (int i = 0; i < rounds; i++) {
             List<Shard> order = ShardChoice.order(servers, random);
-            assertEquals(new HashSet<>(Shard.of(700)), new HashSet<>(order));
+            assertEquals(new HashSet<>(Shard.forServerCount(700)), new HashSet<>(order));
             assertEquals(8, order.size());
             first.merge(order.get(0), 1, Integer::sum);
         }
         first.forEach((shard, times) -> {
-            double part = servers.stream().filter(shard::holds).count() / 700.0;
+            double part = servers.stream().filter(shard::contains).count() / 700.0;
             assertEquals(part, (double) times / rounds, 0.04);
         });
     }
--- a/elmline-core/src/test/java/org/elmline/core/fairness/FairnessTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/fairness/FairnessTest.java
@@ -56,7 +56,7 @@
             for (int i = 1; i < organisations; i++) {
                 least = starts[i] < starts[least] ? i : least;
             }
-            counters.serve(starts[least]);
+            counters.recordServed(starts[least]);
             served[least] += (double) tokens[least] / (least + 1);
             tokens[least] = 1 + random.nextInt(MOST_TOKENS);
             starts[least] = counters.charge(id(least), least + 1, tokens[least]);
@@ -71,7 +71,7 @@
     void idleOrganisationGainsNoCredit() {
         VirtualCounters counters = new VirtualCounters();
         for (int i = 0; i < 100; i++) {
-            counters.serve(counters.charge(id(1), 1, 1_000));
+            counters.recordServed(counters.charge(id(1), 1, 1_000));
         }
         assertTrue(counters.charge(id(2), 1, 1_000) >= 99_000, "starts where the busy one is served, not at zero");
     }
@@ -80,14 +80,14 @@
     void countersOfIdleOrganisationsAreForgotten() {
         VirtualCounters counters = new VirtualCounters();
         for (int i = 0; i < 20_000; i++) {
-            counters.serve(counters.charge(id(i), 1, 1));
-            counters.serve(counters.charge(OrganisationId.of("always-busy"), 1, 1));
+            counters.recordServed(counters.charge(id(i), 1, 1));
+            counters.recordServed(counters.charge(OrganisationId.of("always-busy"), 1, 1));
         }
         assertTrue(counters.size() <= 1_400, counters.size() + " counters kept in a busy time");
         for (int i = 0; i < 20_000; i++) {
-            counters.serve(counters.charge(id(i), 1, 1));
+            counters.recordServed(counters.charge(id(i), 1, 1));
         }
-        counters.idle();
+        counters.reset();
         assertEquals(0, counters.size());
     }
 
@@ -179,7 +179,7 @@
         Random random = new Random(seed);
         int limit = 1 + random.nextInt(40);
         Organisation organisation = organisation(limit, 60_000L);
-        LimitShares shares = new LimitShares(2_000);
+        LimitShareAllocator shares = new LimitShareAllocator(2_000);
         Map<Integer, ShareAnswer> held = new HashMap<>();
         Map<Integer, Long> until = new HashMap<>();
         long now = 0;
@@ -208,13 +208,13 @@
                     <= 60_000);
         }
         shares.expire(now + 2 * SECOND);
-        assertEquals(0, shares.organisations());
+        assertEquals(0, shares.organisationCount());
     }
 
     @Test
     void oneEntryOfManyGetsTheWholeLimitAndHandsItOver() {
         Organisation organisation = organisation(10, 0);
-        LimitShares shares = new LimitShares(2_000);
+        LimitShareAllocator shares = new LimitShareAllocator(2_000);
         assertEquals(
                 10,
                 shares.renew(organisation, ask("a", organisation, 0, 20), 18, 0).maxRequests());
@@ -236,7 +236,7 @@
     @Test
     void everyEntryGetsAPartOfWhatIsSpare() {
         Organisation organisation = organisation(40, 180_000);
-        LimitShares shares = new LimitShares(2_000);
+        LimitShareAllocator shares = new LimitShareAllocator(2_000);
         for (int entry = 0; entry < 18; entry++) {
             ShareAnswer answer = shares.renew(organisation, ask("entry-" + entry, organisation, 0, 1), 18, entry);
             assertTrue(answer.maxRequests() >= 2, "entry " + entry + " got " + answer);
@@ -253,12 +253,12 @@
         long[] admitted = new long[300];
         for (int second = 0; second < admitted.length; second++) {
             long now = second * SECOND;
-            limits.granted(new ShareAnswer(organisation.id(), 0, 600_000, 5_000), now, now);
+            limits.applyShare(new ShareAnswer(organisation.id(), 0, 600_000, 5_000), now, now);
             for (int i = 0; i < 20; i++) {
                 long tokens = 1_000 + random.nextInt(99_000);
-                if (limits.admit(organisation, tokens, now) == LimitAnswer.ADMITTED) {
+                if (limits.admit(organisation, tokens, now) == LimitDecision.ADMITTED) {
                     admitted[second] += tokens;
-                    limits.finished(organisation.id());
+                    limits.release(organisation.id());
                 }
             }
         }
@@ -276,19 +276,19 @@
     void zeroIsNoLimitAndNeedsNoShare() {
         OrganisationLimits limits = new OrganisationLimits(HostId.of("a"), Incarnation.of(1));
         for (int i = 0; i < 1_000; i++) {
-            assertEquals(LimitAnswer.ADMITTED, limits.admit(organisation(0, 0), 1_000_000, 0));
+            assertEquals(LimitDecision.ADMITTED, limits.admit(organisation(0, 0), 1_000_000, 0));
         }
-        assertEquals(LimitAnswer.NO_SHARE, limits.admit(organisation("other", 1, 0), 1, 0));
-        limits.granted(new ShareAnswer(OrganisationId.of("other"), 1, 0, 1_000), 0, 0);
-        assertEquals(LimitAnswer.ADMITTED, limits.admit(organisation("other", 1, 0), 1, 0));
-        assertEquals(LimitAnswer.TOO_MANY_REQUESTS, limits.admit(organisation("other", 1, 0), 1, 0));
+        assertEquals(LimitDecision.NO_SHARE, limits.admit(organisation("other", 1, 0), 1, 0));
+        limits.applyShare(new ShareAnswer(OrganisationId.of("other"), 1, 0, 1_000), 0, 0);
+        assertEquals(LimitDecision.ADMITTED, limits.admit(organisation("other", 1, 0), 1, 0));
+        assertEquals(LimitDecision.TOO_MANY_REQUESTS, limits.admit(organisation("other", 1, 0), 1, 0));
         long later = SECOND / 10;
-        assertEquals(LimitAnswer.NO_SHARE, limits.admit(organisation("other", 1, 0), 1, later), "worth asking again");
+        assertEquals(LimitDecision.NO_SHARE, limits.admit(organisation("other", 1, 0), 1, later), "worth asking again");
         assertEquals(
                 5,
                 limits.shareRequest(OrganisationId.of("other"), later).requests(),
                 "one runs, three were refused, one more");
-        assertEquals(LimitAnswer.TOO_MANY_REQUESTS, limits.admit(organisation("other", 1, 0), 1, later));
+        assertEquals(LimitDecision.TOO_MANY_REQUESTS, limits.admit(organisation("other", 1, 0), 1, later));
     }
 
     @Test
--- a/elmline-core/src/test/java/org/elmline/core/placement/PlacementPoliciesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/placement/PlacementPoliciesTest.java
@@ -72,7 +72,9 @@
             });
             boolean splits = name.equals("two-ended") || name.equals("fixed-split");
             if (!splits && chosen.isEmpty()) {
-                assertTrue(fleet.stream().noneMatch(r -> Fit.holds(r, demand)), name + " missed a replica with room");
+                assertTrue(
+                        fleet.stream().noneMatch(r -> Eligibility.isEligible(r, demand)),
+                        name + " missed a replica with room");
             }
         }
     }
@@ -100,7 +102,7 @@
             policy.choose(demand(33_000 + random.nextInt(200_000), Set.of()), fleet(size, random), random)
                     .ifPresent(r -> used.add(r.id()));
         }
-        assertTrue(used.size() <= LongBound.replicasForLong(size, 0.95));
+        assertTrue(used.size() <= LongReplicaLimit.replicasForLong(size, 0.95));
         assertTrue(used.size() < size);
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/placement/PrefillBacklogTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/placement/PrefillBacklogTest.java
@@ -19,11 +19,11 @@
     @Test
     void drainsShortestClassFirstAtTheAnnouncedSpeed() {
         PrefillBacklog backlog = new PrefillBacklog(10_000, 0);
-        backlog.placed(LengthClass.HUGE, 100_000, 10, 0);
-        backlog.placed(LengthClass.SHORT, 2_000, 0.2, 0);
-        assertEquals(2_000, backlog.tokens(LengthClass.SHORT, 0));
-        assertEquals(100, backlog.tokens(LengthClass.SHORT, SECOND), 1);
-        assertEquals(91_900, backlog.tokens(LengthClass.HUGE, SECOND), 1);
+        backlog.recordPlacement(LengthClass.HUGE, 100_000, 10, 0);
+        backlog.recordPlacement(LengthClass.SHORT, 2_000, 0.2, 0);
+        assertEquals(2_000, backlog.remainingTokens(LengthClass.SHORT, 0));
+        assertEquals(100, backlog.remainingTokens(LengthClass.SHORT, SECOND), 1);
+        assertEquals(91_900, backlog.remainingTokens(LengthClass.HUGE, SECOND), 1);
     }
 
     /** An engine runs at a tenth of its speed and reports nothing: its overdue first tokens tell within seconds. */
@@ -31,7 +31,7 @@
     void aSlowEngineShowsBeforeItsFirstTokensCome() {
         PrefillBacklog backlog = new PrefillBacklog(10_000, 0);
         for (int i = 0; i < 5; i++) {
-            backlog.placed(LengthClass.SHORT, 2_000, 0.2 * (i + 1), 0);
+            backlog.recordPlacement(LengthClass.SHORT, 2_000, 0.2 * (i + 1), 0);
         }
         assertEquals(10_000, backlog.tokensPerSecond(SECOND / 2));
         assertTrue(backlog.tokensPerSecond(5 * SECOND) < 2_000, "measured " + backlog.tokensPerSecond(5 * SECOND));
@@ -42,9 +42,9 @@
         PrefillBacklog backlog = new PrefillBacklog(10_000, 0);
         long now = 0;
         for (int i = 0; i < 40; i++) {
-            PrefillBacklog.Prefill prefill = backlog.placed(LengthClass.SHORT, 2_000, 0.2, now);
+            PrefillBacklog.Prefill prefill = backlog.recordPlacement(LengthClass.SHORT, 2_000, 0.2, now);
             now += 2 * SECOND;
-            backlog.firstToken(prefill, now);
+            backlog.recordFirstToken(prefill, now);
         }
         double slow = backlog.tokensPerSecond(now);
         assertTrue(slow < 4_000, "measured " + slow);
@@ -61,25 +61,25 @@
             now += random.nextInt(500_000_000);
             LengthClass lengthClass = LengthClass.values()[random.nextInt(4)];
             if (open.isEmpty() || random.nextBoolean()) {
-                open.add(backlog.placed(lengthClass, 1 + random.nextInt(50_000), random.nextDouble(), now));
+                open.add(backlog.recordPlacement(lengthClass, 1 + random.nextInt(50_000), random.nextDouble(), now));
             } else {
                 PrefillBacklog.Prefill closed = open.remove(random.nextInt(open.size()));
                 if (random.nextBoolean()) {
-                    backlog.firstToken(closed, now);
+                    backlog.recordFirstToken(closed, now);
                 } else {
-                    backlog.dropped(closed, now);
+                    backlog.cancel(closed, now);
                 }
-                backlog.dropped(closed, now);
+                backlog.cancel(closed, now);
             }
             for (LengthClass each : LengthClass.values()) {
-                assertTrue(backlog.tokens(each, now) >= 0);
+                assertTrue(backlog.remainingTokens(each, now) >= 0);
             }
         }
         for (PrefillBacklog.Prefill each : open) {
-            backlog.dropped(each, now);
+            backlog.cancel(each, now);
         }
         for (LengthClass each : LengthClass.values()) {
-            assertEquals(0, backlog.tokens(each, now));
+            assertEquals(0, backlog.remainingTokens(each, now));
         }
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/routing/RoutingTableTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/routing/RoutingTableTest.java
@@ -22,8 +22,8 @@
     private static CallRoute.Builder route(String prefix) {
         return CallRoute.builder()
                 .name("r" + prefix)
-                .place("host.example", prefix)
-                .split(List.of(new WeightedService(DESK, 1)));
+                .hostAndPath("host.example", prefix)
+                .weightedServices(List.of(new WeightedService(DESK, 1)));
     }
 
     private static RoutingTable.Builder builder() {
@@ -33,11 +33,11 @@
     }
 
     private static RoutingTable table(RoutingTable.Builder builder) {
-        return ((RoutingTable.Built.Table) builder.build()).table();
+        return ((RoutingTable.BuildResult.Valid) builder.build()).table();
     }
 
     private static void assertInvalid(RoutingTable.Builder builder) {
-        assertInstanceOf(RoutingTable.Built.Invalid.class, builder.build());
+        assertInstanceOf(RoutingTable.BuildResult.Invalid.class, builder.build());
     }
 
     @Test
@@ -66,10 +66,10 @@
     void aKeyIsNeededUnlessTheRouteIsOpen() {
         KeyHolder guides = new KeyHolder(OrganisationId.of("guides"), List.of("k1", "k2"), 3);
         RoutingTable table = table(builder()
-                .keyed(true)
-                .holder(guides)
+                .requiresKey(true)
+                .keyHolder(guides)
                 .route(route("/a/").build())
-                .route(route("/open/").open(true).build()));
+                .route(route("/open/").allowsAnonymous(true).build()));
         assertInstanceOf(RouteMatch.UnknownKey.class, table.match("host.example", "/a/", null));
         assertInstanceOf(RouteMatch.UnknownKey.class, table.match("host.example", "/a/", "k3"));
         RouteMatch.Allowed match = allowed(table.match("host.example", "/a/", "k2"));
@@ -86,42 +86,44 @@
         assertInvalid(builder().route(route("/a/").timeoutMillis(0).build()));
         assertInvalid(builder().route(route("/a").build()));
         assertInvalid(builder()
-                .route(route("/a/").split(List.of(new WeightedService(DESK, 0))).build()));
+                .route(route("/a/")
+                        .weightedServices(List.of(new WeightedService(DESK, 0)))
+                        .build()));
         assertInvalid(builder()
                 .route(route("/a/")
-                        .split(List.of(new WeightedService(ServiceName.of("x"), 1)))
+                        .weightedServices(List.of(new WeightedService(ServiceName.of("x"), 1)))
                         .build()));
         assertInvalid(builder()
-                .holder(new KeyHolder(OrganisationId.of("a"), List.of("k"), null))
-                .holder(new KeyHolder(OrganisationId.of("b"), List.of("k"), null)));
+                .keyHolder(new KeyHolder(OrganisationId.of("a"), List.of("k"), null))
+                .keyHolder(new KeyHolder(OrganisationId.of("b"), List.of("k"), null)));
         assertInvalid(builder().service(new RoutedService(DESK, 1, null)));
     }
 
     @Property(tries = 200, seed = "7")
     void aServiceWithoutWeightIsNeverDrawn(@ForAll @DoubleRange(min = 0, max = 0.99) double draw) {
         CallRoute split = route("/a/")
-                .split(List.of(new WeightedService(BOOKING, 0), new WeightedService(DESK, 3)))
+                .weightedServices(List.of(new WeightedService(BOOKING, 0), new WeightedService(DESK, 3)))
                 .build();
-        assertEquals(DESK, split.service(draw));
+        assertEquals(DESK, split.chooseService(draw));
         CallRoute even = route("/a/")
-                .split(List.of(new WeightedService(BOOKING, 1), new WeightedService(DESK, 1)))
+                .weightedServices(List.of(new WeightedService(BOOKING, 1), new WeightedService(DESK, 1)))
                 .build();
-        assertEquals(draw < 0.5 ? BOOKING : DESK, even.service(draw));
+        assertEquals(draw < 0.5 ? BOOKING : DESK, even.chooseService(draw));
     }
 
     @Test
     void onlyWhatMayRunTwiceIsRepeated() {
-        assertTrue(RepeatKind.IDEMPOTENT.mayRepeat(false));
-        assertNotEquals(true, RepeatKind.NOT_IDEMPOTENT.mayRepeat(true));
-        assertTrue(RepeatKind.STREAMING.mayRepeat(true));
-        assertNotEquals(true, RepeatKind.STREAMING.mayRepeat(false));
+        assertTrue(CallKind.IDEMPOTENT.mayRetry(false));
+        assertNotEquals(true, CallKind.NOT_IDEMPOTENT.mayRetry(true));
+        assertTrue(CallKind.STREAMING.mayRetry(true));
+        assertNotEquals(true, CallKind.STREAMING.mayRetry(false));
     }
 
     /** 210 thousand tokens: 0.82 s for the tokens and 2.02 s for their pairs at the figures of the users' engines. */
     @Test
     void readingGrowsWithThePairsOfTokens() {
         BatchTiming timing = new BatchTiming(11, 450_000, 46, 0.925, 0.007, 0.00254, 256, 0.0917, 2048, 0.1);
-        assertEquals(2_842, timing.readMillis(210_000), 1);
+        assertEquals(2_842, timing.prefillMillis(210_000), 1);
         assertEquals(46 * (0.925 + 2 * 0.007 + 10 * 0.00254), timing.passMillis(2, 10_000), 1e-9);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/Policies.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/Policies.java
@@ -24,7 +24,7 @@
     private static org.elmline.core.placement.PlacementSettings weights(PlacementSettings settings) {
         org.elmline.core.placement.PlacementSettings measured = org.elmline.core.placement.PlacementSettings.defaults();
         return org.elmline.core.placement.PlacementSettings.builder()
-                .harmWeight(measured.harmWeight() * settings.shortSlowdownWeight())
+                .shortSlowdownWeight(measured.shortSlowdownWeight() * settings.shortSlowdownWeight())
                 .longStepSeconds(measured.longStepSeconds() * settings.shortSlowdownWeight())
                 .maxLongShare(settings.maxLongShare())
                 .build();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/LimitService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/LimitService.java
@@ -15,8 +15,8 @@
 import org.elmline.core.common.RefusalReason;
 import org.elmline.core.config.Organisation;
 import org.elmline.core.control.HostRecord;
-import org.elmline.core.fairness.LimitAnswer;
-import org.elmline.core.fairness.LimitShares;
+import org.elmline.core.fairness.LimitDecision;
+import org.elmline.core.fairness.LimitShareAllocator;
 import org.elmline.core.fairness.OrganisationLimits;
 import org.elmline.core.fairness.ShareAnswer;
 import org.elmline.core.fairness.ShareRequest;
@@ -45,7 +45,7 @@
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private final OrganisationLimits limits;
-    private final LimitShares shares = new LimitShares(SHARE_MILLIS);
+    private final LimitShareAllocator shares = new LimitShareAllocator(SHARE_MILLIS);
     private final Counter refused;
 
     public LimitService(
@@ -73,8 +73,8 @@
      * @param tokens its prompt and longest answer
      */
     public Optional<Refusal> admit(Organisation organisation, long tokens) {
-        LimitAnswer answer = limits.admit(organisation, tokens, clock.nanos());
-        if (answer == LimitAnswer.NO_SHARE) {
+        LimitDecision answer = limits.admit(organisation, tokens, clock.nanos());
+        if (answer == LimitDecision.NO_SHARE) {
             askForShare(organisation.id()).join();
             answer = limits.admit(organisation, tokens, clock.nanos());
         }
@@ -82,11 +82,11 @@
     }
 
     public void finished(OrganisationId organisation) {
-        limits.finished(organisation);
+        limits.release(organisation);
     }
 
-    private Optional<Refusal> refusal(Organisation organisation, LimitAnswer answer) {
-        if (answer == LimitAnswer.ADMITTED) {
+    private Optional<Refusal> refusal(Organisation organisation, LimitDecision answer) {
+        if (answer == LimitDecision.ADMITTED) {
             return Optional.empty();
         }
         refused.inc();
@@ -111,7 +111,7 @@
     private void renew() {
         try {
             shares.expire(clock.nanos());
-            limits.renewals(clock.nanos()).forEach(this::askForShare);
+            limits.dueRenewals(clock.nanos()).forEach(this::askForShare);
         } catch (RuntimeException e) {
             LOG.error("renewing shares of limits failed; it is tried again", e);
         }
@@ -122,13 +122,13 @@
         ShareRequest request = limits.shareRequest(organisation, asked);
         Optional<HostRecord> splitter = new Ownership(view.members().hosts()).splitter(organisation);
         if (splitter.isEmpty() || splitter.get().id().equals(self.host())) {
-            limits.granted(split(request), asked, clock.nanos());
+            limits.applyShare(split(request), asked, clock.nanos());
             return CompletableFuture.completedFuture(null);
         }
         return network.call(splitter.get().peers(), RouteChannels.LIMIT_SHARE, request, TIMEOUT)
                 .thenAccept(result -> {
                     if (result instanceof CallResult.Answered<ShareAnswer> answered) {
-                        limits.granted(answered.value(), asked, clock.nanos());
+                        limits.applyShare(answered.value(), asked, clock.nanos());
                     }
                 });
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/AnswerHead.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/AnswerHead.java
@@ -1,6 +1,6 @@
 package org.elmline.daemon.gateway;
 
-import org.elmline.core.dispatch.ServerLimit;
+import org.elmline.core.dispatch.ServerRateLimit;
 
 /**
  * What the headers of a backend server's answer say.
@@ -22,4 +22,4 @@
         boolean sealed,
         int keepSeconds,
         boolean closes,
-        ServerLimit limit) {}
+        ServerRateLimit limit) {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
@@ -7,9 +7,9 @@
 import io.undertow.util.HeaderMap;
 import io.undertow.util.Headers;
 import org.elmline.core.dispatch.AttemptEnd;
-import org.elmline.core.dispatch.PlaceAnswer;
-import org.elmline.core.dispatch.PlaceCall;
-import org.elmline.core.dispatch.ServerLimit;
+import org.elmline.core.dispatch.DispatchAnswer;
+import org.elmline.core.dispatch.DispatchCall;
+import org.elmline.core.dispatch.ServerRateLimit;
 import org.elmline.core.routing.CallRoute;
 
 /** One try of a call on one backend server. Used on the I/O thread only. */
@@ -39,8 +39,8 @@
     private static final long LEAST_PATIENCE_MILLIS = 40;
 
     private final Call call;
-    private final PlaceCall placed;
-    private final PlaceAnswer.Granted granted;
+    private final DispatchCall placed;
+    private final DispatchAnswer.Granted granted;
     private final Reservations reservations;
     private final SilenceTimer silence;
     private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
@@ -52,7 +52,7 @@
     private boolean sent;
     private boolean over;
 
-    Attempt(Call call, PlaceCall placed, PlaceAnswer.Granted granted) {
+    Attempt(Call call, DispatchCall placed, DispatchAnswer.Granted granted) {
         this.call = call;
         this.placed = placed;
         this.granted = granted;
@@ -95,7 +95,7 @@
                 granted.address(),
                 BackendCall.request(exchange.getRequestMethod(), path, to),
                 call.body(),
-                !call.route().mayRepeat(),
+                !call.route().mayRetry(),
                 parts.protocol(),
                 this);
         backend.start();
@@ -119,10 +119,10 @@
 
     private void watchFirst() {
         CallRoute route = call.route();
-        if (over || !route.mayRepeat()) {
+        if (over || !route.mayRetry()) {
             return;
         }
-        long patience = route.streaming()
+        long patience = route.isStreaming()
                 ? 2 * granted.firstMillis() + FIRST_EVENT_SLACK_MILLIS + helperSlack()
                 : Math.max(LEAST_PATIENCE_MILLIS, (long) (IMPATIENCE * placed.aimLeftMillis()));
         silence.expectWithin(patience);
@@ -163,14 +163,14 @@
             spoiled("an unsigned answer");
             return;
         }
-        if (call.route().streaming() && success()) {
+        if (call.route().isStreaming() && success()) {
             stream = call.stream(status, headers);
             stream.from(this);
         }
     }
 
     /** What the answer says of the requests that its server takes; null without an answer. */
-    private ServerLimit limit() {
+    private ServerRateLimit limit() {
         return head == null ? null : head.limit();
     }
 
@@ -205,7 +205,7 @@
     /** An event has gone on to the caller. */
     void eventPassed() {
         call.parts().dispatch().writing(placed, limit());
-        if (call.route().mayRepeat()) {
+        if (call.route().mayRetry()) {
             silence.expectWithin(
                     Math.max(SILENT_MILLIS, (long) SILENT_GAPS * call.route().gapMillis()));
         }
@@ -230,7 +230,7 @@
             fail(AttemptEnd.WRONG_SERVER, "another server has the address");
         } else if (head.notExecuted() && status != 400) {
             fail(AttemptEnd.NOT_EXECUTED, "turned down with " + status);
-        } else if (status >= SERVER_ERROR && call.route().mayRepeat() && call.mayTryAgain()) {
+        } else if (status >= SERVER_ERROR && call.route().mayRetry() && call.mayTryAgain()) {
             end();
             call.parts().dispatch().end(placed, AttemptEnd.SERVER_ERROR, limit());
             call.serverFailed(status, headers, whole);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
@@ -14,8 +14,8 @@
 import org.elmline.core.common.OrganisationId;
 import org.elmline.core.common.ServiceName;
 import org.elmline.core.dispatch.AttemptEnd;
-import org.elmline.core.dispatch.PlaceAnswer;
-import org.elmline.core.dispatch.PlaceCall;
+import org.elmline.core.dispatch.DispatchAnswer;
+import org.elmline.core.dispatch.DispatchCall;
 import org.elmline.core.dispatch.Shard;
 import org.elmline.core.registry.Registration;
 import org.elmline.core.routing.CallRoute;
@@ -64,7 +64,7 @@
     private final RequestLines lines;
     private final List<BackendServerId> tried = new ArrayList<>();
     private final XnioExecutor.Key deadline;
-    private PlaceCall placing;
+    private DispatchCall placing;
     private Attempt attempt;
     private StreamAnswer stream;
     private ServerFailure serverFailure;
@@ -90,7 +90,7 @@
         this.route = match.route();
         this.organisation = match.caller() == null ? null : match.caller().organisation();
         this.priority = match.priority();
-        this.service = route.service(draw);
+        this.service = route.chooseService(draw);
         this.body = body;
         this.receivedAt = receivedAt;
         long waits = head.deadlineMillis() < 0
@@ -163,7 +163,7 @@
     private void place(boolean repeated) {
         long patience = patienceLeftMillis();
         long answerTokens = head.expectedAnswerTokens() > 0 ? head.expectedAnswerTokens() : head.maxAnswerTokens();
-        placing = new PlaceCall(
+        placing = new DispatchCall(
                 parts.ids().next(),
                 parts.settings().host(),
                 parts.incarnation(),
@@ -180,8 +180,8 @@
                 leftMillis(),
                 repeated,
                 tried);
-        PlaceCall asked = placing;
-        if (route.streaming()) {
+        DispatchCall asked = placing;
+        if (route.isStreaming()) {
             parts.thread()
                     .executeAfter(() -> tire(asked), Math.max(1, patience - ANSWER_MILLIS), TimeUnit.MILLISECONDS);
         }
@@ -191,11 +191,11 @@
     /** Time left until a caller leaves a stream that stays silent; that of any other call ends with its deadline. */
     private long patienceLeftMillis() {
         long sinceRead = stream == null ? ageMillis() : 0;
-        return route.streaming() ? Math.min(leftMillis(), route.patienceMillis() - sinceRead) : leftMillis();
+        return route.isStreaming() ? Math.min(leftMillis(), route.eventTimeoutMillis() - sinceRead) : leftMillis();
     }
 
     /** No place has come while the caller still waits: it is told when to come back rather than left to give up. */
-    private void tire(PlaceCall asked) {
+    private void tire(DispatchCall asked) {
         if (over || placing != asked) {
             return;
         }
@@ -203,13 +203,13 @@
         giveUp("no place in time", COME_BACK_MILLIS);
     }
 
-    private void placed(PlaceCall asked, PlaceAnswer answer) {
+    private void placed(DispatchCall asked, DispatchAnswer answer) {
         placing = null;
-        if (answer instanceof PlaceAnswer.Granted granted) {
+        if (answer instanceof DispatchAnswer.Granted granted) {
             send(asked, granted);
             return;
         }
-        PlaceAnswer.Refused refused = (PlaceAnswer.Refused) answer;
+        DispatchAnswer.Refused refused = (DispatchAnswer.Refused) answer;
         lines.failure(line("not placed")
                 .with("attempt", asked.attempt())
                 .with("why", refused.why())
@@ -219,7 +219,7 @@
         giveUp(refused.why().name(), refused.retryAfterMillis());
     }
 
-    private void send(PlaceCall asked, PlaceAnswer.Granted granted) {
+    private void send(DispatchCall asked, DispatchAnswer.Granted granted) {
         Registration server = parts.fleet().server(granted.server());
         boolean left = server != null && !server.state().takesWork();
         if (left || leftMillis() < LEAST_MILLIS) {
@@ -271,18 +271,18 @@
 
     /** Whether the route allows another send of a call that may have run. */
     boolean mayTryAgain() {
-        return route.mayRepeat() && sendsLeft();
+        return route.mayRetry() && sendsLeft();
     }
 
     private boolean sendsLeft() {
-        return sends < Math.max(1, route.attempts()) && fruitless <= MAX_FRUITLESS && leftMillis() >= LEAST_MILLIS;
+        return sends < Math.max(1, route.maxAttempts()) && fruitless <= MAX_FRUITLESS && leftMillis() >= LEAST_MILLIS;
     }
 
     private void retry(String why, boolean unrun) {
         if (over) {
             return;
         }
-        boolean allowed = (unrun && !mayHaveRun) || route.mayRepeat();
+        boolean allowed = (unrun && !mayHaveRun) || route.mayRetry();
         if (allowed && sendsLeft()) {
             place(true);
         } else {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
@@ -84,7 +84,7 @@
         RouteMatch match =
                 table.match(exchange.getRequestHeaders().getFirst(Headers.HOST), exchange.getRequestURI(), head.key());
         if (match instanceof RouteMatch.Allowed allowed) {
-            if (!stop.takes(allowed.route().streaming())) {
+            if (!stop.takes(allowed.route().isStreaming())) {
                 comeBack(exchange, head, "the entry stops", othersServe() ? ELSEWHERE_MILLIS : RETRY_MILLIS);
                 return;
             }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallProtocol.java
@@ -2,8 +2,8 @@
 
 import io.undertow.util.HeaderMap;
 import org.elmline.core.common.OrganisationId;
+import org.elmline.core.dispatch.DispatchAnswer;
 import org.elmline.core.dispatch.Helper;
-import org.elmline.core.dispatch.PlaceAnswer;
 
 /** How callers and backend servers name things in headers; translates and decides nothing. */
 public interface CallProtocol {
@@ -21,7 +21,11 @@
      * @param afterEvent last event that the caller has, negative for none
      */
     HeaderMap forward(
-            HeaderMap from, OrganisationId organisation, PlaceAnswer.Granted grant, long leftMillis, long afterEvent);
+            HeaderMap from,
+            OrganisationId organisation,
+            DispatchAnswer.Granted grant,
+            long leftMillis,
+            long afterEvent);
 
     /** Sets the headers of a backend server's answer that the caller gets. */
     void back(HeaderMap from, HeaderMap to);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
@@ -17,14 +17,14 @@
 import org.elmline.core.common.ServiceName;
 import org.elmline.core.dispatch.AttemptEnd;
 import org.elmline.core.dispatch.AttemptReport;
+import org.elmline.core.dispatch.DispatchAnswer;
+import org.elmline.core.dispatch.DispatchCall;
 import org.elmline.core.dispatch.DispatchChannels;
+import org.elmline.core.dispatch.DispatchChannels.Acknowledgement;
 import org.elmline.core.dispatch.DispatchChannels.Adoption;
-import org.elmline.core.dispatch.DispatchChannels.Taken;
 import org.elmline.core.dispatch.GrantHolders;
 import org.elmline.core.dispatch.OpenGrant;
-import org.elmline.core.dispatch.PlaceAnswer;
-import org.elmline.core.dispatch.PlaceCall;
-import org.elmline.core.dispatch.ServerLimit;
+import org.elmline.core.dispatch.ServerRateLimit;
 import org.elmline.core.dispatch.ServiceShard;
 import org.elmline.core.peer.HandlerRegistry;
 import org.elmline.core.peer.PeerNetwork;
@@ -105,11 +105,11 @@
         handlers.register(DispatchChannels.PLACE, call -> CompletableFuture.completedFuture(own.place(call)));
         handlers.register(DispatchChannels.REPORT, reported -> {
             own.report(reported.service(), reported.reports());
-            return CompletableFuture.completedFuture(new Taken(true));
+            return CompletableFuture.completedFuture(new Acknowledgement(true));
         });
         handlers.register(DispatchChannels.ADOPT, adoption -> {
             own.adopt(adoption);
-            return CompletableFuture.completedFuture(new Taken(true));
+            return CompletableFuture.completedFuture(new Acknowledgement(true));
         });
         handlers.register(
                 DispatchChannels.DECIDED,
@@ -117,24 +117,24 @@
     }
 
     /** Takes a decision on a call that waited here. */
-    Taken decided(HostId dispatcher, PlaceAnswer answer) {
+    Acknowledgement decided(HostId dispatcher, DispatchAnswer answer) {
         Asking waiting = asking.get(answer.attempt());
-        if (waiting == null || answer instanceof PlaceAnswer.Queued) {
-            return new Taken(waiting != null);
+        if (waiting == null || answer instanceof DispatchAnswer.Queued) {
+            return new Acknowledgement(waiting != null);
         }
         waiting.finish(dispatcher, answer);
-        return new Taken(true);
+        return new Acknowledgement(true);
     }
 
     /** Asks for a place; the answer is final and comes once, unless the call is withdrawn before. */
-    void place(PlaceCall call, Consumer<PlaceAnswer> answers) {
+    void place(DispatchCall call, Consumer<DispatchAnswer> answers) {
         Asking next = new Asking(call, answers);
         asking.put(call.attempt(), next);
         next.begin();
     }
 
     /** The caller has left before there was a place. */
-    void withdraw(PlaceCall call) {
+    void withdraw(DispatchCall call) {
         Asking waiting = asking.remove(call.attempt());
         if (waiting != null) {
             waiting.over = true;
@@ -147,17 +147,17 @@
      *
      * @param limit what the answer says of the requests that the server takes
      */
-    void writing(PlaceCall call, ServerLimit limit) {
+    void writing(DispatchCall call, ServerRateLimit limit) {
         OpenGrant grant = open.get(call.attempt());
         if (grant != null && !grant.writing() && call.promptTokens() > 0) {
             open.put(call.attempt(), new OpenGrant(grant.call(), grant.granted(), true));
             AttemptReport begun = new AttemptReport(call.attempt(), null, limit);
-            holders.of(call.attempt()).forEach(each -> reports.add(call.service(), each, begun));
+            holders.holdersOf(call.attempt()).forEach(each -> reports.add(call.service(), each, begun));
         }
     }
 
     /** A granted call has ended without an answer. */
-    void end(PlaceCall call, AttemptEnd end) {
+    void end(DispatchCall call, AttemptEnd end) {
         end(call, end, null);
     }
 
@@ -166,10 +166,10 @@
      *
      * @param limit what the answer says of the requests that the server takes, null without an answer
      */
-    void end(PlaceCall call, AttemptEnd end, ServerLimit limit) {
+    void end(DispatchCall call, AttemptEnd end, ServerRateLimit limit) {
         open.remove(call.attempt());
         AttemptReport ended = new AttemptReport(call.attempt(), end, limit);
-        holders.ended(call.attempt()).forEach(each -> reports.add(call.service(), each, ended));
+        holders.removeAttempt(call.attempt()).forEach(each -> reports.add(call.service(), each, ended));
     }
 
     /** Tells the dispatcher of each shard, where it is another one than before, what runs here. */
@@ -224,7 +224,7 @@
     private List<OpenGrant> openOf(ServiceShard shard) {
         return open.values().stream()
                 .filter(each -> each.call().service().equals(shard.service()))
-                .filter(each -> shard.shard().holds(each.granted().server()))
+                .filter(each -> shard.shard().contains(each.granted().server()))
                 .toList();
     }
 
@@ -273,17 +273,17 @@
             return;
         }
         List<OpenGrant> grants = openOf(shard);
-        grants.forEach(each -> holders.asked(each.call().attempt(), dispatcher.host()));
+        grants.forEach(each -> holders.addHolder(each.call().attempt(), dispatcher.host()));
         tell(dispatcher, adoption(shard, true, grants));
     }
 
     /** Leaves an attempt to one dispatcher, and has the others forget it. */
-    private void leaveTo(HostId dispatcher, PlaceCall call) {
-        forget(call.service(), holders.leaveTo(call.attempt(), dispatcher), call);
+    private void leaveTo(HostId dispatcher, DispatchCall call) {
+        forget(call.service(), holders.retainOnly(call.attempt(), dispatcher), call);
     }
 
     /** Tells dispatchers that an attempt is none of theirs any more; it runs or waits on. */
-    private void forget(ServiceName service, List<HostId> dispatchers, PlaceCall call) {
+    private void forget(ServiceName service, List<HostId> dispatchers, DispatchCall call) {
         AttemptReport gone = new AttemptReport(call.attempt(), AttemptEnd.CANCELLED);
         dispatchers.forEach(each -> reports.add(service, each, gone));
     }
@@ -293,8 +293,8 @@
 
     /** One call on its way to a place. */
     private final class Asking {
-        private final PlaceCall call;
-        private final Consumer<PlaceAnswer> answers;
+        private final DispatchCall call;
+        private final Consumer<DispatchAnswer> answers;
         private final List<HostId> passedOver = new ArrayList<>();
         private final Set<ServiceShard> answeredBy = new HashSet<>();
         private List<ServiceShard> shards = List.of();
@@ -302,7 +302,7 @@
         private boolean waits;
         private boolean over;
 
-        Asking(PlaceCall call, Consumer<PlaceAnswer> answers) {
+        Asking(DispatchCall call, Consumer<DispatchAnswer> answers) {
             this.call = call;
             this.answers = answers;
         }
@@ -324,8 +324,8 @@
             Target to = next();
             if (to == null) {
                 ServiceShard own = shards.get(0);
-                holders.asked(call.attempt(), settings.host());
-                take(own, settings.host(), DispatchClient.this.own.place(call.at(own.shard())));
+                holders.addHolder(call.attempt(), settings.host());
+                take(own, settings.host(), DispatchClient.this.own.place(call.withShard(own.shard())));
                 return;
             }
             ask(to);
@@ -336,8 +336,8 @@
             if (!dispatcher.equals(directory.order(to.shard()).get(0).host())) {
                 inform(to.shard(), to.entry());
             }
-            holders.asked(call.attempt(), dispatcher);
-            PlaceCall asked = call.at(to.shard().shard());
+            holders.addHolder(call.attempt(), dispatcher);
+            DispatchCall asked = call.withShard(to.shard().shard());
             if (dispatcher.equals(settings.host())) {
                 take(to.shard(), dispatcher, own.place(asked));
                 return;
@@ -347,12 +347,12 @@
                     .thenAccept(result -> answered(to, askedAt, result));
         }
 
-        private void answered(Target to, long askedAt, CallResult<PlaceAnswer> result) {
+        private void answered(Target to, long askedAt, CallResult<DispatchAnswer> result) {
             if (over) {
                 return;
             }
             HostId dispatcher = to.entry().host();
-            if (result instanceof CallResult.Answered<PlaceAnswer> answered) {
+            if (result instanceof CallResult.Answered<DispatchAnswer> answered) {
                 directory.trust(dispatcher);
                 take(to.shard(), dispatcher, answered.value());
             } else if (clock.nanos() - askedAt > patience().toNanos() + STALLED_NANOS) {
@@ -416,7 +416,7 @@
             directory.doubt(dispatcher);
             passedOver.add(dispatcher);
             // It may have granted a place all the same.
-            holders.forgotten(call.attempt(), dispatcher);
+            holders.removeHolder(call.attempt(), dispatcher);
             forget(call.service(), List.of(dispatcher), call);
             if (waits) {
                 askLater();
@@ -425,12 +425,12 @@
             }
         }
 
-        private void take(ServiceShard shard, HostId dispatcher, PlaceAnswer answer) {
+        private void take(ServiceShard shard, HostId dispatcher, DispatchAnswer answer) {
             if (isFinal(answer)) {
                 finish(dispatcher, answer);
                 return;
             }
-            if (answer instanceof PlaceAnswer.Queued) {
+            if (answer instanceof DispatchAnswer.Queued) {
                 // Left in the queue of the dispatcher before, a prompt would be placed by it when that has been told to
                 // forget all that runs, on engines in use.
                 leaveTo(dispatcher, call);
@@ -448,9 +448,10 @@
         }
 
         /** A shard that is full, or knows no server, says nothing of the others; the budget of retries is one for all. */
-        private static boolean isFinal(PlaceAnswer answer) {
-            return answer instanceof PlaceAnswer.Granted
-                    || answer instanceof PlaceAnswer.Refused refused && refused.why() == PlaceAnswer.Why.RETRY_BUDGET;
+        private static boolean isFinal(DispatchAnswer answer) {
+            return answer instanceof DispatchAnswer.Granted
+                    || answer instanceof DispatchAnswer.Refused refused
+                            && refused.why() == DispatchAnswer.RefusalCause.RETRY_BUDGET;
         }
 
         private void askLater() {
@@ -467,30 +468,30 @@
             }
         }
 
-        void finish(HostId dispatcher, PlaceAnswer answer) {
+        void finish(HostId dispatcher, DispatchAnswer answer) {
             if (over) {
                 return;
             }
             over = true;
             asking.remove(call.attempt());
             leaveTo(dispatcher, call);
-            if (answer instanceof PlaceAnswer.Granted granted) {
+            if (answer instanceof DispatchAnswer.Granted granted) {
                 open.put(call.attempt(), new OpenGrant(call, granted, false));
                 tellFirst(dispatcher, granted);
             } else {
-                holders.ended(call.attempt());
+                holders.removeAttempt(call.attempt());
             }
             answers.accept(answer);
         }
 
         /** The dispatcher that all ask first must count what another one has granted. */
-        private void tellFirst(HostId dispatcher, PlaceAnswer.Granted granted) {
+        private void tellFirst(HostId dispatcher, DispatchAnswer.Granted granted) {
             ServiceShard shard = directory.shardOf(call.service(), granted.server());
             List<EntryRecord> order = directory.order(shard);
             if (order.isEmpty() || order.get(0).host().equals(dispatcher)) {
                 return;
             }
-            holders.asked(call.attempt(), order.get(0).host());
+            holders.addHolder(call.attempt(), order.get(0).host());
             tell(order.get(0), adoption(shard, false, List.of(open.get(call.attempt()))));
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
@@ -12,11 +12,11 @@
 import org.elmline.core.common.MonotonicClock;
 import org.elmline.core.common.ServiceName;
 import org.elmline.core.dispatch.AttemptReport;
+import org.elmline.core.dispatch.DispatchAnswer;
+import org.elmline.core.dispatch.DispatchCall;
 import org.elmline.core.dispatch.DispatchChannels.Adoption;
 import org.elmline.core.dispatch.Dispatcher;
 import org.elmline.core.dispatch.DispatcherChoice;
-import org.elmline.core.dispatch.PlaceAnswer;
-import org.elmline.core.dispatch.PlaceCall;
 import org.elmline.core.dispatch.RetryLimit;
 import org.elmline.core.dispatch.ServiceShard;
 import org.elmline.core.dispatch.Shard;
@@ -62,7 +62,7 @@
 
     /** Takes decisions on calls that waited. */
     interface Decisions {
-        void decided(HostId host, PlaceAnswer answer);
+        void decided(HostId host, DispatchAnswer answer);
     }
 
     DispatchService(HostId self, RetryLimit retries, MonotonicClock clock, DecisionLog log, Decisions decisions) {
@@ -90,9 +90,9 @@
         Map<HostId, Long> starts = new HashMap<>();
         entries.forEach(each -> starts.put(each.host(), each.incarnation()));
         dispatchers.forEach((shard, running) -> {
-            running.dispatcher.servers(services.get(shard.service()), serversOf(shard), now);
-            running.dispatcher.askedFirst(askedFirst(shard), now);
-            running.dispatcher.entries(entries.size());
+            running.dispatcher.updateServers(services.get(shard.service()), serversOf(shard), now);
+            running.dispatcher.updatePrimary(askedFirst(shard), now);
+            running.dispatcher.updateEntryCount(entries.size());
             dropGone(running.dispatcher, starts, now);
         });
         tick();
@@ -101,23 +101,24 @@
     /** One of other shards than there are now is kept while calls run on it. */
     private boolean fits(ServiceShard shard, Dispatcher dispatcher) {
         RoutedService service = services.get(shard.service());
-        boolean current = Shard.of(serversOf(shard.service()).size()).contains(shard.shard());
+        boolean current =
+                Shard.forServerCount(serversOf(shard.service()).size()).contains(shard.shard());
         boolean used = dispatcher.running() + dispatcher.waiting() > 0;
-        return service != null && dispatcher.fits(service) && (current || used);
+        return service != null && dispatcher.isCompatibleWith(service) && (current || used);
     }
 
     private void dropGone(Dispatcher dispatcher, Map<HostId, Long> alive, long now) {
         if (alive.isEmpty()) {
             return;
         }
-        dispatcher.holders().forEach((host, incarnation) -> {
+        dispatcher.activeEntries().forEach((host, incarnation) -> {
             Long current = alive.get(host);
             if (current == null || !current.equals(incarnation)) {
                 log.line("grants of a lost entry freed")
                         .with("entry", host)
                         .with("incarnation", incarnation)
                         .write();
-                dispatcher.entryGone(host, incarnation, now);
+                dispatcher.removeEntry(host, incarnation, now);
             }
         });
     }
@@ -135,7 +136,7 @@
 
     private List<Registration> serversOf(ServiceShard shard) {
         return serversOf(shard.service()).stream()
-                .filter(each -> shard.shard().holds(each.id()))
+                .filter(each -> shard.shard().contains(each.id()))
                 .toList();
     }
 
@@ -149,11 +150,11 @@
             long now = clock.nanos();
             boolean first = askedFirst(shard);
             List<Registration> servers = serversOf(shard);
-            running =
-                    new Running(new Dispatcher(service, retries.of(shard.shard().count()), limits.table(), now));
-            running.dispatcher.servers(service, servers, now);
-            running.dispatcher.askedFirst(first, now);
-            running.dispatcher.entries(entries.size());
+            running = new Running(
+                    new Dispatcher(service, retries.dividedInto(shard.shard().count()), limits.table(), now));
+            running.dispatcher.updateServers(service, servers, now);
+            running.dispatcher.updatePrimary(first, now);
+            running.dispatcher.updateEntryCount(entries.size());
             dispatchers.put(shard, running);
             log.line("dispatching")
                     .with("service", shard)
@@ -175,14 +176,14 @@
         onWork = listener;
     }
 
-    PlaceAnswer place(PlaceCall call) {
-        Optional<Running> dispatcher = dispatcher(call.key());
+    DispatchAnswer place(DispatchCall call) {
+        Optional<Running> dispatcher = dispatcher(call.serviceShard());
         if (dispatcher.isEmpty()) {
-            return new PlaceAnswer.Refused(call.attempt(), PlaceAnswer.Why.NO_SERVER, 200);
+            return new DispatchAnswer.Refused(call.attempt(), DispatchAnswer.RefusalCause.NO_SERVER, 200);
         }
         tick(dispatcher.get());
-        PlaceAnswer answer = dispatcher.get().dispatcher.place(call, clock.nanos());
-        if (answer instanceof PlaceAnswer.Queued) {
+        DispatchAnswer answer = dispatcher.get().dispatcher.place(call, clock.nanos());
+        if (answer instanceof DispatchAnswer.Queued) {
             waiting.put(call.attempt(), call.host());
             onWork.run();
         }
@@ -224,16 +225,16 @@
 
     void adopt(Adoption adoption) {
         adoption.limits().forEach(each -> limits.take(each.server(), each.limit(), "entry"));
-        dispatcher(adoption.key()).ifPresent(running -> {
+        dispatcher(adoption.serviceShard()).ifPresent(running -> {
             Dispatcher each = running.dispatcher;
             long now = clock.nanos();
             if (adoption.all()) {
-                each.keepOnly(adoption.host(), adoption.incarnation(), adoption.open(), now);
+                each.reconcileGrants(adoption.host(), adoption.incarnation(), adoption.open(), now);
             }
             adoption.open().forEach(grant -> each.adopt(grant, now));
             if (!adoption.all()) {
                 adoption.open()
-                        .forEach(grant -> each.sentElsewhere(grant.granted().server(), now));
+                        .forEach(grant -> each.recordRemoteSend(grant.granted().server(), now));
             }
         });
     }
@@ -248,9 +249,9 @@
         if (!running.looks.allows(now)) {
             return;
         }
-        List<PlaceAnswer> decided = running.dispatcher.tick(now);
+        List<DispatchAnswer> decided = running.dispatcher.tick(now);
         running.looks.took(now, clock.nanos());
-        for (PlaceAnswer each : decided) {
+        for (DispatchAnswer each : decided) {
             HostId host = waiting.remove(each.attempt());
             if (host != null) {
                 decisions.decided(host, each);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
@@ -46,7 +46,7 @@
     }
 
     List<ServiceShard> shards(ServiceName service) {
-        return of(service, Shard.of(servers.apply(service).size()));
+        return of(service, Shard.forServerCount(servers.apply(service).size()));
     }
 
     /** The shards of a service in the order in which one call asks them. */
@@ -60,7 +60,7 @@
 
     ServiceShard shardOf(ServiceName service, BackendServerId server) {
         return shards(service).stream()
-                .filter(each -> each.shard().holds(server))
+                .filter(each -> each.shard().contains(server))
                 .findFirst()
                 .orElseThrow();
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Fleet.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Fleet.java
@@ -223,8 +223,8 @@
         if (!text.known() || text.version() <= heldVersion()) {
             return;
         }
-        RoutingTable.Built built = format.read(text.text().getBytes(StandardCharsets.UTF_8));
-        if (built instanceof RoutingTable.Built.Table valid) {
+        RoutingTable.BuildResult built = format.read(text.text().getBytes(StandardCharsets.UTF_8));
+        if (built instanceof RoutingTable.BuildResult.Valid valid) {
             table = valid.table();
             log.line("routing in force")
                     .with("version", table.version())
@@ -234,7 +234,7 @@
         } else {
             log.line("routing not understood")
                     .with("version", text.version())
-                    .with("why", ((RoutingTable.Built.Invalid) built).why())
+                    .with("why", ((RoutingTable.BuildResult.Invalid) built).reason())
                     .write();
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Gateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Gateway.java
@@ -18,10 +18,10 @@
 import org.elmline.core.common.Region;
 import org.elmline.core.dispatch.AttemptEnd;
 import org.elmline.core.dispatch.AttemptReport;
+import org.elmline.core.dispatch.DispatchAnswer;
 import org.elmline.core.dispatch.DispatchChannels;
-import org.elmline.core.dispatch.DispatchChannels.Decided;
-import org.elmline.core.dispatch.DispatchChannels.Taken;
-import org.elmline.core.dispatch.PlaceAnswer;
+import org.elmline.core.dispatch.DispatchChannels.Acknowledgement;
+import org.elmline.core.dispatch.DispatchChannels.QueuedDecision;
 import org.elmline.core.registry.CallerDirectory;
 import org.elmline.core.registry.EntryRecord;
 import org.elmline.core.routing.CallerLimits;
@@ -225,7 +225,7 @@
     }
 
     /** Tells an entry the decision on its call; one that does not know the call any more gives the place back. */
-    private void tell(HostId host, PlaceAnswer answer) {
+    private void tell(HostId host, DispatchAnswer answer) {
         if (host.equals(settings.host())) {
             giveBack(answer, dispatch.decided(host, answer));
             return;
@@ -234,16 +234,16 @@
                 .call(
                         settings.peersOf(host),
                         DispatchChannels.DECIDED,
-                        new Decided(settings.host(), answer),
+                        new QueuedDecision(settings.host(), answer),
                         ReportQueue.TIMEOUT)
                 .thenAccept(result -> {
-                    if (result instanceof CallResult.Answered<Taken> taken) {
+                    if (result instanceof CallResult.Answered<Acknowledgement> taken) {
                         giveBack(answer, taken.value());
                     }
                 });
     }
 
-    private void giveBack(PlaceAnswer answer, Taken taken) {
+    private void giveBack(DispatchAnswer answer, Acknowledgement taken) {
         if (!taken.known()) {
             dispatchers.giveBack(new AttemptReport(answer.attempt(), AttemptEnd.CANCELLED));
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HeardLimits.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HeardLimits.java
@@ -4,13 +4,13 @@
 
 import org.elmline.core.common.BackendServerId;
 import org.elmline.core.common.MonotonicClock;
-import org.elmline.core.dispatch.ServerLimit;
-import org.elmline.core.dispatch.ServerLimits;
+import org.elmline.core.dispatch.ServerRateLimit;
+import org.elmline.core.dispatch.ServerRateLimits;
 import org.elmline.daemon.log.DecisionLog;
 
 /** The limits that this entry has heard of, with a line for each change. Used on the I/O thread only. */
 final class HeardLimits {
-    private final ServerLimits limits = new ServerLimits();
+    private final ServerRateLimits limits = new ServerRateLimits();
     private final MonotonicClock clock;
     private final DecisionLog log;
 
@@ -25,10 +25,10 @@
      * @param limit null when that can't be understood
      * @param by where it was heard, for the log
      */
-    void take(BackendServerId server, ServerLimit limit, String by) {
+    void take(BackendServerId server, ServerRateLimit limit, String by) {
         if (limit == null) {
             log.line("server limit not understood").with("server", server).write();
-        } else if (limits.learn(server, limit, clock.nanos())) {
+        } else if (limits.update(server, limit, clock.nanos())) {
             log.line("server limit")
                     .with("server", server)
                     .with("limited", limit.isLimited())
@@ -39,15 +39,15 @@
     }
 
     boolean isLimited(BackendServerId server) {
-        return limits.of(server).isLimited();
+        return limits.limitOf(server).isLimited();
     }
 
-    List<ServerLimits.Named> all() {
+    List<ServerRateLimits.ReportedLimit> all() {
         return limits.all();
     }
 
     /** The table behind it, which dispatchers here decide by. */
-    ServerLimits table() {
+    ServerRateLimits table() {
         return limits;
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Reservations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Reservations.java
@@ -9,8 +9,8 @@
 import io.undertow.util.HeaderMap;
 import io.undertow.util.Headers;
 import io.undertow.util.Methods;
+import org.elmline.core.dispatch.DispatchAnswer;
 import org.elmline.core.dispatch.Helper;
-import org.elmline.core.dispatch.PlaceAnswer;
 
 /**
  * Memory that is set aside on other engines for one long prompt: reserved before the prompt is sent, renewed while it is
@@ -35,13 +35,13 @@
     private static final int OK = 200;
 
     private final GatewayParts parts;
-    private final PlaceAnswer.Granted granted;
+    private final DispatchAnswer.Granted granted;
     private final List<Helper> holders = new ArrayList<>();
     private int outstanding;
     private boolean failed;
     private boolean released;
 
-    Reservations(GatewayParts parts, PlaceAnswer.Granted granted) {
+    Reservations(GatewayParts parts, DispatchAnswer.Granted granted) {
         this.parts = parts;
         this.granted = granted;
         for (Helper each : granted.helpers()) {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/backend/PoliciesTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/backend/PoliciesTest.java
@@ -20,7 +20,7 @@
                 Policies.ledger(new PlacementSettings("two-ended", 2, 0.5)).placement();
         var measured = org.elmline.core.placement.PlacementSettings.defaults();
         assertEquals(0.5, weights.maxLongShare());
-        assertEquals(2 * measured.harmWeight(), weights.harmWeight());
+        assertEquals(2 * measured.shortSlowdownWeight(), weights.shortSlowdownWeight());
         assertEquals(2 * measured.longStepSeconds(), weights.longStepSeconds());
     }
 
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
@@ -21,16 +21,16 @@
 import org.elmline.core.common.ServiceName;
 import org.elmline.core.dispatch.AttemptEnd;
 import org.elmline.core.dispatch.AttemptReport;
+import org.elmline.core.dispatch.DispatchAnswer;
+import org.elmline.core.dispatch.DispatchCall;
 import org.elmline.core.dispatch.DispatchChannels;
 import org.elmline.core.dispatch.DispatchChannels.Adoption;
 import org.elmline.core.dispatch.DispatchChannels.Reports;
 import org.elmline.core.dispatch.DispatcherChoice;
 import org.elmline.core.dispatch.OpenGrant;
-import org.elmline.core.dispatch.PlaceAnswer;
-import org.elmline.core.dispatch.PlaceCall;
 import org.elmline.core.dispatch.RetryLimit;
-import org.elmline.core.dispatch.ServerLimit;
-import org.elmline.core.dispatch.ServerLimits;
+import org.elmline.core.dispatch.ServerRateLimit;
+import org.elmline.core.dispatch.ServerRateLimits;
 import org.elmline.core.dispatch.ServiceShard;
 import org.elmline.core.dispatch.Shard;
 import org.elmline.core.peer.Channel;
@@ -54,7 +54,7 @@
     private final ManualClock clock = new ManualClock();
     private final DecisionLog log = new DecisionLog("h", "entry", clock, OutputStream.nullOutputStream());
     private final Set<String> silent = new HashSet<>();
-    private Function<PlaceCall, PlaceAnswer> places = call -> new PlaceAnswer.Queued(call.attempt(), 0);
+    private Function<DispatchCall, DispatchAnswer> places = call -> new DispatchAnswer.Queued(call.attempt(), 0);
     private List<BackendServerId> servers = List.of();
     private Collection<EntryRecord> entries = List.of(entry("10.0.0.2"), entry("10.0.0.3"));
 
@@ -89,8 +89,8 @@
                 return CompletableFuture.completedFuture(new CallResult.Unknown<>("no answer in time"));
             }
             Object answer = channel == (Channel<?, ?>) DispatchChannels.PLACE
-                    ? places.apply((PlaceCall) request)
-                    : new DispatchChannels.Taken(true);
+                    ? places.apply((DispatchCall) request)
+                    : new DispatchChannels.Acknowledgement(true);
             return CompletableFuture.completedFuture(
                     new CallResult.Answered<>(channel.response().cast(answer)));
         }
@@ -104,12 +104,12 @@
         return new DispatchClient(settings(), 1, new ScriptedNetwork(), directory, own, thread, clock, log);
     }
 
-    private static PlaceCall call() {
+    private static DispatchCall call() {
         return call("a1");
     }
 
-    private static PlaceCall call(String attempt) {
-        return new PlaceCall(
+    private static DispatchCall call(String attempt) {
+        return new DispatchCall(
                 attempt,
                 HostId.of(SELF),
                 1,
@@ -145,8 +145,8 @@
         thread.runLater();
         assertTrue(
                 sent.stream()
-                        .anyMatch(each ->
-                                each.host().equals(order.get(1).host().value()) && each.request() instanceof PlaceCall),
+                        .anyMatch(each -> each.host().equals(order.get(1).host().value())
+                                && each.request() instanceof DispatchCall),
                 "asked for at the next one");
         Reports forget = new Reports(DESK, List.of(new AttemptReport("a1", AttemptEnd.CANCELLED)));
         assertTrue(sent.contains(new Sent(old, forget)), sent.toString());
@@ -157,7 +157,7 @@
     void aNewDispatcherIsToldTheLimitsThatServersName() {
         List<EntryRecord> order = DispatcherChoice.order(WHOLE, entries);
         DispatchClient client = client();
-        own.limits().take(BackendServerId.of("s1"), ServerLimit.ofPerSecond(2), "answer");
+        own.limits().take(BackendServerId.of("s1"), ServerRateLimit.ofPerSecond(2), "answer");
         client.place(call(), answer -> {});
         entries = List.of(order.get(1));
         client.fleetChanged();
@@ -167,7 +167,8 @@
                 .findFirst()
                 .orElseThrow();
         assertEquals(
-                List.of(new ServerLimits.Named(BackendServerId.of("s1"), ServerLimit.ofPerSecond(2))), told.limits());
+                List.of(new ServerRateLimits.ReportedLimit(BackendServerId.of("s1"), ServerRateLimit.ofPerSecond(2))),
+                told.limits());
     }
 
     /**
@@ -184,8 +185,8 @@
         assertEquals(
                 1,
                 sent.stream()
-                        .filter(each ->
-                                each.host().equals(order.get(1).host().value()) && each.request() instanceof PlaceCall)
+                        .filter(each -> each.host().equals(order.get(1).host().value())
+                                && each.request() instanceof DispatchCall)
                         .count());
     }
 
@@ -199,9 +200,9 @@
         String first = order.get(0).host().value();
         String second = order.get(1).host().value();
         DispatchClient client = client();
-        places = call -> new PlaceAnswer.Granted(
+        places = call -> new DispatchAnswer.Granted(
                 call.attempt(), BackendServerId.of("s1"), new Address("10.0.1.1", 80), List.of(), 90, 900, 0, 0);
-        PlaceCall running = call("running");
+        DispatchCall running = call("running");
         client.place(running, answer -> {});
         silent.add(first);
         client.place(call("next"), answer -> {});
@@ -209,7 +210,7 @@
         Adoption told = (Adoption) toSecond.get(0);
         assertTrue(told.all());
         assertEquals(List.of(running), told.open().stream().map(OpenGrant::call).toList());
-        assertEquals(call("next").attempt(), ((PlaceCall) toSecond.get(1)).attempt());
+        assertEquals(call("next").attempt(), ((DispatchCall) toSecond.get(1)).attempt());
         client.end(running, AttemptEnd.DONE);
         thread.runLater();
         Reports ended = new Reports(DESK, List.of(new AttemptReport("running", AttemptEnd.DONE)));
@@ -236,7 +237,7 @@
 
     private List<String> askedFor(String attempt) {
         return sent.stream()
-                .filter(each -> each.request() instanceof PlaceCall call
+                .filter(each -> each.request() instanceof DispatchCall call
                         && call.attempt().equals(attempt))
                 .map(Sent::host)
                 .toList();
@@ -254,8 +255,8 @@
     void whereADispatcherIsSilentAnotherShardIsAsked() {
         manyServers();
         Set<String> firsts = new HashSet<>();
-        Shard.of(350).forEach(each -> firsts.add(firstOf(each)));
-        places = call -> new PlaceAnswer.Granted(
+        Shard.forServerCount(350).forEach(each -> firsts.add(firstOf(each)));
+        places = call -> new DispatchAnswer.Granted(
                 call.attempt(), BackendServerId.of("s1"), new Address("10.0.1.1", 80), List.of(), 90, 900, 0, 0);
         DispatchClient client = client();
         for (int i = 0; i < 40; i++) {
@@ -263,7 +264,7 @@
             silent.add(List.copyOf(firsts).get(i % firsts.size()));
             clock.advance(Duration.ofSeconds(2));
             String attempt = "a" + i;
-            List<PlaceAnswer> answers = new ArrayList<>();
+            List<DispatchAnswer> answers = new ArrayList<>();
             client.place(call(attempt), answers::add);
             assertEquals(1, answers.size());
             assertTrue(firsts.containsAll(askedFor(attempt)), askedFor(attempt) + " of " + firsts);
@@ -290,15 +291,15 @@
         manyServers();
         List<BackendServerId> many = servers;
         servers = many.subList(0, 60);
-        places = call -> new PlaceAnswer.Granted(
+        places = call -> new DispatchAnswer.Granted(
                 call.attempt(), BackendServerId.of("s1"), new Address("10.0.1.1", 80), List.of(), 90, 900, 0, 0);
         DispatchClient client = client();
         client.place(call("running"), answer -> {});
         servers = many;
         client.place(call("next"), answer -> {});
         client.fleetChanged();
-        Shard shard = Shard.of(350).stream()
-                .filter(each -> each.holds(BackendServerId.of("s1")))
+        Shard shard = Shard.forServerCount(350).stream()
+                .filter(each -> each.contains(BackendServerId.of("s1")))
                 .findFirst()
                 .orElseThrow();
         boolean told = sent.stream()
@@ -317,8 +318,8 @@
     void whereAShardRefusesAnotherIsAsked() {
         manyServers();
         places = call -> call.shard().index() % 2 == 0
-                ? new PlaceAnswer.Refused(call.attempt(), PlaceAnswer.Why.NO_SERVER, 100)
-                : new PlaceAnswer.Granted(
+                ? new DispatchAnswer.Refused(call.attempt(), DispatchAnswer.RefusalCause.NO_SERVER, 100)
+                : new DispatchAnswer.Granted(
                         call.attempt(),
                         BackendServerId.of("s1"),
                         new Address("10.0.1.1", 80),
@@ -330,10 +331,10 @@
         DispatchClient client = client();
         int granted = 0;
         for (int i = 0; i < 40; i++) {
-            List<PlaceAnswer> answers = new ArrayList<>();
+            List<DispatchAnswer> answers = new ArrayList<>();
             client.place(call("a" + i), answers::add);
             assertEquals(1, answers.size(), "one answer, at once");
-            granted += answers.get(0) instanceof PlaceAnswer.Granted ? 1 : 0;
+            granted += answers.get(0) instanceof DispatchAnswer.Granted ? 1 : 0;
         }
         assertTrue(granted > 25, granted + " of 40; by the first shard's word alone some 20");
     }
@@ -342,7 +343,7 @@
     @Test
     void aRefusedRetryIsNotAskedForElsewhere() {
         manyServers();
-        places = call -> new PlaceAnswer.Refused(call.attempt(), PlaceAnswer.Why.RETRY_BUDGET, 100);
+        places = call -> new DispatchAnswer.Refused(call.attempt(), DispatchAnswer.RefusalCause.RETRY_BUDGET, 100);
         client().place(call("a1"), answer -> {});
         assertEquals(1, askedFor("a1").size());
     }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchServiceTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchServiceTest.java
@@ -12,12 +12,12 @@
 import org.elmline.core.common.ServiceName;
 import org.elmline.core.dispatch.AttemptEnd;
 import org.elmline.core.dispatch.AttemptReport;
+import org.elmline.core.dispatch.DispatchAnswer;
+import org.elmline.core.dispatch.DispatchCall;
 import org.elmline.core.dispatch.DispatchChannels;
-import org.elmline.core.dispatch.PlaceAnswer;
-import org.elmline.core.dispatch.PlaceCall;
 import org.elmline.core.dispatch.RetryLimit;
-import org.elmline.core.dispatch.ServerLimit;
-import org.elmline.core.dispatch.ServerLimits;
+import org.elmline.core.dispatch.ServerRateLimit;
+import org.elmline.core.dispatch.ServerRateLimits;
 import org.elmline.core.dispatch.Shard;
 import org.elmline.core.registry.Registration;
 import org.elmline.core.registry.ServerState;
@@ -36,7 +36,7 @@
 
     private final ManualClock clock = new ManualClock();
     private final DecisionLog log = new DecisionLog("h", "entry", clock, OutputStream.nullOutputStream());
-    private final List<PlaceAnswer> decided = new ArrayList<>();
+    private final List<DispatchAnswer> decided = new ArrayList<>();
     private Runnable onDecision = () -> {};
     private final DispatchService service =
             new DispatchService(SELF, new RetryLimit(0.2, 10, 10_000_000_000L), clock, log, (host, answer) -> {
@@ -56,8 +56,8 @@
                 1);
     }
 
-    private static PlaceCall call(String attempt, ServiceName name) {
-        return new PlaceCall(
+    private static DispatchCall call(String attempt, ServiceName name) {
+        return new DispatchCall(
                 attempt,
                 SELF,
                 1,
@@ -77,11 +77,11 @@
     }
 
     private void know() {
-        RoutingTable.Built built = RoutingTable.builder(1)
+        RoutingTable.BuildResult built = RoutingTable.builder(1)
                 .service(new RoutedService(DESK, 10, null))
                 .service(new RoutedService(BOOKING, 10, null))
                 .build();
-        RoutingTable table = ((RoutingTable.Built.Table) built).table();
+        RoutingTable table = ((RoutingTable.BuildResult.Valid) built).table();
         service.update(table, List.of(server(DESK), server(BOOKING)), List.of(), true);
     }
 
@@ -89,12 +89,12 @@
     @Test
     void aDecisionMayLeadToADispatcherThatIsNotThereYet() {
         know();
-        assertInstanceOf(PlaceAnswer.Granted.class, service.place(call("runs", DESK)));
-        assertInstanceOf(PlaceAnswer.Queued.class, service.place(call("waits", DESK)));
-        onDecision = () -> assertInstanceOf(PlaceAnswer.Granted.class, service.place(call("next", BOOKING)));
+        assertInstanceOf(DispatchAnswer.Granted.class, service.place(call("runs", DESK)));
+        assertInstanceOf(DispatchAnswer.Queued.class, service.place(call("waits", DESK)));
+        onDecision = () -> assertInstanceOf(DispatchAnswer.Granted.class, service.place(call("next", BOOKING)));
         service.report(DESK, List.of(new AttemptReport("runs", AttemptEnd.DONE)));
         assertEquals(
-                List.of("waits"), decided.stream().map(PlaceAnswer::attempt).toList());
+                List.of("waits"), decided.stream().map(DispatchAnswer::attempt).toList());
     }
 
     /** Guards against a call that waits for a tenth of a second longer, as the dispatcher had been idle. */
@@ -124,8 +124,9 @@
     @Test
     void aDispatcherKeepsTheLimitsThatEntriesTellItOf() {
         know();
-        ServerLimits.Named named = new ServerLimits.Named(server(DESK).id(), ServerLimit.ofPerSecond(2));
+        ServerRateLimits.ReportedLimit named =
+                new ServerRateLimits.ReportedLimit(server(DESK).id(), ServerRateLimit.ofPerSecond(2));
         service.adopt(new DispatchChannels.Adoption(DESK, Shard.WHOLE, SELF, 1, true, List.of(), List.of(named)));
-        assertInstanceOf(PlaceAnswer.Queued.class, service.place(call("waits", DESK)));
+        assertInstanceOf(DispatchAnswer.Queued.class, service.place(call("waits", DESK)));
     }
 }
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/ShapeCodecTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/ShapeCodecTest.java
@@ -24,16 +24,16 @@
 import org.elmline.core.control.Ticket;
 import org.elmline.core.dispatch.AttemptEnd;
 import org.elmline.core.dispatch.AttemptReport;
+import org.elmline.core.dispatch.DispatchAnswer;
+import org.elmline.core.dispatch.DispatchCall;
+import org.elmline.core.dispatch.DispatchChannels.Acknowledgement;
 import org.elmline.core.dispatch.DispatchChannels.Adoption;
-import org.elmline.core.dispatch.DispatchChannels.Decided;
+import org.elmline.core.dispatch.DispatchChannels.QueuedDecision;
 import org.elmline.core.dispatch.DispatchChannels.Reports;
-import org.elmline.core.dispatch.DispatchChannels.Taken;
 import org.elmline.core.dispatch.Helper;
 import org.elmline.core.dispatch.OpenGrant;
-import org.elmline.core.dispatch.PlaceAnswer;
-import org.elmline.core.dispatch.PlaceCall;
-import org.elmline.core.dispatch.ServerLimit;
-import org.elmline.core.dispatch.ServerLimits;
+import org.elmline.core.dispatch.ServerRateLimit;
+import org.elmline.core.dispatch.ServerRateLimits;
 import org.elmline.core.dispatch.Shard;
 import org.elmline.core.raft.Entry;
 import org.elmline.core.raft.EntryKind;
@@ -194,7 +194,7 @@
     }
 
     private static List<Object> dispatch(SplittableRandom random) {
-        PlaceCall call = new PlaceCall(
+        DispatchCall call = new DispatchCall(
                 text(random) + "x",
                 HOST,
                 random.nextLong(),
@@ -211,7 +211,7 @@
                 9,
                 random.nextBoolean(),
                 List.of(BackendServerId.of("b")));
-        PlaceAnswer.Granted granted = new PlaceAnswer.Granted(
+        DispatchAnswer.Granted granted = new DispatchAnswer.Granted(
                 "a",
                 BackendServerId.of("b"),
                 address(random),
@@ -223,13 +223,13 @@
         return List.of(
                 call,
                 granted,
-                new PlaceAnswer.Queued("a", random.nextInt()),
-                new PlaceAnswer.Refused("a", PlaceAnswer.Why.TOO_LATE, random.nextLong()),
+                new DispatchAnswer.Queued("a", random.nextInt()),
+                new DispatchAnswer.Refused("a", DispatchAnswer.RefusalCause.TOO_LATE, random.nextLong()),
                 new Reports(
                         SERVICE,
                         List.of(
                                 new AttemptReport("a", null),
-                                new AttemptReport("b", AttemptEnd.DONE, ServerLimit.NONE))),
+                                new AttemptReport("b", AttemptEnd.DONE, ServerRateLimit.NONE))),
                 new Adoption(
                         SERVICE,
                         new Shard(1, 2),
@@ -237,9 +237,10 @@
                         4,
                         random.nextBoolean(),
                         List.of(new OpenGrant(call, granted, true)),
-                        List.of(new ServerLimits.Named(granted.server(), ServerLimit.ofPerSecond(1.7)))),
-                new Decided(HOST, granted),
-                new Taken(random.nextBoolean()));
+                        List.of(new ServerRateLimits.ReportedLimit(
+                                granted.server(), ServerRateLimit.ofPerSecond(1.7)))),
+                new QueuedDecision(HOST, granted),
+                new Acknowledgement(random.nextBoolean()));
     }
 
     private static List<Object> raft(SplittableRandom random) {
