--- a/elmline-bench/src/main/java/org/elmline/bench/http/PassThroughProxy.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/PassThroughProxy.java
@@ -83,7 +83,7 @@
                 ModelName.of(body.path("model").asText()),
                 "",
                 prompt,
-                PromptBlocks.tokens(prompt),
+                PromptBlocks.tokenCount(prompt),
                 body.path("max_tokens").asInt(),
                 0,
                 List.of(),
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
@@ -26,8 +26,8 @@
 import org.elmline.core.group.GroupPlan;
 import org.elmline.core.group.GroupReservation;
 import org.elmline.core.ledger.LedgerSettings;
-import org.elmline.core.owner.Decided;
 import org.elmline.core.owner.Owner;
+import org.elmline.core.owner.OwnerDecision;
 import org.elmline.core.owner.OwnerSettings;
 import org.elmline.core.placement.Demand;
 import org.elmline.core.placement.PlacementPolicy;
@@ -35,9 +35,9 @@
 import org.elmline.core.route.FirstToken;
 import org.elmline.core.route.Grant;
 import org.elmline.core.route.GrantReport;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.OwnerTable;
 import org.elmline.core.route.OwnerTableSettings;
-import org.elmline.core.route.PlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.Release;
 import org.elmline.core.route.ReleaseCause;
@@ -117,7 +117,7 @@
 
     @Override
     public List<Decision> takeDecisions(long now) {
-        for (Decided each : owner.advance(now)) {
+        for (OwnerDecision each : owner.advance(now)) {
             onAnswer(each.request(), each.answer());
         }
         List<Decision> taken = List.copyOf(decisions);
@@ -133,7 +133,7 @@
             }
             if (alive[i]) {
                 BackendServerId id = id(i);
-                owner.cacheEvents(id, cacheEvents[i].after(owner.lastCacheEvent(id), now));
+                owner.applyCacheEvents(id, cacheEvents[i].after(owner.lastCacheSequence(id), now));
             }
         }
         if (ticks % TICKS_PER_GROUP_ATTEMPT == 0) {
@@ -202,12 +202,12 @@
         return kvTokensBySequence.size() + owner.counts().openGrants();
     }
 
-    private void onAnswer(PlaceRequest request, PlaceAnswer answer) {
+    private void onAnswer(PlaceRequest request, OwnerPlaceAnswer answer) {
         Job job = pendingJobs.remove(request.attempt());
         if (job == null) {
             return;
         }
-        if (answer instanceof PlaceAnswer.Placed placed) {
+        if (answer instanceof OwnerPlaceAnswer.Placed placed) {
             decisions.add(new Decision(job, List.of(addSegment(job, placed.grant(), job.outputTokens(), 0))));
         } else {
             decisions.add(new Decision(job, List.of()));
@@ -220,7 +220,7 @@
         Optional<GroupPlan> plan = GroupPlan.of(
                 job.promptTokens(),
                 job.outputTokens(),
-                ownerTable.slots(MODEL, now),
+                ownerTable.groupSlots(MODEL, now),
                 IMPORT_SHARE,
                 PrefillCost.DEFAULT);
         if (plan.isEmpty()) {
@@ -233,13 +233,15 @@
                 whole.organisation(),
                 whole.demand());
         GroupReservation reservation = new GroupReservation(attempt, plan.get());
-        for (Optional<GroupReservation.Ask> ask = reservation.next(); ask.isPresent(); ask = reservation.next()) {
-            Optional<PlaceAnswer> answer = owner.place(ask.get().request(), now);
-            answer.ifPresentOrElse(reservation::answered, reservation::unanswered);
+        for (Optional<GroupReservation.OwnerCall> ask = reservation.nextCall();
+                ask.isPresent();
+                ask = reservation.nextCall()) {
+            Optional<OwnerPlaceAnswer> answer = owner.place(ask.get().request(), now);
+            answer.ifPresentOrElse(reservation::onAnswer, reservation::onNoAnswer);
         }
-        if (!reservation.complete()) {
+        if (!reservation.isComplete()) {
             List<Release> back = new ArrayList<>();
-            reservation.handbacks().forEach(each -> back.add(new Release(each.attempt(), ReleaseCause.NOT_STARTED)));
+            reservation.releases().forEach(each -> back.add(new Release(each.attempt(), ReleaseCause.NOT_STARTED)));
             report(List.of(), List.of(), back, now);
             return;
         }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
@@ -59,7 +59,7 @@
             long arrivalAt = next < arrivals.size() ? arrivals.get(next).atNanos() : Long.MAX_VALUE;
             long timerAt = timers.peek().atNanos();
             int engine = earliestEngine();
-            long engineAt = engines[engine].nextNanos();
+            long engineAt = engines[engine].nextStepEndNanos();
             now = Math.min(arrivalAt, Math.min(timerAt, engineAt));
             if (engineAt == now) {
                 engines[engine].advance(now, listener(engine));
@@ -94,7 +94,7 @@
     private int earliestEngine() {
         int earliest = 0;
         for (int i = 1; i < engines.length; i++) {
-            if (engines[i].nextNanos() < engines[earliest].nextNanos()) {
+            if (engines[i].nextStepEndNanos() < engines[earliest].nextStepEndNanos()) {
                 earliest = i;
             }
         }
@@ -169,7 +169,7 @@
     private StepListener listener(int engine) {
         return new StepListener() {
             @Override
-            public void token(long id, int index, long atNanos) {
+            public void onToken(long id, int index, long atNanos) {
                 Job job = jobsBySequence.get(id);
                 if (index == 0) {
                     scheduler.prefillFinished(job.segments.get(job.runningSegment), atNanos);
@@ -181,7 +181,7 @@
             }
 
             @Override
-            public void finished(long id, long atNanos) {
+            public void onFinished(long id, long atNanos) {
                 Job job = jobsBySequence.get(id);
                 scheduler.prefillFinished(job.segments.get(job.runningSegment), atNanos);
                 if (job.runningSegment < job.segments.size() - 1) {
--- a/elmline-bench/src/main/java/org/elmline/bench/route/HeapCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/HeapCost.java
@@ -57,7 +57,7 @@
             for (int block = 1; block <= CACHED_BLOCKS; block++) {
                 events.add(new CacheEvents.Event(block, i * 1_000_003L + block, true));
             }
-            ledger.cacheEvents(BenchCluster.engine(i, 1).id(), new CacheEvents(events, CACHED_BLOCKS));
+            ledger.applyCacheEvents(BenchCluster.engine(i, 1).id(), new CacheEvents(events, CACHED_BLOCKS));
         }
         return ledger;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/route/PlaceCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/PlaceCost.java
@@ -18,7 +18,7 @@
 import org.elmline.core.placement.PlacementSettings;
 import org.elmline.core.route.FirstToken;
 import org.elmline.core.route.GrantReport;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.Release;
 import org.elmline.core.route.ReleaseCause;
@@ -82,7 +82,7 @@
         long allocated = THREADS.getCurrentThreadAllocatedBytes();
         long start = System.nanoTime();
         for (PlaceRequest each : requests) {
-            if (owner.place(each, now).orElse(null) instanceof PlaceAnswer.Placed) {
+            if (owner.place(each, now).orElse(null) instanceof OwnerPlaceAnswer.Placed) {
                 placed.add(each);
             }
         }
--- a/elmline-bench/src/test/java/org/elmline/bench/http/HttpLoadTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/http/HttpLoadTest.java
@@ -8,7 +8,7 @@
 
 import io.undertow.server.HttpHandler;
 import org.elmline.core.common.Address;
-import org.elmline.standin.StandinHttp;
+import org.elmline.standin.StandinHttpServer;
 import org.junit.jupiter.api.Test;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -40,7 +40,7 @@
             Thread.sleep(40);
             e.getResponseSender().send("data: {}\n\ndata: [DONE]\n\n", StandardCharsets.UTF_8);
         });
-        try (StandinHttp server = new StandinHttp(0, slow)) {
+        try (StandinHttpServer server = new StandinHttpServer(0, slow)) {
             HttpLoadResult result =
                     new HttpLoad().run(options(server.address(), 1), new PrintWriter(new StringWriter()));
             assertEquals(50, result.requests());
@@ -52,7 +52,7 @@
     @Test
     void countsOutcomesApart() throws Exception {
         HttpHandler refusing = exchange -> exchange.setStatusCode(503).endExchange();
-        try (StandinHttp server = new StandinHttp(0, refusing)) {
+        try (StandinHttpServer server = new StandinHttpServer(0, refusing)) {
             HttpLoadResult result =
                     new HttpLoad().run(options(server.address(), 8), new PrintWriter(new StringWriter()));
             assertEquals(50, result.outcomes().get("503"));
--- a/elmline-core/src/main/java/org/elmline/core/backend/ServerChanges.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/ServerChangeDetector.java
@@ -11,30 +11,30 @@
 import org.elmline.core.timeline.BackendEvent;
 
 /** Tells what changed between two looks at an owner's backend servers, as events for the time line. */
-public final class ServerChanges {
-    private Map<BackendServerId, Seen> before = Map.of();
+public final class ServerChangeDetector {
+    private Map<BackendServerId, ObservedServer> previous = Map.of();
 
-    private record Seen(Incarnation incarnation, boolean leaving) {}
+    private record ObservedServer(Incarnation incarnation, boolean leaving) {}
 
     /** The changes since the last call, in the order of the servers given; lost ones come first. */
-    public List<BackendEvent> next(Collection<Announcement> servers) {
-        Map<BackendServerId, Seen> now = new HashMap<>();
-        servers.forEach(each -> now.put(each.id(), new Seen(each.incarnation(), each.leaving())));
+    public List<BackendEvent> detect(Collection<Announcement> servers) {
+        Map<BackendServerId, ObservedServer> now = new HashMap<>();
+        servers.forEach(each -> now.put(each.id(), new ObservedServer(each.incarnation(), each.leaving())));
         List<BackendEvent> changes = new ArrayList<>();
-        for (Map.Entry<BackendServerId, Seen> each : before.entrySet()) {
+        for (Map.Entry<BackendServerId, ObservedServer> each : previous.entrySet()) {
             boolean gone = !now.containsKey(each.getKey());
             if (gone && !each.getValue().leaving()) {
                 changes.add(new BackendEvent.Lost(each.getKey()));
             }
         }
         for (Announcement each : servers) {
-            addChanges(each, before.get(each.id()), changes);
+            addChanges(each, previous.get(each.id()), changes);
         }
-        before = now;
+        previous = now;
         return changes;
     }
 
-    private static void addChanges(Announcement server, Seen earlier, List<BackendEvent> changes) {
+    private static void addChanges(Announcement server, ObservedServer earlier, List<BackendEvent> changes) {
         boolean sameStart = earlier != null && earlier.incarnation().equals(server.incarnation());
         if (!sameStart) {
             changes.add(new BackendEvent.Joined(server.id(), server.incarnation()));
--- a/elmline-core/src/main/java/org/elmline/core/backend/ServerTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/ServerTable.java
@@ -20,15 +20,15 @@
  * thread-safe.
  */
 public final class ServerTable {
-    private static final int MAX_LOST = 1_024;
+    private static final int MAX_LOST_INCARNATIONS = 1_024;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final long leaseNanos;
-    private final Map<BackendServerId, Entry> entries = new HashMap<>();
+    private final Map<BackendServerId, LeasedServer> leasedServers = new HashMap<>();
     private final Map<BackendServerId, Incarnation> lostIncarnations = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<BackendServerId, Incarnation> eldest) {
-            return size() > MAX_LOST;
+            return size() > MAX_LOST_INCARNATIONS;
         }
     };
     private AnnounceCounts counts = new AnnounceCounts(0, 0, 0);
@@ -39,11 +39,11 @@
 
     /** Takes an announcement in and says what it changed. */
     public AnnounceResult announce(Announcement announcement, long now) {
-        AnnounceResult result = judge(announcement, entries.get(announcement.id()));
+        AnnounceResult result = classify(announcement, leasedServers.get(announcement.id()));
         counts = counts.plus(result);
         if (result.accepted()) {
             lostIncarnations.remove(announcement.id());
-            entries.put(announcement.id(), new Entry(announcement, now + leaseNanos));
+            leasedServers.put(announcement.id(), new LeasedServer(announcement, now + leaseNanos));
         }
         return result;
     }
@@ -51,10 +51,10 @@
     /** Removes and returns the servers whose lease has run out. */
     public List<Announcement> expire(long now) {
         List<Announcement> lost = new ArrayList<>();
-        Iterator<Entry> each = entries.values().iterator();
+        Iterator<LeasedServer> each = leasedServers.values().iterator();
         while (each.hasNext()) {
-            Entry entry = each.next();
-            if (now - entry.leaseUntil() >= 0) {
+            LeasedServer entry = each.next();
+            if (now - entry.leaseUntilNanos() >= 0) {
                 lost.add(entry.announcement());
                 lostIncarnations.put(
                         entry.announcement().id(), entry.announcement().incarnation());
@@ -65,36 +65,36 @@
     }
 
     public Optional<Announcement> find(BackendServerId id) {
-        return Optional.ofNullable(entries.get(id)).map(Entry::announcement);
+        return Optional.ofNullable(leasedServers.get(id)).map(LeasedServer::announcement);
     }
 
     public Collection<BackendServerId> ids() {
-        return Collections.unmodifiableCollection(entries.keySet());
+        return Collections.unmodifiableCollection(leasedServers.keySet());
     }
 
     /** Servers with a live lease. */
     public List<Announcement> all() {
-        return entries.values().stream().map(Entry::announcement).toList();
+        return leasedServers.values().stream().map(LeasedServer::announcement).toList();
     }
 
     /** Servers of one kind with a live lease. */
     public List<Announcement> ofKind(BackendKind kind) {
-        return entries.values().stream()
-                .map(Entry::announcement)
+        return leasedServers.values().stream()
+                .map(LeasedServer::announcement)
                 .filter(each -> each.kind() == kind)
                 .toList();
     }
 
     public int size() {
-        return entries.size();
+        return leasedServers.size();
     }
 
     public AnnounceCounts counts() {
         return counts;
     }
 
-    private AnnounceResult judge(Announcement next, Entry known) {
-        if (!valid(next)) {
+    private AnnounceResult classify(Announcement next, LeasedServer known) {
+        if (!isValid(next)) {
             return AnnounceResult.INVALID;
         }
         if (known == null) {
@@ -114,7 +114,7 @@
         return leavesNow ? AnnounceResult.LEAVING : AnnounceResult.RENEWED;
     }
 
-    private static boolean valid(Announcement next) {
+    private static boolean isValid(Announcement next) {
         if (next.kind() == BackendKind.ENGINE && next.capacityKvTokens() == 0) {
             return false;
         }
@@ -127,5 +127,5 @@
                 || next.versions().size() == next.names().size();
     }
 
-    private record Entry(Announcement announcement, long leaseUntil) {}
+    private record LeasedServer(Announcement announcement, long leaseUntilNanos) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/engine/PromptBlocks.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/PromptBlocks.java
@@ -15,17 +15,17 @@
     public static final int CHARACTERS_PER_TOKEN = 4;
 
     private static final int BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
-    private static final long FACTOR = 0x100000001b3L;
+    private static final long FNV_PRIME = 0x100000001b3L;
 
     private PromptBlocks() {}
 
     /** Tokens of a text, at least 1. */
-    public static int tokens(String prompt) {
+    public static int tokenCount(String prompt) {
         return Math.max(1, (prompt.length() + CHARACTERS_PER_TOKEN - 1) / CHARACTERS_PER_TOKEN);
     }
 
     /** Chained hash of each whole leading block, first block first. */
-    public static List<Long> hashes(String model, String adapter, String prompt) {
+    public static List<Long> blockHashes(String model, String adapter, String prompt) {
         long hash = chain(chain(0xcbf29ce484222325L, model, 0, model.length()), adapter, 0, adapter.length());
         int whole = prompt.length() / BLOCK_CHARACTERS;
         List<Long> hashes = new ArrayList<>(whole);
@@ -39,7 +39,7 @@
     private static long chain(long start, String text, int from, int to) {
         long hash = start ^ (to - from);
         for (int i = from; i < to; i++) {
-            hash = (hash ^ text.charAt(i)) * FACTOR;
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
         return hash ^ (hash >>> 29);
     }
--- a/elmline-core/src/main/java/org/elmline/core/engine/StreamListener.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/StreamListener.java
@@ -3,5 +3,5 @@
 /** Receives one stream's events one after another, from one thread at a time. After End or Failed nothing follows. */
 @FunctionalInterface
 public interface StreamListener {
-    void on(StreamEvent event);
+    void onEvent(StreamEvent event);
 }
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
@@ -13,21 +13,21 @@
  * How a prompt is cut over engines. It uses as few engines as can hold it, since each one more adds imports, and asks for
  * them in the order of their owners' ids, as every other group does.
  *
- * @param predictedMillis milliseconds to the first token once reserved: the segments are read one after another
+ * @param predictedFirstTokenMillis milliseconds to the first token once reserved: the segments are read one after another
  */
-public record GroupPlan(List<Segment> segments, long predictedMillis) {
+public record GroupPlan(List<Segment> segments, long predictedFirstTokenMillis) {
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final int MOST_SEGMENTS = 16;
-    private static final int LEAST_SEGMENT_TOKENS = PromptBlocks.BLOCK_TOKENS;
+    private static final int MAX_SEGMENTS = 16;
+    private static final int MIN_SEGMENT_TOKENS = PromptBlocks.BLOCK_TOKENS;
     /** Summaries lag, so a plan leaves a tenth of the free memory that they tell. */
-    private static final double USABLE = 0.9;
+    private static final double USABLE_MEMORY_SHARE = 0.9;
 
     public GroupPlan {
         segments = List.copyOf(segments);
     }
 
     /**
-     * Cuts a prompt, or says with empty that no set of up to {@value #MOST_SEGMENTS} slots holds it now.
+     * Cuts a prompt, or says with empty that no set of up to {@value #MAX_SEGMENTS} slots holds it now.
      *
      * @param importShare part of a segment's memory that an import of it takes on another engine
      */
@@ -36,11 +36,11 @@
         List<GroupSlot> largestFirst = new ArrayList<>(slots);
         largestFirst.sort(
                 Comparator.comparingLong(GroupSlot::freeKvTokens).reversed().thenComparing(GroupSlot::owner));
-        int most = Math.min(MOST_SEGMENTS, largestFirst.size());
+        int most = Math.min(MAX_SEGMENTS, largestFirst.size());
         for (int count = 1; count <= most; count++) {
             List<GroupSlot> used = new ArrayList<>(largestFirst.subList(0, count));
             used.sort(Comparator.comparing(GroupSlot::owner));
-            Optional<GroupPlan> plan = fill(promptTokens, maxOutputTokens, used, importShare, cost);
+            Optional<GroupPlan> plan = allocate(promptTokens, maxOutputTokens, used, importShare, cost);
             if (plan.isPresent()) {
                 return plan;
             }
@@ -49,7 +49,7 @@
     }
 
     /** The text of each segment. */
-    public List<String> cut(String prompt) {
+    public List<String> split(String prompt) {
         List<String> texts = new ArrayList<>();
         int from = 0;
         for (int i = 0; i < segments.size(); i++) {
@@ -61,7 +61,7 @@
         return texts;
     }
 
-    private static Optional<GroupPlan> fill(
+    private static Optional<GroupPlan> allocate(
             int promptTokens, int maxOutputTokens, List<GroupSlot> used, double importShare, PrefillCost cost) {
         List<Segment> segments = new ArrayList<>();
         int context = 0;
@@ -71,12 +71,12 @@
             boolean last = i == used.size() - 1;
             int imports = (int) Math.ceil(context * importShare) + i;
             int extra = imports + (last ? maxOutputTokens : 0);
-            long room = (long) (slot.freeKvTokens() * USABLE) - extra;
+            long room = (long) (slot.freeKvTokens() * USABLE_MEMORY_SHARE) - extra;
             int tokens = (int) Math.min(room, promptTokens - context);
-            if (tokens < Math.min(LEAST_SEGMENT_TOKENS, promptTokens)) {
+            if (tokens < Math.min(MIN_SEGMENT_TOKENS, promptTokens)) {
                 return Optional.empty();
             }
-            tokens = last ? tokens : wholeBlocks(tokens, promptTokens - context);
+            tokens = last ? tokens : alignToBlocks(tokens, promptTokens - context);
             segments.add(new Segment(slot.owner(), tokens, context, extra));
             seconds += cost.costTokens(context + tokens, context) / slot.tokensPerSecond();
             context += tokens;
@@ -86,8 +86,8 @@
     }
 
     /** Leaves the segments after it something to read. */
-    private static int wholeBlocks(int tokens, int left) {
-        int most = Math.min(tokens, left - LEAST_SEGMENT_TOKENS);
-        return Math.max(LEAST_SEGMENT_TOKENS, most / PromptBlocks.BLOCK_TOKENS * PromptBlocks.BLOCK_TOKENS);
+    private static int alignToBlocks(int tokens, int left) {
+        int most = Math.min(tokens, left - MIN_SEGMENT_TOKENS);
+        return Math.max(MIN_SEGMENT_TOKENS, most / PromptBlocks.BLOCK_TOKENS * PromptBlocks.BLOCK_TOKENS);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupReservation.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupReservation.java
@@ -11,7 +11,7 @@
 import org.elmline.core.common.HostId;
 import org.elmline.core.placement.Demand;
 import org.elmline.core.route.Grant;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceMode;
 import org.elmline.core.route.PlaceRequest;
 
@@ -22,29 +22,29 @@
  * Not thread-safe.
  */
 public final class GroupReservation {
-    private final PlaceRequest whole;
+    private final PlaceRequest wholeRequest;
     private final GroupPlan plan;
     private final List<Grant> grants = new ArrayList<>();
     private boolean refused;
 
     /** @param whole the request as it would be placed if an engine could hold it */
     public GroupReservation(PlaceRequest whole, GroupPlan plan) {
-        this.whole = whole;
+        this.wholeRequest = whole;
         this.plan = plan;
     }
 
     /** The next call to make; empty once the group is complete or refused. */
-    public Optional<Ask> next() {
-        if (refused || complete()) {
+    public Optional<OwnerCall> nextCall() {
+        if (refused || isComplete()) {
             return Optional.empty();
         }
         Segment segment = plan.segments().get(grants.size());
-        return Optional.of(new Ask(segment.owner(), request(segment, grants.size())));
+        return Optional.of(new OwnerCall(segment.owner(), segmentRequest(segment, grants.size())));
     }
 
-    /** Takes the answer to {@link #next} in. */
-    public void answered(PlaceAnswer answer) {
-        if (answer instanceof PlaceAnswer.Placed placed) {
+    /** Takes the answer to {@link #nextCall} in. */
+    public void onAnswer(OwnerPlaceAnswer answer) {
+        if (answer instanceof OwnerPlaceAnswer.Placed placed) {
             grants.add(placed.grant());
         } else {
             refused = true;
@@ -52,11 +52,11 @@
     }
 
     /** No answer came: the owner may have reserved all the same. */
-    public void unanswered() {
+    public void onNoAnswer() {
         refused = true;
     }
 
-    public boolean complete() {
+    public boolean isComplete() {
         return grants.size() == plan.segments().size();
     }
 
@@ -64,7 +64,7 @@
         return refused;
     }
 
-    /** The grants in the order of the segments; all of them once {@link #complete}. */
+    /** The grants in the order of the segments; all of them once {@link #isComplete}. */
     public List<Grant> grants() {
         return List.copyOf(grants);
     }
@@ -73,44 +73,44 @@
      * After a refusal, the attempts to release and their owners. The one that was refused or unanswered is among them:
      * its grant may exist, or be made later by a request still on its way, which the release then forestalls.
      */
-    public List<Handback> handbacks() {
-        List<Handback> handbacks = new ArrayList<>();
+    public List<OwnerRelease> releases() {
+        List<OwnerRelease> handbacks = new ArrayList<>();
         for (int i = 0; refused && i <= grants.size() && i < plan.segments().size(); i++) {
-            handbacks.add(new Handback(plan.segments().get(i).owner(), attempt(whole.attempt(), i)));
+            handbacks.add(new OwnerRelease(plan.segments().get(i).owner(), segmentAttempt(wholeRequest.attempt(), i)));
         }
         return handbacks;
     }
 
     /** Identity of the attempt that reads one segment. */
-    public static AttemptId attempt(AttemptId whole, int segment) {
+    public static AttemptId segmentAttempt(AttemptId whole, int segment) {
         return AttemptId.of(whole.value() + "/" + segment);
     }
 
-    private PlaceRequest request(Segment segment, int index) {
-        Set<BackendServerId> excluded = new HashSet<>(whole.demand().excluded());
+    private PlaceRequest segmentRequest(Segment segment, int index) {
+        Set<BackendServerId> excluded = new HashSet<>(wholeRequest.demand().excluded());
         grants.forEach(each -> excluded.add(each.server()));
         Demand demand = new Demand(
-                whole.demand().model(),
-                whole.demand().adapter(),
+                wholeRequest.demand().model(),
+                wholeRequest.demand().adapter(),
                 segment.promptTokens(),
                 segment.extraKvTokens(),
                 List.of(),
-                whole.demand().priority(),
-                whole.demand().remainingMillis(),
+                wholeRequest.demand().priority(),
+                wholeRequest.demand().remainingMillis(),
                 excluded);
         return new PlaceRequest(
-                attempt(whole.attempt(), index),
-                whole.host(),
-                whole.incarnation(),
-                whole.organisation(),
+                segmentAttempt(wholeRequest.attempt(), index),
+                wholeRequest.host(),
+                wholeRequest.incarnation(),
+                wholeRequest.organisation(),
                 demand,
                 PlaceMode.SEGMENT,
                 segment.contextTokens());
     }
 
     /** One call to an owner. */
-    public record Ask(HostId owner, PlaceRequest request) {}
+    public record OwnerCall(HostId owner, PlaceRequest request) {}
 
     /** One grant to release at its owner. */
-    public record Handback(HostId owner, AttemptId attempt) {}
+    public record OwnerRelease(HostId owner, AttemptId attempt) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupRun.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupRun.java
@@ -25,12 +25,12 @@
  * is released only when its engine has acknowledged all of that. Not thread-safe.
  */
 public final class GroupRun {
-    private final PlaceRequest whole;
+    private final PlaceRequest wholeRequest;
     private final List<Grant> grants;
     private final GroupPlan plan;
-    private final List<String> texts;
+    private final List<String> segmentTexts;
     private final List<KvExport> exports = new ArrayList<>();
-    private final Map<BackendServerId, Set<Cancel>> unfreed = new HashMap<>();
+    private final Map<BackendServerId, Set<Cancel>> unacknowledged = new HashMap<>();
     private final Set<BackendServerId> released = new HashSet<>();
     private int imported;
     private boolean ended;
@@ -39,10 +39,10 @@
         if (grants.size() != plan.segments().size()) {
             throw new IllegalArgumentException("a group runs only when all its engines are reserved");
         }
-        this.whole = whole;
+        this.wholeRequest = whole;
         this.plan = plan;
         this.grants = List.copyOf(grants);
-        this.texts = plan.cut(prompt);
+        this.segmentTexts = plan.split(prompt);
     }
 
     /**
@@ -50,7 +50,7 @@
      *
      * @param delivered pieces that the caller has from an earlier try
      */
-    public Optional<GroupStep> step(List<String> delivered) {
+    public Optional<GroupStep> nextStep(List<String> delivered) {
         if (ended) {
             return Optional.empty();
         }
@@ -60,20 +60,20 @@
             return Optional.of(new GroupStep.ImportKv(on, exports.get(imported), grants.get(imported)));
         }
         if (current < grants.size() - 1) {
-            return Optional.of(new GroupStep.ExportKv(on, request(current, 0, List.of())));
+            return Optional.of(new GroupStep.ExportKv(on, engineRequest(current, 0, List.of())));
         }
-        return Optional.of(
-                new GroupStep.StreamAnswer(on, request(current, whole.demand().maxOutputTokens(), delivered)));
+        return Optional.of(new GroupStep.StreamAnswer(
+                on, engineRequest(current, wholeRequest.demand().maxOutputTokens(), delivered)));
     }
 
-    /** The import that {@link #step} asked for is done. */
+    /** The import that {@link #nextStep} asked for is done. */
     public void imported() {
         if (!ended) {
             imported++;
         }
     }
 
-    /** The segment that {@link #step} asked for was read and is kept. */
+    /** The segment that {@link #nextStep} asked for was read and is kept. */
     public void exported(KvExport export) {
         if (!ended) {
             exports.add(export);
@@ -88,16 +88,16 @@
     public List<Cancel> end() {
         if (!ended) {
             ended = true;
-            grants.forEach(each -> unfreed.put(each.server(), mayHold(each)));
+            grants.forEach(each -> unacknowledged.put(each.server(), cancelsFor(each)));
         }
         List<Cancel> all = new ArrayList<>();
-        grants.forEach(each -> all.addAll(unfreed.get(each.server())));
+        grants.forEach(each -> all.addAll(unacknowledged.get(each.server())));
         return all;
     }
 
     /** The engine holds nothing for it any more. Returns the grant to release when that was the engine's last. */
     public Optional<Grant> freed(Cancel cancel) {
-        Set<Cancel> left = unfreed.get(cancel.server());
+        Set<Cancel> left = unacknowledged.get(cancel.server());
         if (left == null || !left.remove(cancel) || !left.isEmpty() || !released.add(cancel.server())) {
             return Optional.empty();
         }
@@ -107,8 +107,8 @@
     }
 
     /** The engine's incarnation is gone, and its memory with it. Returns the grant to release. */
-    public Optional<Grant> lost(BackendServerId server) {
-        Set<Cancel> left = unfreed.get(server);
+    public Optional<Grant> engineLost(BackendServerId server) {
+        Set<Cancel> left = unacknowledged.get(server);
         if (left == null || !released.add(server)) {
             return Optional.empty();
         }
@@ -122,16 +122,16 @@
     }
 
     /** Whether every grant was handed out for release. */
-    public boolean done() {
+    public boolean isDone() {
         return ended && released.size() == grants.size();
     }
 
     /** The segment that is read now, counted from 0. */
-    public int current() {
+    public int currentSegment() {
         return exports.size();
     }
 
-    private Set<Cancel> mayHold(Grant grant) {
+    private Set<Cancel> cancelsFor(Grant grant) {
         Set<Cancel> cancels = new LinkedHashSet<>();
         cancels.add(Cancel.stream(grant.server(), grant.attempt()));
         for (KvExport each : exports) {
@@ -140,16 +140,16 @@
         return cancels;
     }
 
-    private EngineRequest request(int index, int maxOutputTokens, List<String> delivered) {
-        Demand demand = whole.demand();
+    private EngineRequest engineRequest(int index, int maxOutputTokens, List<String> delivered) {
+        Demand demand = wholeRequest.demand();
         Segment segment = plan.segments().get(index);
         return new EngineRequest(
                 grants.get(index).attempt(),
-                whole.host(),
-                whole.incarnation(),
+                wholeRequest.host(),
+                wholeRequest.incarnation(),
                 demand.model(),
                 demand.adapter(),
-                texts.get(index),
+                segmentTexts.get(index),
                 segment.contextTokens() + segment.promptTokens(),
                 maxOutputTokens,
                 EnginePriority.of(demand.lengthClass()),
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupStep.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupStep.java
@@ -7,14 +7,14 @@
 /** The one call that a group's run waits for; calls are made one after another. */
 public sealed interface GroupStep {
     /** The engine to call. */
-    Grant on();
+    Grant target();
 
     /** Let an engine attend to a segment that another one holds. */
-    record ImportKv(Grant on, KvExport export, Grant from) implements GroupStep {}
+    record ImportKv(Grant target, KvExport export, Grant source) implements GroupStep {}
 
     /** Read a segment and keep its KV. */
-    record ExportKv(Grant on, EngineRequest request) implements GroupStep {}
+    record ExportKv(Grant target, EngineRequest request) implements GroupStep {}
 
     /** Read the last segment and answer. */
-    record StreamAnswer(Grant on, EngineRequest request) implements GroupStep {}
+    record StreamAnswer(Grant target, EngineRequest request) implements GroupStep {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
@@ -22,58 +22,58 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double MILLIS_PER_SECOND = 1_000;
-    private static final long ANSWER_ALLOWANCE_NANOS = 150 * NANOS_PER_MILLI;
-    private static final long DEFAULT_SPEED = 8_000;
-    private static final double SLOWEST = 1;
-    private static final long FIRST_REST_NANOS = 1_000 * NANOS_PER_MILLI;
-    private static final int MOST_REST_DOUBLINGS = 5;
+    private static final long FIRST_TOKEN_ALLOWANCE_NANOS = 150 * NANOS_PER_MILLI;
+    private static final long DEFAULT_TOKENS_PER_SECOND = 8_000;
+    private static final double MIN_TOKENS_PER_SECOND = 1;
+    private static final long INITIAL_COOLDOWN_NANOS = 1_000 * NANOS_PER_MILLI;
+    private static final int MAX_COOLDOWN_DOUBLINGS = 5;
 
     private final LedgerSettings settings;
     private final WaitPredictor predictor;
     private final PrefillBacklog backlog;
-    private final PrefixBelief prefixes = new PrefixBelief();
+    private final PrefixCacheEstimate prefixes = new PrefixCacheEstimate();
     private final Map<AttemptId, LedgerEntry> entries = new LinkedHashMap<>();
-    private final long[] unread = new long[LengthClass.values().length];
-    private final int[] streams = new int[LengthClass.values().length];
+    private final long[] pendingPrefillTokens = new long[LengthClass.values().length];
+    private final int[] openStreamsByClass = new int[LengthClass.values().length];
     private Announcement announcement;
-    private long reserved;
-    private long unregistered;
-    private double speedBound = Double.MAX_VALUE;
-    private long viewedAt;
+    private long grantedKvTokens;
+    private long unregisteredKvTokens;
+    private double maxTokensPerSecond = Double.MAX_VALUE;
+    private long clockNanos;
     private long placedWork;
     private long finishedWork;
     private boolean reachable = true;
-    private int faults;
-    private long restUntil;
+    private int consecutiveFaults;
+    private long cooldownUntilNanos;
 
     EngineLedger(Announcement announcement, LedgerSettings settings, long now) {
         this.settings = settings;
         this.predictor = new WaitPredictor(settings.placement());
-        this.backlog = new PrefillBacklog(speed(announcement), now);
-        this.viewedAt = now;
-        update(announcement);
+        this.backlog = new PrefillBacklog(announcedTokensPerSecond(announcement), now);
+        this.clockNanos = now;
+        updateAnnouncement(announcement);
     }
 
     /** The time that the views of backlog and speed are of. */
-    void viewAt(long now) {
-        viewedAt = now;
+    void advanceClock(long now) {
+        clockNanos = now;
     }
 
-    void update(Announcement next) {
+    void updateAnnouncement(Announcement next) {
         announcement = next;
         reachable = true;
     }
 
-    void unreachable() {
+    void markUnreachable() {
         reachable = false;
     }
 
     void reserve(LedgerEntry entry, long now) {
         entries.put(entry.grant().attempt(), entry);
-        reserved += entry.grant().kvTokens();
-        streams[entry.lengthClass().ordinal()]++;
+        grantedKvTokens += entry.grant().kvTokens();
+        openStreamsByClass[entry.lengthClass().ordinal()]++;
         if (entry.awaitingFirstToken()) {
-            startReading(entry, now);
+            startPrefill(entry, now);
         }
     }
 
@@ -82,42 +82,42 @@
         if (entry == null) {
             return null;
         }
-        reserved -= entry.grant().kvTokens();
-        streams[entry.lengthClass().ordinal()]--;
+        grantedKvTokens -= entry.grant().kvTokens();
+        openStreamsByClass[entry.lengthClass().ordinal()]--;
         if (entry.awaitingFirstToken()) {
-            unread[entry.lengthClass().ordinal()] -= entry.grant().promptTokens();
+            pendingPrefillTokens[entry.lengthClass().ordinal()] -= entry.grant().promptTokens();
             finishedWork += entry.cost();
             backlog.cancel(entry.prefill(), now);
         }
         if (engineFault) {
-            restAfterFault(now);
+            startCooldown(now);
         }
         return entry;
     }
 
-    void firstToken(LedgerEntry entry, long now) {
+    void onFirstToken(LedgerEntry entry, long now) {
         if (!entry.awaitingFirstToken()) {
             return;
         }
-        unread[entry.lengthClass().ordinal()] -= entry.grant().promptTokens();
-        entry.finishReading();
+        pendingPrefillTokens[entry.lengthClass().ordinal()] -= entry.grant().promptTokens();
+        entry.finishPrefill();
         finishedWork += entry.cost();
         backlog.recordFirstToken(entry.prefill(), now);
-        prefixes.stored(entry.prefixHashes());
-        faults = 0;
+        prefixes.recordStored(entry.prefixHashes());
+        consecutiveFaults = 0;
     }
 
     /** A segment's turn to be read has come. */
-    void begin(LedgerEntry entry, long now) {
-        if (!entry.begin(now, finishedWork)) {
+    void beginPrefill(LedgerEntry entry, long now) {
+        if (!entry.beginPrefill(now, finishedWork)) {
             return;
         }
-        startReading(entry, now);
+        startPrefill(entry, now);
     }
 
     /** Memory that the engine holds for streams and exports without a grant here, by its last listing. */
-    void unregistered(long kvTokens) {
-        unregistered = kvTokens;
+    void unregisteredKvTokens(long kvTokens) {
+        unregisteredKvTokens = kvTokens;
     }
 
     void apply(CacheEvents events) {
@@ -130,12 +130,13 @@
      * upper bound of its speed, in whatever order it reads. It shows an engine that has become slow before the first late
      * answer comes.
      */
-    void check(long now) {
-        speedBound = Double.MAX_VALUE;
+    void updateSpeedBound(long now) {
+        maxTokensPerSecond = Double.MAX_VALUE;
         for (LedgerEntry each : entries.values()) {
-            long waited = now - each.readFrom() - ANSWER_ALLOWANCE_NANOS;
+            long waited = now - each.eligibleAtNanos() - FIRST_TOKEN_ALLOWANCE_NANOS;
             if (each.awaitingFirstToken() && waited > 0) {
-                speedBound = Math.min(speedBound, (placedWork - each.workBefore()) * NANOS_PER_SECOND / waited);
+                maxTokensPerSecond = Math.min(
+                        maxTokensPerSecond, (placedWork - each.finishedWorkBefore()) * NANOS_PER_SECOND / waited);
             }
         }
     }
@@ -165,18 +166,18 @@
     }
 
     /** Whether it may get new work: it announces itself, is not leaving and has not just failed. */
-    public boolean takesWork(long now) {
-        return wantsWork() && now - restUntil >= 0;
+    public boolean acceptsWork(long now) {
+        return isAvailable() && now - cooldownUntilNanos >= 0;
     }
 
     /** Whether it announces itself and is not leaving, though it may rest after a failure. */
-    public boolean wantsWork() {
+    public boolean isAvailable() {
         return reachable && !announcement.leaving();
     }
 
     /** Milliseconds that it still rests after a failure; 0 or less when it doesn't. */
-    public long restMillis(long now) {
-        return (restUntil - now) / NANOS_PER_MILLI;
+    public long cooldownMillis(long now) {
+        return (cooldownUntilNanos - now) / NANOS_PER_MILLI;
     }
 
     public boolean reachable() {
@@ -184,9 +185,9 @@
     }
 
     /** Whether each of its grants is past its deadline by more than {@code graceNanos}; true when it has none. */
-    public boolean allOverdue(long now, long graceNanos) {
+    public boolean areAllGrantsOverdue(long now, long graceNanos) {
         for (LedgerEntry each : entries.values()) {
-            if (now - each.deadline() < graceNanos) {
+            if (now - each.deadlineNanos() < graceNanos) {
                 return false;
             }
         }
@@ -194,12 +195,12 @@
     }
 
     /** Sequence number of the last cache event taken in. */
-    public long lastCacheEvent() {
+    public long lastCacheSequence() {
         return prefixes.lastSequence();
     }
 
-    public boolean cacheKnown() {
-        return prefixes.known();
+    public boolean isCacheInSync() {
+        return prefixes.inSync();
     }
 
     /** Prompt work in the engine that it reads before a new prompt of the class. */
@@ -223,8 +224,8 @@
     }
 
     /** Prompt tokens placed here, and begun where they are a segment, whose first answer token has not come. */
-    public long unreadTokens(LengthClass lengthClass) {
-        return unread[lengthClass.ordinal()];
+    public long pendingPrefillTokens(LengthClass lengthClass) {
+        return pendingPrefillTokens[lengthClass.ordinal()];
     }
 
     @Override
@@ -239,7 +240,7 @@
 
     @Override
     public long reservedKvTokens() {
-        return reserved + unregistered;
+        return grantedKvTokens + unregisteredKvTokens;
     }
 
     @Override
@@ -253,7 +254,7 @@
 
     @Override
     public long prefillBacklogTokens(LengthClass lengthClass) {
-        return (long) Math.ceil(backlog.remainingTokens(lengthClass, viewedAt));
+        return (long) Math.ceil(backlog.remainingTokens(lengthClass, clockNanos));
     }
 
     @Override
@@ -263,12 +264,12 @@
 
     @Override
     public int openStreams(LengthClass lengthClass) {
-        return streams[lengthClass.ordinal()];
+        return openStreamsByClass[lengthClass.ordinal()];
     }
 
     @Override
     public double prefillTokensPerSecond() {
-        return Math.max(SLOWEST, Math.min(backlog.tokensPerSecond(viewedAt), speedBound));
+        return Math.max(MIN_TOKENS_PER_SECOND, Math.min(backlog.tokensPerSecond(clockNanos), maxTokensPerSecond));
     }
 
     @Override
@@ -284,7 +285,7 @@
 
     /** First blocks of prompts read here lately, newest first. */
     public List<Long> recentFirstBlocks(int most) {
-        return prefixes.firstBlocks(most);
+        return prefixes.recentFirstBlocks(most);
     }
 
     Grant grant(AttemptId attempt) {
@@ -292,23 +293,24 @@
         return entry == null ? null : entry.grant();
     }
 
-    private void startReading(LedgerEntry entry, long now) {
-        viewedAt = now;
+    private void startPrefill(LedgerEntry entry, long now) {
+        clockNanos = now;
         double work = (double) workAhead(entry.lengthClass()) + entry.cost();
-        entry.reads(backlog.recordPlacement(entry.lengthClass(), entry.cost(), work / prefillTokensPerSecond(), now));
-        unread[entry.lengthClass().ordinal()] += entry.grant().promptTokens();
+        entry.setPrefill(
+                backlog.recordPlacement(entry.lengthClass(), entry.cost(), work / prefillTokensPerSecond(), now));
+        pendingPrefillTokens[entry.lengthClass().ordinal()] += entry.grant().promptTokens();
         placedWork += entry.cost();
     }
 
-    private static long speed(Announcement announcement) {
+    private static long announcedTokensPerSecond(Announcement announcement) {
         long announced = announcement.prefillTokensPerSecond();
-        return announced > 0 ? announced : DEFAULT_SPEED;
+        return announced > 0 ? announced : DEFAULT_TOKENS_PER_SECOND;
     }
 
     /** An engine that refuses each attempt at once looks idle and would draw all work to itself, so it rests first. */
-    private void restAfterFault(long now) {
-        int doublings = Math.min(faults, MOST_REST_DOUBLINGS);
-        restUntil = now + (FIRST_REST_NANOS << doublings);
-        faults++;
+    private void startCooldown(long now) {
+        int doublings = Math.min(consecutiveFaults, MAX_COOLDOWN_DOUBLINGS);
+        cooldownUntilNanos = now + (INITIAL_COOLDOWN_NANOS << doublings);
+        consecutiveFaults++;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/ledger/Ledger.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/Ledger.java
@@ -30,7 +30,7 @@
     private final LedgerSettings settings;
     private final Map<BackendServerId, EngineLedger> engines = new TreeMap<>();
     private final Map<AttemptId, EngineLedger> engineByAttempt = new HashMap<>();
-    private final Map<ModelName, List<EngineLedger>> byModel = new HashMap<>();
+    private final Map<ModelName, List<EngineLedger>> enginesByModel = new HashMap<>();
     private final Map<AttemptId, Boolean> tombstones = new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<AttemptId, Boolean> eldest) {
@@ -46,36 +46,36 @@
     public void announce(Announcement announcement, long now) {
         EngineLedger known = engines.get(announcement.id());
         if (known != null && !known.announcement().incarnation().equals(announcement.incarnation())) {
-            remove(announcement.id());
+            removeEngine(announcement.id());
             known = null;
         }
         if (known == null) {
             engines.put(announcement.id(), new EngineLedger(announcement, settings, now));
-            byModel.clear();
+            enginesByModel.clear();
             return;
         }
         boolean sameNames = known.announcement().names().equals(announcement.names());
-        known.update(announcement);
+        known.updateAnnouncement(announcement);
         if (!sameNames) {
-            byModel.clear();
+            enginesByModel.clear();
         }
     }
 
     /** Stops new work on an engine that fell silent; its grants stay until their entries release them. */
-    public void unreachable(BackendServerId server) {
+    public void markUnreachable(BackendServerId server) {
         EngineLedger engine = engines.get(server);
         if (engine != null) {
-            engine.unreachable();
+            engine.markUnreachable();
         }
     }
 
     /** Forgets an engine with all its grants and returns those. */
-    public List<Grant> remove(BackendServerId server) {
+    public List<Grant> removeEngine(BackendServerId server) {
         EngineLedger engine = engines.remove(server);
         if (engine == null) {
             return List.of();
         }
-        byModel.clear();
+        enginesByModel.clear();
         List<Grant> dropped = new ArrayList<>();
         for (LedgerEntry each : engine.entries()) {
             dropped.add(each.grant());
@@ -119,26 +119,26 @@
     }
 
     /** The prompt was read: it no longer counts as backlog. False when the grant is not held. */
-    public boolean firstToken(AttemptId attempt, long now) {
+    public boolean onFirstToken(AttemptId attempt, long now) {
         EngineLedger engine = engineByAttempt.get(attempt);
         if (engine == null) {
             return false;
         }
-        engine.firstToken(engine.entry(attempt), now);
+        engine.onFirstToken(engine.entry(attempt), now);
         return true;
     }
 
     /** A segment's turn to be read has come: from now on it counts as backlog. False when the grant is not held. */
-    public boolean begin(AttemptId attempt, long now) {
+    public boolean beginPrefill(AttemptId attempt, long now) {
         EngineLedger engine = engineByAttempt.get(attempt);
         if (engine == null) {
             return false;
         }
-        engine.begin(engine.entry(attempt), now);
+        engine.beginPrefill(engine.entry(attempt), now);
         return true;
     }
 
-    public boolean released(AttemptId attempt) {
+    public boolean wasReleased(AttemptId attempt) {
         return tombstones.containsKey(attempt);
     }
 
@@ -167,11 +167,11 @@
     }
 
     /** Grants whose deadline passed more than {@code graceNanos} ago: their entry should have released them. */
-    public List<Grant> overdue(long now, long graceNanos) {
+    public List<Grant> overdueGrants(long now, long graceNanos) {
         List<Grant> found = new ArrayList<>();
         for (EngineLedger engine : engines.values()) {
             for (LedgerEntry each : engine.entries()) {
-                if (now - each.deadline() >= graceNanos) {
+                if (now - each.deadlineNanos() >= graceNanos) {
                     found.add(each.grant());
                 }
             }
@@ -180,14 +180,14 @@
     }
 
     /** Takes in how much memory an engine holds for what has no grant here; a listing comes again, so it ends. */
-    public void unregistered(BackendServerId server, long kvTokens) {
+    public void updateUnregisteredKvTokens(BackendServerId server, long kvTokens) {
         EngineLedger engine = engines.get(server);
         if (engine != null) {
-            engine.unregistered(kvTokens);
+            engine.unregisteredKvTokens(kvTokens);
         }
     }
 
-    public void cacheEvents(BackendServerId server, CacheEvents events) {
+    public void applyCacheEvents(BackendServerId server, CacheEvents events) {
         EngineLedger engine = engines.get(server);
         if (engine != null) {
             engine.apply(events);
@@ -195,16 +195,16 @@
     }
 
     /** Lets every engine take the answers that it owes into account; call several times a second. */
-    public void check(long now) {
+    public void updateSpeedBounds(long now) {
         for (EngineLedger each : engines.values()) {
-            each.check(now);
+            each.updateSpeedBound(now);
         }
     }
 
     /** Moves the views of all engines of a model to a time; call before predicting with them. */
-    public void viewAt(ModelName model, long now) {
+    public void advanceClock(ModelName model, long now) {
         for (EngineLedger each : engines(model)) {
-            each.viewAt(now);
+            each.advanceClock(now);
         }
     }
 
@@ -219,13 +219,13 @@
 
     /** Engines that serve a model, ordered by id, those that take no work included. */
     public List<EngineLedger> engines(ModelName model) {
-        List<EngineLedger> known = byModel.get(model);
+        List<EngineLedger> known = enginesByModel.get(model);
         if (known != null) {
             return known;
         }
-        List<EngineLedger> found = enginesOf(model);
+        List<EngineLedger> found = findEngines(model);
         if (!found.isEmpty()) {
-            byModel.put(model, found);
+            enginesByModel.put(model, found);
         }
         return found;
     }
@@ -244,7 +244,7 @@
         return engineByAttempt.size();
     }
 
-    private List<EngineLedger> enginesOf(ModelName model) {
+    private List<EngineLedger> findEngines(ModelName model) {
         return engines.values().stream().filter(each -> each.serves(model)).toList();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/ledger/LedgerEntry.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/LedgerEntry.java
@@ -12,11 +12,11 @@
     private final LengthClass lengthClass;
     private final List<Long> prefixHashes;
     private final long cost;
-    private long readFrom;
-    private final long deadline;
-    private long workBefore;
+    private long eligibleAtNanos;
+    private final long deadlineNanos;
+    private long finishedWorkBefore;
     private boolean awaitingFirstToken;
-    private boolean read;
+    private boolean prefillFinished;
     private PrefillBacklog.Prefill prefill;
 
     LedgerEntry(Grant grant, List<Long> prefixHashes, long cost, long placedAt, long deadline, long workBefore) {
@@ -24,9 +24,9 @@
         this.lengthClass = LengthClass.of(grant.promptTokens());
         this.prefixHashes = prefixHashes;
         this.cost = cost;
-        this.readFrom = placedAt;
-        this.deadline = deadline;
-        this.workBefore = workBefore;
+        this.eligibleAtNanos = placedAt;
+        this.deadlineNanos = deadline;
+        this.finishedWorkBefore = workBefore;
         this.awaitingFirstToken = grant.awaitingFirstToken();
     }
 
@@ -48,17 +48,17 @@
     }
 
     /** When the engine could begin to read the prompt. */
-    long readFrom() {
-        return readFrom;
+    long eligibleAtNanos() {
+        return eligibleAtNanos;
     }
 
-    long deadline() {
-        return deadline;
+    long deadlineNanos() {
+        return deadlineNanos;
     }
 
     /** Work that the engine had finished, of all ever placed, when it could begin to read this prompt. */
-    long workBefore() {
-        return workBefore;
+    long finishedWorkBefore() {
+        return finishedWorkBefore;
     }
 
     boolean awaitingFirstToken() {
@@ -66,13 +66,13 @@
     }
 
     /** The engine may read it from now on; false when it may already, or has. */
-    boolean begin(long now, long finishedWork) {
-        if (awaitingFirstToken || read) {
+    boolean beginPrefill(long now, long finishedWork) {
+        if (awaitingFirstToken || prefillFinished) {
             return false;
         }
         awaitingFirstToken = true;
-        readFrom = now;
-        workBefore = finishedWork;
+        eligibleAtNanos = now;
+        finishedWorkBefore = finishedWork;
         return true;
     }
 
@@ -81,13 +81,13 @@
         return prefill;
     }
 
-    void reads(PrefillBacklog.Prefill place) {
+    void setPrefill(PrefillBacklog.Prefill place) {
         prefill = place;
     }
 
-    void finishReading() {
+    void finishPrefill() {
         awaitingFirstToken = false;
-        read = true;
-        grant = grant.started();
+        prefillFinished = true;
+        grant = grant.afterFirstToken();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/ledger/PrefixBelief.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/PrefixCacheEstimate.java
@@ -15,7 +15,7 @@
  * costs a slow prefill, never a wrong answer. After a gap nothing is believed until a batch without one arrives.
  * Bounded: the blocks unused longest are forgotten first.
  */
-final class PrefixBelief {
+final class PrefixCacheEstimate {
     private static final int MAX_BLOCKS = 4_096;
     private static final int MAX_FIRST_BLOCKS = 16;
     private static final int INITIAL_BLOCKS = 64;
@@ -27,17 +27,17 @@
             return size() > MAX_BLOCKS;
         }
     };
-    private final Set<Long> recentFirst = new LinkedHashSet<>();
+    private final Set<Long> recentFirstBlocks = new LinkedHashSet<>();
     private long lastSequence;
-    private boolean known = true;
+    private boolean inSync = true;
 
     /** Sequence number to ask for events after. */
     long lastSequence() {
         return lastSequence;
     }
 
-    boolean known() {
-        return known;
+    boolean inSync() {
+        return inSync;
     }
 
     int size() {
@@ -46,7 +46,7 @@
 
     /** Leading blocks believed cached. */
     int leadingBlocks(List<Long> prefixHashes) {
-        if (!known) {
+        if (!inSync) {
             return 0;
         }
         int leading = 0;
@@ -60,21 +60,21 @@
     }
 
     /** First blocks of the prompts read here last, newest first. */
-    List<Long> firstBlocks(int most) {
-        List<Long> newest = new ArrayList<>(recentFirst);
+    List<Long> recentFirstBlocks(int most) {
+        List<Long> newest = new ArrayList<>(recentFirstBlocks);
         Collections.reverse(newest);
         return newest.subList(0, Math.min(most, newest.size()));
     }
 
     /** A prompt was read here, so its blocks were stored; they also count as used now. */
-    void stored(List<Long> prefixHashes) {
+    void recordStored(List<Long> prefixHashes) {
         if (prefixHashes.isEmpty()) {
             return;
         }
-        recentFirst.remove(prefixHashes.get(0));
-        recentFirst.add(prefixHashes.get(0));
-        if (recentFirst.size() > MAX_FIRST_BLOCKS) {
-            recentFirst.remove(recentFirst.iterator().next());
+        recentFirstBlocks.remove(prefixHashes.get(0));
+        recentFirstBlocks.add(prefixHashes.get(0));
+        if (recentFirstBlocks.size() > MAX_FIRST_BLOCKS) {
+            recentFirstBlocks.remove(recentFirstBlocks.iterator().next());
         }
         int kept = Math.min(prefixHashes.size(), MAX_BLOCKS);
         for (int i = kept - 1; i >= 0; i--) {
@@ -87,7 +87,7 @@
         if (events.lastSequence() <= lastSequence) {
             return;
         }
-        known = true;
+        inSync = true;
         for (CacheEvents.Event each : events.events()) {
             if (each.sequence() > lastSequence) {
                 apply(each);
@@ -95,14 +95,14 @@
         }
         // A batch whose tail is missing hides evictions: prompts would be sent here for a cache that is gone.
         if (lastSequence < events.lastSequence()) {
-            forget();
+            reset();
             lastSequence = events.lastSequence();
         }
     }
 
     private void apply(CacheEvents.Event event) {
         if (event.sequence() > lastSequence + 1) {
-            forget();
+            reset();
         }
         lastSequence = event.sequence();
         if (event.stored()) {
@@ -112,9 +112,9 @@
         }
     }
 
-    private void forget() {
+    private void reset() {
         blocks.clear();
-        recentFirst.clear();
-        known = false;
+        recentFirstBlocks.clear();
+        inSync = false;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/owner/GoneHosts.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/LostHosts.java
@@ -16,41 +16,41 @@
  * proves nothing: an entry may place a request before the list that shows it arrives here, and cancelling then would
  * break a live caller's stream. A list that shows it comes with the next renewal of this host's lease.
  */
-final class GoneHosts {
+final class LostHosts {
     private final long graceNanos;
-    private final Map<Start, Long> missingSince = new HashMap<>();
-    private final Set<Start> gone = new HashSet<>();
+    private final Map<HostIncarnation, Long> missingSince = new HashMap<>();
+    private final Set<HostIncarnation> lost = new HashSet<>();
 
-    GoneHosts(long graceNanos) {
+    LostHosts(long graceNanos) {
         this.graceNanos = graceNanos;
     }
 
     /** Looks again which of the starts that hold grants are missing. */
-    void look(Collection<Start> holders, LiveHosts live, long now) {
-        Set<Start> missing = new HashSet<>();
-        for (Start each : holders) {
-            if (live.gone(each.host(), each.incarnation())) {
+    void update(Collection<HostIncarnation> holders, LiveHosts live, long now) {
+        Set<HostIncarnation> missing = new HashSet<>();
+        for (HostIncarnation each : holders) {
+            if (live.hasEnded(each.host(), each.incarnation())) {
                 missing.add(each);
             }
         }
         missingSince.keySet().retainAll(missing);
-        gone.clear();
-        for (Start each : missing) {
+        lost.clear();
+        for (HostIncarnation each : missing) {
             long since = missingSince.computeIfAbsent(each, start -> now);
             if (now - since >= graceNanos) {
-                gone.add(each);
+                lost.add(each);
             }
         }
     }
 
-    boolean any() {
-        return !gone.isEmpty();
+    boolean hasLost() {
+        return !lost.isEmpty();
     }
 
-    boolean includes(Grant grant) {
-        return gone.contains(new Start(grant.host(), grant.incarnation()));
+    boolean isHolderLost(Grant grant) {
+        return lost.contains(new HostIncarnation(grant.host(), grant.incarnation()));
     }
 
     /** One start of a host. */
-    record Start(HostId host, Incarnation incarnation) {}
+    record HostIncarnation(HostId host, Incarnation incarnation) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
@@ -23,7 +23,7 @@
 import org.elmline.core.placement.PlacementPolicy;
 import org.elmline.core.route.Grant;
 import org.elmline.core.route.ModelSummary;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 
 /**
@@ -34,11 +34,11 @@
 final class ModelPlacer {
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long LEAST_RETRY_MILLIS = 250;
+    private static final long MIN_RETRY_MILLIS = 250;
     private static final long NO_ENGINE_RETRY_MILLIS = 1_000;
-    private static final long WAITED_REST_MILLIS = 1_000;
-    private static final long RECENT_NANOS = 20 * NANOS_PER_MILLI;
-    private static final int SUMMARY_PREFIXES = 16;
+    private static final long MAX_COOLDOWN_WAIT_MILLIS = 1_000;
+    private static final long SUMMARY_CACHE_NANOS = 20 * NANOS_PER_MILLI;
+    private static final int MAX_SUMMARY_PREFIXES = 16;
 
     private final ModelName model;
     private final Ledger ledger;
@@ -47,11 +47,11 @@
     private final OwnerSettings settings;
     private final AdmissionQueue queue;
     private final VirtualCounters counters = new VirtualCounters();
-    private final List<Decided> decided = new ArrayList<>();
+    private final List<OwnerDecision> decisions = new ArrayList<>();
     private long arrivals;
-    private ModelSummary recent;
-    private long recentAt;
-    private boolean answered;
+    private ModelSummary cachedSummary;
+    private long cachedSummaryAtNanos;
+    private boolean summaryCached;
 
     ModelPlacer(
             ModelName model, Ledger ledger, PlacementPolicy policy, RandomGenerator random, OwnerSettings settings) {
@@ -63,9 +63,9 @@
         this.queue = new AdmissionQueue(settings.queueCapacity());
     }
 
-    /** Takes a request in; its answer, if there is one yet, is among {@link #takeDecided}. */
+    /** Takes a request in; its answer, if there is one yet, is among {@link #drainDecisions}. */
     void add(PlaceRequest request, int weight, long now) {
-        ledger.viewAt(model, now);
+        ledger.advanceClock(model, now);
         Demand demand = request.demand();
         long work = settings.ledger().cost().costTokens(demand.promptTokens(), 0);
         double start = counters.charge(request.organisation(), weight, demand.kvTokens());
@@ -73,13 +73,13 @@
         QueuedRequest waiting =
                 new QueuedRequest(request, weight, work, demand.kvTokens(), start, deadline, arrivals++);
         Optional<QueuedRequest> shed = queue.add(waiting);
-        shed.ifPresent(each -> refuse(each, overloaded(each, "queue is full", now), now));
+        shed.ifPresent(each -> refuse(each, overloadedRefusal(each, "queue is full", now), now));
         place(now);
         if (waits(request.attempt()) && !request.mode().mayWait()) {
-            refuse(waiting, overloaded(waiting, "no engine has the memory now", now), now);
+            refuse(waiting, overloadedRefusal(waiting, "no engine has the memory now", now), now);
         }
         if (waits(request.attempt())) {
-            refuseIfHopeless(waiting, queue.costTokensAhead(waiting), now);
+            refuseIfInfeasible(waiting, queue.costTokensAhead(waiting), now);
         }
     }
 
@@ -90,17 +90,17 @@
     /** The caller left before its request was placed. */
     boolean withdraw(AttemptId attempt) {
         Optional<QueuedRequest> waiting = queue.find(attempt);
-        waiting.ifPresent(this::drop);
+        waiting.ifPresent(this::removeAndRefund);
         return waiting.isPresent();
     }
 
     void expire(AttemptId attempt, long now) {
-        queue.find(attempt).ifPresent(each -> refuse(each, late(), now));
+        queue.find(attempt).ifPresent(each -> refuse(each, deadlineRefusal(), now));
     }
 
     /** Places what has room now, in order. */
     void place(long now) {
-        ledger.viewAt(model, now);
+        ledger.advanceClock(model, now);
         Set<AdmissionQueue.QueueKey> blocked = new HashSet<>();
         Optional<QueuedRequest> next = queue.next(blocked);
         while (next.isPresent()) {
@@ -115,11 +115,11 @@
     }
 
     /** Refuses every waiting request that can no longer meet its deadline, so that its caller can go elsewhere. */
-    void refuseHopeless(long now) {
+    void refuseInfeasible(long now) {
         long[] work = new long[LengthClass.values().length];
         for (QueuedRequest each : queue.inPlacementOrder()) {
             int index = each.lengthClass().ordinal();
-            refuseIfHopeless(each, Arrays.stream(work, 0, index + 1).sum(), now);
+            refuseIfInfeasible(each, Arrays.stream(work, 0, index + 1).sum(), now);
             work[index] += waits(each.request().attempt()) ? each.costTokens() : 0;
         }
     }
@@ -130,20 +130,20 @@
         }
     }
 
-    List<Decided> takeDecided() {
-        List<Decided> taken = List.copyOf(decided);
-        decided.clear();
+    List<OwnerDecision> drainDecisions() {
+        List<OwnerDecision> taken = List.copyOf(decisions);
+        decisions.clear();
         return taken;
     }
 
-    int waiting() {
+    int queueSize() {
         return queue.size();
     }
 
     /** Empty when no engine here serves the model. */
     Optional<ModelSummary> summary(long now) {
-        ledger.viewAt(model, now);
-        List<EngineLedger> ready = ready(now);
+        ledger.advanceClock(model, now);
+        List<EngineLedger> ready = readyEngines(now);
         if (ready.isEmpty()) {
             return Optional.empty();
         }
@@ -153,25 +153,25 @@
         for (EngineLedger each : ready) {
             mostFree = Math.max(mostFree, each.freeKvTokens());
             allFree += Math.max(0, each.freeKvTokens());
-            for (Long hash : each.recentFirstBlocks(SUMMARY_PREFIXES)) {
-                if (prefixes.size() < SUMMARY_PREFIXES) {
+            for (Long hash : each.recentFirstBlocks(MAX_SUMMARY_PREFIXES)) {
+                if (prefixes.size() < MAX_SUMMARY_PREFIXES) {
                     prefixes.add(ModelSummary.shortHash(hash));
                 }
             }
         }
-        int speed = (int) Math.round(totalSpeed(ready) / ready.size());
+        int speed = (int) Math.round(totalTokensPerSecond(ready) / ready.size());
         return Optional.of(
                 new ModelSummary(model, ready.size(), waits(ready), speed, mostFree, allFree, List.copyOf(prefixes)));
     }
 
     /** A summary looks at every engine; made for each answer, it would cost more than placing. */
     private ModelSummary recentSummary(long now) {
-        if (!answered || now - recentAt >= RECENT_NANOS) {
-            recent = summary(now).orElse(null);
-            recentAt = now;
-            answered = true;
+        if (!summaryCached || now - cachedSummaryAtNanos >= SUMMARY_CACHE_NANOS) {
+            cachedSummary = summary(now).orElse(null);
+            cachedSummaryAtNanos = now;
+            summaryCached = true;
         }
-        return recent;
+        return cachedSummary;
     }
 
     private List<Integer> waits(List<EngineLedger> ready) {
@@ -179,7 +179,7 @@
         for (QueuedRequest each : queue.inPlacementOrder()) {
             queued[each.lengthClass().ordinal()] += each.costTokens();
         }
-        double speed = totalSpeed(ready);
+        double speed = totalTokensPerSecond(ready);
         List<Integer> waits = new ArrayList<>();
         for (LengthClass each : LengthClass.values()) {
             long shortest = ready.stream()
@@ -196,11 +196,11 @@
     private boolean tryPlace(QueuedRequest waiting, long now) {
         Demand demand = waiting.request().demand();
         if (waiting.remainingMillis(now) <= 0) {
-            refuse(waiting, late(), now);
+            refuse(waiting, deadlineRefusal(), now);
             return true;
         }
-        List<EngineLedger> ready = ready(demand, now);
-        Optional<Refusal> unservable = ready.isEmpty() ? noEngine(demand, now) : tooLarge(demand, ready);
+        List<EngineLedger> ready = readyEngines(demand, now);
+        Optional<Refusal> unservable = ready.isEmpty() ? noEngineRefusal(demand, now) : tooLargeRefusal(demand, ready);
         if (unservable.isPresent()) {
             refuse(waiting, unservable.get(), now);
             return true;
@@ -209,10 +209,10 @@
         if (chosen.isEmpty()) {
             return false;
         }
-        return tryEngine(waiting, chosen.get(), ready, now);
+        return tryPlaceOn(waiting, chosen.get(), ready, now);
     }
 
-    private boolean tryEngine(QueuedRequest waiting, EngineLedger chosen, List<EngineLedger> ready, long now) {
+    private boolean tryPlaceOn(QueuedRequest waiting, EngineLedger chosen, List<EngineLedger> ready, long now) {
         Demand demand = waiting.request().demand();
         EngineLedger engine = chosen;
         if (engine.firstTokenMillis(demand) > waiting.remainingMillis(now)) {
@@ -220,7 +220,7 @@
         }
         long predicted = engine.firstTokenMillis(demand);
         if (predicted > waiting.remainingMillis(now)) {
-            refuse(waiting, overloaded(waiting, "no engine can answer before the deadline", now), now);
+            refuse(waiting, overloadedRefusal(waiting, "no engine can answer before the deadline", now), now);
             return true;
         }
         if (engine.waitMillis(demand.lengthClass()) > settings.engineQueueMillis()) {
@@ -248,13 +248,13 @@
                 engine.cachedTokens(demand),
                 predictedMillis,
                 waiting.remainingMillis(now),
-                request.mode().readAtOnce());
+                request.mode().startsPrefillOnGrant());
         if (!ledger.reserve(grant, demand.prefixHashes(), request.contextTokens(), now)) {
             throw new IllegalStateException("attempt " + request.attempt() + " waits though the ledger knows it");
         }
         queue.remove(waiting);
         counters.recordServed(waiting.virtualStart());
-        decided.add(new Decided(request, new PlaceAnswer.Placed(grant, recentSummary(now))));
+        decisions.add(new OwnerDecision(request, new OwnerPlaceAnswer.Placed(grant, recentSummary(now))));
     }
 
     private Optional<EngineLedger> choose(Demand demand, List<EngineLedger> ready) {
@@ -275,14 +275,14 @@
     }
 
     /** Empty when an engine rests so shortly that waiting for it beats trying elsewhere. */
-    private Optional<Refusal> noEngine(Demand demand, long now) {
+    private Optional<Refusal> noEngineRefusal(Demand demand, long now) {
         long rest = Long.MAX_VALUE;
         for (EngineLedger each : ledger.engines(model)) {
-            if (each.wantsWork() && mayServe(each, demand)) {
-                rest = Math.min(rest, each.restMillis(now));
+            if (each.isAvailable() && canServe(each, demand)) {
+                rest = Math.min(rest, each.cooldownMillis(now));
             }
         }
-        if (rest <= WAITED_REST_MILLIS) {
+        if (rest <= MAX_COOLDOWN_WAIT_MILLIS) {
             return Optional.empty();
         }
         long retryMillis = rest == Long.MAX_VALUE ? NO_ENGINE_RETRY_MILLIS : rest;
@@ -290,12 +290,12 @@
         return Optional.of(Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, why, retryMillis));
     }
 
-    private static boolean mayServe(EngineLedger engine, Demand demand) {
+    private static boolean canServe(EngineLedger engine, Demand demand) {
         return engine.hasAdapter(demand.adapter()) && !demand.excluded().contains(engine.id());
     }
 
     /** Why no engine here could serve the demand even when idle. */
-    private static Optional<Refusal> tooLarge(Demand demand, List<EngineLedger> ready) {
+    private static Optional<Refusal> tooLargeRefusal(Demand demand, List<EngineLedger> ready) {
         for (EngineLedger each : ready) {
             if (each.capacityKvTokens() >= demand.kvTokens()) {
                 return Optional.empty();
@@ -305,32 +305,32 @@
                 RefusalReason.TOO_LARGE, demand.kvTokens() + " tokens are more than any engine of this owner holds"));
     }
 
-    private List<EngineLedger> ready(Demand demand, long now) {
+    private List<EngineLedger> readyEngines(Demand demand, long now) {
         List<EngineLedger> ready = new ArrayList<>();
         for (EngineLedger each : ledger.engines(model)) {
-            if (each.takesWork(now) && mayServe(each, demand)) {
+            if (each.acceptsWork(now) && canServe(each, demand)) {
                 ready.add(each);
             }
         }
         return ready;
     }
 
-    private List<EngineLedger> ready(long now) {
+    private List<EngineLedger> readyEngines(long now) {
         return ledger.engines(model).stream()
-                .filter(each -> each.takesWork(now))
+                .filter(each -> each.acceptsWork(now))
                 .toList();
     }
 
-    private void refuseIfHopeless(QueuedRequest waiting, long workAhead, long now) {
+    private void refuseIfInfeasible(QueuedRequest waiting, long workAhead, long now) {
         long predicted = predictedMillis(waiting, workAhead, now);
         if (predicted > waiting.remainingMillis(now)) {
-            refuse(waiting, overloaded(waiting, "the queue is longer than the time left", now), now);
+            refuse(waiting, overloadedRefusal(waiting, "the queue is longer than the time left", now), now);
         }
     }
 
     private long predictedMillis(QueuedRequest waiting, long workAhead, long now) {
         Demand demand = waiting.request().demand();
-        List<EngineLedger> ready = ready(demand, now);
+        List<EngineLedger> ready = readyEngines(demand, now);
         if (ready.isEmpty()) {
             return 0;
         }
@@ -338,30 +338,30 @@
                 .mapToLong(each -> each.firstTokenMillis(demand))
                 .min()
                 .getAsLong();
-        return best + Math.round(workAhead * MILLIS_PER_SECOND / totalSpeed(ready));
+        return best + Math.round(workAhead * MILLIS_PER_SECOND / totalTokensPerSecond(ready));
     }
 
-    private Refusal overloaded(QueuedRequest waiting, String why, long now) {
+    private Refusal overloadedRefusal(QueuedRequest waiting, String why, long now) {
         long predicted = predictedMillis(waiting, queue.costTokensAhead(waiting), now);
         long late = predicted - Math.max(0, waiting.remainingMillis(now));
-        return Refusal.comeBack(RefusalReason.OVERLOADED, why, Math.max(LEAST_RETRY_MILLIS, late));
+        return Refusal.comeBack(RefusalReason.OVERLOADED, why, Math.max(MIN_RETRY_MILLIS, late));
     }
 
-    private static Refusal late() {
-        return Refusal.comeBack(RefusalReason.DEADLINE, "not placed before its deadline", LEAST_RETRY_MILLIS);
+    private static Refusal deadlineRefusal() {
+        return Refusal.comeBack(RefusalReason.DEADLINE, "not placed before its deadline", MIN_RETRY_MILLIS);
     }
 
     private void refuse(QueuedRequest waiting, Refusal refusal, long now) {
-        drop(waiting);
-        decided.add(new Decided(waiting.request(), new PlaceAnswer.Refused(refusal, recentSummary(now))));
+        removeAndRefund(waiting);
+        decisions.add(new OwnerDecision(waiting.request(), new OwnerPlaceAnswer.Refused(refusal, recentSummary(now))));
     }
 
-    private void drop(QueuedRequest waiting) {
+    private void removeAndRefund(QueuedRequest waiting) {
         queue.remove(waiting);
         counters.refund(waiting.request().organisation(), waiting.weight(), waiting.chargedTokens());
     }
 
-    private static double totalSpeed(List<EngineLedger> engines) {
+    private static double totalTokensPerSecond(List<EngineLedger> engines) {
         return engines.stream()
                 .mapToDouble(EngineLedger::prefillTokensPerSecond)
                 .sum();
--- a/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
@@ -40,9 +40,9 @@
 import org.elmline.core.route.GrantReport;
 import org.elmline.core.route.GrantReportAnswer;
 import org.elmline.core.route.ModelSummary;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.OwnerSummary;
 import org.elmline.core.route.Ownership;
-import org.elmline.core.route.PlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.RegisterAnswer;
 import org.elmline.core.route.RegisterGrants;
@@ -51,7 +51,7 @@
 import org.elmline.core.stream.Cancel;
 import org.elmline.core.stream.CancelQueue;
 import org.elmline.core.stream.LiveHosts;
-import org.elmline.core.stream.StrayFinder;
+import org.elmline.core.stream.OrphanFinder;
 
 /**
  * One entry as the owner of its backend servers. All methods may be called from any thread; one lock guards all state,
@@ -76,15 +76,15 @@
     private final Map<ModelName, ModelPlacer> placers = new HashMap<>();
     private final TimingWheel<AttemptId> deadlines = new TimingWheel<>(TICK_NANOS, WHEEL_SLOTS);
     private final Map<AttemptId, ModelName> waiting = new HashMap<>();
-    private final List<Decided> undelivered = new ArrayList<>();
+    private final List<OwnerDecision> undeliveredDecisions = new ArrayList<>();
     private final CancelQueue cancels = new CancelQueue();
-    private final GoneHosts goneHosts;
-    private final StrayFinder strays;
-    private final Audits audits = new Audits();
+    private final LostHosts lostHosts;
+    private final OrphanFinder orphans;
+    private final PendingAudits pendingAudits = new PendingAudits();
     private Configuration configuration = Configuration.EMPTY;
     private Ownership ownership = new Ownership(List.of());
     private LiveHosts hosts = new LiveHosts(List.of());
-    private boolean membersKnown;
+    private boolean membersReceived;
     private long leaseUntil;
     private boolean leaseHeld;
     private boolean leaving;
@@ -101,8 +101,8 @@
         this.settings = settings;
         this.servers = new ServerTable(settings.leaseMillis());
         this.ledger = new Ledger(settings.ledger());
-        this.goneHosts = new GoneHosts(settings.strayGraceMillis() * NANOS_PER_MILLI);
-        this.strays = new StrayFinder(settings.strayGraceMillis() * NANOS_PER_MILLI);
+        this.lostHosts = new LostHosts(settings.orphanGraceMillis() * NANOS_PER_MILLI);
+        this.orphans = new OrphanFinder(settings.orphanGraceMillis() * NANOS_PER_MILLI);
     }
 
     /** Places nothing from this time on; an owner begins without a lease and so places nothing until told. */
@@ -120,8 +120,8 @@
     public synchronized void members(Collection<HostRecord> members, long now) {
         ownership = new Ownership(members);
         hosts = new LiveHosts(members);
-        membersKnown = true;
-        reclaimGone(now);
+        membersReceived = true;
+        reclaimFromLostHosts(now);
     }
 
     /** Refuses new work from now on; open grants go on. */
@@ -129,7 +129,7 @@
         leaving = true;
         Refusal refusal = Refusal.comeBack(RefusalReason.LEAVING, "this entry is stopping", NO_LEASE_RETRY_MILLIS);
         placers.values().forEach(each -> each.refuseAll(refusal, now));
-        placers.forEach((model, placer) -> collect(placer));
+        placers.forEach((model, placer) -> collectDecisions(placer));
     }
 
     /** Takes over a backend server, or renews its lease. */
@@ -137,29 +137,30 @@
         AnnounceResult result = servers.announce(announcement, now);
         if (result.accepted() && announcement.kind() == BackendKind.ENGINE) {
             if (result == AnnounceResult.RESTARTED) {
-                cancels.forget(announcement.id());
-                strays.forget(announcement.id());
+                cancels.removeServer(announcement.id());
+                orphans.removeServer(announcement.id());
             }
             ledger.announce(announcement, now);
             ledger.models().forEach(each -> placers.computeIfAbsent(each, this::newPlacer));
         }
-        return new AnnounceAnswer(settings.announceIntervalMillis(), settings.leaseMillis(), announceTo(announcement));
+        return new AnnounceAnswer(
+                settings.announceIntervalMillis(), settings.leaseMillis(), announceAddresses(announcement));
     }
 
     /** Empty when the request waits; its answer then comes from {@link #advance}, at the latest at its deadline. */
-    public synchronized Optional<PlaceAnswer> place(PlaceRequest request, long now) {
+    public synchronized Optional<OwnerPlaceAnswer> place(PlaceRequest request, long now) {
         if (waiting.containsKey(request.attempt())) {
             return Optional.empty();
         }
-        Optional<PlaceAnswer> known = answerBefore(request, now);
+        Optional<OwnerPlaceAnswer> known = immediateAnswer(request, now);
         if (known.isPresent()) {
             return known;
         }
         ModelName model = request.demand().model();
         ModelPlacer placer = placers.get(model);
         placer.add(request, weight(request), now);
-        collect(placer);
-        Optional<PlaceAnswer> answer = takeUndelivered(request.attempt());
+        collectDecisions(placer);
+        Optional<OwnerPlaceAnswer> answer = removeDecision(request.attempt());
         if (answer.isPresent()) {
             return answer;
         }
@@ -172,10 +173,10 @@
     public synchronized GrantReportAnswer report(GrantReport report, long now) {
         int unknown = 0;
         for (AttemptId each : report.begun()) {
-            unknown += ledger.begin(each, now) ? 0 : 1;
+            unknown += ledger.beginPrefill(each, now) ? 0 : 1;
         }
         for (FirstToken each : report.firstTokens()) {
-            unknown += ledger.firstToken(each.attempt(), now) ? 0 : 1;
+            unknown += ledger.onFirstToken(each.attempt(), now) ? 0 : 1;
         }
         for (Release each : report.releases()) {
             unknown += release(each, now) ? 0 : 1;
@@ -188,7 +189,7 @@
     public synchronized RegisterAnswer register(RegisterGrants request, long now) {
         List<AttemptId> notOwned = new ArrayList<>();
         for (Grant each : request.grants()) {
-            boolean held = ledger.grant(each.attempt()).isPresent() || ledger.released(each.attempt());
+            boolean held = ledger.grant(each.attempt()).isPresent() || ledger.wasReleased(each.attempt());
             if (!held && !ledger.reserve(each, List.of(), 0, now)) {
                 notOwned.add(each.attempt());
             }
@@ -197,69 +198,69 @@
     }
 
     /** Moves time on: ends leases, expires and places waiting requests. Returns the answers that became known. */
-    public synchronized List<Decided> advance(long now) {
+    public synchronized List<OwnerDecision> advance(long now) {
         for (Announcement each : servers.expire(now)) {
-            ledger.unreachable(each.id());
+            ledger.markUnreachable(each.id());
         }
-        ledger.check(now);
+        ledger.updateSpeedBounds(now);
         long grace = settings.reclaimGraceMillis() * NANOS_PER_MILLI;
-        reclaim(ledger.overdue(now, grace), now);
-        reclaimGone(now);
-        forgetLostEngines(now, 2 * grace);
+        reclaim(ledger.overdueGrants(now, grace), now);
+        reclaimFromLostHosts(now);
+        removeLostEngines(now, 2 * grace);
         for (AttemptId each : deadlines.expire(now)) {
             placers.get(waiting.get(each)).expire(each, now);
         }
         for (ModelPlacer each : placers.values()) {
             each.place(now);
-            each.refuseHopeless(now);
-            collect(each);
+            each.refuseInfeasible(now);
+            collectDecisions(each);
         }
-        List<Decided> taken = List.copyOf(undelivered);
-        undelivered.clear();
+        List<OwnerDecision> taken = List.copyOf(undeliveredDecisions);
+        undeliveredDecisions.clear();
         return taken;
     }
 
     /**
      * What an engine holds now, as it says itself; shows what a dead entry left there. Returns what to ask live entries
      * about: a call that an entry gave up may still have reached the engine, after the cancel did. Their answers go to
-     * {@link #audited}.
+     * {@link #onAuditAnswer}.
      */
-    public synchronized List<AuditRequest> listed(
+    public synchronized List<AuditRequest> onEngineListing(
             BackendServerId server, List<StreamInfo> streams, List<KvExport> exports, long now) {
-        if (!membersKnown) {
+        if (!membersReceived) {
             return List.of();
         }
         Predicate<AttemptId> registered = id -> ledger.grant(id).isPresent();
-        StrayFinder.Strays found = strays.find(server, streams, exports, hosts, registered, now);
-        found.strays().forEach(each -> cancels.add(each, now));
-        ledger.unregistered(server, unregistered(streams, exports, registered));
-        audits.forget(server);
-        return audits.ask(found.doubts());
+        OrphanFinder.Findings found = orphans.find(server, streams, exports, hosts, registered, now);
+        found.orphans().forEach(each -> cancels.add(each, now));
+        ledger.updateUnregisteredKvTokens(server, unregisteredKvTokens(streams, exports, registered));
+        pendingAudits.removeServer(server);
+        return pendingAudits.createRequests(found.unregistered());
     }
 
     /** An entry says which attempts it is not running. */
-    public synchronized void audited(AuditRequest request, AuditAnswer answer, long now) {
-        for (Cancel each : audits.answered(request, answer)) {
+    public synchronized void onAuditAnswer(AuditRequest request, AuditAnswer answer, long now) {
+        for (Cancel each : pendingAudits.resolve(request, answer)) {
             if (ledger.grant(each.attempt()).isEmpty()) {
                 cancels.add(each, now);
             }
         }
     }
 
-    /** Cancels to send to engines now; each comes again until {@link #acknowledged}. */
+    /** Cancels to send to engines now; each comes again until {@link #onCancelAcknowledged}. */
     public synchronized List<Cancel> cancels(long now) {
         return cancels.due(now);
     }
 
     /** The engine holds nothing for it any more. */
-    public synchronized void acknowledged(Cancel cancel, long now) {
-        if (cancels.acknowledge(cancel) && !cancel.ofExport()) {
+    public synchronized void onCancelAcknowledged(Cancel cancel, long now) {
+        if (cancels.acknowledge(cancel) && !cancel.targetsExport()) {
             ledger.release(cancel.attempt(), false, now);
         }
     }
 
-    public synchronized void cacheEvents(BackendServerId server, CacheEvents events) {
-        ledger.cacheEvents(server, events);
+    public synchronized void applyCacheEvents(BackendServerId server, CacheEvents events) {
+        ledger.applyCacheEvents(server, events);
     }
 
     /** The state to send to every entry. */
@@ -269,7 +270,7 @@
             summary(each, now).ifPresent(models::add);
         }
         List<Integer> owned = servers.ids().stream().map(Ownership::shortHash).toList();
-        return new OwnerSummary(self.id(), self.incarnation(), ++sequence, owned, models, services());
+        return new OwnerSummary(self.id(), self.incarnation(), ++sequence, owned, models, serviceReplicas());
     }
 
     public synchronized Optional<ModelSummary> summary(ModelName model, long now) {
@@ -287,8 +288,8 @@
     }
 
     /** Sequence number of the last cache event taken in from an engine. */
-    public synchronized long lastCacheEvent(BackendServerId server) {
-        return ledger.engine(server).map(EngineLedger::lastCacheEvent).orElse(0L);
+    public synchronized long lastCacheSequence(BackendServerId server) {
+        return ledger.engine(server).map(EngineLedger::lastCacheSequence).orElse(0L);
     }
 
     /** Figures for operators. */
@@ -305,14 +306,14 @@
                 unknownReports);
     }
 
-    private Optional<PlaceAnswer> answerBefore(PlaceRequest request, long now) {
+    private Optional<OwnerPlaceAnswer> immediateAnswer(PlaceRequest request, long now) {
         AttemptId attempt = request.attempt();
         Optional<Grant> held = ledger.grant(attempt);
         if (held.isPresent()) {
             ModelSummary summary = summary(request.demand().model(), now).orElse(null);
-            return held.map(grant -> new PlaceAnswer.Placed(grant, summary));
+            return held.map(grant -> new OwnerPlaceAnswer.Placed(grant, summary));
         }
-        if (ledger.released(attempt)) {
+        if (ledger.wasReleased(attempt)) {
             return refused(Refusal.didNotRun(RefusalReason.DEADLINE, "the attempt was released already"), request, now);
         }
         // A host cut off from the control hosts may be the second owner of an engine; it must not fill it.
@@ -329,31 +330,31 @@
             return refused(
                     Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, why, NO_ENGINE_RETRY_MILLIS), request, now);
         }
-        return takeUndelivered(attempt);
+        return removeDecision(attempt);
     }
 
-    private Optional<PlaceAnswer> refused(Refusal refusal, PlaceRequest request, long now) {
+    private Optional<OwnerPlaceAnswer> refused(Refusal refusal, PlaceRequest request, long now) {
         refused++;
         ModelSummary summary = summary(request.demand().model(), now).orElse(null);
-        return Optional.of(new PlaceAnswer.Refused(refusal, summary));
+        return Optional.of(new OwnerPlaceAnswer.Refused(refusal, summary));
     }
 
-    private Optional<PlaceAnswer> takeUndelivered(AttemptId attempt) {
-        for (int i = 0; i < undelivered.size(); i++) {
-            if (undelivered.get(i).request().attempt().equals(attempt)) {
-                return Optional.of(undelivered.remove(i).answer());
+    private Optional<OwnerPlaceAnswer> removeDecision(AttemptId attempt) {
+        for (int i = 0; i < undeliveredDecisions.size(); i++) {
+            if (undeliveredDecisions.get(i).request().attempt().equals(attempt)) {
+                return Optional.of(undeliveredDecisions.remove(i).answer());
             }
         }
         return Optional.empty();
     }
 
-    private void collect(ModelPlacer placer) {
-        for (Decided each : placer.takeDecided()) {
+    private void collectDecisions(ModelPlacer placer) {
+        for (OwnerDecision each : placer.drainDecisions()) {
             waiting.remove(each.request().attempt());
             deadlines.cancel(each.request().attempt());
-            placed += each.answer() instanceof PlaceAnswer.Placed ? 1 : 0;
-            refused += each.answer() instanceof PlaceAnswer.Refused ? 1 : 0;
-            undelivered.add(each);
+            placed += each.answer() instanceof OwnerPlaceAnswer.Placed ? 1 : 0;
+            refused += each.answer() instanceof OwnerPlaceAnswer.Refused ? 1 : 0;
+            undeliveredDecisions.add(each);
         }
     }
 
@@ -361,13 +362,14 @@
      * After a change of owner the engine still serves what the old owner granted. Without counting it, the new owner
      * would fill memory that is taken. Exports of live hosts are left out: segments reserve their imports.
      */
-    private long unregistered(List<StreamInfo> streams, List<KvExport> exports, Predicate<AttemptId> registered) {
+    private long unregisteredKvTokens(
+            List<StreamInfo> streams, List<KvExport> exports, Predicate<AttemptId> registered) {
         long tokens = 0;
         for (StreamInfo each : streams) {
             tokens += registered.test(each.attempt()) ? 0 : each.kvTokens();
         }
         for (KvExport each : exports) {
-            boolean stray = hosts.gone(each.host(), each.incarnation()) && !registered.test(each.attempt());
+            boolean stray = hosts.hasEnded(each.host(), each.incarnation()) && !registered.test(each.attempt());
             tokens += stray ? each.tokens() : 0;
         }
         return tokens;
@@ -387,17 +389,17 @@
         return released.isPresent();
     }
 
-    private Set<GoneHosts.Start> holders() {
-        Set<GoneHosts.Start> holders = new HashSet<>();
-        ledger.forEachGrant(grant -> holders.add(new GoneHosts.Start(grant.host(), grant.incarnation())));
+    private Set<LostHosts.HostIncarnation> grantHolders() {
+        Set<LostHosts.HostIncarnation> holders = new HashSet<>();
+        ledger.forEachGrant(grant -> holders.add(new LostHosts.HostIncarnation(grant.host(), grant.incarnation())));
         return holders;
     }
 
-    private void reclaimGone(long now) {
-        if (membersKnown) {
-            goneHosts.look(holders(), hosts, now);
-            if (goneHosts.any()) {
-                reclaim(ledger.grants(goneHosts::includes), now);
+    private void reclaimFromLostHosts(long now) {
+        if (membersReceived) {
+            lostHosts.update(grantHolders(), hosts, now);
+            if (lostHosts.hasLost()) {
+                reclaim(ledger.grants(lostHosts::isHolderLost), now);
             }
         }
     }
@@ -413,17 +415,17 @@
         }
     }
 
-    private void forgetLostEngines(long now, long grace) {
+    private void removeLostEngines(long now, long grace) {
         List<BackendServerId> lost = new ArrayList<>();
         for (EngineLedger each : ledger.engines()) {
-            if (!each.reachable() && each.allOverdue(now, grace)) {
+            if (!each.reachable() && each.areAllGrantsOverdue(now, grace)) {
                 lost.add(each.id());
             }
         }
         for (BackendServerId each : lost) {
-            ledger.remove(each);
-            cancels.forget(each);
-            strays.forget(each);
+            ledger.removeEngine(each);
+            cancels.removeServer(each);
+            orphans.removeServer(each);
         }
     }
 
@@ -438,7 +440,7 @@
                 .orElse(1);
     }
 
-    private List<Address> announceTo(Announcement announcement) {
+    private List<Address> announceAddresses(Announcement announcement) {
         List<Address> addresses = new ArrayList<>();
         addresses.add(self.callers());
         for (HostRecord each : ownership.candidates(announcement)) {
@@ -449,7 +451,7 @@
         return addresses;
     }
 
-    private List<ServiceReplica> services() {
+    private List<ServiceReplica> serviceReplicas() {
         List<ServiceReplica> services = new ArrayList<>();
         for (Announcement each : servers.ofKind(BackendKind.SERVICE)) {
             if (each.leaving()) {
--- a/elmline-core/src/main/java/org/elmline/core/owner/Decided.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/OwnerDecision.java
@@ -1,7 +1,7 @@
 package org.elmline.core.owner;
 
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 
 /** The answer to a request that had to wait. */
-public record Decided(PlaceRequest request, PlaceAnswer answer) {}
+public record OwnerDecision(PlaceRequest request, OwnerPlaceAnswer answer) {}
--- a/elmline-core/src/main/java/org/elmline/core/owner/OwnerSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/OwnerSettings.java
@@ -9,7 +9,7 @@
     private final int queueCapacity;
     private final long engineQueueMillis;
     private final long reclaimGraceMillis;
-    private final long strayGraceMillis;
+    private final long orphanGraceMillis;
     private final LedgerSettings ledger;
 
     private OwnerSettings(Builder builder) {
@@ -18,7 +18,7 @@
         queueCapacity = builder.queueCapacity;
         engineQueueMillis = builder.engineQueueMillis;
         reclaimGraceMillis = builder.reclaimGraceMillis;
-        strayGraceMillis = builder.strayGraceMillis;
+        orphanGraceMillis = builder.orphanGraceMillis;
         ledger = builder.ledger;
     }
 
@@ -51,8 +51,8 @@
     }
 
     /** Time between two listings that must both show a stray stream. */
-    public long strayGraceMillis() {
-        return strayGraceMillis;
+    public long orphanGraceMillis() {
+        return orphanGraceMillis;
     }
 
     public LedgerSettings ledger() {
@@ -66,7 +66,7 @@
         private int queueCapacity = 256;
         private long engineQueueMillis = 2_000;
         private long reclaimGraceMillis = 5_000;
-        private long strayGraceMillis = 3_000;
+        private long orphanGraceMillis = 3_000;
         private LedgerSettings ledger = LedgerSettings.DEFAULT;
 
         private Builder() {}
@@ -96,8 +96,8 @@
             return this;
         }
 
-        public Builder strayGraceMillis(long value) {
-            strayGraceMillis = value;
+        public Builder orphanGraceMillis(long value) {
+            orphanGraceMillis = value;
             return this;
         }
 
--- a/elmline-core/src/main/java/org/elmline/core/owner/Audits.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/PendingAudits.java
@@ -13,21 +13,23 @@
 import org.elmline.core.route.AuditAnswer;
 import org.elmline.core.route.AuditRequest;
 import org.elmline.core.stream.Cancel;
-import org.elmline.core.stream.StrayFinder.Doubt;
+import org.elmline.core.stream.OrphanFinder.UnregisteredHolding;
 
 /** What engines hold in the name of live entries without a grant, until those entries have said whether they run it. */
-final class Audits {
-    private final Map<AttemptId, Set<Cancel>> open = new HashMap<>();
+final class PendingAudits {
+    private final Map<AttemptId, Set<Cancel>> cancelsByAttempt = new HashMap<>();
 
     /** One request for each entry that is named. */
-    List<AuditRequest> ask(List<Doubt> doubts) {
-        Map<HostId, List<Doubt>> byHost = new HashMap<>();
-        for (Doubt each : doubts) {
-            open.computeIfAbsent(each.cancel().attempt(), id -> new HashSet<>()).add(each.cancel());
+    List<AuditRequest> createRequests(List<UnregisteredHolding> doubts) {
+        Map<HostId, List<UnregisteredHolding>> byHost = new HashMap<>();
+        for (UnregisteredHolding each : doubts) {
+            cancelsByAttempt
+                    .computeIfAbsent(each.cancel().attempt(), id -> new HashSet<>())
+                    .add(each.cancel());
             byHost.computeIfAbsent(each.host(), id -> new ArrayList<>()).add(each);
         }
         List<AuditRequest> requests = new ArrayList<>();
-        for (Map.Entry<HostId, List<Doubt>> each : byHost.entrySet()) {
+        for (Map.Entry<HostId, List<UnregisteredHolding>> each : byHost.entrySet()) {
             List<AttemptId> attempts = each.getValue().stream()
                     .map(doubt -> doubt.cancel().attempt())
                     .distinct()
@@ -38,20 +40,22 @@
     }
 
     /** What to cancel after an entry's answer. */
-    List<Cancel> answered(AuditRequest request, AuditAnswer answer) {
+    List<Cancel> resolve(AuditRequest request, AuditAnswer answer) {
         List<Cancel> cancels = new ArrayList<>();
         for (AttemptId each : answer.notRunning()) {
             if (request.attempts().contains(each)) {
-                cancels.addAll(open.getOrDefault(each, Set.of()));
+                cancels.addAll(cancelsByAttempt.getOrDefault(each, Set.of()));
             }
         }
-        request.attempts().forEach(open::remove);
+        request.attempts().forEach(cancelsByAttempt::remove);
         return cancels;
     }
 
     /** A new listing of the server replaces what its last one showed. */
-    void forget(BackendServerId server) {
-        open.values().forEach(cancels -> cancels.removeIf(each -> each.server().equals(server)));
-        open.values().removeIf(Set::isEmpty);
+    void removeServer(BackendServerId server) {
+        cancelsByAttempt
+                .values()
+                .forEach(cancels -> cancels.removeIf(each -> each.server().equals(server)));
+        cancelsByAttempt.values().removeIf(Set::isEmpty);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/registry/CallerDirectory.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/CallerDirectory.java
@@ -19,7 +19,7 @@
      * Entries of the caller's own failure domain that make an answer by themselves; with fewer the region's are added,
      * so that the loss of one host does not leave the callers of a domain with nobody.
      */
-    private static final int ENOUGH_NEAR = 3;
+    private static final int MIN_DOMAIN_ENTRIES = 3;
 
     private CallerDirectory() {}
 
@@ -42,7 +42,7 @@
             (sameDomain ? near : sameRegion ? inRegion : far).add(entry);
         }
         List<EntryRecord> chosen = new ArrayList<>(near);
-        if (chosen.size() < ENOUGH_NEAR) {
+        if (chosen.size() < MIN_DOMAIN_ENTRIES) {
             chosen.addAll(inRegion);
         }
         if (chosen.isEmpty()) {
--- a/elmline-core/src/main/java/org/elmline/core/registry/EntryNews.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/EntryUpdate.java
@@ -6,4 +6,4 @@
  * @param entry the entry as it is now, or as it was last
  * @param gone whether it polls no more
  */
-public record EntryNews(EntryRecord entry, boolean gone) {}
+public record EntryUpdate(EntryRecord entry, boolean gone) {}
--- a/elmline-core/src/main/java/org/elmline/core/registry/FollowRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/FollowRequest.java
@@ -25,19 +25,19 @@
         int form,
         long holdMillis) {
     /** Answers with news of single entries, and with the routing document packed. */
-    public static final int PACKED_NEWS = 1;
+    public static final int FORM_PACKED_UPDATES = 1;
 
     /**
      * Whether the answer should bring the routing document itself. An entry that starts can serve nothing without it, and
      * fetched by a second call it would come later from control hosts that have just started, too. Later documents
      * are fetched: sent by each control host they would cross the network five times.
      */
-    public boolean wantsRouting() {
+    public boolean needsRouting() {
         return entry != null && routingVersion < 0;
     }
 
     /** Whether the asker takes news of single entries, and the routing document packed. */
-    public boolean takesPackedNews() {
-        return form >= PACKED_NEWS;
+    public boolean acceptsPackedUpdates() {
+        return form >= FORM_PACKED_UPDATES;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/registry/Heard.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/HeartbeatAge.java
@@ -3,4 +3,4 @@
 import org.elmline.core.common.BackendServerId;
 
 /** How long ago a control host heard a server itself, in milliseconds. */
-public record Heard(BackendServerId id, long bornMillis, long sequence, long ageMillis) {}
+public record HeartbeatAge(BackendServerId id, long bornMillis, long sequence, long ageMillis) {}
--- a/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
@@ -15,78 +15,78 @@
  */
 public final class LiveEntries {
     /** Entries that are gone and still told of, beyond as many as live; a follower that lags further gets the list. */
-    private static final int GONE_KEPT = 64;
+    private static final int EXPIRED_ENTRIES_MARGIN = 64;
 
-    private final Map<HostId, Seen> entries = new HashMap<>();
-    private final Map<HostId, Gone> gone = new HashMap<>();
-    private long changes;
-    private long wholeBefore;
+    private final Map<HostId, LiveEntry> entries = new HashMap<>();
+    private final Map<HostId, ExpiredEntry> expired = new HashMap<>();
+    private long lastChange;
+    private long oldestListedChange;
 
-    private record Seen(EntryRecord entry, long until, long changedAt) {}
+    private record LiveEntry(EntryRecord entry, long expiresAtNanos, long changeNumber) {}
 
-    private record Gone(EntryRecord entry, long changedAt) {}
+    private record ExpiredEntry(EntryRecord entry, long changeNumber) {}
 
     /**
      * Takes an entry's poll. Returns whether the list of entries has changed by it.
      *
      * @param until when it counts as gone unless it polls again
      */
-    public boolean seen(EntryRecord entry, long until) {
-        Seen before = entries.get(entry.host());
+    public boolean renew(EntryRecord entry, long until) {
+        LiveEntry before = entries.get(entry.host());
         boolean news = before == null || !before.entry().equals(entry);
         if (news) {
-            changes++;
-            gone.remove(entry.host());
+            lastChange++;
+            expired.remove(entry.host());
         }
-        entries.put(entry.host(), new Seen(entry, until, news ? changes : before.changedAt()));
+        entries.put(entry.host(), new LiveEntry(entry, until, news ? lastChange : before.changeNumber()));
         return news;
     }
 
     /** Lets time pass. Returns whether an entry has fallen out. */
     public boolean expire(long now) {
         boolean any = false;
-        Iterator<Seen> each = entries.values().iterator();
+        Iterator<LiveEntry> each = entries.values().iterator();
         while (each.hasNext()) {
-            Seen seen = each.next();
-            if (now - seen.until() >= 0) {
+            LiveEntry seen = each.next();
+            if (now - seen.expiresAtNanos() >= 0) {
                 each.remove();
-                gone.put(seen.entry().host(), new Gone(seen.entry(), ++changes));
+                expired.put(seen.entry().host(), new ExpiredEntry(seen.entry(), ++lastChange));
                 any = true;
             }
         }
-        if (gone.size() > entries.size() + GONE_KEPT) {
-            gone.clear();
-            wholeBefore = changes;
+        if (expired.size() > entries.size() + EXPIRED_ENTRIES_MARGIN) {
+            expired.clear();
+            oldestListedChange = lastChange;
         }
         return any;
     }
 
     /** Number of the newest change of the list. */
-    public long changes() {
-        return changes;
+    public long lastChange() {
+        return lastChange;
     }
 
     /** All entries that are alive, those that stop included. */
     public List<EntryRecord> all() {
-        return entries.values().stream().map(Seen::entry).toList();
+        return entries.values().stream().map(LiveEntry::entry).toList();
     }
 
     /** Whether what has changed after a number can still be told; if not, only the whole list will do. */
-    public boolean tells(long number) {
-        return number >= wholeBefore && number <= changes;
+    public boolean canListChangesSince(long number) {
+        return number >= oldestListedChange && number <= lastChange;
     }
 
     /** What has changed after a number, in no order. */
-    public List<EntryNews> since(long number) {
-        List<EntryNews> news = new ArrayList<>();
-        for (Seen each : entries.values()) {
-            if (each.changedAt() > number) {
-                news.add(new EntryNews(each.entry(), false));
+    public List<EntryUpdate> changesSince(long number) {
+        List<EntryUpdate> news = new ArrayList<>();
+        for (LiveEntry each : entries.values()) {
+            if (each.changeNumber() > number) {
+                news.add(new EntryUpdate(each.entry(), false));
             }
         }
-        for (Gone each : gone.values()) {
-            if (each.changedAt() > number) {
-                news.add(new EntryNews(each.entry(), true));
+        for (ExpiredEntry each : expired.values()) {
+            if (each.changeNumber() > number) {
+                news.add(new EntryUpdate(each.entry(), true));
             }
         }
         return news;
--- a/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
@@ -18,7 +18,7 @@
  */
 public record PackedRouting(long version, int bytes, byte[] deflated) {
     /** More than any document that an operator may send. */
-    private static final int MOST_BYTES = 32 * 1024 * 1024;
+    private static final int MAX_BYTES = 32 * 1024 * 1024;
 
     /** Packs a document, one that isn't there as well. */
     public static PackedRouting of(RoutingText document) {
@@ -42,11 +42,11 @@
     }
 
     /** The document; empty when these bytes are none. */
-    public Optional<RoutingText> unpacked() {
+    public Optional<RoutingText> unpack() {
         if (version < 0) {
             return Optional.of(RoutingText.NONE);
         }
-        if (deflated == null || bytes < 0 || bytes > MOST_BYTES) {
+        if (deflated == null || bytes < 0 || bytes > MAX_BYTES) {
             return Optional.empty();
         }
         Inflater inflater = new Inflater();
--- a/elmline-core/src/main/java/org/elmline/core/registry/Registration.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/Registration.java
@@ -29,7 +29,7 @@
     }
 
     /** The same server in another state. */
-    public Registration in(ServerState next) {
+    public Registration withState(ServerState next) {
         return new Registration(id, service, address, failureDomain, places, next, bornMillis, sequence);
     }
 
@@ -37,7 +37,7 @@
      * Whether this one is to be believed rather than another of the same id. A later start goes first; within a start a
      * later state, so that a delayed heartbeat never brings a leaving server back; then the later heartbeat.
      */
-    public boolean replaces(Registration other) {
+    public boolean supersedes(Registration other) {
         if (bornMillis != other.bornMillis) {
             return bornMillis > other.bornMillis;
         }
@@ -48,7 +48,7 @@
     }
 
     /** Whether anything but the sequence differs. */
-    public boolean differs(Registration other) {
+    public boolean differsFrom(Registration other) {
         return !id.equals(other.id)
                 || !service.equals(other.service)
                 || !address.equals(other.address)
--- a/elmline-core/src/main/java/org/elmline/core/registry/RegistryChannels.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/RegistryChannels.java
@@ -21,8 +21,8 @@
             new Channel<>("routing.read", RoutingQuery.class, RoutingText.class);
 
     /** Submits a routing document; answered by the leader only. */
-    public static final Channel<RoutingSubmit, RoutingSubmitted> SUBMIT_ROUTING =
-            new Channel<>("routing.submit", RoutingSubmit.class, RoutingSubmitted.class);
+    public static final Channel<RoutingSubmission, RoutingSubmitResult> SUBMIT_ROUTING =
+            new Channel<>("routing.submit", RoutingSubmission.class, RoutingSubmitResult.class);
 
     private RegistryChannels() {}
 
@@ -41,10 +41,10 @@
     }
 
     /** Carries a document that is valid, to be put in force under its version. */
-    public record RoutingSubmit(long version, String text) {}
+    public record RoutingSubmission(long version, String text) {}
 
     /** What became of a document. */
-    public enum RoutingSubmitted {
+    public enum RoutingSubmitResult {
         /** It is in force, or was before. */
         ACCEPTED,
         /** A document of this or a higher version is in force; nothing was changed. */
--- a/elmline-core/src/main/java/org/elmline/core/registry/FleetView.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/RegistryView.java
@@ -17,30 +17,30 @@
  * hears no heartbeats and takes every server for silent, so a server counts as silent only where all control hosts that
  * answer say so; and an entry counts as alive where any of them says so. Not safe for concurrent use.
  */
-public final class FleetView {
+public final class RegistryView {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** Time for which a union made without news since is used again; every call asks for it several times. */
-    private static final long UNION_NANOS = 50 * NANOS_PER_MILLI;
+    private static final long UNION_CACHE_NANOS = 50 * NANOS_PER_MILLI;
 
-    private long currentNanos;
-    private final long relearnNanos;
-    private final long settleNanos;
+    private long answerValidityNanos;
+    private final long serverWarmUpNanos;
+    private final long entryWarmUpNanos;
     private final Map<BackendServerId, Registration> servers = new HashMap<>();
-    private final Map<Address, Opinion> opinions = new HashMap<>();
+    private final Map<Address, ControlHostView> controlHostViews = new HashMap<>();
     private Union union;
-    private Union last;
+    private Union lastUnion;
 
     /** What all control hosts that answer know together. */
-    private record Union(long madeAt, List<Registration> usable, List<EntryRecord> entries) {
-        Union orSameOf(Union before) {
+    private record Union(long createdAtNanos, List<Registration> usable, List<EntryRecord> entries) {
+        Union reuseListsOf(Union before) {
             return new Union(
-                    madeAt,
-                    same(usable, before.usable) ? before.usable : usable,
-                    same(entries, before.entries) ? before.entries : entries);
+                    createdAtNanos,
+                    haveSameElements(usable, before.usable) ? before.usable : usable,
+                    haveSameElements(entries, before.entries) ? before.entries : entries);
         }
 
-        private static <T> boolean same(List<T> some, List<T> others) {
+        private static <T> boolean haveSameElements(List<T> some, List<T> others) {
             if (some.size() != others.size()) {
                 return false;
             }
@@ -53,30 +53,30 @@
         }
     }
 
-    private static final class Opinion {
-        private long answeredAt;
+    private static final class ControlHostView {
+        private long lastAnswerNanos;
         private long epoch;
-        private long relearnedAt;
-        private long upSince;
-        private final Set<BackendServerId> heard = new HashSet<>();
-        private final Set<BackendServerId> silent = new HashSet<>();
-        private final Set<BackendServerId> remembered = new HashSet<>();
-        private final Set<BackendServerId> heardBefore = new HashSet<>();
+        private long warmUpEndNanos;
+        private long upSinceNanos;
+        private final Set<BackendServerId> alive = new HashSet<>();
+        private final Set<BackendServerId> expired = new HashSet<>();
+        private final Set<BackendServerId> restored = new HashSet<>();
+        private final Set<BackendServerId> aliveBeforeRestart = new HashSet<>();
         private Map<HostId, EntryRecord> entries = new HashMap<>();
 
         /** Returns whether anything changed by it. */
-        boolean take(ServerNews news) {
+        boolean apply(ServerUpdate news) {
             BackendServerId id = news.registration().id();
             boolean hears = !news.silent() && !news.remembered();
-            heardBefore.remove(id);
-            boolean changed = hears ? heard.add(id) : heard.remove(id);
-            changed |= news.silent() ? silent.add(id) : silent.remove(id);
-            changed |= news.remembered() ? remembered.add(id) : remembered.remove(id);
+            aliveBeforeRestart.remove(id);
+            boolean changed = hears ? alive.add(id) : alive.remove(id);
+            changed |= news.silent() ? expired.add(id) : expired.remove(id);
+            changed |= news.remembered() ? restored.add(id) : restored.remove(id);
             return changed;
         }
 
         /** Returns whether anything changed by it. */
-        boolean takeEntries(FollowAnswer answer) {
+        boolean applyEntries(FollowAnswer answer) {
             boolean changed = false;
             if (answer.entries() != null) {
                 Map<HostId, EntryRecord> before = entries;
@@ -84,7 +84,7 @@
                 answer.entries().forEach(each -> entries.put(each.host(), each));
                 changed = !entries.equals(before);
             }
-            for (EntryNews each : answer.entryNews()) {
+            for (EntryUpdate each : answer.entryNews()) {
                 EntryRecord entry = each.entry();
                 EntryRecord before = each.gone() ? entries.remove(entry.host()) : entries.put(entry.host(), entry);
                 changed |= each.gone() ? before != null : !entry.equals(before);
@@ -92,9 +92,9 @@
             return changed;
         }
 
-        boolean hears(BackendServerId id, long now) {
-            boolean relearning = now - relearnedAt < 0;
-            return heard.contains(id) || (relearning && heardBefore.contains(id));
+        boolean isAlive(BackendServerId id, long now) {
+            boolean relearning = now - warmUpEndNanos < 0;
+            return alive.contains(id) || (relearning && aliveBeforeRestart.contains(id));
         }
     }
 
@@ -103,33 +103,33 @@
      * @param relearnNanos time that a restarted control host needs to hear all servers again
      * @param settleNanos time that a restarted control host needs to hear all entries again
      */
-    public FleetView(long currentNanos, long relearnNanos, long settleNanos) {
-        this.currentNanos = currentNanos;
-        this.relearnNanos = relearnNanos;
-        this.settleNanos = settleNanos;
+    public RegistryView(long currentNanos, long relearnNanos, long settleNanos) {
+        this.answerValidityNanos = currentNanos;
+        this.serverWarmUpNanos = relearnNanos;
+        this.entryWarmUpNanos = settleNanos;
     }
 
     /** Takes another time after an answer for which a control host's opinion counts. */
-    public void currentFor(long nanos) {
-        currentNanos = nanos;
+    public void updateAnswerValidity(long nanos) {
+        answerValidityNanos = nanos;
     }
 
     /** Takes a control host's answer. Returns whether anything changed by it. */
-    public boolean take(Address from, FollowAnswer answer, long now) {
-        Opinion opinion = opinions.computeIfAbsent(from, address -> new Opinion());
+    public boolean apply(Address from, FollowAnswer answer, long now) {
+        ControlHostView opinion = controlHostViews.computeIfAbsent(from, address -> new ControlHostView());
         boolean changed = false;
         if (opinion.epoch != answer.epoch()) {
-            restarted(opinion, answer.epoch(), now);
+            resetAfterRestart(opinion, answer.epoch(), now);
             changed = true;
         }
-        changed |= now - opinion.answeredAt >= currentNanos;
-        opinion.answeredAt = now;
-        opinion.upSince = now - answer.upMillis() * NANOS_PER_MILLI;
-        for (ServerNews each : answer.servers()) {
-            changed |= take(each.registration());
-            changed |= opinion.take(each);
+        changed |= now - opinion.lastAnswerNanos >= answerValidityNanos;
+        opinion.lastAnswerNanos = now;
+        opinion.upSinceNanos = now - answer.upMillis() * NANOS_PER_MILLI;
+        for (ServerUpdate each : answer.servers()) {
+            changed |= apply(each.registration());
+            changed |= opinion.apply(each);
         }
-        changed |= opinion.takeEntries(answer);
+        changed |= opinion.applyEntries(answer);
         if (changed) {
             union = null;
         }
@@ -140,31 +140,31 @@
      * A restarted control host has heard nobody yet. Were all of them restarted at once, every server would seem silent
      * and all calls would be turned away; so what it had heard before counts until it has had time to hear it again.
      */
-    private void restarted(Opinion opinion, long epoch, long now) {
-        opinion.heardBefore.addAll(opinion.heard);
-        opinion.heard.clear();
-        opinion.silent.clear();
-        opinion.remembered.clear();
+    private void resetAfterRestart(ControlHostView opinion, long epoch, long now) {
+        opinion.aliveBeforeRestart.addAll(opinion.alive);
+        opinion.alive.clear();
+        opinion.expired.clear();
+        opinion.restored.clear();
         opinion.epoch = epoch;
-        opinion.relearnedAt = now + relearnNanos;
+        opinion.warmUpEndNanos = now + serverWarmUpNanos;
     }
 
-    private boolean take(Registration next) {
+    private boolean apply(Registration next) {
         Registration held = servers.get(next.id());
-        if (held != null && !next.replaces(held)) {
+        if (held != null && !next.supersedes(held)) {
             return false;
         }
         servers.put(next.id(), next);
-        return held == null || next.differs(held);
+        return held == null || next.differsFrom(held);
     }
 
     private Union union(long now) {
-        if (union == null || now - union.madeAt() >= UNION_NANOS) {
-            List<Opinion> current = current(now);
+        if (union == null || now - union.createdAtNanos() >= UNION_CACHE_NANOS) {
+            List<ControlHostView> current = currentViews(now);
             Union next = new Union(now, usable(current, now), entries(current));
             // Lists of the same records stay the same lists, so that what is worked out from them need not be again.
-            union = last == null ? next : next.orSameOf(last);
-            last = union;
+            union = lastUnion == null ? next : next.reuseListsOf(lastUnion);
+            lastUnion = union;
         }
         return union;
     }
@@ -174,10 +174,10 @@
         return union(now).usable();
     }
 
-    private List<Registration> usable(List<Opinion> current, long now) {
+    private List<Registration> usable(List<ControlHostView> current, long now) {
         List<Registration> usable = new ArrayList<>();
         for (Registration each : servers.values()) {
-            if (each.state().takesWork() && (current.isEmpty() || lives(each.id(), current, now))) {
+            if (each.state().acceptsWork() && (current.isEmpty() || isAlive(each.id(), current, now))) {
                 usable.add(each);
             }
         }
@@ -185,15 +185,15 @@
     }
 
     /** Whether one control host hears the server, or one remembers it from before a restart and none misses it. */
-    private static boolean lives(BackendServerId id, List<Opinion> current, long now) {
+    private static boolean isAlive(BackendServerId id, List<ControlHostView> current, long now) {
         boolean remembered = false;
         boolean missed = false;
-        for (Opinion each : current) {
-            if (each.hears(id, now)) {
+        for (ControlHostView each : current) {
+            if (each.isAlive(id, now)) {
                 return true;
             }
-            remembered |= each.remembered.contains(id);
-            missed |= each.silent.contains(id);
+            remembered |= each.restored.contains(id);
+            missed |= each.expired.contains(id);
         }
         return remembered && !missed;
     }
@@ -208,11 +208,11 @@
         return union(now).entries();
     }
 
-    private List<EntryRecord> entries(List<Opinion> current) {
+    private List<EntryRecord> entries(List<ControlHostView> current) {
         Map<HostId, EntryRecord> newest = new HashMap<>();
-        for (Opinion each : current.isEmpty() ? opinions.values() : current) {
+        for (ControlHostView each : current.isEmpty() ? controlHostViews.values() : current) {
             for (EntryRecord entry : each.entries.values()) {
-                newest.merge(entry.host(), entry, FleetView::later);
+                newest.merge(entry.host(), entry, RegistryView::later);
             }
         }
         return List.copyOf(newest.values());
@@ -229,20 +229,20 @@
      * Whether the entries told are all there are: some control host has been up for long enough to hear them all, or none
      * answers and what was known before stands.
      */
-    public boolean settled(long now) {
-        List<Opinion> current = current(now);
-        return current.isEmpty() || current.stream().anyMatch(each -> now - each.upSince >= settleNanos);
+    public boolean isEntryListComplete(long now) {
+        List<ControlHostView> current = currentViews(now);
+        return current.isEmpty() || current.stream().anyMatch(each -> now - each.upSinceNanos >= entryWarmUpNanos);
     }
 
     /** How many control hosts have answered lately. */
-    public int answering(long now) {
-        return current(now).size();
+    public int answeringControlHosts(long now) {
+        return currentViews(now).size();
     }
 
-    private List<Opinion> current(long now) {
-        List<Opinion> current = new ArrayList<>();
-        for (Opinion each : opinions.values()) {
-            if (now - each.answeredAt < currentNanos) {
+    private List<ControlHostView> currentViews(long now) {
+        List<ControlHostView> current = new ArrayList<>();
+        for (ControlHostView each : controlHostViews.values()) {
+            if (now - each.lastAnswerNanos < answerValidityNanos) {
                 current.add(each);
             }
         }
@@ -250,8 +250,8 @@
     }
 
     /** Drops the opinion of a control host that is one no more. */
-    public void dropControl(Address address) {
-        opinions.remove(address);
+    public void removeControlHost(Address address) {
+        controlHostViews.remove(address);
         union = null;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/registry/ServerRegistry.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/ServerRegistry.java
@@ -15,21 +15,21 @@
  * that grows with every change worth telling. Not safe for concurrent use.
  */
 public final class ServerRegistry {
-    private final long silentNanos;
-    private final long confirmNanos;
-    private final long forgetNanos;
-    private final Map<BackendServerId, Entry> entries = new HashMap<>();
+    private final long heartbeatTimeoutNanos;
+    private final long restoredTimeoutNanos;
+    private final long evictionNanos;
+    private final Map<BackendServerId, TrackedServer> servers = new HashMap<>();
     private final Map<Address, BackendServerId> byAddress = new HashMap<>();
-    private long changes;
+    private long lastChange;
 
-    private static final class Entry {
+    private static final class TrackedServer {
         private Registration registration;
-        private long heardNanos;
-        private long heardHereNanos;
-        private boolean heardHere;
-        private boolean silent;
-        private boolean remembered;
-        private long changedAt;
+        private long lastHeartbeatNanos;
+        private long lastLocalHeartbeatNanos;
+        private boolean receivedLocally;
+        private boolean expired;
+        private boolean restored;
+        private long changeNumber;
     }
 
     /**
@@ -39,19 +39,19 @@
      *     would otherwise bring a server back that has left
      */
     public ServerRegistry(long silentNanos, long confirmNanos, long forgetNanos) {
-        this.silentNanos = silentNanos;
-        this.confirmNanos = confirmNanos;
-        this.forgetNanos = forgetNanos;
+        this.heartbeatTimeoutNanos = silentNanos;
+        this.restoredTimeoutNanos = confirmNanos;
+        this.evictionNanos = forgetNanos;
     }
 
     /** Takes a heartbeat that reached this host. Returns whether it is news that must be told. */
-    public boolean heartbeat(Registration registration, long now) {
+    public boolean onHeartbeat(Registration registration, long now) {
         boolean news = merge(registration, now);
-        Entry entry = entries.get(registration.id());
+        TrackedServer entry = servers.get(registration.id());
         if (entry != null && entry.registration.bornMillis() == registration.bornMillis()) {
-            entry.heardHere = true;
-            entry.heardHereNanos = now;
-            news |= heard(entry, now);
+            entry.receivedLocally = true;
+            entry.lastLocalHeartbeatNanos = now;
+            news |= recordHeartbeat(entry, now);
         }
         return news;
     }
@@ -60,57 +60,57 @@
      * Takes a server that was heard before this host's restart. After a loss of all control hosts servers are heard again
      * only one by one, within a heartbeat; known by the first few alone, they would get all the work.
      */
-    public void remember(Registration registration, long now) {
-        if (!entries.containsKey(registration.id())) {
-            merge(new ServerNews(registration, false, true), now);
+    public void restore(Registration registration, long now) {
+        if (!servers.containsKey(registration.id())) {
+            merge(new ServerUpdate(registration, false, true), now);
         }
     }
 
     /** Takes what another host has told. Returns whether it is news that must be told on. */
-    public boolean merge(ServerNews news, long now) {
-        boolean unknown = !entries.containsKey(news.registration().id());
+    public boolean merge(ServerUpdate news, long now) {
+        boolean unknown = !servers.containsKey(news.registration().id());
         boolean told = merge(news.registration(), now);
         if (unknown && told) {
-            entries.get(news.registration().id()).remembered = news.remembered();
+            servers.get(news.registration().id()).restored = news.remembered();
         }
         return told;
     }
 
     /** Takes the time at which another host heard a server. Returns whether it is news. */
-    public boolean merge(Heard heard, long heardAtNanos) {
-        Entry entry = entries.get(heard.id());
+    public boolean merge(HeartbeatAge heard, long heardAtNanos) {
+        TrackedServer entry = servers.get(heard.id());
         boolean known = entry != null && entry.registration.bornMillis() == heard.bornMillis();
-        return known && heard(entry, heardAtNanos);
+        return known && recordHeartbeat(entry, heardAtNanos);
     }
 
     /** The server leaves. Returns whether that is news; unknown servers are no news. */
-    public boolean leave(BackendServerId id, long now) {
-        Entry entry = entries.get(id);
-        return entry != null && merge(entry.registration.in(ServerState.GONE), now);
+    public boolean deregister(BackendServerId id, long now) {
+        TrackedServer entry = servers.get(id);
+        return entry != null && merge(entry.registration.withState(ServerState.GONE), now);
     }
 
     private boolean merge(Registration next, long now) {
-        Entry entry = entries.get(next.id());
-        if (entry != null && !next.replaces(entry.registration)) {
+        TrackedServer entry = servers.get(next.id());
+        if (entry != null && !next.supersedes(entry.registration)) {
             return false;
         }
-        if (next.state() != ServerState.GONE && addressTaken(next)) {
+        if (next.state() != ServerState.GONE && isAddressTaken(next)) {
             return false;
         }
-        boolean news = entry == null || next.differs(entry.registration);
+        boolean news = entry == null || next.differsFrom(entry.registration);
         if (entry == null) {
-            entry = new Entry();
-            entry.heardNanos = now;
-            entries.put(next.id(), entry);
+            entry = new TrackedServer();
+            entry.lastHeartbeatNanos = now;
+            servers.put(next.id(), entry);
         } else if (next.bornMillis() != entry.registration.bornMillis()) {
-            entry.heardNanos = now;
-            entry.silent = false;
-            entry.remembered = false;
-            entry.heardHere = false;
+            entry.lastHeartbeatNanos = now;
+            entry.expired = false;
+            entry.restored = false;
+            entry.receivedLocally = false;
         }
         entry.registration = next;
         if (news) {
-            entry.changedAt = ++changes;
+            entry.changeNumber = ++lastChange;
         }
         return news;
     }
@@ -119,9 +119,9 @@
      * Gives an address to its newest holder. A heartbeat that was held up by a cut may come after its sender died and
      * another server took the address: calls to the old id would reach the wrong server, so the later start wins.
      */
-    private boolean addressTaken(Registration next) {
+    private boolean isAddressTaken(Registration next) {
         BackendServerId holder = byAddress.get(next.address());
-        Entry other = holder == null || holder.equals(next.id()) ? null : entries.get(holder);
+        TrackedServer other = holder == null || holder.equals(next.id()) ? null : servers.get(holder);
         boolean lives = other != null
                 && other.registration.state() != ServerState.GONE
                 && other.registration.address().equals(next.address());
@@ -129,38 +129,38 @@
             return true;
         }
         if (lives) {
-            other.registration = other.registration.in(ServerState.GONE);
-            other.changedAt = ++changes;
+            other.registration = other.registration.withState(ServerState.GONE);
+            other.changeNumber = ++lastChange;
         }
         byAddress.put(next.address(), next.id());
         return false;
     }
 
-    private boolean heard(Entry entry, long at) {
-        entry.heardNanos = Math.max(entry.heardNanos, at);
-        if (!entry.silent && !entry.remembered) {
+    private boolean recordHeartbeat(TrackedServer entry, long at) {
+        entry.lastHeartbeatNanos = Math.max(entry.lastHeartbeatNanos, at);
+        if (!entry.expired && !entry.restored) {
             return false;
         }
-        entry.silent = false;
-        entry.remembered = false;
-        entry.changedAt = ++changes;
+        entry.expired = false;
+        entry.restored = false;
+        entry.changeNumber = ++lastChange;
         return true;
     }
 
     /** Lets time pass. Returns whether a server has fallen silent. */
     public boolean expire(long now) {
         boolean news = false;
-        Iterator<Entry> each = entries.values().iterator();
+        Iterator<TrackedServer> each = servers.values().iterator();
         while (each.hasNext()) {
-            Entry entry = each.next();
-            long age = now - entry.heardNanos;
-            if (age >= forgetNanos) {
+            TrackedServer entry = each.next();
+            long age = now - entry.lastHeartbeatNanos;
+            if (age >= evictionNanos) {
                 byAddress.remove(entry.registration.address(), entry.registration.id());
                 each.remove();
-            } else if (age >= (entry.remembered ? confirmNanos : silentNanos) && !entry.silent) {
-                entry.silent = true;
-                entry.remembered = false;
-                entry.changedAt = ++changes;
+            } else if (age >= (entry.restored ? restoredTimeoutNanos : heartbeatTimeoutNanos) && !entry.expired) {
+                entry.expired = true;
+                entry.restored = false;
+                entry.changeNumber = ++lastChange;
                 news = true;
             }
         }
@@ -168,42 +168,42 @@
     }
 
     /** Number of the newest change. */
-    public long changes() {
-        return changes;
+    public long lastChange() {
+        return lastChange;
     }
 
     /** What has changed after a number, in no order. */
-    public List<ServerNews> since(long number) {
-        List<ServerNews> news = new ArrayList<>();
-        for (Entry each : entries.values()) {
-            if (each.changedAt > number) {
-                news.add(new ServerNews(each.registration, each.silent, each.remembered));
+    public List<ServerUpdate> changesSince(long number) {
+        List<ServerUpdate> news = new ArrayList<>();
+        for (TrackedServer each : servers.values()) {
+            if (each.changeNumber > number) {
+                news.add(new ServerUpdate(each.registration, each.expired, each.restored));
             }
         }
         return news;
     }
 
     /** The servers that this host itself has heard since a time. */
-    public List<Heard> heardSince(long sinceNanos, long now) {
-        List<Heard> heard = new ArrayList<>();
-        for (Entry each : entries.values()) {
-            if (each.heardHere && each.heardHereNanos - sinceNanos >= 0) {
+    public List<HeartbeatAge> localHeartbeatsSince(long sinceNanos, long now) {
+        List<HeartbeatAge> heard = new ArrayList<>();
+        for (TrackedServer each : servers.values()) {
+            if (each.receivedLocally && each.lastLocalHeartbeatNanos - sinceNanos >= 0) {
                 Registration registration = each.registration;
-                heard.add(new Heard(
+                heard.add(new HeartbeatAge(
                         registration.id(),
                         registration.bornMillis(),
                         registration.sequence(),
-                        (now - each.heardHereNanos) / 1_000_000));
+                        (now - each.lastLocalHeartbeatNanos) / 1_000_000));
             }
         }
         return heard;
     }
 
     /** Those that take work and are not silent. */
-    public List<Registration> takingWork() {
+    public List<Registration> availableServers() {
         List<Registration> all = new ArrayList<>();
-        for (Entry each : entries.values()) {
-            if (!each.silent && each.registration.state().takesWork()) {
+        for (TrackedServer each : servers.values()) {
+            if (!each.expired && each.registration.state().acceptsWork()) {
                 all.add(each.registration);
             }
         }
@@ -212,6 +212,6 @@
 
     /** All that is known, those that left included. */
     public Collection<Registration> all() {
-        return entries.values().stream().map(each -> each.registration).toList();
+        return servers.values().stream().map(each -> each.registration).toList();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/registry/ServerState.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/ServerState.java
@@ -9,7 +9,7 @@
     /** Has left, or its address belongs to a newer server. */
     GONE;
 
-    public boolean takesWork() {
+    public boolean acceptsWork() {
         return this == READY;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/registry/ServerNews.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/ServerUpdate.java
@@ -6,4 +6,4 @@
  * @param silent whether no heartbeat has reached any control host that it hears for too long
  * @param remembered whether it is only known from before the control host's restart, and not heard since
  */
-public record ServerNews(Registration registration, boolean silent, boolean remembered) {}
+public record ServerUpdate(Registration registration, boolean silent, boolean remembered) {}
--- a/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
@@ -30,14 +30,14 @@
         Collections.shuffle(near, random);
         Collections.shuffle(far, random);
         List<HostRecord> chosen = new ArrayList<>();
-        takeAlternating(near, chosen, most);
-        takeAlternating(far, chosen, most);
-        keepTwoDomains(chosen, far);
+        addAlternatingDomains(near, chosen, most);
+        addAlternatingDomains(far, chosen, most);
+        ensureTwoDomains(chosen, far);
         return chosen;
     }
 
     /** Takes one after another, each of another failure domain than the one before while there is any. */
-    private static void takeAlternating(List<HostRecord> from, List<HostRecord> chosen, int most) {
+    private static void addAlternatingDomains(List<HostRecord> from, List<HostRecord> chosen, int most) {
         List<HostRecord> left = new ArrayList<>(from);
         while (chosen.size() < most && !left.isEmpty()) {
             chosen.add(left.remove(indexOfOtherDomain(left, chosen)));
@@ -58,7 +58,7 @@
     }
 
     /** A region of one failure domain would leave its callers without an address when that is lost. */
-    private static void keepTwoDomains(List<HostRecord> chosen, List<HostRecord> far) {
+    private static void ensureTwoDomains(List<HostRecord> chosen, List<HostRecord> far) {
         long domains = chosen.stream().map(HostRecord::failureDomain).distinct().count();
         if (domains == 1 && chosen.size() > 1 && !far.isEmpty()) {
             chosen.set(chosen.size() - 1, far.get(0));
--- a/elmline-core/src/main/java/org/elmline/core/route/Grant.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/Grant.java
@@ -39,7 +39,7 @@
         long remainingMillis,
         boolean awaitingFirstToken) {
     /** The same grant once its first token has come. */
-    public Grant started() {
+    public Grant afterFirstToken() {
         return new Grant(
                 attempt,
                 host,
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnerLoads.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnedServers.java
@@ -6,7 +6,7 @@
 
 /** How many backend servers each owner has, as its summaries say. */
 @FunctionalInterface
-public interface OwnerLoads {
+public interface OwnedServers {
     /** Ids of the owned servers, shortened by {@link Ownership#shortHash}; empty for an owner not heard of. */
-    List<Integer> servers(HostId owner);
+    List<Integer> serverHashes(HostId owner);
 }
--- a/elmline-core/src/main/java/org/elmline/core/route/PlaceAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnerPlaceAnswer.java
@@ -6,7 +6,7 @@
 
 /** An owner's final answer to a {@link PlaceRequest}. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
-public sealed interface PlaceAnswer {
+public sealed interface OwnerPlaceAnswer {
     /**
      * Memory is reserved; the asking entry must release it.
      *
@@ -14,7 +14,7 @@
      *     is traffic
      */
     @JsonTypeName("placed")
-    record Placed(Grant grant, ModelSummary summary) implements PlaceAnswer {
+    record Placed(Grant grant, ModelSummary summary) implements OwnerPlaceAnswer {
         public Placed(Grant grant) {
             this(grant, null);
         }
@@ -27,5 +27,5 @@
      *     it has no engine of the model
      */
     @JsonTypeName("refused")
-    record Refused(Refusal refusal, ModelSummary summary) implements PlaceAnswer {}
+    record Refused(Refusal refusal, ModelSummary summary) implements OwnerPlaceAnswer {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
@@ -23,18 +23,18 @@
  * owners drawn at random ("the power of two choices", Mitzenmacher, 1996), counts what it sent itself since their last
  * summary, and draws among those that are about equal. All methods may be called from any thread.
  */
-public final class OwnerTable implements OwnerLoads {
+public final class OwnerTable implements OwnedServers {
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final int DRAWN = 4;
-    private static final double PREFIX_CONFIDENCE = 0.5;
-    private static final double ABOUT_EQUAL = 1.1;
-    private static final long ABOUT_EQUAL_MILLIS = 10;
-    private static final long FULL_PENALTY_MILLIS = 1_000;
+    private static final int SAMPLE_SIZE = 4;
+    private static final double PREFIX_HIT_PROBABILITY = 0.5;
+    private static final double NEAR_BEST_FACTOR = 1.1;
+    private static final long NEAR_BEST_MILLIS = 10;
+    private static final long INSUFFICIENT_MEMORY_PENALTY_MILLIS = 1_000;
 
     private final HostRecord self;
     private final OwnerTableSettings settings;
-    private final Map<HostId, Known> owners = new HashMap<>();
+    private final Map<HostId, OwnerState> owners = new HashMap<>();
     private final Map<HostId, HostRecord> members = new HashMap<>();
 
     public OwnerTable(HostRecord self, OwnerTableSettings settings) {
@@ -51,19 +51,19 @@
 
     /** False for a summary older than the one held, or of an incarnation that a later start replaced. */
     public synchronized SummaryAnswer accept(OwnerSummary summary, long now) {
-        Known known = owners.get(summary.owner());
-        if (known != null && !newer(summary, known.summary)) {
+        OwnerState known = owners.get(summary.owner());
+        if (known != null && !isNewer(summary, known.summary)) {
             return new SummaryAnswer(false);
         }
-        owners.put(summary.owner(), new Known(summary, now));
+        owners.put(summary.owner(), new OwnerState(summary, now));
         return new SummaryAnswer(true);
     }
 
     /** Takes in the summary that an owner's answer carried; null when it has no engine of the model any more. */
     public synchronized void refresh(HostId owner, Demand demand, ModelSummary summary) {
-        Known known = owners.get(owner);
+        OwnerState known = owners.get(owner);
         if (known != null) {
-            known.replace(demand, summary);
+            known.replaceModel(demand, summary);
         }
     }
 
@@ -74,46 +74,49 @@
      */
     public synchronized Optional<OwnerChoice> choose(
             Demand demand, Set<HostId> tried, RandomGenerator random, long now) {
-        List<Known> able = new ArrayList<>();
-        for (Known each : owners.values()) {
-            boolean fresh = now - each.heardAt < settings.maxAgeMillis() * NANOS_PER_MILLI;
+        List<OwnerState> able = new ArrayList<>();
+        for (OwnerState each : owners.values()) {
+            boolean fresh = now - each.receivedAtNanos < settings.maxAgeMillis() * NANOS_PER_MILLI;
             if (fresh && !tried.contains(each.summary.owner()) && serves(each, demand)) {
                 able.add(each);
             }
         }
-        List<Known> drawn = draw(able, demand, random);
-        long best =
-                drawn.stream().mapToLong(each -> predict(each, demand)).min().orElse(0);
-        List<Known> equal = new ArrayList<>();
-        for (Known each : drawn) {
-            if (predict(each, demand) <= Math.max(best * ABOUT_EQUAL, best + ABOUT_EQUAL_MILLIS)) {
+        List<OwnerState> drawn = sample(able, demand, random);
+        long best = drawn.stream()
+                .mapToLong(each -> predictFirstTokenMillis(each, demand))
+                .min()
+                .orElse(0);
+        List<OwnerState> equal = new ArrayList<>();
+        for (OwnerState each : drawn) {
+            if (predictFirstTokenMillis(each, demand) <= Math.max(best * NEAR_BEST_FACTOR, best + NEAR_BEST_MILLIS)) {
                 equal.add(each);
             }
         }
         if (equal.isEmpty()) {
             return Optional.empty();
         }
-        Known chosen = equal.get(random.nextInt(equal.size()));
-        OwnerChoice choice = new OwnerChoice(members.get(chosen.summary.owner()), predict(chosen, demand));
-        chosen.sent(demand, settings.cost().costTokens(demand.promptTokens(), 0));
+        OwnerState chosen = equal.get(random.nextInt(equal.size()));
+        OwnerChoice choice =
+                new OwnerChoice(members.get(chosen.summary.owner()), predictFirstTokenMillis(chosen, demand));
+        chosen.addSentWork(demand, settings.cost().costTokens(demand.promptTokens(), 0));
         return Optional.of(choice);
     }
 
     /** The engines that owners are believed to have free for segments of a prompt larger than one engine. */
-    public synchronized List<GroupSlot> slots(ModelName model, long now) {
+    public synchronized List<GroupSlot> groupSlots(ModelName model, long now) {
         List<GroupSlot> slots = new ArrayList<>();
-        for (Known each : owners.values()) {
+        for (OwnerState each : owners.values()) {
             ModelSummary summary = each.models.get(model.value());
-            boolean fresh = now - each.heardAt < settings.maxAgeMillis() * NANOS_PER_MILLI;
+            boolean fresh = now - each.receivedAtNanos < settings.maxAgeMillis() * NANOS_PER_MILLI;
             if (fresh && summary != null && isLive(each.summary)) {
-                addSlots(each.summary.owner(), summary, slots);
+                addGroupSlots(each.summary.owner(), summary, slots);
             }
         }
         return slots;
     }
 
     /** A summary tells the largest free memory and the sum; the rest is taken as spread evenly. */
-    private static void addSlots(HostId owner, ModelSummary summary, List<GroupSlot> slots) {
+    private static void addGroupSlots(HostId owner, ModelSummary summary, List<GroupSlot> slots) {
         double speed = Math.max(1, summary.prefillTokensPerSecond());
         int others = summary.readyReplicas() - 1;
         slots.add(new GroupSlot(owner, summary.freeKvTokens(), speed));
@@ -126,10 +129,10 @@
     /** The owner that says it has a backend server; the latest to say so when two do. */
     public synchronized Optional<HostRecord> ownerOf(BackendServerId server) {
         int key = Ownership.shortHash(server);
-        Known latest = null;
-        for (Known each : owners.values()) {
+        OwnerState latest = null;
+        for (OwnerState each : owners.values()) {
             boolean owns = each.summary.servers().contains(key) && isLive(each.summary);
-            if (owns && (latest == null || each.heardAt - latest.heardAt > 0)) {
+            if (owns && (latest == null || each.receivedAtNanos - latest.receivedAtNanos > 0)) {
                 latest = each;
             }
         }
@@ -137,11 +140,11 @@
     }
 
     /** Replicas of a plain service that take new calls. */
-    public synchronized List<ServiceReplica> services(ServiceName service, long now) {
+    public synchronized List<ServiceReplica> serviceReplicas(ServiceName service, long now) {
         List<ServiceReplica> found = new ArrayList<>();
         Set<BackendServerId> seen = new HashSet<>();
-        for (Known each : owners.values()) {
-            if (now - each.heardAt >= settings.maxAgeMillis() * NANOS_PER_MILLI) {
+        for (OwnerState each : owners.values()) {
+            if (now - each.receivedAtNanos >= settings.maxAgeMillis() * NANOS_PER_MILLI) {
                 continue;
             }
             for (ServiceReplica replica : each.summary.services()) {
@@ -154,8 +157,8 @@
     }
 
     @Override
-    public synchronized List<Integer> servers(HostId owner) {
-        Known known = owners.get(owner);
+    public synchronized List<Integer> serverHashes(HostId owner) {
+        OwnerState known = owners.get(owner);
         return known == null ? List.of() : known.summary.servers();
     }
 
@@ -163,7 +166,7 @@
         return owners.size();
     }
 
-    private boolean serves(Known known, Demand demand) {
+    private boolean serves(OwnerState known, Demand demand) {
         ModelSummary model = known.model(demand);
         return model != null
                 && model.readyReplicas() > 0
@@ -176,59 +179,61 @@
         return member != null && member.incarnation().compareTo(summary.incarnation()) <= 0;
     }
 
-    private static boolean newer(OwnerSummary next, OwnerSummary held) {
+    private static boolean isNewer(OwnerSummary next, OwnerSummary held) {
         int order = next.incarnation().compareTo(held.incarnation());
         return order > 0 || order == 0 && next.sequence() > held.sequence();
     }
 
     /** A few at random, and those that may have the prompt's prefix cached. */
-    private List<Known> draw(List<Known> able, Demand demand, RandomGenerator random) {
-        if (able.size() <= DRAWN) {
+    private List<OwnerState> sample(List<OwnerState> able, Demand demand, RandomGenerator random) {
+        if (able.size() <= SAMPLE_SIZE) {
             return able;
         }
-        List<Known> drawn = new ArrayList<>();
-        for (int i = 0; i < DRAWN; i++) {
+        List<OwnerState> drawn = new ArrayList<>();
+        for (int i = 0; i < SAMPLE_SIZE; i++) {
             int j = i + random.nextInt(able.size() - i);
-            Known picked = able.get(j);
+            OwnerState picked = able.get(j);
             able.set(j, able.get(i));
             able.set(i, picked);
             drawn.add(picked);
         }
-        for (Known each : able.subList(DRAWN, able.size())) {
-            if (each.mayCache(demand)) {
+        for (OwnerState each : able.subList(SAMPLE_SIZE, able.size())) {
+            if (each.mayHavePrefixCached(demand)) {
                 drawn.add(each);
             }
         }
         return drawn;
     }
 
-    private long predict(Known known, Demand demand) {
+    private long predictFirstTokenMillis(OwnerState known, Demand demand) {
         ModelSummary model = known.model(demand);
         double speed = Math.max(1, model.prefillTokensPerSecond());
         long believed = (long) demand.prefixHashes().size() * settings.blockTokens();
-        int cached = known.mayCache(demand) ? (int) (PREFIX_CONFIDENCE * Math.min(believed, demand.promptTokens())) : 0;
+        int cached = known.mayHavePrefixCached(demand)
+                ? (int) (PREFIX_HIT_PROBABILITY * Math.min(believed, demand.promptTokens()))
+                : 0;
         double own = settings.cost().costTokens(demand.promptTokens(), cached) / speed;
         double sent = known.sentWork(demand) / (speed * model.readyReplicas());
-        long penalty = model.freeKvTokens() < demand.kvTokens() ? FULL_PENALTY_MILLIS : 0;
+        long penalty = model.freeKvTokens() < demand.kvTokens() ? INSUFFICIENT_MEMORY_PENALTY_MILLIS : 0;
         HostRecord owner = members.get(known.summary.owner());
         penalty += owner.region().equals(self.region()) ? 0 : settings.otherRegionMillis();
         return model.waitMillis(demand.lengthClass()) + penalty + Math.round((own + sent) * MILLIS_PER_SECOND);
     }
 
     /** One owner's last summary, with what was sent to it since. */
-    private static final class Known {
+    private static final class OwnerState {
         private final OwnerSummary summary;
-        private final long heardAt;
+        private final long receivedAtNanos;
         private final Map<String, ModelSummary> models = new HashMap<>();
         private final Map<String, Long> sentWork = new HashMap<>();
 
-        Known(OwnerSummary summary, long heardAt) {
+        OwnerState(OwnerSummary summary, long heardAt) {
             this.summary = summary;
-            this.heardAt = heardAt;
+            this.receivedAtNanos = heardAt;
             summary.models().forEach(each -> models.put(each.model().value(), each));
         }
 
-        void replace(Demand demand, ModelSummary model) {
+        void replaceModel(Demand demand, ModelSummary model) {
             String key = demand.model().value();
             sentWork.remove(key);
             if (model == null) {
@@ -238,7 +243,7 @@
             }
         }
 
-        void sent(Demand demand, long work) {
+        void addSentWork(Demand demand, long work) {
             sentWork.merge(demand.model().value(), work, Long::sum);
         }
 
@@ -250,7 +255,7 @@
             return models.get(demand.model().value());
         }
 
-        boolean mayCache(Demand demand) {
+        boolean mayHavePrefixCached(Demand demand) {
             return !demand.prefixHashes().isEmpty()
                     && model(demand)
                             .prefixes()
--- a/elmline-core/src/main/java/org/elmline/core/route/Ownership.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/Ownership.java
@@ -18,7 +18,7 @@
  * Which entry owns a backend server: rendezvous hashing ("highest random weight", Thaler and Ravishankar, 1998) over the
  * live entries that are not leaving; those of the server's failure domain come first, then its region's, then all
  * others. The order depends on the members alone, so each host computes the same one. A candidate that already owns its
- * bound of servers passes a new one to the next candidate, see {@link #bound}.
+ * bound of servers passes a new one to the next candidate, see {@link #maxServersPerOwner}.
  */
 public final class Ownership {
     /** No owner holds more than this multiple of the mean; 1.25 moves about one server in twenty off its first choice. */
@@ -54,7 +54,7 @@
         for (Candidate each : candidates) {
             int distance = each.distance(domain, region);
             long weight = each.weight(key);
-            if (best == null || comesFirst(distance, weight, each, bestDistance, bestWeight, best)) {
+            if (best == null || ranksBefore(distance, weight, each, bestDistance, bestWeight, best)) {
                 best = each;
                 bestDistance = distance;
                 bestWeight = weight;
@@ -64,7 +64,7 @@
     }
 
     /** The entry that splits an organisation's limits; empty when none is live. */
-    public Optional<HostRecord> splitter(OrganisationId organisation) {
+    public Optional<HostRecord> limitSplitter(OrganisationId organisation) {
         long key = hash(organisation.value());
         return candidates.stream()
                 .max(Comparator.comparingLong((Candidate each) -> each.weight(key))
@@ -78,21 +78,21 @@
     }
 
     public List<HostRecord> candidates(BackendServerId server, FailureDomain domain, Region region) {
-        return ranked(candidates, server, domain, region);
+        return rank(candidates, server, domain, region);
     }
 
-    private static List<HostRecord> ranked(
+    private static List<HostRecord> rank(
             List<Candidate> candidates, BackendServerId server, FailureDomain domain, Region region) {
         long key = hash(server.value());
-        Comparator<Ranked> order = Comparator.comparingInt(Ranked::distance)
-                .thenComparing(Comparator.comparingLong(Ranked::weight).reversed())
+        Comparator<RankedHost> order = Comparator.comparingInt(RankedHost::distance)
+                .thenComparing(Comparator.comparingLong(RankedHost::weight).reversed())
                 .thenComparing(ranked -> ranked.host().id());
-        List<Ranked> ranked = new ArrayList<>(candidates.size());
+        List<RankedHost> ranked = new ArrayList<>(candidates.size());
         for (Candidate each : candidates) {
-            ranked.add(new Ranked(each.host(), each.distance(domain, region), each.weight(key)));
+            ranked.add(new RankedHost(each.host(), each.distance(domain, region), each.weight(key)));
         }
         ranked.sort(order);
-        return ranked.stream().map(Ranked::host).toList();
+        return ranked.stream().map(RankedHost::host).toList();
     }
 
     /**
@@ -101,8 +101,8 @@
      * is among those that its owner has above the bound.
      * Between mean and bound nothing moves, so servers that stay keep their owner while others come and go.
      */
-    public Optional<HostRecord> owner(Announcement server, OwnerLoads loads) {
-        List<HostRecord> near = nearest(server);
+    public Optional<HostRecord> owner(Announcement server, OwnedServers loads) {
+        List<HostRecord> near = nearestCandidates(server);
         if (near.isEmpty()) {
             return Optional.empty();
         }
@@ -110,15 +110,15 @@
         int total = 0;
         boolean owned = false;
         for (HostRecord each : near) {
-            List<Integer> servers = loads.servers(each.id());
+            List<Integer> servers = loads.serverHashes(each.id());
             total += servers.size();
             owned |= servers.contains(key);
         }
-        int bound = bound(owned ? total : total + 1, near.size());
+        int bound = maxServersPerOwner(owned ? total : total + 1, near.size());
         int limit = owned ? total / near.size() : bound;
         for (HostRecord each : near) {
-            List<Integer> servers = loads.servers(each.id());
-            if (servers.contains(key) ? within(bound, each, servers, key) : servers.size() < limit) {
+            List<Integer> servers = loads.serverHashes(each.id());
+            if (servers.contains(key) ? isWithinBound(bound, each, servers, key) : servers.size() < limit) {
                 return Optional.of(each);
             }
             if (servers.contains(key)) {
@@ -129,7 +129,7 @@
     }
 
     /** The candidates as near to the server as any, best first. */
-    private List<HostRecord> nearest(Announcement server) {
+    private List<HostRecord> nearestCandidates(Announcement server) {
         List<Candidate> near = new ArrayList<>();
         int nearest = Integer.MAX_VALUE;
         for (Candidate each : candidates) {
@@ -142,11 +142,11 @@
                 near.add(each);
             }
         }
-        return ranked(near, server.id(), server.failureDomain(), server.region());
+        return rank(near, server.id(), server.failureDomain(), server.region());
     }
 
     /** Whether the server is among the first {@code bound} of its owner's. */
-    private static boolean within(int bound, HostRecord owner, List<Integer> servers, int key) {
+    private static boolean isWithinBound(int bound, HostRecord owner, List<Integer> servers, int key) {
         if (servers.size() <= bound) {
             return true;
         }
@@ -163,7 +163,7 @@
     }
 
     /** Most servers that one of {@code owners} entries may own out of {@code servers}. */
-    public static int bound(int servers, int owners) {
+    public static int maxServersPerOwner(int servers, int owners) {
         return owners == 0 ? 0 : (int) Math.ceil(LOAD_FACTOR * servers / owners);
     }
 
@@ -172,7 +172,7 @@
         return (int) (hash(server.value()) >>> Integer.SIZE);
     }
 
-    private static boolean comesFirst(
+    private static boolean ranksBefore(
             int distance, long weight, Candidate candidate, int bestDistance, long bestWeight, Candidate best) {
         if (distance != bestDistance) {
             return distance < bestDistance;
@@ -208,5 +208,5 @@
         }
     }
 
-    private record Ranked(HostRecord host, int distance, long weight) {}
+    private record RankedHost(HostRecord host, int distance, long weight) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/route/PlaceMode.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/PlaceMode.java
@@ -27,7 +27,7 @@
     }
 
     /** Whether the prompt counts as prefill backlog from the grant on, not only from the report that it began. */
-    public boolean readAtOnce() {
+    public boolean startsPrefillOnGrant() {
         return whole;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/route/RouteChannels.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/RouteChannels.java
@@ -9,8 +9,8 @@
 /** The calls between a gateway entry and an owner entry. */
 public final class RouteChannels {
     /** Gateway to owner; answered when the owner has decided, at the latest at the request's deadline. */
-    public static final Channel<PlaceRequest, PlaceAnswer> PLACE =
-            new Channel<>("route.place", PlaceRequest.class, PlaceAnswer.class);
+    public static final Channel<PlaceRequest, OwnerPlaceAnswer> PLACE =
+            new Channel<>("route.place", PlaceRequest.class, OwnerPlaceAnswer.class);
 
     /** Gateway to owner: first tokens and releases. */
     public static final Channel<GrantReport, GrantReportAnswer> RELEASE =
@@ -32,7 +32,7 @@
     public static final Channel<AuditRequest, AuditAnswer> AUDIT =
             new Channel<>("route.audit", AuditRequest.class, AuditAnswer.class);
 
-    /** Gateway to the entry that splits an organisation's limits, see {@link Ownership#splitter}. */
+    /** Gateway to the entry that splits an organisation's limits, see {@link Ownership#limitSplitter}. */
     public static final Channel<ShareRequest, ShareAnswer> LIMIT_SHARE =
             new Channel<>("route.limit-share", ShareRequest.class, ShareAnswer.class);
 
--- a/elmline-core/src/main/java/org/elmline/core/route/SummarySchedule.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/SummarySchedule.java
@@ -20,23 +20,23 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final double BURST_SECONDS = 2;
-    private static final int STARVED_BEATS = 4;
-    private static final double CHANGE_RATIO = 1.25;
-    private static final int CHANGE_MILLIS = 50;
+    private static final int STARVATION_INTERVALS = 4;
+    private static final double SIGNIFICANT_WAIT_RATIO = 1.25;
+    private static final int SIGNIFICANT_WAIT_MILLIS = 50;
 
     private final HostRecord self;
-    private final long beatNanos;
+    private final long intervalNanos;
     private final double bytesPerSecond;
-    private final Map<HostId, Sent> sent = new HashMap<>();
-    private OwnerSummary announced;
+    private final Map<HostId, LastSend> lastSends = new HashMap<>();
+    private OwnerSummary lastChangedSummary;
     private long version;
-    private double budget;
-    private long filledAt;
-    private boolean started;
+    private double budgetBytes;
+    private long refilledAtNanos;
+    private boolean budgetInitialised;
 
     public SummarySchedule(HostRecord self, long beatMillis, double bytesPerSecond) {
         this.self = self;
-        this.beatNanos = beatMillis * NANOS_PER_MILLI;
+        this.intervalNanos = beatMillis * NANOS_PER_MILLI;
         this.bytesPerSecond = bytesPerSecond;
     }
 
@@ -46,27 +46,27 @@
      * @param bytes size of the summary on the wire
      */
     public List<HostRecord> targets(OwnerSummary summary, int bytes, Collection<HostRecord> members, long now) {
-        if (announced == null || changed(announced, summary)) {
-            announced = summary;
+        if (lastChangedSummary == null || hasChanged(lastChangedSummary, summary)) {
+            lastChangedSummary = summary;
             version++;
         }
-        fill(now);
-        sent.keySet()
-                .removeIf(id -> members.stream().noneMatch(each -> each.id().equals(id)));
+        refillBudget(now);
+        lastSends.keySet().removeIf(id -> members.stream()
+                .noneMatch(each -> each.id().equals(id)));
         List<HostRecord> targets = new ArrayList<>();
-        for (HostRecord each : due(members, now)) {
-            if (budget < bytes) {
+        for (HostRecord each : dueMembers(members, now)) {
+            if (budgetBytes < bytes) {
                 return targets;
             }
-            budget -= bytes;
-            sent.put(each.id(), new Sent(version, now));
+            budgetBytes -= bytes;
+            lastSends.put(each.id(), new LastSend(version, now));
             targets.add(each);
         }
         return targets;
     }
 
     /** Whether a choice between owners could come out differently. */
-    static boolean changed(OwnerSummary before, OwnerSummary after) {
+    static boolean hasChanged(OwnerSummary before, OwnerSummary after) {
         if (!before.servers().equals(after.servers()) || !before.services().equals(after.services())) {
             return true;
         }
@@ -74,57 +74,60 @@
             return true;
         }
         for (int i = 0; i < before.models().size(); i++) {
-            if (changed(before.models().get(i), after.models().get(i))) {
+            if (hasChanged(before.models().get(i), after.models().get(i))) {
                 return true;
             }
         }
         return false;
     }
 
-    private static boolean changed(ModelSummary before, ModelSummary after) {
+    private static boolean hasChanged(ModelSummary before, ModelSummary after) {
         if (!before.model().equals(after.model()) || before.readyReplicas() != after.readyReplicas()) {
             return true;
         }
         for (LengthClass each : LengthClass.values()) {
             int low = Math.min(before.waitMillis(each), after.waitMillis(each));
             int high = Math.max(before.waitMillis(each), after.waitMillis(each));
-            if (high > low * CHANGE_RATIO + CHANGE_MILLIS) {
+            if (high > low * SIGNIFICANT_WAIT_RATIO + SIGNIFICANT_WAIT_MILLIS) {
                 return true;
             }
         }
         return false;
     }
 
-    private List<HostRecord> due(Collection<HostRecord> members, long now) {
+    private List<HostRecord> dueMembers(Collection<HostRecord> members, long now) {
         List<HostRecord> due = new ArrayList<>();
         for (HostRecord each : members) {
-            Sent last = sent.get(each.id());
-            boolean late = last == null || last.version() < version || now - last.at() >= beatNanos;
+            LastSend last = lastSends.get(each.id());
+            boolean late = last == null || last.version() < version || now - last.atNanos() >= intervalNanos;
             if (late && !each.id().equals(self.id())) {
                 due.add(each);
             }
         }
-        due.sort(Comparator.comparing((HostRecord each) -> sent.containsKey(each.id()))
-                .thenComparing(each -> !starved(each, now))
+        due.sort(Comparator.comparing((HostRecord each) -> lastSends.containsKey(each.id()))
+                .thenComparing(each -> !isStarved(each, now))
                 .thenComparing(each -> !each.region().equals(self.region()))
-                .thenComparing(each ->
-                        sent.containsKey(each.id()) ? sent.get(each.id()).at() : 0)
+                .thenComparing(each -> lastSends.containsKey(each.id())
+                        ? lastSends.get(each.id()).atNanos()
+                        : 0)
                 .thenComparing(HostRecord::id));
         return due;
     }
 
     /** Without this, entries of other regions would hear nothing while the near ones use up the budget. */
-    private boolean starved(HostRecord host, long now) {
-        Sent last = sent.get(host.id());
-        return last != null && now - last.at() >= STARVED_BEATS * beatNanos;
+    private boolean isStarved(HostRecord host, long now) {
+        LastSend last = lastSends.get(host.id());
+        return last != null && now - last.atNanos() >= STARVATION_INTERVALS * intervalNanos;
     }
 
-    private void fill(long now) {
+    private void refillBudget(long now) {
         double most = bytesPerSecond * BURST_SECONDS;
-        budget = !started ? most : Math.min(most, budget + (now - filledAt) / NANOS_PER_SECOND * bytesPerSecond);
-        filledAt = now;
-        started = true;
+        budgetBytes = !budgetInitialised
+                ? most
+                : Math.min(most, budgetBytes + (now - refilledAtNanos) / NANOS_PER_SECOND * bytesPerSecond);
+        refilledAtNanos = now;
+        budgetInitialised = true;
     }
 
-    private record Sent(long version, long at) {}
+    private record LastSend(long version, long atNanos) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/stream/AnswerAssembler.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/AnswerAssembler.java
@@ -17,46 +17,46 @@
  */
 public final class AnswerAssembler {
     /** Pieces held for an earlier one; beyond it the earlier one is taken for lost. */
-    private static final int MAX_HELD = 256;
+    private static final int MAX_BUFFERED_PIECES = 256;
 
-    private static final int UNKNOWN = -1;
+    private static final int UNKNOWN_COUNT = -1;
 
     private final List<String> delivered = new ArrayList<>();
-    private final Map<Integer, String> held = new HashMap<>();
+    private final Map<Integer, String> buffered = new HashMap<>();
     private AttemptId attempt;
-    private int count = UNKNOWN;
-    private FinishReason reason;
-    private boolean complete;
+    private int expectedCount = UNKNOWN_COUNT;
+    private FinishReason finishReason;
+    private boolean finished;
 
     public AnswerAssembler(AttemptId attempt) {
         this.attempt = attempt;
     }
 
     /** Takes an event in; every event is safe to pass, whatever its attempt or time. */
-    public Assembled accept(StreamEvent event) {
-        if (complete) {
-            return new Assembled.Ignored(Assembled.Why.AFTER_END);
+    public AssemblyResult accept(StreamEvent event) {
+        if (finished) {
+            return new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.AFTER_END);
         }
         // A crossed piece would put another caller's text into this answer, with nothing to show it.
         if (!event.attempt().equals(attempt)) {
-            return new Assembled.Ignored(Assembled.Why.OTHER_ATTEMPT);
+            return new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.OTHER_ATTEMPT);
         }
         if (event instanceof StreamEvent.Piece piece) {
-            return piece(piece);
+            return onPiece(piece);
         }
         if (event instanceof StreamEvent.End end) {
-            return end(end);
+            return onEnd(end);
         }
         StreamEvent.Failed failed = (StreamEvent.Failed) event;
-        return new Assembled.Broken(failed.ran(), failed.why());
+        return new AssemblyResult.Broken(failed.ran(), failed.why());
     }
 
     /** From now on only the given attempt counts; it continues from {@link #delivered}. */
     public void continueWith(AttemptId next) {
         attempt = next;
-        held.clear();
-        count = UNKNOWN;
-        reason = null;
+        buffered.clear();
+        expectedCount = UNKNOWN_COUNT;
+        finishReason = null;
     }
 
     public AttemptId attempt() {
@@ -69,59 +69,62 @@
     }
 
     /** Number of the piece to ask for when the stream is resumed. */
-    public int offset() {
+    public int resumeOffset() {
         return delivered.size();
     }
 
-    public boolean complete() {
-        return complete;
+    public boolean finished() {
+        return finished;
     }
 
-    /** Whether the end has come but pieces before it have not: resume from {@link #offset}. */
-    public boolean missing() {
-        return !complete && (count != UNKNOWN || !held.isEmpty());
+    /** Whether the end has come but pieces before it have not: resume from {@link #resumeOffset}. */
+    public boolean isMissingPieces() {
+        return !finished && (expectedCount != UNKNOWN_COUNT || !buffered.isEmpty());
     }
 
-    private Assembled piece(StreamEvent.Piece piece) {
+    private AssemblyResult onPiece(StreamEvent.Piece piece) {
         int index = piece.index();
-        if (index < delivered.size() || held.containsKey(index)) {
-            return new Assembled.Ignored(Assembled.Why.DUPLICATE);
+        if (index < delivered.size() || buffered.containsKey(index)) {
+            return new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.DUPLICATE);
         }
-        if (count != UNKNOWN && index >= count) {
-            return new Assembled.Broken(Ran.UNKNOWN, "piece " + index + " past the end of " + count);
+        if (expectedCount != UNKNOWN_COUNT && index >= expectedCount) {
+            return new AssemblyResult.Broken(Ran.UNKNOWN, "piece " + index + " past the end of " + expectedCount);
         }
-        if (index > delivered.size() && held.size() >= MAX_HELD) {
-            return new Assembled.Broken(Ran.UNKNOWN, "piece " + delivered.size() + " is missing");
+        if (index > delivered.size() && buffered.size() >= MAX_BUFFERED_PIECES) {
+            return new AssemblyResult.Broken(Ran.UNKNOWN, "piece " + delivered.size() + " is missing");
         }
-        held.put(index, piece.text());
+        buffered.put(index, piece.text());
         return flush();
     }
 
-    private Assembled end(StreamEvent.End end) {
-        if (count != UNKNOWN) {
-            return new Assembled.Ignored(Assembled.Why.DUPLICATE);
+    private AssemblyResult onEnd(StreamEvent.End end) {
+        if (expectedCount != UNKNOWN_COUNT) {
+            return new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.DUPLICATE);
         }
-        int furthest = held.keySet().stream().mapToInt(index -> index + 1).max().orElse(delivered.size());
+        int furthest =
+                buffered.keySet().stream().mapToInt(index -> index + 1).max().orElse(delivered.size());
         if (end.count() < furthest) {
-            return new Assembled.Broken(Ran.UNKNOWN, "end of " + end.count() + " after piece " + (furthest - 1));
+            return new AssemblyResult.Broken(Ran.UNKNOWN, "end of " + end.count() + " after piece " + (furthest - 1));
         }
-        count = end.count();
-        reason = end.reason();
+        expectedCount = end.count();
+        finishReason = end.reason();
         return flush();
     }
 
-    private Assembled flush() {
+    private AssemblyResult flush() {
         List<String> pieces = new ArrayList<>();
-        String next = held.remove(delivered.size());
+        String next = buffered.remove(delivered.size());
         while (next != null) {
             pieces.add(next);
             delivered.add(next);
-            next = held.remove(delivered.size());
+            next = buffered.remove(delivered.size());
         }
-        if (delivered.size() == count) {
-            complete = true;
-            return new Assembled.Complete(pieces, reason);
+        if (delivered.size() == expectedCount) {
+            finished = true;
+            return new AssemblyResult.Complete(pieces, finishReason);
         }
-        return pieces.isEmpty() ? new Assembled.Ignored(Assembled.Why.HELD) : new Assembled.Deliver(pieces);
+        return pieces.isEmpty()
+                ? new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.HELD)
+                : new AssemblyResult.Deliver(pieces);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/stream/Assembled.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/AssemblyResult.java
@@ -6,21 +6,21 @@
 import org.elmline.core.engine.FinishReason;
 
 /** What one stream event means for the caller. */
-public sealed interface Assembled {
+public sealed interface AssemblyResult {
     /** Pieces to pass on now, in order; the answer goes on. */
-    record Deliver(List<String> pieces) implements Assembled {}
+    record Deliver(List<String> pieces) implements AssemblyResult {}
 
     /** The last pieces to pass on; with them the caller has the whole answer. */
-    record Complete(List<String> pieces, FinishReason reason) implements Assembled {}
+    record Complete(List<String> pieces, FinishReason reason) implements AssemblyResult {}
 
     /** Nothing to pass on. */
-    record Ignored(Why why) implements Assembled {}
+    record Ignored(IgnoreReason reason) implements AssemblyResult {}
 
     /** The stream can't be completed as it is: resume it by offset, or continue elsewhere. */
-    record Broken(Ran ran, String why) implements Assembled {}
+    record Broken(Ran ran, String why) implements AssemblyResult {}
 
     /** Why an event passes nothing on; counted by the daemon. */
-    enum Why {
+    enum IgnoreReason {
         /** Of another attempt: a crossed answer, or one that came after its attempt was given up. */
         OTHER_ATTEMPT,
         /** A piece that the caller has, or that is held already. */
--- a/elmline-core/src/main/java/org/elmline/core/stream/Cancel.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/Cancel.java
@@ -17,7 +17,7 @@
         return new Cancel(server, attempt, exportId);
     }
 
-    public boolean ofExport() {
+    public boolean targetsExport() {
         return !exportId.isEmpty();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/stream/CancelQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/CancelQueue.java
@@ -14,15 +14,15 @@
  * thread-safe.
  */
 public final class CancelQueue {
-    private static final long FIRST_INTERVAL_NANOS = 200_000_000L;
-    private static final int MOST_DOUBLINGS = 5;
+    private static final long INITIAL_RETRY_INTERVAL_NANOS = 200_000_000L;
+    private static final int MAX_INTERVAL_DOUBLINGS = 5;
 
-    private final Map<Cancel, Schedule> open = new LinkedHashMap<>();
+    private final Map<Cancel, ResendSchedule> unacknowledged = new LinkedHashMap<>();
     private final Map<BackendServerId, Integer> countByServer = new HashMap<>();
 
     /** Adds a cancel, due at once; adding it again changes nothing. */
     public void add(Cancel cancel, long now) {
-        if (open.putIfAbsent(cancel, new Schedule(now, 0)) == null) {
+        if (unacknowledged.putIfAbsent(cancel, new ResendSchedule(now, 0)) == null) {
             countByServer.merge(cancel.server(), 1, Integer::sum);
         }
     }
@@ -30,8 +30,8 @@
     /** The cancels to send now; each stays open until acknowledged. */
     public List<Cancel> due(long now) {
         List<Cancel> due = new ArrayList<>();
-        for (Map.Entry<Cancel, Schedule> each : open.entrySet()) {
-            if (now - each.getValue().dueAt() >= 0) {
+        for (Map.Entry<Cancel, ResendSchedule> each : unacknowledged.entrySet()) {
+            if (now - each.getValue().dueAtNanos() >= 0) {
                 due.add(each.getKey());
                 each.setValue(each.getValue().next(now));
             }
@@ -41,7 +41,7 @@
 
     /** The engine holds nothing for it any more. False when it was not open. */
     public boolean acknowledge(Cancel cancel) {
-        boolean removed = open.remove(cancel) != null;
+        boolean removed = unacknowledged.remove(cancel) != null;
         if (removed) {
             countByServer.computeIfPresent(cancel.server(), (id, count) -> count == 1 ? null : count - 1);
         }
@@ -49,23 +49,24 @@
     }
 
     /** The engine's incarnation is gone and its memory with it. */
-    public void forget(BackendServerId server) {
+    public void removeServer(BackendServerId server) {
         if (countByServer.remove(server) != null) {
-            open.keySet().removeIf(each -> each.server().equals(server));
+            unacknowledged.keySet().removeIf(each -> each.server().equals(server));
         }
     }
 
     public boolean contains(Cancel cancel) {
-        return open.containsKey(cancel);
+        return unacknowledged.containsKey(cancel);
     }
 
     public int size() {
-        return open.size();
+        return unacknowledged.size();
     }
 
-    private record Schedule(long dueAt, int sent) {
-        Schedule next(long now) {
-            return new Schedule(now + (FIRST_INTERVAL_NANOS << Math.min(sent, MOST_DOUBLINGS)), sent + 1);
+    private record ResendSchedule(long dueAtNanos, int sendCount) {
+        ResendSchedule next(long now) {
+            return new ResendSchedule(
+                    now + (INITIAL_RETRY_INTERVAL_NANOS << Math.min(sendCount, MAX_INTERVAL_DOUBLINGS)), sendCount + 1);
         }
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/stream/LiveHosts.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/LiveHosts.java
@@ -21,7 +21,7 @@
     /**
      * Whether this start of the host is over. A start later than the listed one is not over: the list lags behind it.
      */
-    public boolean gone(HostId host, Incarnation incarnation) {
+    public boolean hasEnded(HostId host, Incarnation incarnation) {
         Incarnation live = incarnations.get(host);
         return live == null || incarnation.compareTo(live) < 0;
     }
--- a/elmline-core/src/main/java/org/elmline/core/stream/StrayFinder.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/OrphanFinder.java
@@ -20,11 +20,11 @@
  * least {@code graceNanos} apart show it with its host gone in both: a host that joined a moment ago may be missing
  * from this process's member list. Not thread-safe.
  */
-public final class StrayFinder {
+public final class OrphanFinder {
     private final long graceNanos;
-    private final Map<Cancel, Long> firstSeen = new HashMap<>();
+    private final Map<Cancel, Long> firstSeenNanos = new HashMap<>();
 
-    public StrayFinder(long graceNanos) {
+    public OrphanFinder(long graceNanos) {
         this.graceNanos = graceNanos;
     }
 
@@ -33,7 +33,7 @@
      *
      * @param registered attempts that a live entry has registered
      */
-    public Strays find(
+    public Findings find(
             BackendServerId server,
             List<StreamInfo> streams,
             List<KvExport> exports,
@@ -41,55 +41,56 @@
             Predicate<AttemptId> registered,
             long now) {
         Set<Cancel> suspects = new HashSet<>();
-        List<Doubt> doubts = new ArrayList<>();
-        for (Doubt each : unregistered(server, streams, exports, registered)) {
-            if (hosts.gone(each.host(), each.incarnation())) {
+        List<UnregisteredHolding> doubts = new ArrayList<>();
+        for (UnregisteredHolding each : findUnregistered(server, streams, exports, registered)) {
+            if (hosts.hasEnded(each.host(), each.incarnation())) {
                 suspects.add(each.cancel());
             } else {
                 doubts.add(each);
             }
         }
-        firstSeen.keySet().removeIf(each -> each.server().equals(server) && !suspects.contains(each));
+        firstSeenNanos.keySet().removeIf(each -> each.server().equals(server) && !suspects.contains(each));
         List<Cancel> strays = new ArrayList<>();
         for (Cancel each : suspects) {
-            long since = firstSeen.computeIfAbsent(each, key -> now);
+            long since = firstSeenNanos.computeIfAbsent(each, key -> now);
             if (now - since >= graceNanos) {
                 strays.add(each);
             }
         }
-        return new Strays(strays, doubts);
+        return new Findings(strays, doubts);
     }
 
-    private static List<Doubt> unregistered(
+    private static List<UnregisteredHolding> findUnregistered(
             BackendServerId server, List<StreamInfo> streams, List<KvExport> exports, Predicate<AttemptId> registered) {
-        List<Doubt> found = new ArrayList<>();
+        List<UnregisteredHolding> found = new ArrayList<>();
         for (StreamInfo each : streams) {
             if (!registered.test(each.attempt())) {
-                found.add(new Doubt(Cancel.stream(server, each.attempt()), each.host(), each.incarnation()));
+                found.add(new UnregisteredHolding(
+                        Cancel.stream(server, each.attempt()), each.host(), each.incarnation()));
             }
         }
         for (KvExport each : exports) {
             if (!registered.test(each.attempt())) {
                 Cancel cancel = Cancel.export(server, each.attempt(), each.id());
-                found.add(new Doubt(cancel, each.host(), each.incarnation()));
+                found.add(new UnregisteredHolding(cancel, each.host(), each.incarnation()));
             }
         }
         return found;
     }
 
     /** Forgets what was seen on a server that this owner no longer owns. */
-    public void forget(BackendServerId server) {
-        firstSeen.keySet().removeIf(each -> each.server().equals(server));
+    public void removeServer(BackendServerId server) {
+        firstSeenNanos.keySet().removeIf(each -> each.server().equals(server));
     }
 
     /**
      * What a listing showed.
      *
-     * @param strays to cancel now
-     * @param doubts held in the name of live entries, which alone know whether they still run it
+     * @param orphans to cancel now
+     * @param unregistered held in the name of live entries, which alone know whether they still run it
      */
-    public record Strays(List<Cancel> strays, List<Doubt> doubts) {}
+    public record Findings(List<Cancel> orphans, List<UnregisteredHolding> unregistered) {}
 
     /** One thing an engine holds without a grant. */
-    public record Doubt(Cancel cancel, HostId host, Incarnation incarnation) {}
+    public record UnregisteredHolding(Cancel cancel, HostId host, Incarnation incarnation) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/stream/RetryBudget.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/RetryBudget.java
@@ -5,9 +5,9 @@
  * at most {@code share} times the first tries, plus {@code burst}. Thread-safe.
  */
 public final class RetryBudget {
-    private final double share;
+    private final double retryRatio;
     private final double burst;
-    private double saved;
+    private double availableRetries;
 
     /**
      * @param share retries allowed for each first try, for example 0.1
@@ -17,21 +17,21 @@
         if (share < 0 || burst < 0) {
             throw new IllegalArgumentException("share and burst must not be negative");
         }
-        this.share = share;
+        this.retryRatio = share;
         this.burst = burst;
-        this.saved = burst;
+        this.availableRetries = burst;
     }
 
-    public synchronized void firstTry() {
-        saved = Math.min(burst, saved + share);
+    public synchronized void onFirstAttempt() {
+        availableRetries = Math.min(burst, availableRetries + retryRatio);
     }
 
     /** Takes one retry out of the budget; false when it is used up. */
-    public synchronized boolean tryTake() {
-        if (saved < 1) {
+    public synchronized boolean tryAcquire() {
+        if (availableRetries < 1) {
             return false;
         }
-        saved--;
+        availableRetries--;
         return true;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/stream/RetryDecision.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/RetryDecision.java
@@ -11,28 +11,28 @@
     /** Start a new attempt elsewhere with the pieces that the caller has. */
     CONTINUE,
     /** Tell the caller that it failed, with what is known of whether it ran. */
-    GIVE_UP;
+    FAIL;
 
-    private static final int MOST_RESUMES = 3;
-    private static final int MOST_TRIES = 4;
-    private static final long LEAST_MILLIS = 50;
+    private static final int MAX_RESUMES = 3;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final long MIN_REMAINING_MILLIS = 50;
 
     /** Decides, and takes a retry out of the budget where one is spent. */
     public static RetryDecision of(StreamFailure failure, RetryBudget budget) {
-        if (failure.remainingMillis() < LEAST_MILLIS) {
-            return GIVE_UP;
+        if (failure.remainingMillis() < MIN_REMAINING_MILLIS) {
+            return FAIL;
         }
         boolean mayStillRun = failure.ran() != Ran.NO;
-        if (mayStillRun && failure.engineReachable() && failure.resumes() < MOST_RESUMES) {
+        if (mayStillRun && failure.engineReachable() && failure.resumes() < MAX_RESUMES) {
             return RESUME;
         }
         // What may have run and must not run twice ends here: a second try could charge a caller again.
         if (mayStillRun && !failure.repeatable()) {
-            return GIVE_UP;
+            return FAIL;
         }
-        if (failure.tries() >= MOST_TRIES || !budget.tryTake()) {
-            return GIVE_UP;
+        if (failure.attempts() >= MAX_ATTEMPTS || !budget.tryAcquire()) {
+            return FAIL;
         }
-        return failure.delivered() > 0 ? CONTINUE : RETRY;
+        return failure.deliveredPieces() > 0 ? CONTINUE : RETRY;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/stream/StreamFailure.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/StreamFailure.java
@@ -8,16 +8,16 @@
  * @param ran whether the attempt ran on its back end
  * @param repeatable whether running it twice does no harm; true for prompts, false for calls such as a payment
  * @param engineReachable whether the same engine may still hold the stream
- * @param delivered pieces that the caller has
+ * @param deliveredPieces pieces that the caller has
  * @param resumes times that this attempt's stream was resumed without a new piece
- * @param tries attempts so far, this one included
+ * @param attempts attempts so far, this one included
  * @param remainingMillis milliseconds to the request's deadline
  */
 public record StreamFailure(
         Ran ran,
         boolean repeatable,
         boolean engineReachable,
-        int delivered,
+        int deliveredPieces,
         int resumes,
-        int tries,
+        int attempts,
         long remainingMillis) {}
--- a/elmline-core/src/test/java/org/elmline/core/backend/ServerChangesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/backend/ServerChangesTest.java
@@ -37,10 +37,10 @@
             a1 b1       | c1 b2        | -a +c +b
             """)
     void changes(String before, String now, String events) {
-        ServerChanges changes = new ServerChanges();
-        changes.next(look(before));
-        assertEquals(events, String.join(" ", words(changes.next(look(now)))));
-        assertEquals(List.of(), changes.next(look(now)));
+        ServerChangeDetector changes = new ServerChangeDetector();
+        changes.detect(look(before));
+        assertEquals(events, String.join(" ", words(changes.detect(look(now)))));
+        assertEquals(List.of(), changes.detect(look(now)));
     }
 
     private static List<Announcement> look(String text) {
--- a/elmline-core/src/test/java/org/elmline/core/fairness/FairnessTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/fairness/FairnessTest.java
@@ -23,7 +23,7 @@
 import org.elmline.core.config.VersionedObject;
 import org.elmline.core.owner.OwnerFixture;
 import org.elmline.core.owner.OwnerSettings;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.ReleaseCause;
 import org.junit.jupiter.api.Test;
@@ -162,9 +162,9 @@
             fixture.place(request).ifPresent(answer -> take(request, answer));
         }
 
-        private void take(PlaceRequest request, PlaceAnswer answer) {
+        private void take(PlaceRequest request, OwnerPlaceAnswer answer) {
             boolean small = smallWaiting.remove(request.attempt());
-            if (answer instanceof PlaceAnswer.Placed) {
+            if (answer instanceof OwnerPlaceAnswer.Placed) {
                 reading.add(request);
                 served[small ? 1 : 0] += request.demand().kvTokens();
             } else {
@@ -300,7 +300,8 @@
                 ConfigVersion.of(1),
                 List.of(new VersionedObject(heavy, TicketNumber.of(1), ConfigVersion.of(1))))));
         assertTrue(
-                fixture.place(fixture.request("heavy", 1_000, 0, 10_000)).orElseThrow() instanceof PlaceAnswer.Placed);
+                fixture.place(fixture.request("heavy", 1_000, 0, 10_000)).orElseThrow()
+                        instanceof OwnerPlaceAnswer.Placed);
     }
 
     private static ShareRequest ask(String host, Organisation organisation, int inFlight, int wanted) {
