--- a/elmline-core/src/test/java/org/elmline/core/group/GroupTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/group/GroupTest.java
@@ -20,7 +20,7 @@
 import org.elmline.core.placement.PrefillCost;
 import org.elmline.core.route.Grant;
 import org.elmline.core.route.GroupSlot;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.ReleaseCause;
 import org.elmline.core.stream.Cancel;
@@ -66,7 +66,7 @@
             last = each.owner();
         }
         assertEquals(prompt, context);
-        assertEquals("x".repeat(4 * prompt), String.join("", plan.cut("x".repeat(4 * prompt))));
+        assertEquals("x".repeat(4 * prompt), String.join("", plan.split("x".repeat(4 * prompt))));
     }
 
     /** Matches one element only. */
@@ -117,16 +117,16 @@
         }
         for (int call = 0; call < 16; call++) {
             List<GroupReservation> open =
-                    groups.stream().filter(each -> each.next().isPresent()).toList();
+                    groups.stream().filter(each -> each.nextCall().isPresent()).toList();
             if (!open.isEmpty()) {
                 call(open.get(random.nextInt(open.size())), owners, random.nextInt(10) == 0);
             }
         }
         long taken = 0;
         for (GroupReservation each : groups) {
-            assertTrue(each.complete() ^ each.refused(), "neither complete nor refused");
-            each.handbacks().forEach(one -> owners.get(one.owner()).release(one.attempt(), ReleaseCause.NOT_STARTED));
-            taken += each.complete()
+            assertTrue(each.isComplete() ^ each.refused(), "neither complete nor refused");
+            each.releases().forEach(one -> owners.get(one.owner()).release(one.attempt(), ReleaseCause.NOT_STARTED));
+            taken += each.isComplete()
                     ? each.grants().stream().mapToLong(Grant::kvTokens).sum()
                     : 0;
         }
@@ -135,13 +135,13 @@
     }
 
     private static void call(GroupReservation group, Map<HostId, OwnerFixture> owners, boolean answerLost) {
-        GroupReservation.Ask ask = group.next().orElseThrow();
-        Optional<PlaceAnswer> answer = owners.get(ask.owner()).place(ask.request());
+        GroupReservation.OwnerCall ask = group.nextCall().orElseThrow();
+        Optional<OwnerPlaceAnswer> answer = owners.get(ask.owner()).place(ask.request());
         assertTrue(answer.isPresent(), "a segment waits at its owner");
         if (answerLost) {
-            group.unanswered();
+            group.onNoAnswer();
         } else {
-            group.answered(answer.get());
+            group.onAnswer(answer.get());
         }
     }
 
@@ -163,35 +163,35 @@
                 .orElseThrow();
         PlaceRequest whole = fixture.request("org", prompt, 0, 600_000);
         GroupReservation reservation = new GroupReservation(whole, plan);
-        while (reservation.next().isPresent()) {
-            reservation.answered(
-                    fixture.place(reservation.next().get().request()).orElseThrow());
+        while (reservation.nextCall().isPresent()) {
+            reservation.onAnswer(
+                    fixture.place(reservation.nextCall().get().request()).orElseThrow());
         }
-        assertTrue(reservation.complete());
+        assertTrue(reservation.isComplete());
         GroupRun run = new GroupRun(whole, plan, reservation.grants(), "x".repeat(4 * prompt));
         Map<BackendServerId, Set<String>> held = new HashMap<>();
         int readTokens = 0;
-        Optional<GroupStep> step = run.step(List.of());
+        Optional<GroupStep> step = run.nextStep(List.of());
         while (step.isPresent() && random.nextInt(8) > 0) {
             boolean answered = random.nextInt(8) > 0;
             readTokens += perform(run, step.get(), held, answered);
             if (!answered || step.get() instanceof GroupStep.StreamAnswer) {
                 run.end();
             }
-            step = run.step(List.of());
+            step = run.nextStep(List.of());
         }
         assertTrue(readTokens <= prompt);
         free(run, held, fixture, random);
-        assertTrue(run.done());
+        assertTrue(run.isDone());
         assertEquals(3 * CAPACITY, fixture.freeTokens());
     }
 
     /** Returns the tokens that the call reads for the first time. */
     private static int perform(GroupRun run, GroupStep step, Map<BackendServerId, Set<String>> held, boolean answered) {
-        Set<String> there = held.computeIfAbsent(step.on().server(), id -> new HashSet<>());
+        Set<String> there = held.computeIfAbsent(step.target().server(), id -> new HashSet<>());
         if (step instanceof GroupStep.ImportKv importKv) {
             assertTrue(
-                    held.get(importKv.from().server())
+                    held.get(importKv.source().server())
                             .contains(importKv.export().id()),
                     "freed too early");
             there.add(importKv.export().id());
@@ -204,7 +204,7 @@
                 ? export.request()
                 : ((GroupStep.StreamAnswer) step).request();
         assertTrue(there.containsAll(request.kvImports()), "reads without the segments before");
-        assertEquals(run.current(), request.kvImports().size());
+        assertEquals(run.currentSegment(), request.kvImports().size());
         there.add(request.attempt().value());
         if (answered && step instanceof GroupStep.ExportKv) {
             String id = request.attempt().value();
@@ -220,12 +220,12 @@
             List<Cancel> open = run.end();
             Cancel one = open.get(random.nextInt(open.size()));
             Set<String> there = held.getOrDefault(one.server(), new HashSet<>());
-            there.remove(one.ofExport() ? one.exportId() : one.attempt().value());
+            there.remove(one.targetsExport() ? one.exportId() : one.attempt().value());
             boolean lost = random.nextInt(10) == 0;
             if (lost) {
                 there.clear();
             }
-            Optional<Grant> grant = lost ? run.lost(one.server()) : run.freed(one);
+            Optional<Grant> grant = lost ? run.engineLost(one.server()) : run.freed(one);
             assertEquals(Optional.empty(), run.freed(one), "acknowledged twice");
             grant.ifPresent(each -> {
                 assertTrue(released.add(each.attempt()));
@@ -234,6 +234,6 @@
         }
         assertEquals(3, released.size());
         assertTrue(held.values().stream().allMatch(Set::isEmpty), "left on an engine: " + held);
-        assertFalse(run.step(List.of()).isPresent());
+        assertFalse(run.nextStep(List.of()).isPresent());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/ledger/EngineLedgerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/ledger/EngineLedgerTest.java
@@ -69,26 +69,26 @@
         ledger.announce(OwnerFixture.engine("engine-0", 1, CAPACITY, false), 0);
         EngineLedger engine = ledger.engine(id).orElseThrow();
         Demand demand = new Demand(OwnerFixture.MODEL, "", 1_600, 10, List.of(11L, 12L, 13L), 0, 1_000, Set.of());
-        ledger.cacheEvents(id, events(2, 1, 2));
+        ledger.applyCacheEvents(id, events(2, 1, 2));
         assertEquals(2 * 512, engine.cachedTokens(demand));
-        ledger.cacheEvents(id, events(4, 4));
-        assertFalse(engine.cacheKnown());
+        ledger.applyCacheEvents(id, events(4, 4));
+        assertFalse(engine.isCacheInSync());
         assertEquals(0, engine.cachedTokens(demand), "number 3 is missing and may have evicted the first block");
-        ledger.cacheEvents(id, events(7, 5, 6, 7));
-        assertTrue(engine.cacheKnown());
-        ledger.cacheEvents(id, events(9, 8));
-        assertFalse(engine.cacheKnown(), "the last event of the batch is missing");
+        ledger.applyCacheEvents(id, events(7, 5, 6, 7));
+        assertTrue(engine.isCacheInSync());
+        ledger.applyCacheEvents(id, events(9, 8));
+        assertFalse(engine.isCacheInSync(), "the last event of the batch is missing");
     }
 
     @Test
     void beliefIsBounded() {
-        PrefixBelief belief = new PrefixBelief();
+        PrefixCacheEstimate belief = new PrefixCacheEstimate();
         for (long i = 0; i < 20_000; i += 4) {
-            belief.stored(List.of(i, i + 1, i + 2, i + 3));
+            belief.recordStored(List.of(i, i + 1, i + 2, i + 3));
         }
         assertEquals(4_096, belief.size());
         assertEquals(4, belief.leadingBlocks(List.of(19_996L, 19_997L, 19_998L, 19_999L)));
-        assertEquals(16, belief.firstBlocks(100).size());
+        assertEquals(16, belief.recentFirstBlocks(100).size());
     }
 
     /** Stores block 10 + sequence for each number. */
@@ -111,6 +111,6 @@
         Ledger ledger = new Ledger(LedgerSettings.DEFAULT);
         AttemptId attempt = AttemptId.of("late");
         ledger.release(attempt, false, 0);
-        assertTrue(ledger.released(attempt));
+        assertTrue(ledger.wasReleased(attempt));
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/ledger/LedgerRecountTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/ledger/LedgerRecountTest.java
@@ -112,18 +112,18 @@
     }
 
     private void firstToken(AttemptId attempt, long now) {
-        assertEquals(open.containsKey(attempt), ledger.firstToken(attempt, now));
+        assertEquals(open.containsKey(attempt), ledger.onFirstToken(attempt, now));
         open.computeIfPresent(attempt, (id, each) -> each.backlog() ? new Open(each.grant(), false, true) : each);
     }
 
     private void begin(AttemptId attempt, Random random, BackendServerId server, long now) {
         if (random.nextInt(6) == 0) {
-            ledger.remove(server);
+            ledger.removeEngine(server);
             incarnations.remove(server);
             drop(server);
             return;
         }
-        assertEquals(open.containsKey(attempt), ledger.begin(attempt, now));
+        assertEquals(open.containsKey(attempt), ledger.beginPrefill(attempt, now));
         open.computeIfPresent(
                 attempt, (id, each) -> each.read() || each.backlog() ? each : new Open(each.grant(), true, false));
     }
@@ -152,7 +152,7 @@
             for (LengthClass each : LengthClass.values()) {
                 long ofClass = backlog(here, each);
                 backlog += ofClass;
-                assertEquals(ofClass, engine.unreadTokens(each));
+                assertEquals(ofClass, engine.pendingPrefillTokens(each));
                 assertEquals(ofClass == 0, engine.prefillBacklogTokens(each) == 0);
                 assertEquals(here.stream().filter(one -> one.is(each)).count(), engine.openStreams(each));
             }
--- a/elmline-core/src/test/java/org/elmline/core/owner/AnswerInTimeTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/AnswerInTimeTest.java
@@ -14,7 +14,7 @@
 import net.jqwik.api.lifecycle.BeforeTry;
 import org.elmline.core.common.AttemptId;
 import org.elmline.core.route.GrantReport;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.Release;
 import org.elmline.core.route.ReleaseCause;
@@ -127,10 +127,10 @@
         }
     }
 
-    private void take(AttemptId attempt, PlaceAnswer answer) {
+    private void take(AttemptId attempt, OwnerPlaceAnswer answer) {
         waiting.remove(attempt);
         assertTrue(answered.add(attempt), attempt + " was answered twice");
-        if (answer instanceof PlaceAnswer.Placed) {
+        if (answer instanceof OwnerPlaceAnswer.Placed) {
             granted.add(attempt);
         }
     }
--- a/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
@@ -12,7 +12,7 @@
 import org.elmline.core.route.AuditAnswer;
 import org.elmline.core.route.AuditRequest;
 import org.elmline.core.route.Grant;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.RegisterGrants;
 import org.elmline.core.route.ReleaseCause;
 import org.elmline.core.stream.Cancel;
@@ -38,22 +38,22 @@
     void registeredGrantsAreReservedOnceAndReleasedOnce() {
         Grant grant = granted(before, 39_900);
         List<StreamInfo> streams = List.of(stream(grant.attempt(), OwnerFixture.GATEWAY, 30_000));
-        List<AuditRequest> audits = after.owner.listed(ENGINE, streams, List.of(), after.now);
+        List<AuditRequest> audits = after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(CAPACITY - 30_000, after.freeTokens());
         assertEquals(List.of(grant.attempt()), audits.get(0).attempts());
-        after.owner.audited(audits.get(0), new AuditAnswer(List.of()), after.now);
+        after.owner.onAuditAnswer(audits.get(0), new AuditAnswer(List.of()), after.now);
         assertEquals(List.of(), after.owner.cancels(after.now), "the gateway runs it");
 
         RegisterGrants registration =
-                new RegisterGrants(OwnerFixture.GATEWAY, OwnerFixture.FIRST, List.of(grant.started()));
+                new RegisterGrants(OwnerFixture.GATEWAY, OwnerFixture.FIRST, List.of(grant.afterFirstToken()));
         assertEquals(List.of(), after.owner.register(registration, after.now).notOwned());
         assertEquals(List.of(), after.owner.register(registration, after.now).notOwned(), "repeated");
-        after.owner.listed(ENGINE, streams, List.of(), after.now);
+        after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(CAPACITY - 40_000, after.freeTokens());
 
         assertEquals(0, after.release(grant.attempt(), ReleaseCause.FINISHED));
         assertEquals(List.of(), after.owner.register(registration, after.now).notOwned(), "late, after the release");
-        after.owner.listed(ENGINE, List.of(), List.of(), after.now);
+        after.owner.onEngineListing(ENGINE, List.of(), List.of(), after.now);
         assertEquals(CAPACITY, after.freeTokens());
     }
 
@@ -63,14 +63,15 @@
         AttemptId lost = AttemptId.of("given-up");
         KvExport export = new KvExport("kv", lost, OwnerFixture.GATEWAY, OwnerFixture.FIRST, 500);
         List<StreamInfo> streams = List.of(stream(lost, OwnerFixture.GATEWAY, 1_000));
-        AuditRequest audit =
-                after.owner.listed(ENGINE, streams, List.of(export), after.now).get(0);
-        after.owner.audited(audit, new AuditAnswer(List.of(lost, AttemptId.of("never-asked"))), after.now);
+        AuditRequest audit = after.owner
+                .onEngineListing(ENGINE, streams, List.of(export), after.now)
+                .get(0);
+        after.owner.onAuditAnswer(audit, new AuditAnswer(List.of(lost, AttemptId.of("never-asked"))), after.now);
         List<Cancel> cancels = new ArrayList<>(after.owner.cancels(after.now));
         assertEquals(2, cancels.size());
         assertTrue(
                 cancels.contains(Cancel.stream(ENGINE, lost)) && cancels.contains(Cancel.export(ENGINE, lost, "kv")));
-        cancels.forEach(each -> after.owner.acknowledged(each, after.now));
+        cancels.forEach(each -> after.owner.onCancelAcknowledged(each, after.now));
         after.advance(1_000);
         assertEquals(List.of(), after.owner.cancels(after.now));
     }
@@ -79,14 +80,14 @@
     @Test
     void streamsOfADeadEntryAreSweptByTheNewOwner() {
         List<StreamInfo> streams = List.of(stream(AttemptId.of("orphan"), HostId.of("dead"), 20_000));
-        after.owner.listed(ENGINE, streams, List.of(), after.now);
+        after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(List.of(), after.owner.cancels(after.now));
         after.engines(1, CAPACITY);
         after.advance(3_000);
-        after.owner.listed(ENGINE, streams, List.of(), after.now);
+        after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(List.of(Cancel.stream(ENGINE, AttemptId.of("orphan"))), after.owner.cancels(after.now));
         assertEquals(CAPACITY - 20_000, after.freeTokens(), "taken until the engine says otherwise");
-        after.owner.listed(ENGINE, List.of(), List.of(), after.now);
+        after.owner.onEngineListing(ENGINE, List.of(), List.of(), after.now);
         assertEquals(CAPACITY, after.freeTokens());
     }
 
@@ -114,16 +115,16 @@
         before.advanceWithBeats(1_000, 1, CAPACITY);
         List<Cancel> cancels = before.owner.cancels(before.now);
         assertEquals(List.of(Cancel.stream(ENGINE, grant.attempt())), cancels);
-        before.owner.acknowledged(cancels.get(0), before.now);
+        before.owner.onCancelAcknowledged(cancels.get(0), before.now);
         assertEquals(CAPACITY, before.freeTokens());
         assertEquals(1, before.release(grant.attempt(), ReleaseCause.FINISHED), "the late end finds nothing");
         assertEquals(CAPACITY, before.freeTokens());
     }
 
     private static Grant granted(OwnerFixture fixture, int promptTokens) {
-        PlaceAnswer answer =
+        OwnerPlaceAnswer answer =
                 fixture.place(fixture.request("org", promptTokens, 0, 10_000)).orElseThrow();
-        return ((PlaceAnswer.Placed) answer).grant();
+        return ((OwnerPlaceAnswer.Placed) answer).grant();
     }
 
     private static StreamInfo stream(AttemptId attempt, HostId host, long tokens) {
--- a/elmline-core/src/test/java/org/elmline/core/owner/OwnerFixture.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/OwnerFixture.java
@@ -25,7 +25,7 @@
 import org.elmline.core.placement.Replica;
 import org.elmline.core.route.FirstToken;
 import org.elmline.core.route.GrantReport;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.Release;
 import org.elmline.core.route.ReleaseCause;
@@ -92,7 +92,7 @@
         return new PlaceRequest(attempt, GATEWAY, FIRST, OrganisationId.of(organisation), demand);
     }
 
-    public Optional<PlaceAnswer> place(PlaceRequest request) {
+    public Optional<OwnerPlaceAnswer> place(PlaceRequest request) {
         return owner.place(request, now);
     }
 
@@ -106,7 +106,7 @@
                 .unknown();
     }
 
-    public List<Decided> advance(long millis) {
+    public List<OwnerDecision> advance(long millis) {
         now += millis * MILLI;
         return owner.advance(now);
     }
@@ -117,8 +117,8 @@
     }
 
     /** Keeps the engines' leases alive over a long time. */
-    public List<Decided> advanceWithBeats(long millis, int engines, long capacity) {
-        List<Decided> decided = new ArrayList<>();
+    public List<OwnerDecision> advanceWithBeats(long millis, int engines, long capacity) {
+        List<OwnerDecision> decided = new ArrayList<>();
         for (long passed = 0; passed < millis; passed += 500) {
             engines(engines, capacity);
             decided.addAll(advance(500));
--- a/elmline-core/src/test/java/org/elmline/core/owner/OwnerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/OwnerTest.java
@@ -4,7 +4,7 @@
 
 import org.elmline.core.common.RefusalReason;
 import org.elmline.core.route.Grant;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.ReleaseCause;
 import org.junit.jupiter.api.Test;
@@ -70,7 +70,7 @@
         fixture.advance(500);
         assertEquals(first, fixture.owner.cancels(fixture.now), "sent again while nobody acknowledged it");
         assertEquals(CAPACITY - 50_000, fixture.freeTokens());
-        fixture.owner.acknowledged(first.get(0), fixture.now);
+        fixture.owner.onCancelAcknowledged(first.get(0), fixture.now);
         assertEquals(CAPACITY, fixture.freeTokens());
         fixture.advanceWithBeats(5_000, 1, CAPACITY);
         assertTrue(fixture.owner.cancels(fixture.now).isEmpty());
@@ -90,10 +90,10 @@
         assertTrue(fixture.place(next).isEmpty());
         assertEquals(List.of(), fixture.advance(900));
         var decided = fixture.advance(100);
-        assertInstanceOf(PlaceAnswer.Placed.class, decided.get(0).answer());
+        assertInstanceOf(OwnerPlaceAnswer.Placed.class, decided.get(0).answer());
         fixture.release(next.attempt(), ReleaseCause.ENGINE_FAILED);
-        PlaceAnswer.Refused answer = assertInstanceOf(
-                PlaceAnswer.Refused.class,
+        OwnerPlaceAnswer.Refused answer = assertInstanceOf(
+                OwnerPlaceAnswer.Refused.class,
                 fixture.place(fixture.request("org", 1_000, 0, 10_000)).orElseThrow());
         assertEquals(RefusalReason.NO_BACKEND_SERVER, answer.refusal().reason());
         assertEquals(2_000, answer.refusal().retryAfterMillis());
@@ -103,20 +103,21 @@
     void refusesAtOnceWhatCannotMeetItsDeadline() {
         fixture.engines(1, CAPACITY);
         PlaceRequest request = fixture.request("org", 60_000, 0, 3_000);
-        PlaceAnswer.Refused answer = assertInstanceOf(
-                PlaceAnswer.Refused.class, fixture.place(request).orElseThrow());
+        OwnerPlaceAnswer.Refused answer = assertInstanceOf(
+                OwnerPlaceAnswer.Refused.class, fixture.place(request).orElseThrow());
         assertEquals(RefusalReason.OVERLOADED, answer.refusal().reason());
         assertTrue(answer.refusal().retryAfterMillis() > 0);
     }
 
     private Grant granted(PlaceRequest request) {
-        return assertInstanceOf(PlaceAnswer.Placed.class, fixture.place(request).orElseThrow())
+        return assertInstanceOf(
+                        OwnerPlaceAnswer.Placed.class, fixture.place(request).orElseThrow())
                 .grant();
     }
 
     private RefusalReason refused(PlaceRequest request) {
         return assertInstanceOf(
-                        PlaceAnswer.Refused.class, fixture.place(request).orElseThrow())
+                        OwnerPlaceAnswer.Refused.class, fixture.place(request).orElseThrow())
                 .refusal()
                 .reason();
     }
--- a/elmline-core/src/test/java/org/elmline/core/registry/CallerDirectoryTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/CallerDirectoryTest.java
@@ -31,10 +31,10 @@
     @Test
     void callersGetTheEntriesNearThemThatServe() {
         for (int i = 0; i < 4; i++) {
-            live.seen(entry("near" + i, "a", true), SECOND);
+            live.renew(entry("near" + i, "a", true), SECOND);
         }
-        live.seen(entry("stopping", "a", false), SECOND);
-        live.seen(entry("far", "b", true), SECOND);
+        live.renew(entry("stopping", "a", false), SECOND);
+        live.renew(entry("far", "b", true), SECOND);
         assertEquals(4, told("a"));
         assertEquals(5, told("b"), "one near entry is too few to rest on");
         assertEquals(5, addresses("another", "c").size(), "where nothing is near, far entries are better than none");
--- a/elmline-core/src/test/java/org/elmline/core/registry/FleetViewTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/FleetViewTest.java
@@ -18,7 +18,7 @@
     private static final Address A = Address.parse("10.0.0.1:7000");
     private static final Address B = Address.parse("10.0.0.2:7000");
 
-    private final FleetView view = new FleetView(2 * SECOND, 4 * SECOND, SECOND);
+    private final RegistryView view = new RegistryView(2 * SECOND, 4 * SECOND, SECOND);
 
     private static Registration server(ServerState state, long sequence) {
         return new Registration(
@@ -36,7 +36,7 @@
         return new FollowAnswer(
                 epoch,
                 9_000,
-                List.of(new ServerNews(server(state, 1), silent, false)),
+                List.of(new ServerUpdate(server(state, 1), silent, false)),
                 1,
                 null,
                 List.of(),
@@ -55,20 +55,20 @@
     /** All calls would be refused: a control host that is cut off hears nobody and takes every server for silent. */
     @Test
     void oneHostThatHearsAServerIsEnough() {
-        view.take(A, answer(1, false, ServerState.READY), 0);
-        view.take(B, answer(1, true, ServerState.READY), 0);
+        view.apply(A, answer(1, false, ServerState.READY), 0);
+        view.apply(B, answer(1, true, ServerState.READY), 0);
         assertEquals(1, view.usable(0).size());
-        view.take(A, answer(1, true, ServerState.READY), SECOND);
+        view.apply(A, answer(1, true, ServerState.READY), SECOND);
         assertEquals(0, view.usable(SECOND).size());
     }
 
     /** Guards against control hosts that count as gone between two polls, as a follower of many polls each less often. */
     @Test
     void aHostThatIsPolledLessOftenStaysCurrent() {
-        view.currentFor(3 * SECOND);
-        view.take(A, answer(1, false, ServerState.READY), 0);
-        assertEquals(1, view.answering(3 * SECOND - 1));
-        assertEquals(0, view.answering(3 * SECOND));
+        view.updateAnswerValidity(3 * SECOND);
+        view.apply(A, answer(1, false, ServerState.READY), 0);
+        assertEquals(1, view.answeringControlHosts(3 * SECOND - 1));
+        assertEquals(0, view.answeringControlHosts(3 * SECOND));
     }
 
     /**
@@ -77,31 +77,31 @@
      */
     @Test
     void restartedControlHostsSilenceNobodyBeforeTheyCouldHear() {
-        view.take(A, answer(1, false, ServerState.READY), 0);
-        view.take(A, nothing(2), SECOND);
+        view.apply(A, answer(1, false, ServerState.READY), 0);
+        view.apply(A, nothing(2), SECOND);
         assertEquals(1, view.usable(SECOND).size());
-        view.take(A, nothing(2), 4 * SECOND);
-        view.take(A, nothing(2), 5 * SECOND);
+        view.apply(A, nothing(2), 4 * SECOND);
+        view.apply(A, nothing(2), 5 * SECOND);
         assertEquals(0, view.usable(5 * SECOND).size(), "it was not heard again in time");
     }
 
     @Test
     void aDrainToldByAnyHostHolds() {
-        view.take(A, answer(1, false, ServerState.DRAINING), 0);
-        view.take(B, answer(1, false, ServerState.READY), 0);
+        view.apply(A, answer(1, false, ServerState.DRAINING), 0);
+        view.apply(B, answer(1, false, ServerState.READY), 0);
         assertEquals(0, view.usable(0).size());
     }
 
     /** With no control host left an entry goes on with the servers it knew. */
     @Test
     void whatWasKnownStaysWhileNobodyAnswers() {
-        view.take(A, answer(1, false, ServerState.READY), 0);
+        view.apply(A, answer(1, false, ServerState.READY), 0);
         assertEquals(1, view.usable(60 * SECOND).size());
-        assertEquals(0, view.answering(60 * SECOND));
+        assertEquals(0, view.answeringControlHosts(60 * SECOND));
     }
 
     private static FollowAnswer remembering(long epoch) {
-        ServerNews news = new ServerNews(server(ServerState.READY, 1), false, true);
+        ServerUpdate news = new ServerUpdate(server(ServerState.READY, 1), false, true);
         return new FollowAnswer(
                 epoch, 9_000, List.of(news), 1, null, List.of(), List.of(), 0, List.of(), 1, null, null);
     }
@@ -112,13 +112,13 @@
      */
     @Test
     void aRememberedServerCountsWhereNobodyHasMissedIt() {
-        view.take(A, remembering(1), 0);
+        view.apply(A, remembering(1), 0);
         assertEquals(1, view.usable(0).size());
-        view.take(B, nothing(1), 0);
+        view.apply(B, nothing(1), 0);
         assertEquals(1, view.usable(0).size());
-        view.take(B, answer(1, true, ServerState.READY), 0);
+        view.apply(B, answer(1, true, ServerState.READY), 0);
         assertEquals(0, view.usable(0).size());
-        view.take(A, answer(1, false, ServerState.READY), 0);
+        view.apply(A, answer(1, false, ServerState.READY), 0);
         assertEquals(1, view.usable(0).size(), "it was heard");
     }
 
@@ -128,12 +128,12 @@
      */
     @Test
     void entriesAreAllKnownOnceAControlHostHasBeenUpForAWhile() {
-        assertTrue(view.settled(0), "nothing was ever known, and nobody tells");
-        view.take(A, up(300), 0);
-        assertFalse(view.settled(0));
-        assertTrue(view.settled(7 * SECOND / 10), "it has heard all by then");
-        view.take(B, up(1_000), 0);
-        assertTrue(view.settled(0));
+        assertTrue(view.isEntryListComplete(0), "nothing was ever known, and nobody tells");
+        view.apply(A, up(300), 0);
+        assertFalse(view.isEntryListComplete(0));
+        assertTrue(view.isEntryListComplete(7 * SECOND / 10), "it has heard all by then");
+        view.apply(B, up(1_000), 0);
+        assertTrue(view.isEntryListComplete(0));
     }
 
     private static FollowAnswer up(long millis) {
--- a/elmline-core/src/test/java/org/elmline/core/registry/LiveEntriesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/LiveEntriesTest.java
@@ -23,7 +23,7 @@
     private static final Address CONTROL = Address.parse("10.0.0.1:7000");
 
     private final LiveEntries live = new LiveEntries();
-    private final FleetView view = new FleetView(2 * SECOND, 4 * SECOND, SECOND);
+    private final RegistryView view = new RegistryView(2 * SECOND, 4 * SECOND, SECOND);
     private long seen;
 
     private static EntryRecord entry(int number, long incarnation, boolean serving) {
@@ -39,8 +39,8 @@
 
     /** Polls once, as a control host answers it. Returns how many records the answer holds. */
     private int poll(boolean first, long now) {
-        boolean whole = first || !live.tells(seen);
-        List<EntryNews> news = whole ? List.of() : live.since(seen);
+        boolean whole = first || !live.canListChangesSince(seen);
+        List<EntryUpdate> news = whole ? List.of() : live.changesSince(seen);
         FollowAnswer answer = new FollowAnswer(
                 1,
                 9_000,
@@ -49,13 +49,13 @@
                 List.of(),
                 whole ? live.all() : null,
                 news,
-                live.changes(),
+                live.lastChange(),
                 List.of(),
                 1,
                 null,
                 null);
-        view.take(CONTROL, answer, now);
-        seen = live.changes();
+        view.apply(CONTROL, answer, now);
+        seen = live.lastChange();
         return whole ? live.all().size() : news.size();
     }
 
@@ -71,14 +71,14 @@
     void aRestartOfAllEntriesIsToldInAFewRecordsEach() {
         int hosts = 91;
         for (int i = 0; i < hosts; i++) {
-            live.seen(entry(i, 1, true), SECOND);
+            live.renew(entry(i, 1, true), SECOND);
         }
         poll(true, 0);
         int told = 0;
         for (int i = 0; i < hosts; i++) {
-            live.seen(entry(i, 1, false), SECOND);
+            live.renew(entry(i, 1, false), SECOND);
             told += poll(false, 0);
-            live.seen(entry(i, 2, true), SECOND);
+            live.renew(entry(i, 2, true), SECOND);
             told += poll(false, 0);
         }
         assertEquals(2 * hosts, told);
@@ -92,7 +92,7 @@
         poll(true, now);
         for (int i = 0; i < 300; i++) {
             now += random.nextLong(SECOND / 20);
-            live.seen(entry(random.nextInt(40), random.nextInt(3), random.nextBoolean()), now + SECOND);
+            live.renew(entry(random.nextInt(40), random.nextInt(3), random.nextBoolean()), now + SECOND);
             live.expire(now);
             if (random.nextInt(4) == 0) {
                 poll(false, now);
@@ -104,14 +104,14 @@
     /** Guards against an account of hosts that are gone that grows for ever. */
     @Test
     void aFollowerThatLagsFarBehindIsToldAll() {
-        live.seen(entry(0, 1, true), SECOND);
-        long before = live.changes();
+        live.renew(entry(0, 1, true), SECOND);
+        long before = live.lastChange();
         for (int i = 1; i < 250; i++) {
-            live.seen(entry(i, 1, true), SECOND);
+            live.renew(entry(i, 1, true), SECOND);
         }
         live.expire(SECOND);
-        assertFalse(live.tells(before));
-        assertTrue(live.tells(live.changes()));
-        assertTrue(live.since(0).isEmpty());
+        assertFalse(live.canListChangesSince(before));
+        assertTrue(live.canListChangesSince(live.lastChange()));
+        assertTrue(live.changesSince(0).isEmpty());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/registry/OpenPollTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/OpenPollTest.java
@@ -30,44 +30,45 @@
 
     private static FollowRequest request(EntryRecord entry, long servers, long entries, long version) {
         return new FollowRequest(
-                HostId.of("10.0.0.1"), entry, EPOCH, servers, entries, version, FollowRequest.PACKED_NEWS, 0);
+                HostId.of("10.0.0.1"), entry, EPOCH, servers, entries, version, FollowRequest.FORM_PACKED_UPDATES, 0);
     }
 
-    private static OpenPoll held(long servers, long entries, long version) {
-        return new OpenPoll(request(entry(1), servers, entries, version), 0);
+    private static PendingPoll held(long servers, long entries, long version) {
+        return new PendingPoll(request(entry(1), servers, entries, version), 0);
     }
 
     @Test
     void withoutNewsAPollIsHeld() {
-        RegistryNews news = new RegistryNews(EPOCH, 5, 3, 4, 9);
-        assertFalse(held(5, 4, 9).due(news, 499 * MILLI));
-        assertTrue(held(5, 4, 9).due(news, 500 * MILLI));
+        RegistryVersions news = new RegistryVersions(EPOCH, 5, 3, 4, 9);
+        assertFalse(held(5, 4, 9).isDue(news, 499 * MILLI));
+        assertTrue(held(5, 4, 9).isDue(news, 500 * MILLI));
     }
 
     /** Guards against signs of life, and their cost, that grow with the number of control hosts. */
     @Test
     void aFollowerOfManyControlHostsIsHeldForLonger() {
-        assertEquals(500, OpenPoll.holdMillis(5));
-        assertEquals(1_500, OpenPoll.holdMillis(9));
+        assertEquals(500, PendingPoll.holdMillis(5));
+        assertEquals(1_500, PendingPoll.holdMillis(9));
         FollowRequest asks = new FollowRequest(HostId.of("10.0.0.1"), entry(1), EPOCH, 5, 4, 9, 1, 1_500);
-        RegistryNews nothing = new RegistryNews(EPOCH, 5, 3, 4, 9);
-        RegistryNews entry = new RegistryNews(EPOCH, 5, 3, 5, 9);
-        assertFalse(new OpenPoll(asks, 0).due(entry, 399 * MILLI), "eight other hosts tell it, too");
-        assertTrue(new OpenPoll(asks, 0).due(entry, 400 * MILLI));
-        assertFalse(new OpenPoll(asks, 0).due(nothing, 1_499 * MILLI));
-        assertTrue(new OpenPoll(asks, 0).due(nothing, 1_500 * MILLI));
+        RegistryVersions nothing = new RegistryVersions(EPOCH, 5, 3, 4, 9);
+        RegistryVersions entry = new RegistryVersions(EPOCH, 5, 3, 5, 9);
+        assertFalse(new PendingPoll(asks, 0).isDue(entry, 399 * MILLI), "eight other hosts tell it, too");
+        assertTrue(new PendingPoll(asks, 0).isDue(entry, 400 * MILLI));
+        assertFalse(new PendingPoll(asks, 0).isDue(nothing, 1_499 * MILLI));
+        assertTrue(new PendingPoll(asks, 0).isDue(nothing, 1_500 * MILLI));
         assertTrue(
-                new OpenPoll(asks, 0).due(new RegistryNews(EPOCH, 6, 6, 4, 9), 0), "a leaving server is told at once");
+                new PendingPoll(asks, 0).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0),
+                "a leaving server is told at once");
     }
 
     @Test
     void aNewTableIsToldAtOnce() {
-        assertTrue(held(5, 4, 8).due(new RegistryNews(EPOCH, 5, 3, 4, 9), 0));
+        assertTrue(held(5, 4, 8).isDue(new RegistryVersions(EPOCH, 5, 3, 4, 9), 0));
     }
 
     @Test
     void aFollowerOfAnEarlierStartIsAnsweredAtOnce() {
-        assertTrue(held(5, 4, 9).due(new RegistryNews(EPOCH + 1, 0, 0, 0, -1), 0));
+        assertTrue(held(5, 4, 9).isDue(new RegistryVersions(EPOCH + 1, 0, 0, 0, -1), 0));
     }
 
     /**
@@ -76,15 +77,15 @@
      */
     @Test
     void aLeavingServerIsToldAtOnce() {
-        assertTrue(held(5, 4, 9).due(new RegistryNews(EPOCH, 6, 6, 4, 9), 0));
-        assertFalse(held(6, 4, 9).due(new RegistryNews(EPOCH, 6, 6, 4, 9), 0), "it has the news already");
+        assertTrue(held(5, 4, 9).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0));
+        assertFalse(held(6, 4, 9).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0), "it has the news already");
     }
 
     @Test
     void newServersAndEntriesAreGathered() {
-        RegistryNews news = new RegistryNews(EPOCH, 6, 3, 5, 9);
-        assertFalse(held(5, 4, 9).due(news, 99 * MILLI));
-        assertTrue(held(5, 4, 9).due(news, 100 * MILLI));
+        RegistryVersions news = new RegistryVersions(EPOCH, 6, 3, 5, 9);
+        assertFalse(held(5, 4, 9).isDue(news, 99 * MILLI));
+        assertTrue(held(5, 4, 9).isDue(news, 100 * MILLI));
     }
 
     /**
@@ -96,19 +97,19 @@
     void aRestartOfEverythingCausesFewAnswers() {
         int followers = 22;
         int changes = 60;
-        List<OpenPoll> polls = new ArrayList<>();
+        List<PendingPoll> polls = new ArrayList<>();
         for (int i = 1; i <= followers; i++) {
-            polls.add(new OpenPoll(request(i <= 18 ? entry(i) : null, 0, 0, 9), 0));
+            polls.add(new PendingPoll(request(i <= 18 ? entry(i) : null, 0, 0, 9), 0));
         }
         int answers = 0;
         for (int millis = 1; millis <= 1_200; millis++) {
             long servers = (long) changes * millis / 1_200;
-            RegistryNews news = new RegistryNews(EPOCH, servers, 0, 0, 9);
+            RegistryVersions news = new RegistryVersions(EPOCH, servers, 0, 0, 9);
             for (int i = 0; i < followers; i++) {
-                if (polls.get(i).due(news, millis * MILLI)) {
+                if (polls.get(i).isDue(news, millis * MILLI)) {
                     answers++;
                     EntryRecord asker = polls.get(i).request().entry();
-                    polls.set(i, new OpenPoll(request(asker, servers, 0, 9), millis * MILLI));
+                    polls.set(i, new PendingPoll(request(asker, servers, 0, 9), millis * MILLI));
                 }
             }
         }
--- a/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
@@ -30,7 +30,7 @@
     void aDocumentOfManyRoutesBecomesSmall() {
         RoutingText document = document(1_400, new Random(1));
         PackedRouting packed = PackedRouting.of(document);
-        assertEquals(Optional.of(document), packed.unpacked());
+        assertEquals(Optional.of(document), packed.unpack());
         int length = document.text().length();
         assertTrue(5 * packed.deflated().length < length, packed.deflated().length + " of " + length + " bytes");
     }
@@ -39,10 +39,10 @@
     void noDocumentIsNone() {
         assertEquals(
                 Optional.of(RoutingText.NONE),
-                PackedRouting.of(RoutingText.NONE).unpacked());
+                PackedRouting.of(RoutingText.NONE).unpack());
         assertEquals(
                 Optional.of(RoutingText.NONE),
-                PackedRouting.of(RoutingText.UNKNOWN).unpacked());
+                PackedRouting.of(RoutingText.UNKNOWN).unpack());
     }
 
     /** Guards against a table made of half a document, or memory taken by a length that somebody claims. */
@@ -53,14 +53,14 @@
         PackedRouting packed = PackedRouting.of(document);
         byte[] cut = new byte[random.nextInt(packed.deflated().length)];
         System.arraycopy(packed.deflated(), 0, cut, 0, cut.length);
-        assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes(), cut).unpacked());
+        assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes(), cut).unpack());
         byte[] changed = packed.deflated().clone();
         changed[random.nextInt(changed.length)] ^= (byte) (1 << random.nextInt(8));
-        Optional<RoutingText> read = new PackedRouting(7, packed.bytes(), changed).unpacked();
+        Optional<RoutingText> read = new PackedRouting(7, packed.bytes(), changed).unpack();
         assertTrue(read.isEmpty() || read.get().equals(document));
-        assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes() - 1, packed.deflated()).unpacked());
-        assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes() + 1, packed.deflated()).unpacked());
-        assertEquals(Optional.empty(), new PackedRouting(7, Integer.MAX_VALUE, packed.deflated()).unpacked());
-        assertEquals(Optional.empty(), new PackedRouting(7, -1, packed.deflated()).unpacked());
+        assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes() - 1, packed.deflated()).unpack());
+        assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes() + 1, packed.deflated()).unpack());
+        assertEquals(Optional.empty(), new PackedRouting(7, Integer.MAX_VALUE, packed.deflated()).unpack());
+        assertEquals(Optional.empty(), new PackedRouting(7, -1, packed.deflated()).unpack());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/registry/ServerRegistryTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/ServerRegistryTest.java
@@ -44,20 +44,20 @@
      */
     @Test
     void aLateHeartbeatDoesNotEndADrain() {
-        registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
-        assertTrue(registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.DRAINING, 100, 3), SECOND));
-        assertFalse(registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 4), SECOND));
+        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        assertTrue(registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.DRAINING, 100, 3), SECOND));
+        assertFalse(registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 4), SECOND));
         assertEquals(ServerState.DRAINING, state("s"));
     }
 
     /** A server that has left stays gone for its late heartbeats, and comes back only by a later start. */
     @Test
     void whatHasLeftComesBackOnlyByALaterStart() {
-        registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
-        assertTrue(registry.leave(BackendServerId.of("s"), SECOND));
-        registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 9), SECOND);
+        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        assertTrue(registry.deregister(BackendServerId.of("s"), SECOND));
+        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 9), SECOND);
         assertEquals(ServerState.GONE, state("s"));
-        registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 200, 1), SECOND);
+        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 200, 1), SECOND);
         assertEquals(ServerState.READY, state("s"));
     }
 
@@ -67,35 +67,35 @@
      */
     @Test
     void anAddressBelongsToTheLaterStart() {
-        registry.heartbeat(beat("old", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
-        registry.heartbeat(beat("new", "10.0.0.1:80", ServerState.READY, 200, 1), SECOND);
+        registry.onHeartbeat(beat("old", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        registry.onHeartbeat(beat("new", "10.0.0.1:80", ServerState.READY, 200, 1), SECOND);
         assertEquals(ServerState.GONE, state("old"));
-        registry.heartbeat(beat("older", "10.0.0.1:80", ServerState.READY, 50, 7), SECOND);
+        registry.onHeartbeat(beat("older", "10.0.0.1:80", ServerState.READY, 50, 7), SECOND);
         assertEquals(ServerState.READY, state("new"));
         assertTrue(registry.all().stream().noneMatch(each -> each.id().value().equals("older")));
     }
 
     @Test
     void silenceIsToldOnceAndEndsWithAHeartbeatAnywhere() {
-        registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
         assertFalse(registry.expire(2 * SECOND));
         assertTrue(registry.expire(3 * SECOND));
         assertFalse(registry.expire(4 * SECOND));
-        long before = registry.changes();
-        assertTrue(registry.merge(new Heard(BackendServerId.of("s"), 100, 5, 0), 5 * SECOND));
+        long before = registry.lastChange();
+        assertTrue(registry.merge(new HeartbeatAge(BackendServerId.of("s"), 100, 5, 0), 5 * SECOND));
         assertEquals(
                 List.of(false),
-                registry.since(before).stream().map(ServerNews::silent).toList());
+                registry.changesSince(before).stream().map(ServerUpdate::silent).toList());
     }
 
     /** A heartbeat without news makes no change, or every poll would be answered at once for ever. */
     @Test
     void aPlainHeartbeatIsNoNews() {
-        registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
-        long before = registry.changes();
-        assertFalse(registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND));
-        assertEquals(before, registry.changes());
-        assertEquals(1, registry.heardSince(SECOND, SECOND).size());
+        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        long before = registry.lastChange();
+        assertFalse(registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND));
+        assertEquals(before, registry.lastChange());
+        assertEquals(1, registry.localHeartbeatsSince(SECOND, SECOND).size());
     }
 
     /**
@@ -104,28 +104,28 @@
      */
     @Test
     void whatIsRememberedCountsUntilItShouldHaveBeenHeard() {
-        registry.remember(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
-        registry.remember(beat("t", "10.0.0.2:80", ServerState.READY, 100, 1), 0);
-        assertTrue(registry.since(0).stream().allMatch(each -> each.remembered() && !each.silent()));
-        assertTrue(registry.heartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND), "heard is news");
+        registry.restore(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        registry.restore(beat("t", "10.0.0.2:80", ServerState.READY, 100, 1), 0);
+        assertTrue(registry.changesSince(0).stream().allMatch(each -> each.remembered() && !each.silent()));
+        assertTrue(registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND), "heard is news");
         assertFalse(registry.expire(2 * SECOND - 1));
         assertTrue(registry.expire(2 * SECOND));
-        for (ServerNews each : registry.since(0)) {
+        for (ServerUpdate each : registry.changesSince(0)) {
             boolean heard = each.registration().id().value().equals("s");
-            assertEquals(new ServerNews(each.registration(), !heard, false), each);
+            assertEquals(new ServerUpdate(each.registration(), !heard, false), each);
         }
-        assertEquals(1, registry.takingWork().size());
+        assertEquals(1, registry.availableServers().size());
     }
 
     /** A server that left while this host was down would get calls again: what another host has told goes first. */
     @Test
     void whatIsRememberedYieldsToWhatIsKnown() {
-        registry.merge(new ServerNews(beat("s", "10.0.0.1:80", ServerState.GONE, 100, 9), false, false), 0);
-        registry.remember(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        registry.merge(new ServerUpdate(beat("s", "10.0.0.1:80", ServerState.GONE, 100, 9), false, false), 0);
+        registry.restore(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
         assertEquals(ServerState.GONE, state("s"));
-        registry.remember(beat("t", "10.0.0.2:80", ServerState.READY, 100, 1), 0);
-        registry.merge(new ServerNews(beat("t", "10.0.0.2:80", ServerState.DRAINING, 100, 2), false, false), 0);
+        registry.restore(beat("t", "10.0.0.2:80", ServerState.READY, 100, 1), 0);
+        registry.merge(new ServerUpdate(beat("t", "10.0.0.2:80", ServerState.DRAINING, 100, 2), false, false), 0);
         assertEquals(ServerState.DRAINING, state("t"));
-        assertEquals(0, registry.takingWork().size());
+        assertEquals(0, registry.availableServers().size());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/route/OwnershipTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/route/OwnershipTest.java
@@ -76,7 +76,7 @@
     void noOwnerAboveItsBoundAndChangesMoveLittle() {
         List<HostRecord> members = new ArrayList<>(hosts(HOSTS));
         settle(members);
-        int bound = Ownership.bound(SERVERS, HOSTS);
+        int bound = Ownership.maxServersPerOwner(SERVERS, HOSTS);
         assertEquals(25, bound);
         assertTrue(loads.values().stream().allMatch(each -> each.size() <= bound));
         assertEquals(0, round(members), "settled: nothing moves any more");
@@ -91,7 +91,7 @@
         loads.put(lost.id(), List.of());
         int left = settle(members);
         assertTrue(left <= own + SERVERS / HOSTS, left + " moved when a host with " + own + " left");
-        int lastBound = Ownership.bound(SERVERS, members.size());
+        int lastBound = Ownership.maxServersPerOwner(SERVERS, members.size());
         assertTrue(loads.values().stream().allMatch(each -> each.size() <= lastBound));
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/stream/AnswerAssemblerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/stream/AnswerAssemblerTest.java
@@ -33,7 +33,7 @@
         AnswerAssembler assembler = new AnswerAssembler(FIRST);
         List<String> caller = new ArrayList<>();
         List<StreamEvent> late = new ArrayList<>();
-        for (int read = 0; !assembler.complete(); read++) {
+        for (int read = 0; !assembler.finished(); read++) {
             assertTrue(read < 500, "never completes");
             List<StreamEvent> events = events(assembler, count, random, read > 400);
             events.addAll(late);
@@ -41,18 +41,18 @@
             for (StreamEvent each : events) {
                 deliver(assembler.accept(each), caller, count);
             }
-            if (!assembler.complete() && random.nextInt(3) == 0) {
+            if (!assembler.finished() && random.nextInt(3) == 0) {
                 late = events;
                 assembler.continueWith(AttemptId.of("attempt-" + (read + 1)));
             }
         }
         assertEquals(expected(count), caller);
-        assertInstanceOf(Assembled.Ignored.class, assembler.accept(piece(assembler.attempt(), 0)));
+        assertInstanceOf(AssemblyResult.Ignored.class, assembler.accept(piece(assembler.attempt(), 0)));
     }
 
     private static List<StreamEvent> events(AnswerAssembler assembler, int count, Random random, boolean kind) {
         List<StreamEvent> events = new ArrayList<>();
-        for (int i = assembler.offset(); i < count; i++) {
+        for (int i = assembler.resumeOffset(); i < count; i++) {
             int copies = kind ? 1 : random.nextInt(3);
             for (int copy = 0; copy < copies; copy++) {
                 events.add(piece(assembler.attempt(), i));
@@ -68,16 +68,16 @@
         return events;
     }
 
-    private static void deliver(Assembled assembled, List<String> caller, int count) {
-        if (assembled instanceof Assembled.Deliver deliver) {
+    private static void deliver(AssemblyResult assembled, List<String> caller, int count) {
+        if (assembled instanceof AssemblyResult.Deliver deliver) {
             caller.addAll(deliver.pieces());
         }
-        if (assembled instanceof Assembled.Complete complete) {
+        if (assembled instanceof AssemblyResult.Complete complete) {
             caller.addAll(complete.pieces());
             assertEquals(count, caller.size(), "ended before all pieces came");
             assertEquals(FinishReason.STOP, complete.reason());
         }
-        assertTrue(!(assembled instanceof Assembled.Broken), () -> "broke on " + assembled);
+        assertTrue(!(assembled instanceof AssemblyResult.Broken), () -> "broke on " + assembled);
     }
 
     @Test
@@ -91,7 +91,7 @@
         for (StreamEvent[] each : cases) {
             AnswerAssembler assembler = new AnswerAssembler(FIRST);
             assembler.accept(each[0]);
-            broken += assembler.accept(each[1]) instanceof Assembled.Broken ? 1 : 0;
+            broken += assembler.accept(each[1]) instanceof AssemblyResult.Broken ? 1 : 0;
         }
         assertEquals(3, broken);
     }
@@ -102,11 +102,11 @@
         for (int i = 1; i <= 256; i++) {
             assembler.accept(piece(FIRST, i));
         }
-        assertTrue(assembler.missing());
-        assertInstanceOf(Assembled.Broken.class, assembler.accept(piece(FIRST, 257)));
+        assertTrue(assembler.isMissingPieces());
+        assertInstanceOf(AssemblyResult.Broken.class, assembler.accept(piece(FIRST, 257)));
         assertEquals(
                 257,
-                assertInstanceOf(Assembled.Deliver.class, assembler.accept(piece(FIRST, 0)))
+                assertInstanceOf(AssemblyResult.Deliver.class, assembler.accept(piece(FIRST, 0)))
                         .pieces()
                         .size());
     }
@@ -115,8 +115,9 @@
     void doubledPieceIsNotHeldForLater() {
         AnswerAssembler assembler = new AnswerAssembler(FIRST);
         assembler.accept(piece(FIRST, 0));
-        assertEquals(new Assembled.Ignored(Assembled.Why.DUPLICATE), assembler.accept(piece(FIRST, 0)));
-        assertTrue(!assembler.missing(), "would be resumed for nothing");
+        assertEquals(
+                new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.DUPLICATE), assembler.accept(piece(FIRST, 0)));
+        assertTrue(!assembler.isMissingPieces(), "would be resumed for nothing");
     }
 
     private static StreamEvent piece(AttemptId attempt, int index) {
--- a/elmline-core/src/test/java/org/elmline/core/stream/FailureTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/stream/FailureTest.java
@@ -29,14 +29,14 @@
             // ran, repeatable, reachable, delivered, resumes, tries, remaining
             {Ran.NO, false, true, 0, 0, 1, 1_000L, RetryDecision.RETRY},
             {Ran.NO, true, true, 0, 0, 1, 1_000L, RetryDecision.RETRY},
-            {Ran.UNKNOWN, false, false, 0, 0, 1, 1_000L, RetryDecision.GIVE_UP},
-            {Ran.YES, false, false, 0, 0, 1, 1_000L, RetryDecision.GIVE_UP},
+            {Ran.UNKNOWN, false, false, 0, 0, 1, 1_000L, RetryDecision.FAIL},
+            {Ran.YES, false, false, 0, 0, 1, 1_000L, RetryDecision.FAIL},
             {Ran.UNKNOWN, true, true, 5, 0, 1, 1_000L, RetryDecision.RESUME},
             {Ran.UNKNOWN, true, true, 5, 3, 1, 1_000L, RetryDecision.CONTINUE},
             {Ran.UNKNOWN, true, false, 5, 0, 1, 1_000L, RetryDecision.CONTINUE},
             {Ran.UNKNOWN, true, false, 0, 0, 1, 1_000L, RetryDecision.RETRY},
-            {Ran.NO, true, true, 0, 0, 4, 1_000L, RetryDecision.GIVE_UP},
-            {Ran.NO, true, true, 0, 0, 1, 10L, RetryDecision.GIVE_UP},
+            {Ran.NO, true, true, 0, 0, 4, 1_000L, RetryDecision.FAIL},
+            {Ran.NO, true, true, 0, 0, 1, 10L, RetryDecision.FAIL},
         };
         int passed = 0;
         for (Object[] each : cases) {
@@ -65,12 +65,12 @@
         int requests = 5_000;
         int tries = 0;
         for (int i = 0; i < requests; i++) {
-            budget.firstTry();
+            budget.onFirstAttempt();
             int own = 1;
-            RetryDecision next = random.nextBoolean() ? decide(own, budget) : RetryDecision.GIVE_UP;
+            RetryDecision next = random.nextBoolean() ? decide(own, budget) : RetryDecision.FAIL;
             while (next == RetryDecision.RETRY) {
                 own++;
-                next = random.nextBoolean() ? decide(own, budget) : RetryDecision.GIVE_UP;
+                next = random.nextBoolean() ? decide(own, budget) : RetryDecision.FAIL;
             }
             tries += own;
         }
@@ -97,7 +97,7 @@
         assertTrue(queue.acknowledge(cancel));
         assertEquals(List.of(), queue.due(120 * SECOND));
         queue.add(cancel, 0);
-        queue.forget(ENGINE);
+        queue.removeServer(ENGINE);
         assertEquals(0, queue.size());
     }
 
@@ -109,7 +109,7 @@
     @Test
     void onlyStreamsOfGoneStartsAreStrays() {
         LiveHosts hosts = new LiveHosts(List.of(OwnerFixture.host("live", "a")));
-        StrayFinder finder = new StrayFinder(3 * SECOND);
+        OrphanFinder finder = new OrphanFinder(3 * SECOND);
         List<StreamInfo> streams = List.of(
                 stream("dead-start", "live", 0),
                 stream("current", "live", 1),
@@ -120,14 +120,14 @@
                 List.of(new KvExport("kv", AttemptId.of("export"), HostId.of("gone"), Incarnation.of(1), 10));
         var first =
                 finder.find(ENGINE, streams, exports, hosts, id -> id.value().equals("registered"), 0);
-        assertEquals(List.of(), first.strays());
-        assertEquals(2, first.doubts().size(), "the live starts are asked");
+        assertEquals(List.of(), first.orphans());
+        assertEquals(2, first.unregistered().size(), "the live starts are asked");
         var second =
                 finder.find(ENGINE, streams, exports, hosts, id -> id.value().equals("registered"), 3 * SECOND);
-        assertEquals(3, second.strays().size());
-        assertTrue(second.strays().contains(Cancel.export(ENGINE, AttemptId.of("export"), "kv")));
-        assertTrue(second.strays().contains(Cancel.stream(ENGINE, AttemptId.of("dead-start"))));
-        assertTrue(second.strays().contains(Cancel.stream(ENGINE, AttemptId.of("dead-host"))));
+        assertEquals(3, second.orphans().size());
+        assertTrue(second.orphans().contains(Cancel.export(ENGINE, AttemptId.of("export"), "kv")));
+        assertTrue(second.orphans().contains(Cancel.stream(ENGINE, AttemptId.of("dead-start"))));
+        assertTrue(second.orphans().contains(Cancel.stream(ENGINE, AttemptId.of("dead-host"))));
     }
 
     private static StreamInfo stream(String attempt, String host, long incarnation) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerDuties.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerDuties.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 import org.elmline.core.backend.Announcement;
-import org.elmline.core.backend.ServerChanges;
+import org.elmline.core.backend.ServerChangeDetector;
 import org.elmline.core.common.BackendServerId;
 import org.elmline.core.common.CallResult;
 import org.elmline.core.common.MonotonicClock;
@@ -43,7 +43,7 @@
     private final MonotonicClock clock;
     private final AtomicBoolean advancing = new AtomicBoolean();
     private final EventRing events;
-    private final ServerChanges changes = new ServerChanges();
+    private final ServerChangeDetector changes = new ServerChangeDetector();
 
     public OwnerDuties(
             Owner owner, OwnerService service, EngineClients engines, MonotonicClock clock, EventRing events) {
@@ -91,7 +91,7 @@
     }
 
     private void recordChanges() {
-        changes.next(owner.servers()).forEach(events::record);
+        changes.detect(owner.servers()).forEach(events::record);
     }
 
     private void sendCancels() {
@@ -101,11 +101,12 @@
     }
 
     private void send(EngineClient engine, Cancel cancel) {
-        (cancel.ofExport() ? engine.freeKv(cancel.exportId()) : engine.cancel(cancel.attempt())).thenAccept(result -> {
-            if (result instanceof CallResult.Answered<Boolean>) {
-                owner.acknowledged(cancel, clock.nanos());
-            }
-        });
+        (cancel.targetsExport() ? engine.freeKv(cancel.exportId()) : engine.cancel(cancel.attempt()))
+                .thenAccept(result -> {
+                    if (result instanceof CallResult.Answered<Boolean>) {
+                        owner.onCancelAcknowledged(cancel, clock.nanos());
+                    }
+                });
     }
 
     private void listEngines() {
@@ -118,7 +119,8 @@
         engine.streams().thenAcceptBoth(engine.exports(), (streams, exports) -> {
             if (streams instanceof CallResult.Answered<List<StreamInfo>> open
                     && exports instanceof CallResult.Answered<List<KvExport>> held) {
-                owner.listed(id, open.value(), held.value(), clock.nanos()).forEach(this::audit);
+                owner.onEngineListing(id, open.value(), held.value(), clock.nanos())
+                        .forEach(this::audit);
             }
         });
     }
@@ -126,16 +128,16 @@
     /** Asks an entry whether it runs what an engine holds in its name. */
     private void audit(AuditRequest request) {
         service.audit(request)
-                .thenAccept(answer -> answer.ifPresent(known -> owner.audited(request, known, clock.nanos())));
+                .thenAccept(answer -> answer.ifPresent(known -> owner.onAuditAnswer(request, known, clock.nanos())));
     }
 
     private void readCacheEvents() {
         for (Announcement each : owner.engines()) {
             engines.client(each.protocol(), each.address())
-                    .ifPresent(engine -> engine.cacheEvents(owner.lastCacheEvent(each.id()))
+                    .ifPresent(engine -> engine.cacheEvents(owner.lastCacheSequence(each.id()))
                             .thenAccept(result -> {
                                 if (result instanceof CallResult.Answered<CacheEvents> events) {
-                                    owner.cacheEvents(each.id(), events.value());
+                                    owner.applyCacheEvents(each.id(), events.value());
                                 }
                             }));
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
@@ -16,17 +16,17 @@
 import org.elmline.core.common.CallResult;
 import org.elmline.core.common.MonotonicClock;
 import org.elmline.core.control.HostRecord;
-import org.elmline.core.owner.Decided;
 import org.elmline.core.owner.Owner;
+import org.elmline.core.owner.OwnerDecision;
 import org.elmline.core.peer.HandlerRegistry;
 import org.elmline.core.peer.PeerNetwork;
 import org.elmline.core.route.AuditAnswer;
 import org.elmline.core.route.AuditRequest;
 import org.elmline.core.route.GrantReport;
 import org.elmline.core.route.GrantReportAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.OwnerTable;
 import org.elmline.core.route.Ownership;
-import org.elmline.core.route.PlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.RegisterAnswer;
 import org.elmline.core.route.RegisterGrants;
@@ -47,7 +47,7 @@
     private final MonotonicClock clock;
     private volatile Runnable onWaiting = () -> {};
     private volatile Function<AuditRequest, AuditAnswer> localAudit = request -> new AuditAnswer(List.of());
-    private final Map<AttemptId, CompletableFuture<PlaceAnswer>> waiting = new ConcurrentHashMap<>();
+    private final Map<AttemptId, CompletableFuture<OwnerPlaceAnswer>> waiting = new ConcurrentHashMap<>();
 
     public OwnerService(
             HostIdentity self,
@@ -119,10 +119,10 @@
     }
 
     /** Decides one placement on the engines owned here; completes at the latest at the request's deadline. */
-    public CompletableFuture<PlaceAnswer> place(PlaceRequest request) {
-        CompletableFuture<PlaceAnswer> answer =
+    public CompletableFuture<OwnerPlaceAnswer> place(PlaceRequest request) {
+        CompletableFuture<OwnerPlaceAnswer> answer =
                 waiting.computeIfAbsent(request.attempt(), attempt -> new CompletableFuture<>());
-        Optional<PlaceAnswer> known = owner.place(request, clock.nanos());
+        Optional<OwnerPlaceAnswer> known = owner.place(request, clock.nanos());
         known.ifPresent(each -> complete(request.attempt(), each));
         if (known.isEmpty()) {
             onWaiting.run();
@@ -174,13 +174,13 @@
 
     /** Moves the owner's time on and delivers what became known. */
     void advance() {
-        for (Decided each : owner.advance(clock.nanos())) {
+        for (OwnerDecision each : owner.advance(clock.nanos())) {
             complete(each.request().attempt(), each.answer());
         }
     }
 
-    private void complete(AttemptId attempt, PlaceAnswer answer) {
-        CompletableFuture<PlaceAnswer> future = waiting.remove(attempt);
+    private void complete(AttemptId attempt, OwnerPlaceAnswer answer) {
+        CompletableFuture<OwnerPlaceAnswer> future = waiting.remove(attempt);
         if (future != null) {
             future.complete(answer);
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerPump.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerPump.java
@@ -11,13 +11,14 @@
 import org.elmline.core.engine.EngineRequest;
 import org.elmline.core.engine.StreamEvent;
 import org.elmline.core.stream.AnswerAssembler;
-import org.elmline.core.stream.Assembled;
+import org.elmline.core.stream.AssemblyResult;
 import org.elmline.core.timeline.RequestEvent;
 
 /** Carries one request's answer from the streams of its attempts to its caller: each piece once, in order. */
 final class AnswerPump {
     private static final long IDLE_MILLIS = 500;
-    private static final Assembled MISSING = new Assembled.Broken(Ran.YES, "pieces of the answer are missing");
+    private static final AssemblyResult MISSING =
+            new AssemblyResult.Broken(Ran.YES, "pieces of the answer are missing");
     private static final AttemptId NO_ATTEMPT = AttemptId.of("none");
 
     private final Gateway gateway;
@@ -41,7 +42,7 @@
     }
 
     int count() {
-        return answer.offset();
+        return answer.resumeOffset();
     }
 
     /** Whether any attempt is known to have run. */
@@ -67,7 +68,7 @@
     StreamEnding resume(EngineClient engine) throws IOException, InterruptedException {
         resumes++;
         EventQueue events = new EventQueue();
-        return read(events, engine.resume(answer.attempt(), answer.offset(), events), true);
+        return read(events, engine.resume(answer.attempt(), answer.resumeOffset(), events), true);
     }
 
     private StreamEnding read(EventQueue events, AutoCloseable handle, boolean resumed)
@@ -87,18 +88,18 @@
                 return new StreamEnding.Expired();
             }
             StreamEvent event = events.poll(Math.min(left, IDLE_MILLIS));
-            if (event == null && !answer.missing()) {
+            if (event == null && !answer.isMissingPieces()) {
                 sink.idle();
                 continue;
             }
-            Assembled assembled = assemble(event);
-            if (assembled instanceof Assembled.Deliver deliver) {
+            AssemblyResult assembled = assemble(event);
+            if (assembled instanceof AssemblyResult.Deliver deliver) {
                 deliver(deliver.pieces());
-            } else if (assembled instanceof Assembled.Complete complete) {
+            } else if (assembled instanceof AssemblyResult.Complete complete) {
                 deliver(complete.pieces());
-                sink.end(answer.offset(), complete.reason());
+                sink.end(answer.resumeOffset(), complete.reason());
                 return new StreamEnding.Whole();
-            } else if (assembled instanceof Assembled.Broken broken) {
+            } else if (assembled instanceof AssemblyResult.Broken broken) {
                 return broken(broken, resumed);
             } else {
                 gateway.counter("pieces.ignored").inc();
@@ -107,16 +108,16 @@
     }
 
     /** A piece that was left out never comes by itself: waiting for it would use up the whole time limit. */
-    private Assembled assemble(StreamEvent event) {
+    private AssemblyResult assemble(StreamEvent event) {
         if (event == null) {
             return MISSING;
         }
-        Assembled assembled = answer.accept(event);
-        return event instanceof StreamEvent.End && answer.missing() ? MISSING : assembled;
+        AssemblyResult assembled = answer.accept(event);
+        return event instanceof StreamEvent.End && answer.isMissingPieces() ? MISSING : assembled;
     }
 
     /** A resume that finds nobody there says nothing against the attempt having run. */
-    private StreamEnding broken(Assembled.Broken broken, boolean resumed) {
+    private StreamEnding broken(AssemblyResult.Broken broken, boolean resumed) {
         everStarted |= broken.ran() == Ran.YES;
         Ran ran = resumed || !firstOfAttempt ? Ran.YES : broken.ran();
         return new StreamEnding.Broken(ran, broken.ran() != Ran.NO, broken.why());
@@ -127,7 +128,7 @@
         resumes = 0;
         if (firstOfAttempt) {
             firstOfAttempt = false;
-            reportFirstToken(answer.offset() == pieces.size());
+            reportFirstToken(answer.resumeOffset() == pieces.size());
         }
         for (String piece : pieces) {
             sink.piece(piece);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionsHandler.java
@@ -63,7 +63,7 @@
                     exchange, Refusal.didNotRun(RefusalReason.UNKNOWN_MODEL, "no model is named " + request.model()));
             return;
         }
-        int promptTokens = PromptBlocks.tokens(request.prompt());
+        int promptTokens = PromptBlocks.tokenCount(request.prompt());
         Optional<Refusal> unfit = unfit(request, model.get(), promptTokens);
         if (unfit.isPresent()) {
             Answers.refuse(exchange, unfit.get());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancels.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancels.java
@@ -113,7 +113,7 @@
     }
 
     private static CompletableFuture<CallResult<Boolean>> release(EngineClient engine, Cancel cancel) {
-        return cancel.ofExport() ? engine.freeKv(cancel.exportId()) : engine.cancel(cancel.attempt());
+        return cancel.targetsExport() ? engine.freeKv(cancel.exportId()) : engine.cancel(cancel.attempt());
     }
 
     private void done(Cancel cancel) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EventQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EventQueue.java
@@ -19,7 +19,7 @@
     private volatile boolean closed;
 
     @Override
-    public void on(StreamEvent event) {
+    public void onEvent(StreamEvent event) {
         try {
             while (!closed && !events.offer(event, OFFER_MILLIS, TimeUnit.MILLISECONDS)) {
                 // The caller reads slowly.
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Exchange.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/Exchange.java
@@ -50,7 +50,7 @@
         this.sink = sink;
         this.pump = new AnswerPump(gateway, work, sink);
         CompletionRequest request = work.request();
-        this.prefixHashes = PromptBlocks.hashes(request.model().value(), request.adapter(), request.prompt());
+        this.prefixHashes = PromptBlocks.blockHashes(request.model().value(), request.adapter(), request.prompt());
     }
 
     void run() throws IOException, InterruptedException {
@@ -92,7 +92,7 @@
             RetryDecision decision = decide(broken);
             gateway.counter("broken." + decision.name().toLowerCase(Locale.ROOT))
                     .inc();
-            if (decision == RetryDecision.GIVE_UP) {
+            if (decision == RetryDecision.FAIL) {
                 refuse(failed(broken));
                 return;
             }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Gateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/Gateway.java
@@ -55,7 +55,7 @@
 
     /** Runs on a worker until the caller has the answer, a refusal, or has left. */
     void serve(Work work, AnswerSink sink) {
-        budget.firstTry();
+        budget.onFirstAttempt();
         try {
             new Exchange(this, work, sink).run();
         } catch (IOException e) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantBook.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantBook.java
@@ -114,7 +114,7 @@
             if (held == null) {
                 return;
             }
-            open.put(attempt, new Held(held.grant().started(), held.owner()));
+            open.put(attempt, new Held(held.grant().afterFirstToken(), held.owner()));
             outbox(held.owner()).firstTokens.add(new FirstToken(attempt, millisSinceStart));
         }
         report();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExchange.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExchange.java
@@ -23,7 +23,7 @@
 import org.elmline.core.placement.Demand;
 import org.elmline.core.placement.PrefillCost;
 import org.elmline.core.route.Grant;
-import org.elmline.core.route.PlaceAnswer;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.ReleaseCause;
 import org.elmline.core.stream.Cancel;
@@ -69,16 +69,16 @@
                     gateway.placer().slots(demand.model()),
                     IMPORT_SHARE,
                     PrefillCost.DEFAULT);
-            if (plan.isPresent() && plan.get().predictedMillis() > remainingMillis()) {
+            if (plan.isPresent() && plan.get().predictedFirstTokenMillis() > remainingMillis()) {
                 return Optional.of(Refusal.comeBack(
                         RefusalReason.DEADLINE,
                         "reading " + demand.promptTokens() + " tokens takes about "
-                                + plan.get().predictedMillis() + " ms, more than the time limit",
+                                + plan.get().predictedFirstTokenMillis() + " ms, more than the time limit",
                         RETRY_MILLIS));
             }
             if (plan.isPresent()) {
                 GroupReservation reservation = reserve(whole, plan.get());
-                if (reservation.complete()) {
+                if (reservation.isComplete()) {
                     return serve(whole, plan.get(), reservation.grants());
                 }
             }
@@ -91,21 +91,21 @@
 
     private GroupReservation reserve(PlaceRequest whole, GroupPlan plan) throws InterruptedException {
         GroupReservation reservation = new GroupReservation(whole, plan);
-        Optional<GroupReservation.Ask> ask = reservation.next();
+        Optional<GroupReservation.OwnerCall> ask = reservation.nextCall();
         while (ask.isPresent()) {
-            Optional<PlaceAnswer> answer =
+            Optional<OwnerPlaceAnswer> answer =
                     gateway.placer().ask(ask.get().owner(), ask.get().request(), work.call());
             if (answer.isPresent()) {
-                reservation.answered(answer.get());
+                reservation.onAnswer(answer.get());
             } else {
-                reservation.unanswered();
+                reservation.onNoAnswer();
             }
-            if (answer.isPresent() && answer.get() instanceof PlaceAnswer.Placed placed) {
+            if (answer.isPresent() && answer.get() instanceof OwnerPlaceAnswer.Placed placed) {
                 gateway.grants().open(placed.grant(), ask.get().owner());
             }
-            ask = reservation.next();
+            ask = reservation.nextCall();
         }
-        for (GroupReservation.Handback each : reservation.handbacks()) {
+        for (GroupReservation.OwnerRelease each : reservation.releases()) {
             gateway.grants().giveBack(each.attempt(), each.owner());
         }
         return reservation;
@@ -123,12 +123,12 @@
     }
 
     private Optional<Refusal> steps(GroupRun run) throws IOException, InterruptedException {
-        Optional<GroupStep> next = run.step(pump.delivered());
+        Optional<GroupStep> next = run.nextStep(pump.delivered());
         while (next.isPresent()) {
             GroupStep step = next.get();
-            Optional<EngineClient> engine = client(step.on());
+            Optional<EngineClient> engine = client(step.target());
             if (engine.isEmpty()) {
-                return Optional.of(failed("no plug-in speaks " + step.on().protocol()));
+                return Optional.of(failed("no plug-in speaks " + step.target().protocol()));
             }
             if (step instanceof GroupStep.StreamAnswer stream) {
                 return answer(engine.get(), stream);
@@ -139,14 +139,14 @@
             if (refusal.isPresent()) {
                 return refusal;
             }
-            next = run.step(pump.delivered());
+            next = run.nextStep(pump.delivered());
         }
         return Optional.empty();
     }
 
     private Optional<Refusal> importKv(GroupRun run, EngineClient engine, GroupStep.ImportKv step)
             throws InterruptedException {
-        Optional<EngineClient> from = client(step.from());
+        Optional<EngineClient> from = client(step.source());
         CallResult<Boolean> result = from.isEmpty()
                 ? new CallResult.NotSent<>("the exporting engine is gone")
                 : await(engine.importKv(step.export(), from.get()));
@@ -159,16 +159,16 @@
 
     private Optional<Refusal> exportKv(GroupRun run, EngineClient engine, GroupStep.ExportKv step)
             throws InterruptedException {
-        gateway.grants().begun(step.on().attempt());
+        gateway.grants().begun(step.target().attempt());
         gateway.record(new RequestEvent.Placed(
                 work.call().id(),
-                step.on().attempt(),
-                step.on().server(),
-                step.on().host()));
+                step.target().attempt(),
+                step.target().server(),
+                step.target().host()));
         long started = gateway.clock().millis();
         CallResult<KvExport> result = await(engine.exportKv(step.request()));
         if (result instanceof CallResult.Answered<KvExport> answered) {
-            gateway.grants().firstToken(step.on().attempt(), gateway.clock().millis() - started);
+            gateway.grants().firstToken(step.target().attempt(), gateway.clock().millis() - started);
             run.exported(answered.value());
             return Optional.empty();
         }
@@ -177,7 +177,7 @@
 
     private Optional<Refusal> answer(EngineClient engine, GroupStep.StreamAnswer step)
             throws IOException, InterruptedException {
-        gateway.grants().begun(step.on().attempt());
+        gateway.grants().begun(step.target().attempt());
         StreamEnding ending = pump.start(engine, step.request());
         while (ending instanceof StreamEnding.Broken broken && broken.reachable() && pump.resumes() < MAX_RESUMES) {
             ending = pump.resume(engine);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/LimitService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/LimitService.java
@@ -120,7 +120,7 @@
     private CompletableFuture<Void> askForShare(OrganisationId organisation) {
         long asked = clock.nanos();
         ShareRequest request = limits.shareRequest(organisation, asked);
-        Optional<HostRecord> splitter = new Ownership(view.members().hosts()).splitter(organisation);
+        Optional<HostRecord> splitter = new Ownership(view.members().hosts()).limitSplitter(organisation);
         if (splitter.isEmpty() || splitter.get().id().equals(self.host())) {
             limits.applyShare(split(request), asked, clock.nanos());
             return CompletableFuture.completedFuture(null);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
@@ -25,8 +25,8 @@
 import org.elmline.core.placement.Demand;
 import org.elmline.core.route.GroupSlot;
 import org.elmline.core.route.OwnerChoice;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.OwnerTable;
-import org.elmline.core.route.PlaceAnswer;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.RouteChannels;
 import org.elmline.daemon.backend.OwnerService;
@@ -88,20 +88,20 @@
                     call.organisation().id(),
                     demand);
             asked.inc();
-            Optional<PlaceAnswer> answer = ask(owner, request, call);
+            Optional<OwnerPlaceAnswer> answer = ask(owner, request, call);
             if (answer.isEmpty()) {
                 lost.inc();
                 grants.withdraw(attempt, owner.id());
                 continue;
             }
-            if (answer.get() instanceof PlaceAnswer.Placed placed) {
+            if (answer.get() instanceof OwnerPlaceAnswer.Placed placed) {
                 grants.open(placed.grant(), owner.id());
                 if (placed.summary() != null) {
                     owners.refresh(owner.id(), demand, placed.summary());
                 }
                 return new Placement.Found(placed.grant(), owner.id());
             }
-            PlaceAnswer.Refused refused = (PlaceAnswer.Refused) answer.get();
+            OwnerPlaceAnswer.Refused refused = (OwnerPlaceAnswer.Refused) answer.get();
             owners.refresh(owner.id(), demand, refused.summary());
             last = refused.refusal();
         }
@@ -110,19 +110,19 @@
 
     /** The engines that may be free for segments of a prompt larger than one engine. */
     List<GroupSlot> slots(ModelName model) {
-        return owners.slots(model, clock.nanos());
+        return owners.groupSlots(model, clock.nanos());
     }
 
     /** As the other, for an owner known by its id; empty when it is no member. */
-    Optional<PlaceAnswer> ask(HostId owner, PlaceRequest request, Admitted call) throws InterruptedException {
+    Optional<OwnerPlaceAnswer> ask(HostId owner, PlaceRequest request, Admitted call) throws InterruptedException {
         Optional<HostRecord> record = view.members().host(owner);
         return record.isEmpty() ? Optional.empty() : ask(record.get(), request, call);
     }
 
     /** Empty when the owner can't be reached, is no longer a member, or the time is up. */
-    private Optional<PlaceAnswer> ask(HostRecord owner, PlaceRequest request, Admitted call)
+    private Optional<OwnerPlaceAnswer> ask(HostRecord owner, PlaceRequest request, Admitted call)
             throws InterruptedException {
-        CompletableFuture<Optional<PlaceAnswer>> answer = send(owner, request, call);
+        CompletableFuture<Optional<OwnerPlaceAnswer>> answer = send(owner, request, call);
         while (true) {
             try {
                 return answer.get(WATCH_MILLIS, TimeUnit.MILLISECONDS);
@@ -139,13 +139,13 @@
         }
     }
 
-    private CompletableFuture<Optional<PlaceAnswer>> send(HostRecord owner, PlaceRequest request, Admitted call) {
+    private CompletableFuture<Optional<OwnerPlaceAnswer>> send(HostRecord owner, PlaceRequest request, Admitted call) {
         if (owner.id().equals(self.host())) {
             return local.place(request).thenApply(Optional::of);
         }
         Duration timeout = Duration.ofMillis(Math.max(1, call.remainingMillis(clock)));
         return network.call(owner.peers(), RouteChannels.PLACE, request, timeout)
-                .thenApply(result -> result instanceof CallResult.Answered<PlaceAnswer> answered
+                .thenApply(result -> result instanceof CallResult.Answered<OwnerPlaceAnswer> answered
                         ? Optional.of(answered.value())
                         : Optional.empty());
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
@@ -18,7 +18,7 @@
 import org.elmline.core.common.Incarnation;
 import org.elmline.core.raft.RaftSettings;
 import org.elmline.core.raft.ReplicaId;
-import org.elmline.core.registry.OpenPoll;
+import org.elmline.core.registry.PendingPoll;
 import org.elmline.core.registry.RegistryChannels;
 import org.elmline.core.registry.RegistryChannels.RoutingText;
 import org.elmline.daemon.component.DaggerProcessComponent;
@@ -252,7 +252,7 @@
                         settings.host(),
                         () -> null,
                         () -> 0,
-                        () -> OpenPoll.HOLD_MILLIS,
+                        () -> PendingPoll.HOLD_MILLIS,
                         registry::merge,
                         peers.timer());
                 follows.put(each, loop);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
@@ -19,9 +19,9 @@
 import org.elmline.core.registry.FollowAnswer;
 import org.elmline.core.registry.FollowRequest;
 import org.elmline.core.registry.LiveEntries;
-import org.elmline.core.registry.OpenPoll;
+import org.elmline.core.registry.PendingPoll;
 import org.elmline.core.registry.Registration;
-import org.elmline.core.registry.RegistryNews;
+import org.elmline.core.registry.RegistryVersions;
 import org.elmline.core.registry.ServerRegistry;
 import org.elmline.daemon.log.DecisionLog;
 
@@ -76,7 +76,7 @@
         private boolean entry;
     }
 
-    private record Poll(OpenPoll open, CompletableFuture<FollowAnswer> answer) {}
+    private record Poll(PendingPoll open, CompletableFuture<FollowAnswer> answer) {}
 
     private record Spread(long number, long until, CompletableFuture<Boolean> done) {}
 
@@ -107,8 +107,8 @@
         long now = clock.nanos();
         synchronized (this) {
             startedAt = now;
-            remembered.forEach(each -> servers.remember(each, now));
-            writtenChanges = servers.changes();
+            remembered.forEach(each -> servers.restore(each, now));
+            writtenChanges = servers.lastChange();
             writtenAt = now;
         }
         log.line("remembered")
@@ -126,7 +126,7 @@
         long now = clock.nanos();
         CompletableFuture<Boolean> done;
         synchronized (this) {
-            if (servers.heartbeat(registration, now)) {
+            if (servers.onHeartbeat(registration, now)) {
                 log.line("server heard")
                         .with("server", registration.id())
                         .with("service", registration.service())
@@ -136,7 +136,7 @@
                         .with("sequence", registration.sequence())
                         .write();
             }
-            done = registration.state().takesWork() ? CompletableFuture.completedFuture(spreadsNews()) : spread(now);
+            done = registration.state().acceptsWork() ? CompletableFuture.completedFuture(spreadsNews()) : spread(now);
         }
         answerPolls();
         return done;
@@ -153,7 +153,7 @@
         long now = clock.nanos();
         CompletableFuture<Boolean> done;
         synchronized (this) {
-            if (servers.leave(id, now)) {
+            if (servers.deregister(id, now)) {
                 log.line("server left").with("server", id).write();
             }
             done = spread(now);
@@ -171,7 +171,7 @@
             return CompletableFuture.completedFuture(false);
         }
         CompletableFuture<Boolean> done = new CompletableFuture<>();
-        leavingServers = servers.changes();
+        leavingServers = servers.lastChange();
         spreads.add(new Spread(leavingServers, now + SPREAD_NANOS, done));
         return done;
     }
@@ -182,11 +182,11 @@
         long now = clock.nanos();
         synchronized (this) {
             Follower follower = followers.computeIfAbsent(request.host(), host -> new Follower());
-            OpenPoll poll = new OpenPoll(request, now);
+            PendingPoll poll = new PendingPoll(request, now);
             follower.aliveUntil = now + poll.holdMillis() * NANOS_PER_MILLI + ALIVE_SLACK_NANOS;
             follower.serversSeen = request.epoch() == epoch ? request.serversSeen() : -1;
             follower.entry = request.entry() != null;
-            if (request.entry() != null && entries.seen(request.entry(), follower.aliveUntil)) {
+            if (request.entry() != null && entries.renew(request.entry(), follower.aliveUntil)) {
                 log.line("entry heard")
                         .with("entry", request.host())
                         .with("serving", request.entry().serving())
@@ -231,10 +231,10 @@
     }
 
     private void writeServers(long now) {
-        boolean news = servers.changes() != writtenChanges || memory.lost();
+        boolean news = servers.lastChange() != writtenChanges || memory.lost();
         boolean due = news && now - writtenAt >= WRITE_PAUSE_NANOS;
-        if (due && memory.write(new KnownServers(servers.takingWork()))) {
-            writtenChanges = servers.changes();
+        if (due && memory.write(new KnownServers(servers.availableServers()))) {
+            writtenChanges = servers.lastChange();
             writtenAt = now;
         }
     }
@@ -243,12 +243,12 @@
         List<Runnable> completions = new ArrayList<>();
         synchronized (this) {
             long now = clock.nanos();
-            RegistryNews news = new RegistryNews(
-                    epoch, servers.changes(), leavingServers, entries.changes(), routing.heldVersion());
+            RegistryVersions news = new RegistryVersions(
+                    epoch, servers.lastChange(), leavingServers, entries.lastChange(), routing.heldVersion());
             Iterator<Poll> each = polls.iterator();
             while (each.hasNext()) {
                 Poll poll = each.next();
-                if (poll.open().due(news, now)) {
+                if (poll.open().isDue(news, now)) {
                     each.remove();
                     FollowAnswer answer = answer(poll.open().request(), news.routingVersion(), now);
                     completions.add(() -> poll.answer().complete(answer));
@@ -262,25 +262,28 @@
     private FollowAnswer answer(FollowRequest request, long version, long now) {
         boolean whole = request.epoch() != epoch;
         boolean entry = request.entry() != null;
-        boolean entryNews = entry && (whole || entries.changes() != request.entriesSeen());
-        boolean deltas = entryNews && !whole && request.takesPackedNews() && entries.tells(request.entriesSeen());
-        boolean document = request.wantsRouting() && version >= 0;
+        boolean entryNews = entry && (whole || entries.lastChange() != request.entriesSeen());
+        boolean deltas = entryNews
+                && !whole
+                && request.acceptsPackedUpdates()
+                && entries.canListChangesSince(request.entriesSeen());
+        boolean document = request.needsRouting() && version >= 0;
         Follower follower = followers.get(request.host());
         long heardFrom = follower.heardUpTo;
         follower.heardUpTo = now;
         return new FollowAnswer(
                 epoch,
                 (now - startedAt) / NANOS_PER_MILLI,
-                servers.since(whole ? 0 : request.serversSeen()),
-                servers.changes(),
-                entry ? List.of() : servers.heardSince(whole ? now - FORGET_NANOS : heardFrom, now),
+                servers.changesSince(whole ? 0 : request.serversSeen()),
+                servers.lastChange(),
+                entry ? List.of() : servers.localHeartbeatsSince(whole ? now - FORGET_NANOS : heardFrom, now),
                 entryNews && !deltas ? entries.all() : null,
-                deltas ? entries.since(request.entriesSeen()) : List.of(),
-                entries.changes(),
+                deltas ? entries.changesSince(request.entriesSeen()) : List.of(),
+                entries.lastChange(),
                 controls.get(),
                 version,
-                document && !request.takesPackedNews() ? routing.held() : null,
-                document && request.takesPackedNews() ? routing.packed() : null);
+                document && !request.acceptsPackedUpdates() ? routing.held() : null,
+                document && request.acceptsPackedUpdates() ? routing.packed() : null);
     }
 
     private void settleSpreads(long now, List<Runnable> completions) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
@@ -16,8 +16,8 @@
 import org.elmline.core.peer.PeerNetwork;
 import org.elmline.core.registry.RegistryChannels;
 import org.elmline.core.registry.RegistryChannels.RoutingQuery;
-import org.elmline.core.registry.RegistryChannels.RoutingSubmit;
-import org.elmline.core.registry.RegistryChannels.RoutingSubmitted;
+import org.elmline.core.registry.RegistryChannels.RoutingSubmission;
+import org.elmline.core.registry.RegistryChannels.RoutingSubmitResult;
 import org.elmline.core.registry.RegistryChannels.RoutingText;
 import org.elmline.daemon.log.DecisionLog;
 
@@ -60,14 +60,14 @@
     }
 
     /** Puts a valid document in force, unless one of its version or a higher one is. */
-    public CompletableFuture<RoutingSubmitted> submit(RoutingSubmit submit) {
-        Attempts<RoutingSubmit, RoutingSubmitted> attempts = new Attempts<>(
+    public CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submit) {
+        Attempts<RoutingSubmission, RoutingSubmitResult> attempts = new Attempts<>(
                 RegistryChannels.SUBMIT_ROUTING,
                 submit,
                 store::submit,
-                each -> each == RoutingSubmitted.NOT_LEADER,
-                RoutingSubmitted.NOT_LEADER,
-                RoutingSubmitted.UNKNOWN);
+                each -> each == RoutingSubmitResult.NOT_LEADER,
+                RoutingSubmitResult.NOT_LEADER,
+                RoutingSubmitResult.UNKNOWN);
         attempts.next();
         return attempts.done.whenComplete((outcome, failure) -> log.line("routing submitted")
                 .with("version", submit.version())
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
@@ -10,8 +10,8 @@
 import org.elmline.core.control.CommandResult;
 import org.elmline.core.control.Ticket;
 import org.elmline.core.control.TicketOutcome;
-import org.elmline.core.registry.RegistryChannels.RoutingSubmit;
-import org.elmline.core.registry.RegistryChannels.RoutingSubmitted;
+import org.elmline.core.registry.RegistryChannels.RoutingSubmission;
+import org.elmline.core.registry.RegistryChannels.RoutingSubmitResult;
 import org.elmline.core.registry.RegistryChannels.RoutingText;
 import org.elmline.daemon.control.ControlMachine;
 import org.elmline.daemon.raft.ProposeResult;
@@ -33,9 +33,9 @@
     }
 
     /** Decides a document here, which only the leader can. Completes normally in every case. */
-    CompletableFuture<RoutingSubmitted> submit(RoutingSubmit submit) {
+    CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submit) {
         if (!driver.isLeader()) {
-            return CompletableFuture.completedFuture(RoutingSubmitted.NOT_LEADER);
+            return CompletableFuture.completedFuture(RoutingSubmitResult.NOT_LEADER);
         }
         Ticket ticket =
                 new Ticket(TicketNumber.of(submit.version()), AUTHOR, List.of(new RoutingDocument(submit.text())));
@@ -43,18 +43,18 @@
         return driver.propose(command).thenApply(RoutingStore::submitted);
     }
 
-    private static RoutingSubmitted submitted(ProposeResult result) {
+    private static RoutingSubmitResult submitted(ProposeResult result) {
         if (result instanceof ProposeResult.Committed committed) {
             return decided(committed.result());
         }
-        return result instanceof ProposeResult.Unknown ? RoutingSubmitted.UNKNOWN : RoutingSubmitted.NOT_LEADER;
+        return result instanceof ProposeResult.Unknown ? RoutingSubmitResult.UNKNOWN : RoutingSubmitResult.NOT_LEADER;
     }
 
-    private static RoutingSubmitted decided(byte[] result) {
+    private static RoutingSubmitResult decided(byte[] result) {
         Decoded<CommandResult> decoded = Codecs.MESSAGE_PACK.decode(result, CommandResult.class);
         CommandResult applied = ((Decoded.Value<CommandResult>) decoded).value();
         TicketOutcome outcome = ((CommandResult.TicketDecided) applied).outcome();
-        return outcome instanceof TicketOutcome.Accepted ? RoutingSubmitted.ACCEPTED : RoutingSubmitted.OVERTAKEN;
+        return outcome instanceof TicketOutcome.Accepted ? RoutingSubmitResult.ACCEPTED : RoutingSubmitResult.OVERTAKEN;
     }
 
     /** Reads the newest document, which only the leader can. */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
@@ -95,7 +95,7 @@
 
     private void tell(StreamEvent event) {
         if (!closed.get()) {
-            listener.on(event);
+            listener.onEvent(event);
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
@@ -221,7 +221,7 @@
 
     private void send(DispatchCall asked, DispatchAnswer.Granted granted) {
         Registration server = parts.fleet().server(granted.server());
-        boolean left = server != null && !server.state().takesWork();
+        boolean left = server != null && !server.state().acceptsWork();
         if (left || leftMillis() < LEAST_MILLIS) {
             parts.dispatch().end(asked, AttemptEnd.CANCELLED);
             tried.add(granted.server());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Fleet.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Fleet.java
@@ -18,14 +18,14 @@
 import org.elmline.core.common.MonotonicClock;
 import org.elmline.core.common.ServiceName;
 import org.elmline.core.registry.EntryRecord;
-import org.elmline.core.registry.FleetView;
 import org.elmline.core.registry.FollowAnswer;
-import org.elmline.core.registry.OpenPoll;
 import org.elmline.core.registry.PackedRouting;
+import org.elmline.core.registry.PendingPoll;
 import org.elmline.core.registry.Registration;
 import org.elmline.core.registry.RegistryChannels;
 import org.elmline.core.registry.RegistryChannels.RoutingQuery;
 import org.elmline.core.registry.RegistryChannels.RoutingText;
+import org.elmline.core.registry.RegistryView;
 import org.elmline.core.routing.RoutingFormat;
 import org.elmline.core.routing.RoutingTable;
 import org.elmline.daemon.log.DecisionLog;
@@ -67,14 +67,15 @@
     private final Supplier<EntryRecord> self;
     private final Runnable onTable;
     private final Runnable onNews;
-    private final FleetView view = new FleetView(currentNanos(OpenPoll.HOLD_MILLIS), RELEARN_NANOS, SETTLE_NANOS);
+    private final RegistryView view =
+            new RegistryView(currentNanos(PendingPoll.HOLD_MILLIS), RELEARN_NANOS, SETTLE_NANOS);
     private final Map<Address, FollowLoop> follows = new HashMap<>();
     private final StaggeredStart<Address> starts;
     private final Map<ServiceName, List<BackendServerId>> byService = new HashMap<>();
     private List<Registration> grouped;
     private RoutingTable table;
     private volatile long versionKnown = -1;
-    private volatile long holdMillis = OpenPoll.HOLD_MILLIS;
+    private volatile long holdMillis = PendingPoll.HOLD_MILLIS;
     private boolean fetching;
     private boolean wasSettled;
 
@@ -128,8 +129,8 @@
                 answer -> take(control, answer),
                 timer);
         follows.put(control, loop);
-        holdMillis = OpenPoll.holdMillis(follows.size());
-        view.currentFor(currentNanos(holdMillis));
+        holdMillis = PendingPoll.holdMillis(follows.size());
+        view.updateAnswerValidity(currentNanos(holdMillis));
         log.line("control host followed").with("control", control).write();
         loop.start();
     }
@@ -139,7 +140,7 @@
     }
 
     private void take(Address control, FollowAnswer answer) {
-        boolean changed = view.take(control, answer, clock.nanos());
+        boolean changed = view.apply(control, answer, clock.nanos());
         answer.controls().forEach(starts::add);
         dropLost(answer.controls());
         if (answer.routingVersion() > versionKnown) {
@@ -174,7 +175,7 @@
                 log.line("control host given up").with("control", each.getKey()).write();
                 each.getValue().close();
                 starts.remove(each.getKey());
-                view.dropControl(each.getKey());
+                view.removeControlHost(each.getKey());
                 peers.network().forget(each.getKey());
             }
             return lost;
@@ -213,7 +214,7 @@
         if (packed.version() <= heldVersion()) {
             return;
         }
-        packed.unpacked().ifPresentOrElse(text -> apply(text, by), () -> log.line("routing not unpacked")
+        packed.unpack().ifPresentOrElse(text -> apply(text, by), () -> log.line("routing not unpacked")
                 .with("version", packed.version())
                 .with("control", control)
                 .write());
@@ -250,12 +251,12 @@
 
     /** Whether a control host answers, so that what is held is new. */
     boolean current() {
-        return view.answering(clock.nanos()) > 0;
+        return view.answeringControlHosts(clock.nanos()) > 0;
     }
 
     /** Whether {@link #entries()} are all there are; not so for a moment after a loss of all hosts. */
     boolean settled() {
-        return view.settled(clock.nanos());
+        return view.isEntryListComplete(clock.nanos());
     }
 
     List<Registration> usable() {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/FollowLoop.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/FollowLoop.java
@@ -111,7 +111,7 @@
                     serversSeen,
                     entriesSeen,
                     routingKnown.getAsLong(),
-                    FollowRequest.PACKED_NEWS,
+                    FollowRequest.FORM_PACKED_UPDATES,
                     holdMillis);
             timeout = failures == 0 ? Duration.ofMillis(holdMillis + ANSWER_MILLIS) : PATIENT_TIMEOUT;
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/Replicas.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/Replicas.java
@@ -39,7 +39,7 @@
     Optional<Held> hold(ServiceName service, Set<BackendServerId> tried) {
         List<ServiceReplica> able = new ArrayList<>();
         Set<BackendServerId> seen = new HashSet<>(tried);
-        for (ServiceReplica each : owners.services(service, clock.nanos())) {
+        for (ServiceReplica each : owners.serviceReplicas(service, clock.nanos())) {
             if (seen.add(each.server())) {
                 able.add(each);
             }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
@@ -55,12 +55,12 @@
 
     /** A call that may be repeated: tries other replicas while the time and the retry budget last. */
     ClaimReply repeatable(Service service, ServiceCall call, long deadlineNanos) {
-        budget.firstTry();
+        budget.onFirstAttempt();
         Set<BackendServerId> tried = new HashSet<>();
         CallResult<RecordedAnswer> result = new CallResult.NotSent<>("no replica of " + service.name() + " is ready");
         for (int i = 0; i < MAX_TRIES && remainingMillis(deadlineNanos) > 0; i++) {
             Optional<Replicas.Held> held = replicas.hold(service.name(), tried);
-            if (held.isEmpty() || (i > 0 && !budget.tryTake())) {
+            if (held.isEmpty() || (i > 0 && !budget.tryAcquire())) {
                 held.ifPresent(Replicas.Held::close);
                 break;
             }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
@@ -73,7 +73,8 @@
         StreamLog log = new StreamLog();
         client.start(request("a1", PROMPT, 60), log);
         AnswerText expected = AnswerText.of(MODEL, "", PROMPT, 60);
-        assertEquals(new StreamEvent.End(AttemptId.of("a1"), expected.count(), expected.reason()), log.last());
+        assertEquals(
+                new StreamEvent.End(AttemptId.of("a1"), expected.pieceCount(), expected.finishReason()), log.last());
         assertEquals(expected.text(), log.text());
         await(() -> engine.openStreams() == 0);
         assertEquals(0, engine.usedKvTokens());
@@ -177,7 +178,7 @@
 
     @Test
     void faultyPiecesComeAsSet() throws Exception {
-        int count = AnswerText.of(MODEL, "", PROMPT, 60).count();
+        int count = AnswerText.of(MODEL, "", PROMPT, 60).pieceCount();
         engine.faults().pieces(PieceFault.DOUBLED);
         assertEquals(2 * count, piecesOf("c1").size());
         engine.faults().pieces(PieceFault.CROSSED);
@@ -238,7 +239,7 @@
         StreamLog log = new StreamLog();
         client.start(request("d1", prompt, 5), log);
         log.last();
-        List<Long> hashes = PromptBlocks.hashes(MODEL.value(), "", prompt);
+        List<Long> hashes = PromptBlocks.blockHashes(MODEL.value(), "", prompt);
         await(() -> events().size() == hashes.size());
         assertEquals(hashes, events().stream().map(CacheEvents.Event::blockHash).toList());
         assertFalse(answered(client.setPriority(AttemptId.of("none"), 1)));
@@ -268,7 +269,7 @@
     private static String longAnswerPrompt() {
         for (int i = 0; ; i++) {
             String prompt = "season roster " + i;
-            if (AnswerText.of(MODEL, "", prompt, 200).count() > 150) {
+            if (AnswerText.of(MODEL, "", prompt, 200).pieceCount() > 150) {
                 return prompt;
             }
         }
@@ -287,7 +288,7 @@
                 MODEL,
                 "",
                 prompt,
-                PromptBlocks.tokens(prompt),
+                PromptBlocks.tokenCount(prompt),
                 maxOutputTokens,
                 0,
                 delivered,
--- a/elmline-daemon/src/test/java/org/elmline/daemon/engine/StreamLog.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/engine/StreamLog.java
@@ -14,7 +14,7 @@
     private final CountDownLatch ended = new CountDownLatch(1);
 
     @Override
-    public synchronized void on(StreamEvent event) {
+    public synchronized void onEvent(StreamEvent event) {
         events.add(event);
         notifyAll();
         if (!(event instanceof StreamEvent.Piece)) {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowCostMeasurement.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowCostMeasurement.java
@@ -10,14 +10,14 @@
 import org.elmline.core.common.HostId;
 import org.elmline.core.common.Region;
 import org.elmline.core.common.ServiceName;
-import org.elmline.core.registry.EntryNews;
 import org.elmline.core.registry.EntryRecord;
-import org.elmline.core.registry.FleetView;
+import org.elmline.core.registry.EntryUpdate;
 import org.elmline.core.registry.FollowAnswer;
 import org.elmline.core.registry.FollowRequest;
 import org.elmline.core.registry.Registration;
-import org.elmline.core.registry.ServerNews;
+import org.elmline.core.registry.RegistryView;
 import org.elmline.core.registry.ServerState;
+import org.elmline.core.registry.ServerUpdate;
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
@@ -30,19 +30,19 @@
 
     public static void main(String[] args) {
         List<EntryRecord> entries = new ArrayList<>();
-        List<EntryNews> one = new ArrayList<>();
-        List<ServerNews> servers = new ArrayList<>();
+        List<EntryUpdate> one = new ArrayList<>();
+        List<ServerUpdate> servers = new ArrayList<>();
         List<Address> controls = new ArrayList<>();
         for (int i = 0; i < 91; i++) {
             entries.add(entry(i));
         }
         for (int i = 0; i < 172; i++) {
-            servers.add(new ServerNews(server(i), false, false));
+            servers.add(new ServerUpdate(server(i), false, false));
         }
         for (int i = 0; i < 9; i++) {
             controls.add(new Address("10.0.0." + i, 7340));
         }
-        one.add(new EntryNews(entry(3), false));
+        one.add(new EntryUpdate(entry(3), false));
         for (int repeat = 0; repeat < 3; repeat++) {
             print("request", new FollowRequest(HostId.of("10.1.0.1"), entry(1), 1, 2, 3, 4, 1, 900));
             print("nothing new", answer(List.of(), null, List.of(), controls));
@@ -54,7 +54,7 @@
     }
 
     private static FollowAnswer answer(
-            List<ServerNews> servers, List<EntryRecord> entries, List<EntryNews> news, List<Address> controls) {
+            List<ServerUpdate> servers, List<EntryRecord> entries, List<EntryUpdate> news, List<Address> controls) {
         return new FollowAnswer(1, 9_000, servers, 5, List.of(), entries, news, 6, controls, 7, null, null);
     }
 
@@ -93,11 +93,11 @@
             decoded.add(((Decoded.Value<?>) Codecs.MESSAGE_PACK.decode(bytes, message.getClass())).value());
         }
         long taking = System.nanoTime();
-        FleetView view = new FleetView(2 * SECOND, 4 * SECOND, SECOND);
+        RegistryView view = new RegistryView(2 * SECOND, 4 * SECOND, SECOND);
         int i = 0;
         for (Object each : decoded) {
             if (each instanceof FollowAnswer answer) {
-                view.take(new Address("10.0.0." + i++ % 9, 7340), answer, SECOND);
+                view.apply(new Address("10.0.0." + i++ % 9, 7340), answer, SECOND);
             }
         }
         long end = System.nanoTime();
--- a/elmline-standin/src/main/java/org/elmline/standin/Announcer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/Announcer.java
@@ -27,34 +27,34 @@
     private static final MediaType JSON = MediaType.get("application/json");
     private static final Duration TIMEOUT = Duration.ofSeconds(2);
     private static final long POLL_MILLIS = 20;
-    private static final long FIRST_INTERVAL_MILLIS = 500;
-    private static final long LONGEST_INTERVAL_MILLIS = 10_000;
+    private static final long INITIAL_INTERVAL_MILLIS = 500;
+    private static final long MAX_INTERVAL_MILLIS = 10_000;
 
-    private final List<Address> seeds;
+    private final List<Address> seedAddresses;
     private final String backendKey;
     private final Supplier<Announcement> announcement;
     private final OkHttpClient client =
             new OkHttpClient.Builder().callTimeout(TIMEOUT).build();
     private final Thread thread;
-    private List<Address> next;
-    private long intervalMillis = FIRST_INTERVAL_MILLIS;
-    private boolean wanted;
+    private List<Address> nextAddresses;
+    private long intervalMillis = INITIAL_INTERVAL_MILLIS;
+    private boolean announceRequested;
     private long startedRounds;
     private long finishedRounds;
     private volatile boolean closed;
-    private boolean reached;
+    private boolean lastRoundSucceeded;
 
     public Announcer(List<Address> seeds, String backendKey, Supplier<Announcement> announcement) {
-        this.seeds = List.copyOf(seeds);
+        this.seedAddresses = List.copyOf(seeds);
         this.backendKey = backendKey;
         this.announcement = announcement;
-        next = this.seeds;
+        nextAddresses = this.seedAddresses;
         thread = new Thread(this::run, "announcer");
         thread.setDaemon(true);
     }
 
     public void start() {
-        if (!seeds.isEmpty()) {
+        if (!seedAddresses.isEmpty()) {
             thread.start();
         }
     }
@@ -64,13 +64,13 @@
      * server that left without waiting could be gone before anybody heard that it leaves.
      */
     public synchronized void announceNow(Duration limit) throws InterruptedException {
-        if (seeds.isEmpty()) {
+        if (seedAddresses.isEmpty()) {
             return;
         }
         // A round in progress may carry the state from before this call, so the one after it is waited for.
         long target = startedRounds + 1;
         long deadline = System.nanoTime() + limit.toNanos();
-        wanted = true;
+        announceRequested = true;
         notifyAll();
         while (finishedRounds < target && !closed && System.nanoTime() < deadline) {
             wait(POLL_MILLIS);
@@ -94,13 +94,13 @@
             beginRound();
             announceToAny();
             endRound();
-            pause();
+            awaitNextRound();
         }
     }
 
     private synchronized void beginRound() {
         startedRounds++;
-        wanted = false;
+        announceRequested = false;
     }
 
     private synchronized void endRound() {
@@ -108,10 +108,10 @@
         notifyAll();
     }
 
-    private synchronized void pause() {
+    private synchronized void awaitNextRound() {
         try {
             long deadline = System.nanoTime() + intervalMillis * 1_000_000;
-            while (!wanted && !closed && System.nanoTime() < deadline) {
+            while (!announceRequested && !closed && System.nanoTime() < deadline) {
                 wait(Math.max(1, (deadline - System.nanoTime()) / 1_000_000));
             }
         } catch (InterruptedException e) {
@@ -121,8 +121,8 @@
 
     private void announceToAny() {
         byte[] body = EngineJson.write(announcement.get());
-        List<Address> candidates = new ArrayList<>(next);
-        for (Address seed : seeds) {
+        List<Address> candidates = new ArrayList<>(nextAddresses);
+        for (Address seed : seedAddresses) {
             if (!candidates.contains(seed)) {
                 candidates.add(seed);
             }
@@ -132,11 +132,11 @@
                 return;
             }
             if (announceTo(each, body)) {
-                noteReached(true, each);
+                recordOutcome(true, each);
                 return;
             }
         }
-        noteReached(false, candidates.get(0));
+        recordOutcome(false, candidates.get(0));
     }
 
     private boolean announceTo(Address address, byte[] body) {
@@ -150,18 +150,18 @@
                 return false;
             }
             AnnounceAnswer answer = EngineJson.read(response.body().bytes(), AnnounceAnswer.class);
-            intervalMillis = Math.max(50, Math.min(answer.intervalMillis(), LONGEST_INTERVAL_MILLIS));
-            next = answer.announceTo();
+            intervalMillis = Math.max(50, Math.min(answer.intervalMillis(), MAX_INTERVAL_MILLIS));
+            nextAddresses = answer.announceTo();
             return true;
         } catch (IOException e) {
             return false;
         }
     }
 
-    private void noteReached(boolean now, Address address) {
-        if (now != reached) {
+    private void recordOutcome(boolean now, Address address) {
+        if (now != lastRoundSucceeded) {
             LOG.infof("announcing to %s %s", address, now ? "succeeds" : "fails");
         }
-        reached = now;
+        lastRoundSucceeded = now;
     }
 }
--- a/elmline-standin/src/main/java/org/elmline/standin/AnswerText.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/AnswerText.java
@@ -13,25 +13,25 @@
  */
 public final class AnswerText {
     private static final int LETTERS = 26;
-    private static final long FACTOR = 0x9e3779b97f4a7c15L;
+    private static final long HASH_MULTIPLIER = 0x9e3779b97f4a7c15L;
 
     private final long hash;
-    private final int count;
-    private final FinishReason reason;
+    private final int pieceCount;
+    private final FinishReason finishReason;
 
     private AnswerText(long hash, int count, FinishReason reason) {
         this.hash = hash;
-        this.count = count;
-        this.reason = reason;
+        this.pieceCount = count;
+        this.finishReason = reason;
     }
 
     public static AnswerText of(ModelName model, String adapter, String prompt, int maxOutputTokens) {
-        return ofState(extend(state(model, adapter), prompt), maxOutputTokens);
+        return ofState(extend(initialState(model, adapter), prompt), maxOutputTokens);
     }
 
     /** State before any prompt text. */
-    public static long state(ModelName model, String adapter) {
-        return extend(extend(1, model.value()) * FACTOR, adapter == null ? "" : adapter) * FACTOR;
+    public static long initialState(ModelName model, String adapter) {
+        return extend(extend(1, model.value()) * HASH_MULTIPLIER, adapter == null ? "" : adapter) * HASH_MULTIPLIER;
     }
 
     /** State after one more segment of the prompt; independent of where the prompt was cut. */
@@ -51,17 +51,17 @@
     }
 
     /** Number of pieces, from 1 to the longest answer asked for. */
-    public int count() {
-        return count;
+    public int pieceCount() {
+        return pieceCount;
     }
 
-    public FinishReason reason() {
-        return reason;
+    public FinishReason finishReason() {
+        return finishReason;
     }
 
     /** One piece: a space and a word of three to seven letters. */
     public String piece(int index) {
-        long bits = mix(hash + index * FACTOR);
+        long bits = mix(hash + index * HASH_MULTIPLIER);
         int length = 3 + (int) Math.floorMod(bits, 5L);
         StringBuilder word = new StringBuilder(length + 1).append(' ');
         for (int i = 0; i < length; i++) {
@@ -72,8 +72,8 @@
     }
 
     public List<String> pieces() {
-        List<String> pieces = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
+        List<String> pieces = new ArrayList<>(pieceCount);
+        for (int i = 0; i < pieceCount; i++) {
             pieces.add(piece(i));
         }
         return pieces;
--- a/elmline-standin/src/main/java/org/elmline/standin/HttpAnswers.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/JsonResponses.java
@@ -9,25 +9,25 @@
 import org.elmline.wire.engine.Problem;
 
 /** Answers of the stand-ins' HTTP servers, all JSON. */
-public final class HttpAnswers {
-    private HttpAnswers() {}
+public final class JsonResponses {
+    private JsonResponses() {}
 
-    public static void json(HttpServerExchange exchange, Object body) {
-        json(exchange, 200, body);
+    public static void send(HttpServerExchange exchange, Object body) {
+        send(exchange, 200, body);
     }
 
-    public static void json(HttpServerExchange exchange, int status, Object body) {
+    public static void send(HttpServerExchange exchange, int status, Object body) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.getResponseSender().send(ByteBuffer.wrap(EngineJson.write(body)));
     }
 
-    public static void problem(HttpServerExchange exchange, int status, String why) {
-        json(exchange, status, new Problem(why));
+    public static void sendProblem(HttpServerExchange exchange, int status, String why) {
+        send(exchange, status, new Problem(why));
     }
 
     /** A query parameter, or null. */
-    public static String parameter(HttpServerExchange exchange, String name) {
+    public static String queryParameter(HttpServerExchange exchange, String name) {
         Deque<String> values = exchange.getQueryParameters().get(name);
         return values == null ? null : values.peekFirst();
     }
--- a/elmline-standin/src/main/java/org/elmline/standin/StandinHttp.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/StandinHttpServer.java
@@ -8,22 +8,22 @@
 import org.elmline.core.common.Address;
 
 /** An HTTP server on loopback, as every stand-in opens it. */
-public final class StandinHttp implements AutoCloseable {
+public final class StandinHttpServer implements AutoCloseable {
     private static final String LOOPBACK = "127.0.0.1";
     private static final int IO_THREADS = 2;
-    private static final int WORKERS = 256;
-    private static final long LARGEST_BODY_BYTES = 64L << 20;
+    private static final int WORKER_THREADS = 256;
+    private static final long MAX_BODY_BYTES = 64L << 20;
 
     private final Undertow server;
     private final Address address;
 
     /** Opens at once; port 0 takes any free one. */
-    public StandinHttp(int port, HttpHandler handler) {
+    public StandinHttpServer(int port, HttpHandler handler) {
         server = Undertow.builder()
                 .addHttpListener(port, LOOPBACK)
                 .setIoThreads(IO_THREADS)
-                .setWorkerThreads(WORKERS)
-                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, LARGEST_BODY_BYTES)
+                .setWorkerThreads(WORKER_THREADS)
+                .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, MAX_BODY_BYTES)
                 .setHandler(handler)
                 .build();
         server.start();
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/CacheEventLog.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/CacheEventLog.java
@@ -12,30 +12,30 @@
 
 /** Prefix-cache events as engines publish them: late, a share of them never. A lost event still uses up its number. */
 public final class CacheEventLog {
-    private static final int MOST_EVENTS = 50_000;
-    private static final int MOST_ANSWERED = 5_000;
+    private static final int MAX_EVENTS = 50_000;
+    private static final int MAX_EVENTS_PER_ANSWER = 5_000;
 
     private final long delayNanos;
-    private final double lostShare;
+    private final double lossRate;
     private final SplittableRandom random;
-    private final Deque<Stamped> events = new ArrayDeque<>();
+    private final Deque<TimedEvent> events = new ArrayDeque<>();
     private long sequence;
 
-    private record Stamped(CacheEvents.Event event, long atNanos) {}
+    private record TimedEvent(CacheEvents.Event event, long atNanos) {}
 
     public CacheEventLog(long delayNanos, double lostShare, long seed) {
         this.delayNanos = delayNanos;
-        this.lostShare = lostShare;
+        this.lossRate = lostShare;
         random = new SplittableRandom(seed);
     }
 
     public void add(long blockHash, boolean stored, long atNanos) {
         sequence++;
-        if (random.nextDouble() < lostShare) {
+        if (random.nextDouble() < lossRate) {
             return;
         }
-        events.addLast(new Stamped(new CacheEvents.Event(sequence, blockHash, stored), atNanos));
-        if (events.size() > MOST_EVENTS) {
+        events.addLast(new TimedEvent(new CacheEvents.Event(sequence, blockHash, stored), atNanos));
+        if (events.size() > MAX_EVENTS) {
             events.removeFirst();
         }
     }
@@ -43,9 +43,9 @@
     /** Events published by now with a number above {@code sequence}, at most 5,000. */
     public CacheEvents after(long sequence, long nowNanos) {
         List<CacheEvents.Event> newestFirst = new ArrayList<>();
-        Iterator<Stamped> fromNewest = events.descendingIterator();
+        Iterator<TimedEvent> fromNewest = events.descendingIterator();
         while (fromNewest.hasNext()) {
-            Stamped each = fromNewest.next();
+            TimedEvent each = fromNewest.next();
             if (each.event().sequence() <= sequence) {
                 break;
             }
@@ -54,7 +54,7 @@
             }
         }
         Collections.reverse(newestFirst);
-        List<CacheEvents.Event> answer = newestFirst.subList(0, Math.min(MOST_ANSWERED, newestFirst.size()));
+        List<CacheEvents.Event> answer = newestFirst.subList(0, Math.min(MAX_EVENTS_PER_ANSWER, newestFirst.size()));
         long last = answer.isEmpty() ? sequence : answer.get(answer.size() - 1).sequence();
         return new CacheEvents(answer, last);
     }
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/LaggingLoad.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/DelayedLoad.java
@@ -3,23 +3,23 @@
 import org.elmline.core.engine.EngineLoad;
 
 /** Reports the load of one or two intervals ago. */
-public final class LaggingLoad {
+public final class DelayedLoad {
     private static final EngineLoad NONE = new EngineLoad(0, 0, 0);
 
     private final long intervalNanos;
     private EngineLoad previous = NONE;
     private EngineLoad current = NONE;
-    private long takenNanos = Long.MIN_VALUE / 2;
+    private long sampledAtNanos = Long.MIN_VALUE / 2;
 
-    public LaggingLoad(long intervalNanos) {
+    public DelayedLoad(long intervalNanos) {
         this.intervalNanos = intervalNanos;
     }
 
     public EngineLoad report(EngineLoad actual, long nowNanos) {
-        if (nowNanos - takenNanos >= intervalNanos) {
+        if (nowNanos - sampledAtNanos >= intervalNanos) {
             previous = current;
             current = actual;
-            takenNanos = nowNanos;
+            sampledAtNanos = nowNanos;
         }
         return previous;
     }
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/Engine.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/Engine.java
@@ -29,18 +29,18 @@
  * this engine, then one of its streams.
  */
 final class Engine implements AutoCloseable, StepListener {
-    private static final long LONGEST_WAIT_MILLIS = 50;
+    private static final long MAX_WAIT_MILLIS = 50;
 
     private final EngineSettings settings;
     private final EngineFaults faults;
     private final LongSupplier clock;
     private final EngineModel model;
     private final CacheEventLog cacheEvents;
-    private final LaggingLoad laggingLoad;
-    private final Orders orders;
+    private final DelayedLoad delayedLoad;
+    private final OrderedState orderedState;
     private final Map<AttemptId, EngineStream> streams = new HashMap<>();
     private final Map<Long, EngineStream> streamsById = new HashMap<>();
-    private final Map<String, HeldKv> held = new HashMap<>();
+    private final Map<String, KvSegment> kvSegments = new HashMap<>();
     private final Thread thread;
     private long lastId;
     private boolean closed;
@@ -50,20 +50,21 @@
         this.settings = settings;
         this.faults = faults;
         this.clock = clock;
-        cacheEvents = new CacheEventLog(settings.cacheEventDelayNanos(), settings.lostCacheEvents(), settings.seed());
-        laggingLoad = new LaggingLoad(settings.loadLagNanos());
+        cacheEvents =
+                new CacheEventLog(settings.cacheEventDelayNanos(), settings.cacheEventLossRate(), settings.seed());
+        delayedLoad = new DelayedLoad(settings.loadReportDelayNanos());
         model = new EngineModel(settings.profile(), cacheEvents::add);
-        orders = new Orders(settings);
+        orderedState = new OrderedState(settings);
         thread = new Thread(this::run, "engine " + settings.id());
         thread.setDaemon(true);
         thread.start();
     }
 
     /** Why a start was refused before it ran, or the stream. */
-    record Started(EngineStream stream, Refused refused) {}
+    record StartResult(EngineStream stream, StartRefusal refusal) {}
 
     /** Refusals that tell the caller that nothing ran, but for {@code DUPLICATE}, whose first try may have. */
-    enum Refused {
+    enum StartRefusal {
         WRONG_MODEL(409),
         NOT_READY(503),
         TOO_LARGE(413),
@@ -72,7 +73,7 @@
 
         private final int status;
 
-        Refused(int status) {
+        StartRefusal(int status) {
             this.status = status;
         }
 
@@ -81,23 +82,23 @@
         }
     }
 
-    synchronized Started start(EngineRequest request) {
-        Refused refused = refusal(request);
+    synchronized StartResult start(EngineRequest request) {
+        StartRefusal refused = refusal(request);
         if (refused != null) {
-            return new Started(null, refused);
+            return new StartResult(null, refused);
         }
         AnswerText answer = AnswerText.ofState(textState(request), request.maxOutputTokens());
-        int firstIndex = Math.min(request.delivered().size(), answer.count());
+        int firstIndex = Math.min(request.delivered().size(), answer.pieceCount());
         EngineStream stream = new EngineStream(
                 ++lastId, request.attempt(), request.host(), request.incarnation(), answer, firstIndex);
-        SequenceRequest sequence = sequence(stream.id(), request, answer.count() - firstIndex, firstIndex);
+        SequenceRequest sequence = sequence(stream.id(), request, answer.pieceCount() - firstIndex, firstIndex);
         if (!model.submit(sequence, now())) {
-            return new Started(null, Refused.TOO_LARGE);
+            return new StartResult(null, StartRefusal.TOO_LARGE);
         }
         streams.put(stream.attempt(), stream);
         streamsById.put(stream.id(), stream);
         notifyAll();
-        return new Started(stream, null);
+        return new StartResult(stream, null);
     }
 
     synchronized Optional<EngineStream> stream(AttemptId attempt) {
@@ -105,18 +106,18 @@
     }
 
     /** The end reached a reader: memory is freed, while the text can still be read again for the retention. */
-    synchronized void delivered(EngineStream stream) {
+    synchronized void onDelivered(EngineStream stream) {
         model.release(stream.id());
     }
 
     synchronized void cancel(AttemptId attempt) {
         EngineStream stream = streams.remove(attempt);
         if (stream != null) {
-            drop(stream);
+            removeStream(stream);
         }
-        HeldKv export = held.get(attempt.value());
+        KvSegment export = kvSegments.get(attempt.value());
         if (export != null) {
-            free(attempt.value());
+            freeExport(attempt.value());
         }
     }
 
@@ -128,7 +129,7 @@
     synchronized List<StreamInfo> streamInfos() {
         List<StreamInfo> infos = new ArrayList<>();
         for (EngineStream each : streams.values()) {
-            long tokens = model.heldTokens(each.id());
+            long tokens = model.allocatedKvTokens(each.id());
             if (tokens > 0 || !each.isFinished()) {
                 infos.add(new StreamInfo(each.attempt(), each.host(), each.incarnation(), tokens));
             }
@@ -138,7 +139,7 @@
 
     /** Streams that are not finished, or whose end no reader has received. */
     synchronized int openStreams() {
-        return model.openSequences() - exportsOfOwn();
+        return model.openSequences() - ownExportCount();
     }
 
     synchronized long usedKvTokens() {
@@ -146,10 +147,10 @@
     }
 
     /** Begins to compute a segment for export; its stream finishes when the export is ready. */
-    synchronized Started startExport(EngineRequest segment) {
-        Refused refused = refusal(segment);
-        if (refused != null || held.containsKey(segment.attempt().value())) {
-            return new Started(null, refused == null ? Refused.DUPLICATE : refused);
+    synchronized StartResult startExport(EngineRequest segment) {
+        StartRefusal refused = refusal(segment);
+        if (refused != null || kvSegments.containsKey(segment.attempt().value())) {
+            return new StartResult(null, refused == null ? StartRefusal.DUPLICATE : refused);
         }
         long state = textState(segment);
         EngineStream stream = new EngineStream(
@@ -161,7 +162,7 @@
                 Integer.MAX_VALUE);
         SequenceRequest sequence = sequence(stream.id(), segment, 0, 0);
         if (!model.submit(sequence, now())) {
-            return new Started(null, Refused.TOO_LARGE);
+            return new StartResult(null, StartRefusal.TOO_LARGE);
         }
         KvExport export = new KvExport(
                 segment.attempt().value(),
@@ -169,14 +170,14 @@
                 segment.host(),
                 segment.incarnation(),
                 sequence.promptTokens());
-        held.put(export.id(), new HeldKv(stream.id(), export, sequence.promptTokens(), state, false));
+        kvSegments.put(export.id(), new KvSegment(stream.id(), export, sequence.promptTokens(), state, false));
         streamsById.put(stream.id(), stream);
         notifyAll();
-        return new Started(stream, null);
+        return new StartResult(stream, null);
     }
 
-    synchronized Optional<ExportedKv> exported(String id) {
-        HeldKv kv = held.get(id);
+    synchronized Optional<ExportedKv> findExport(String id) {
+        KvSegment kv = kvSegments.get(id);
         if (kv == null || !isReady(kv)) {
             return Optional.empty();
         }
@@ -185,7 +186,7 @@
         return Optional.of(new ExportedKv(whole, kv.textState()));
     }
 
-    private boolean isReady(HeldKv kv) {
+    private boolean isReady(KvSegment kv) {
         EngineStream stream = streamsById.get(kv.id());
         return kv.imported() || stream != null && stream.isFinished();
     }
@@ -193,21 +194,21 @@
     /** Takes in what another engine exported; true also when it is here already. */
     synchronized boolean importKv(ExportedKv exported) {
         KvExport export = exported.export();
-        if (held.containsKey(export.id())) {
+        if (kvSegments.containsKey(export.id())) {
             return true;
         }
         long tokens = Math.max(1, (long) (export.tokens() * settings.importedShare()));
         long id = ++lastId;
-        if (!model.holdExternal(id, tokens, now())) {
+        if (!model.reserveExternal(id, tokens, now())) {
             return false;
         }
         KvExport here = new KvExport(export.id(), export.attempt(), export.host(), export.incarnation(), tokens);
-        held.put(export.id(), new HeldKv(id, here, export.tokens(), exported.textState(), true));
+        kvSegments.put(export.id(), new KvSegment(id, here, export.tokens(), exported.textState(), true));
         return true;
     }
 
-    synchronized void free(String exportId) {
-        HeldKv kv = held.remove(exportId);
+    synchronized void freeExport(String exportId) {
+        KvSegment kv = kvSegments.remove(exportId);
         if (kv == null) {
             return;
         }
@@ -217,25 +218,25 @@
         }
         EngineStream stream = streamsById.get(kv.id());
         if (stream != null) {
-            drop(stream);
+            removeStream(stream);
         }
     }
 
     synchronized List<KvExport> exports() {
-        return held.values().stream().map(HeldKv::export).toList();
+        return kvSegments.values().stream().map(KvSegment::export).toList();
     }
 
     synchronized OrderAnswer order(EngineOrder order) {
-        return orders.accept(order, now());
+        return orderedState.accept(order, now());
     }
 
     synchronized EngineState state() {
-        return orders.state(now());
+        return orderedState.state(now());
     }
 
     synchronized EngineLoad load() {
         EngineLoad actual = new EngineLoad(openStreams(), model.usedKvTokens(), model.prefillBacklogTokens());
-        EngineLoad lagging = laggingLoad.report(actual, now());
+        EngineLoad lagging = delayedLoad.report(actual, now());
         return faults.reportsNoLoad() ? new EngineLoad(0, 0, 0) : lagging;
     }
 
@@ -244,18 +245,18 @@
     }
 
     @Override
-    public void token(long id, int index, long atNanos) {
+    public void onToken(long id, int index, long atNanos) {
         EngineStream stream = streamsById.get(id);
         if (stream != null) {
-            stream.generated(index);
+            stream.onGenerated(index);
         }
     }
 
     @Override
-    public void finished(long id, long atNanos) {
+    public void onFinished(long id, long atNanos) {
         EngineStream stream = streamsById.get(id);
         if (stream != null) {
-            stream.finished(atNanos);
+            stream.onFinished(atNanos);
         }
     }
 
@@ -273,49 +274,49 @@
         return clock.getAsLong();
     }
 
-    private int exportsOfOwn() {
+    private int ownExportCount() {
         int own = 0;
-        for (HeldKv each : held.values()) {
+        for (KvSegment each : kvSegments.values()) {
             own += each.imported() ? 0 : 1;
         }
         return own;
     }
 
-    private void drop(EngineStream stream) {
+    private void removeStream(EngineStream stream) {
         streamsById.remove(stream.id());
         model.release(stream.id());
         stream.cancel();
     }
 
-    private Refused refusal(EngineRequest request) {
-        EngineState state = orders.state(now());
+    private StartRefusal refusal(EngineRequest request) {
+        EngineState state = orderedState.state(now());
         if (streams.containsKey(request.attempt())) {
-            return Refused.DUPLICATE;
+            return StartRefusal.DUPLICATE;
         }
         if (!state.ready()) {
-            return Refused.NOT_READY;
+            return StartRefusal.NOT_READY;
         }
         boolean adapterKnown = request.adapter() == null
                 || request.adapter().isEmpty()
                 || state.adapters().contains(request.adapter());
         if (!state.model().equals(request.model()) || !adapterKnown) {
-            return Refused.WRONG_MODEL;
+            return StartRefusal.WRONG_MODEL;
         }
-        return held.keySet().containsAll(request.kvImports()) ? null : Refused.IMPORT_MISSING;
+        return kvSegments.keySet().containsAll(request.kvImports()) ? null : StartRefusal.IMPORT_MISSING;
     }
 
     private long textState(EngineRequest request) {
         List<String> imports = request.kvImports();
         long before = imports.isEmpty()
-                ? AnswerText.state(request.model(), request.adapter())
-                : held.get(imports.get(imports.size() - 1)).textState();
+                ? AnswerText.initialState(request.model(), request.adapter())
+                : kvSegments.get(imports.get(imports.size() - 1)).textState();
         return AnswerText.extend(before, request.prompt());
     }
 
     private SequenceRequest sequence(long id, EngineRequest request, int outputTokens, int deliveredTokens) {
         long imported = 0;
         for (String each : request.kvImports()) {
-            imported += held.get(each).contextTokens();
+            imported += kvSegments.get(each).contextTokens();
         }
         int own = (int) Math.max(1, request.promptTokens() - imported) + deliveredTokens;
         long[] blocks = imported > 0 ? new long[0] : blockHashes(request);
@@ -324,7 +325,7 @@
 
     private static long[] blockHashes(EngineRequest request) {
         String adapter = request.adapter() == null ? "" : request.adapter();
-        List<Long> hashes = PromptBlocks.hashes(request.model().value(), adapter, request.prompt());
+        List<Long> hashes = PromptBlocks.blockHashes(request.model().value(), adapter, request.prompt());
         return hashes.stream().mapToLong(Long::longValue).toArray();
     }
 
@@ -342,29 +343,29 @@
         long now = now();
         model.slowdown(faults.slowdown());
         model.advance(now, this);
-        forgetExpired(now);
+        evictExpiredStreams(now);
         if (closed) {
             return false;
         }
-        wait(millisUntil(model.nextNanos(), now));
+        wait(millisUntil(model.nextStepEndNanos(), now));
         return !closed;
     }
 
     private long millisUntil(long nextNanos, long now) {
         if (nextNanos == EngineModel.IDLE) {
-            return LONGEST_WAIT_MILLIS;
+            return MAX_WAIT_MILLIS;
         }
         double realNanos = (nextNanos - now) / settings.timeScale();
-        return Math.max(1, Math.min(LONGEST_WAIT_MILLIS, (long) (realNanos / 1e6)));
+        return Math.max(1, Math.min(MAX_WAIT_MILLIS, (long) (realNanos / 1e6)));
     }
 
-    private void forgetExpired(long now) {
+    private void evictExpiredStreams(long now) {
         Iterator<EngineStream> all = streams.values().iterator();
         while (all.hasNext()) {
             EngineStream each = all.next();
             if (each.isFinished() && now - each.finishedNanos() > settings.retentionNanos()) {
                 all.remove();
-                drop(each);
+                removeStream(each);
             }
         }
     }
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineFaults.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineFaults.java
@@ -5,8 +5,8 @@
     private volatile PieceFault pieces = PieceFault.NONE;
     private volatile double slowdown = 1;
     private volatile boolean reportsNoLoad;
-    private volatile boolean silent;
-    private volatile int dropReadersGeneration;
+    private volatile boolean frozen;
+    private volatile int readerDropCount;
 
     public PieceFault pieces() {
         return pieces;
@@ -34,22 +34,22 @@
         reportsNoLoad = value;
     }
 
-    public boolean silent() {
-        return silent;
+    public boolean frozen() {
+        return frozen;
     }
 
     /** Stops writing to streams, heartbeats too, while connections stay open: a frozen engine. */
-    public void silent(boolean value) {
-        silent = value;
+    public void frozen(boolean value) {
+        frozen = value;
     }
 
-    int dropReadersGeneration() {
-        return dropReadersGeneration;
+    int readerDropCount() {
+        return readerDropCount;
     }
 
     /** Breaks every connection that reads a stream now; the streams themselves live on. */
     public synchronized void dropReaders() {
-        dropReadersGeneration++;
+        readerDropCount++;
     }
 
     /** Settings of faults as a stand-in process takes them over HTTP; null leaves one as it is. */
@@ -66,7 +66,7 @@
             reportsNoLoad = settings.reportsNoLoad();
         }
         if (settings.silent() != null) {
-            silent = settings.silent();
+            frozen = settings.silent();
         }
         if (Boolean.TRUE.equals(settings.drop())) {
             dropReaders();
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineRoutes.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineRoutes.java
@@ -15,7 +15,7 @@
 import org.elmline.core.common.AttemptId;
 import org.elmline.core.engine.EngineOrder;
 import org.elmline.core.engine.EngineRequest;
-import org.elmline.standin.HttpAnswers;
+import org.elmline.standin.JsonResponses;
 import org.elmline.wire.engine.EngineJson;
 import org.elmline.wire.engine.EnginePaths;
 import org.elmline.wire.engine.ExportedKv;
@@ -31,31 +31,33 @@
 
     private final Engine engine;
     private final EngineFaults faults;
-    private final OkHttpClient otherEngines;
+    private final OkHttpClient importClient;
 
     EngineRoutes(Engine engine, EngineFaults faults, OkHttpClient otherEngines) {
         this.engine = engine;
         this.faults = faults;
-        this.otherEngines = otherEngines;
+        this.importClient = otherEngines;
     }
 
     HttpHandler handler() {
         return Handlers.routing()
-                .post(EnginePaths.STREAMS, body(EngineRequest.class, this::start))
-                .get(EnginePaths.STREAMS, exchange -> HttpAnswers.json(exchange, engine.streamInfos()))
+                .post(EnginePaths.STREAMS, withJsonBody(EngineRequest.class, this::start))
+                .get(EnginePaths.STREAMS, exchange -> JsonResponses.send(exchange, engine.streamInfos()))
                 .get(EnginePaths.STREAM, this::resume)
                 .delete(EnginePaths.STREAM, this::cancel)
                 .put(EnginePaths.PRIORITY, this::changePriority)
-                .post(EnginePaths.EXPORTS, body(EngineRequest.class, this::export))
-                .get(EnginePaths.EXPORTS, exchange -> HttpAnswers.json(exchange, engine.exports()))
+                .post(EnginePaths.EXPORTS, withJsonBody(EngineRequest.class, this::export))
+                .get(EnginePaths.EXPORTS, exchange -> JsonResponses.send(exchange, engine.exports()))
                 .get(EnginePaths.EXPORT, this::exported)
                 .delete(EnginePaths.EXPORT, this::free)
-                .post(EnginePaths.IMPORT, body(ImportRequest.class, this::importKv))
-                .post(EnginePaths.ORDERS, body(EngineOrder.class, (e, o) -> HttpAnswers.json(e, engine.order(o))))
-                .get(EnginePaths.STATE, exchange -> HttpAnswers.json(exchange, engine.state()))
-                .get(EnginePaths.LOAD, exchange -> HttpAnswers.json(exchange, engine.load()))
+                .post(EnginePaths.IMPORT, withJsonBody(ImportRequest.class, this::importKv))
+                .post(
+                        EnginePaths.ORDERS,
+                        withJsonBody(EngineOrder.class, (e, o) -> JsonResponses.send(e, engine.order(o))))
+                .get(EnginePaths.STATE, exchange -> JsonResponses.send(exchange, engine.state()))
+                .get(EnginePaths.LOAD, exchange -> JsonResponses.send(exchange, engine.load()))
                 .get(EnginePaths.CACHE_EVENTS, this::cacheEvents)
-                .put("/standin/faults", body(EngineFaults.Settings.class, this::setFaults));
+                .put("/standin/faults", withJsonBody(EngineFaults.Settings.class, this::setFaults));
     }
 
     /** Handles a request whose JSON body has been read whole. */
@@ -63,13 +65,13 @@
         void handle(HttpServerExchange exchange, T body);
     }
 
-    private static <T> HttpHandler body(Class<T> type, BodyHandler<T> handler) {
+    private static <T> HttpHandler withJsonBody(Class<T> type, BodyHandler<T> handler) {
         return exchange -> exchange.getRequestReceiver().receiveFullBytes((received, bytes) -> {
             T value;
             try {
                 value = EngineJson.read(bytes, type);
             } catch (IOException e) {
-                HttpAnswers.problem(received, 400, "not a " + type.getSimpleName());
+                JsonResponses.sendProblem(received, 400, "not a " + type.getSimpleName());
                 return;
             }
             handler.handle(received, value);
@@ -78,13 +80,13 @@
 
     private void start(HttpServerExchange exchange, EngineRequest request) {
         if (!isComplete(request, 1)) {
-            HttpAnswers.problem(exchange, 400, "attempt, host, incarnation, model, prompt and sizes are needed");
+            JsonResponses.sendProblem(exchange, 400, "attempt, host, incarnation, model, prompt and sizes are needed");
             return;
         }
-        Engine.Started started = engine.start(request);
-        if (started.refused() != null) {
-            HttpAnswers.problem(
-                    exchange, started.refused().status(), started.refused().name());
+        Engine.StartResult started = engine.start(request);
+        if (started.refusal() != null) {
+            JsonResponses.sendProblem(
+                    exchange, started.refusal().status(), started.refusal().name());
             return;
         }
         EngineStream stream = started.stream();
@@ -104,14 +106,14 @@
 
     private void resume(HttpServerExchange exchange) {
         AttemptId attempt = attempt(exchange);
-        Integer offset = number(exchange, EnginePaths.OFFSET);
+        Integer offset = integerParameter(exchange, EnginePaths.OFFSET);
         if (attempt == null || offset == null || offset < 0) {
-            HttpAnswers.problem(exchange, 400, "attempt and offset are needed");
+            JsonResponses.sendProblem(exchange, 400, "attempt and offset are needed");
             return;
         }
         Optional<EngineStream> stream = engine.stream(attempt);
         if (stream.isEmpty()) {
-            HttpAnswers.problem(exchange, 404, "no such attempt");
+            JsonResponses.sendProblem(exchange, 404, "no such attempt");
             return;
         }
         exchange.dispatch((HttpHandler) dispatched -> writeStream(dispatched, stream.get(), offset));
@@ -136,32 +138,32 @@
     private void cancel(HttpServerExchange exchange) {
         AttemptId attempt = attempt(exchange);
         if (attempt == null) {
-            HttpAnswers.problem(exchange, 400, "attempt is needed");
+            JsonResponses.sendProblem(exchange, 400, "attempt is needed");
             return;
         }
         engine.cancel(attempt);
-        HttpAnswers.json(exchange, true);
+        JsonResponses.send(exchange, true);
     }
 
     private void changePriority(HttpServerExchange exchange) {
         AttemptId attempt = attempt(exchange);
-        Integer priority = number(exchange, "priority");
+        Integer priority = integerParameter(exchange, "priority");
         if (attempt == null || priority == null) {
-            HttpAnswers.problem(exchange, 400, "attempt and priority are needed");
+            JsonResponses.sendProblem(exchange, 400, "attempt and priority are needed");
             return;
         }
-        HttpAnswers.json(exchange, engine.changePriority(attempt, priority));
+        JsonResponses.send(exchange, engine.changePriority(attempt, priority));
     }
 
     private void export(HttpServerExchange exchange, EngineRequest segment) {
         if (!isComplete(segment, 0)) {
-            HttpAnswers.problem(exchange, 400, "attempt, host, incarnation, model, prompt and sizes are needed");
+            JsonResponses.sendProblem(exchange, 400, "attempt, host, incarnation, model, prompt and sizes are needed");
             return;
         }
-        Engine.Started started = engine.startExport(segment);
-        if (started.refused() != null) {
-            HttpAnswers.problem(
-                    exchange, started.refused().status(), started.refused().name());
+        Engine.StartResult started = engine.startExport(segment);
+        if (started.refusal() != null) {
+            JsonResponses.sendProblem(
+                    exchange, started.refusal().status(), started.refusal().name());
             return;
         }
         exchange.dispatch((HttpHandler) dispatched -> writeExport(dispatched, started.stream()));
@@ -178,7 +180,7 @@
                 out.flush();
                 stream.awaitMore(Integer.MAX_VALUE, 500);
             }
-            Optional<ExportedKv> exported = engine.exported(stream.attempt().value());
+            Optional<ExportedKv> exported = engine.findExport(stream.attempt().value());
             if (exported.isEmpty()) {
                 throw new IOException("export cancelled");
             }
@@ -193,28 +195,28 @@
 
     private void exported(HttpServerExchange exchange) {
         Optional<ExportedKv> exported =
-                engine.exported(String.valueOf(HttpAnswers.parameter(exchange, EnginePaths.ID)));
+                engine.findExport(String.valueOf(JsonResponses.queryParameter(exchange, EnginePaths.ID)));
         if (exported.isEmpty()) {
-            HttpAnswers.problem(exchange, 404, "no such export");
+            JsonResponses.sendProblem(exchange, 404, "no such export");
             return;
         }
-        HttpAnswers.json(exchange, exported.get());
+        JsonResponses.send(exchange, exported.get());
     }
 
     private void free(HttpServerExchange exchange) {
-        engine.free(String.valueOf(HttpAnswers.parameter(exchange, EnginePaths.ID)));
-        HttpAnswers.json(exchange, true);
+        engine.freeExport(String.valueOf(JsonResponses.queryParameter(exchange, EnginePaths.ID)));
+        JsonResponses.send(exchange, true);
     }
 
     private void importKv(HttpServerExchange exchange, ImportRequest request) {
         if (request.export() == null || request.from() == null) {
-            HttpAnswers.problem(exchange, 400, "export and from are needed");
+            JsonResponses.sendProblem(exchange, 400, "export and from are needed");
             return;
         }
-        exchange.dispatch((HttpHandler) dispatched -> HttpAnswers.json(dispatched, pull(request)));
+        exchange.dispatch((HttpHandler) dispatched -> JsonResponses.send(dispatched, fetchAndImport(request)));
     }
 
-    private boolean pull(ImportRequest request) {
+    private boolean fetchAndImport(ImportRequest request) {
         HttpUrl url = new HttpUrl.Builder()
                 .scheme("http")
                 .host(request.from().ip())
@@ -223,7 +225,7 @@
                 .addQueryParameter(EnginePaths.ID, request.export().id())
                 .build();
         try (Response response =
-                otherEngines.newCall(new Request.Builder().url(url).build()).execute()) {
+                importClient.newCall(new Request.Builder().url(url).build()).execute()) {
             return response.isSuccessful()
                     && engine.importKv(EngineJson.read(response.body().bytes(), ExportedKv.class));
         } catch (IOException e) {
@@ -232,30 +234,30 @@
     }
 
     private void cacheEvents(HttpServerExchange exchange) {
-        String after = HttpAnswers.parameter(exchange, EnginePaths.AFTER);
+        String after = JsonResponses.queryParameter(exchange, EnginePaths.AFTER);
         try {
-            HttpAnswers.json(exchange, engine.cacheEventsAfter(after == null ? 0 : Long.parseLong(after)));
+            JsonResponses.send(exchange, engine.cacheEventsAfter(after == null ? 0 : Long.parseLong(after)));
         } catch (NumberFormatException e) {
-            HttpAnswers.problem(exchange, 400, "after is a number");
+            JsonResponses.sendProblem(exchange, 400, "after is a number");
         }
     }
 
     private void setFaults(HttpServerExchange exchange, EngineFaults.Settings settings) {
         faults.apply(settings);
-        HttpAnswers.json(exchange, true);
+        JsonResponses.send(exchange, true);
     }
 
     private static AttemptId attempt(HttpServerExchange exchange) {
         try {
-            return AttemptId.of(HttpAnswers.parameter(exchange, EnginePaths.ATTEMPT));
+            return AttemptId.of(JsonResponses.queryParameter(exchange, EnginePaths.ATTEMPT));
         } catch (IllegalArgumentException e) {
             return null;
         }
     }
 
-    private static Integer number(HttpServerExchange exchange, String name) {
+    private static Integer integerParameter(HttpServerExchange exchange, String name) {
         try {
-            return Integer.valueOf(HttpAnswers.parameter(exchange, name));
+            return Integer.valueOf(JsonResponses.queryParameter(exchange, name));
         } catch (NumberFormatException e) {
             return null;
         }
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineServer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineServer.java
@@ -16,7 +16,7 @@
 import org.elmline.core.common.Region;
 import org.elmline.core.engine.EngineState;
 import org.elmline.standin.Announcer;
-import org.elmline.standin.StandinHttp;
+import org.elmline.standin.StandinHttpServer;
 import org.elmline.standin.model.EngineProfile;
 import org.jboss.logging.Logger;
 
@@ -27,14 +27,14 @@
 public final class EngineServer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(EngineServer.class);
     private static final String PROTOCOL = "standin";
-    private static final Duration FAREWELL_LIMIT = Duration.ofSeconds(5);
+    private static final Duration LEAVE_ANNOUNCE_TIMEOUT = Duration.ofSeconds(5);
     private static final long LEAVE_POLL_MILLIS = 20;
 
     private final EngineSettings settings;
     private final EngineFaults faults = new EngineFaults();
     private final Engine engine;
-    private final StandinHttp http;
-    private final OkHttpClient otherEngines;
+    private final StandinHttpServer http;
+    private final OkHttpClient importClient;
     private final Announcer announcer;
     private final AtomicBoolean closed = new AtomicBoolean();
     private volatile boolean leaving;
@@ -43,9 +43,9 @@
         this.settings = settings;
         long start = System.nanoTime();
         engine = new Engine(settings, faults, () -> (long) ((System.nanoTime() - start) * settings.timeScale()));
-        otherEngines =
+        importClient =
                 new OkHttpClient.Builder().callTimeout(Duration.ofSeconds(5)).build();
-        http = new StandinHttp(settings.port(), new EngineRoutes(engine, faults, otherEngines).handler());
+        http = new StandinHttpServer(settings.port(), new EngineRoutes(engine, faults, importClient).handler());
         announcer = new Announcer(settings.announceTo(), settings.backendKey(), this::announcement);
         announcer.start();
         LOG.infof("engine %s serves on %s", settings.id(), http.address());
@@ -108,7 +108,7 @@
     /** Announces that it is leaving, waits for open streams up to the limit, and closes; true when none was cut. */
     public boolean leave(Duration limit) throws InterruptedException {
         leaving = true;
-        announcer.announceNow(FAREWELL_LIMIT);
+        announcer.announceNow(LEAVE_ANNOUNCE_TIMEOUT);
         long deadline = System.nanoTime() + limit.toNanos();
         while (engine.openStreams() > 0 && System.nanoTime() < deadline) {
             Thread.sleep(LEAVE_POLL_MILLIS);
@@ -126,8 +126,8 @@
         announcer.close();
         engine.close();
         http.close();
-        otherEngines.dispatcher().executorService().shutdown();
-        otherEngines.connectionPool().evictAll();
+        importClient.dispatcher().executorService().shutdown();
+        importClient.connectionPool().evictAll();
     }
 
     /** Builds an engine; only id and model have no default. Times are in the engine's own, scaled time. */
@@ -144,9 +144,9 @@
         private double timeScale = 1;
         private Duration retention = Duration.ofMinutes(10);
         private Duration weightLoad = Duration.ofSeconds(5);
-        private Duration loadLag = Duration.ofSeconds(1);
+        private Duration loadReportDelay = Duration.ofSeconds(1);
         private Duration cacheEventDelay = Duration.ofMillis(500);
-        private double lostCacheEvents;
+        private double cacheEventLossRate;
         private double importedShare = 1.0 / 16;
         private boolean checksFencing = true;
         private long seed = 1;
@@ -219,8 +219,8 @@
             return this;
         }
 
-        public Builder loadLag(Duration value) {
-            loadLag = value;
+        public Builder loadReportDelay(Duration value) {
+            loadReportDelay = value;
             return this;
         }
 
@@ -230,8 +230,8 @@
         }
 
         /** Share of cache events that are never published, 0 to 1. */
-        public Builder lostCacheEvents(double value) {
-            lostCacheEvents = value;
+        public Builder cacheEventLossRate(double value) {
+            cacheEventLossRate = value;
             return this;
         }
 
@@ -283,9 +283,9 @@
                     timeScale,
                     retention.toNanos(),
                     weightLoad.toNanos(),
-                    loadLag.toNanos(),
+                    loadReportDelay.toNanos(),
                     cacheEventDelay.toNanos(),
-                    lostCacheEvents,
+                    cacheEventLossRate,
                     importedShare,
                     checksFencing,
                     seed,
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineSettings.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineSettings.java
@@ -15,7 +15,7 @@
  * times as fast as real time.
  *
  * @param retentionNanos how long a finished stream is kept for a reader that has not had its end
- * @param lostCacheEvents share of cache events never published, 0 to 1
+ * @param cacheEventLossRate share of cache events never published, 0 to 1
  * @param importedShare memory that an imported segment takes, as a share of its tokens; the rest is read from the
  *     exporter, so that a prompt of more than one engine's memory can be answered
  */
@@ -29,9 +29,9 @@
         double timeScale,
         long retentionNanos,
         long weightLoadNanos,
-        long loadLagNanos,
+        long loadReportDelayNanos,
         long cacheEventDelayNanos,
-        double lostCacheEvents,
+        double cacheEventLossRate,
         double importedShare,
         boolean checksFencing,
         long seed,
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineStream.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineStream.java
@@ -13,7 +13,7 @@
     private final Incarnation incarnation;
     private final AnswerText answer;
     private final int firstIndex;
-    private int available;
+    private int availablePieces;
     private boolean cancelled;
     private long finishedNanos = Long.MAX_VALUE;
 
@@ -24,7 +24,7 @@
         this.incarnation = incarnation;
         this.answer = answer;
         this.firstIndex = firstIndex;
-        available = Math.min(firstIndex, answer.count());
+        availablePieces = Math.min(firstIndex, answer.pieceCount());
     }
 
     long id() {
@@ -52,17 +52,17 @@
         return firstIndex;
     }
 
-    synchronized int available() {
-        return available;
+    synchronized int availablePieces() {
+        return availablePieces;
     }
 
-    synchronized void generated(int indexInAttempt) {
-        available = firstIndex + indexInAttempt + 1;
+    synchronized void onGenerated(int indexInAttempt) {
+        availablePieces = firstIndex + indexInAttempt + 1;
         notifyAll();
     }
 
-    synchronized void finished(long nowNanos) {
-        available = answer.count();
+    synchronized void onFinished(long nowNanos) {
+        availablePieces = answer.pieceCount();
         finishedNanos = nowNanos;
         notifyAll();
     }
@@ -86,7 +86,7 @@
 
     /** Waits until there is more than {@code pieces} to read, the stream ended, or the time is over. */
     synchronized void awaitMore(int pieces, long millis) throws InterruptedException {
-        if (available <= pieces && finishedNanos == Long.MAX_VALUE && !cancelled) {
+        if (availablePieces <= pieces && finishedNanos == Long.MAX_VALUE && !cancelled) {
             wait(millis);
         }
     }
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/HeldKv.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/KvSegment.java
@@ -11,4 +11,4 @@
  * @param textState state of the answer text's hash after the segment
  * @param imported whether another engine computed it
  */
-record HeldKv(long id, KvExport export, long contextTokens, long textState, boolean imported) {}
+record KvSegment(long id, KvExport export, long contextTokens, long textState, boolean imported) {}
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/StreamWriter.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/StreamWriter.java
@@ -15,46 +15,46 @@
 final class StreamWriter {
     private static final long HEARTBEAT_MILLIS = 1_000;
     private static final long FAULT_POLL_MILLIS = 50;
-    private static final int MISSING_EVERY = 5;
-    private static final AttemptId CROSSED = AttemptId.of("crossed-by-standin");
+    private static final int MISSING_PIECE_INTERVAL = 5;
+    private static final AttemptId CROSSED_ATTEMPT = AttemptId.of("crossed-by-standin");
 
     private final Engine engine;
     private final EngineFaults faults;
     private final OutputStream out;
-    private final int readersGeneration;
+    private final int initialReaderDropCount;
 
     StreamWriter(Engine engine, EngineFaults faults, OutputStream out) {
         this.engine = engine;
         this.faults = faults;
         this.out = out;
-        readersGeneration = faults.dropReadersGeneration();
+        initialReaderDropCount = faults.readerDropCount();
     }
 
     /** Returns once the stream's end was written; throws when the connection is broken, by either side. */
     void write(EngineStream stream, int offset) throws IOException, InterruptedException {
         int next = offset;
-        int count = stream.answer().count();
+        int count = stream.answer().pieceCount();
         long lastWriteNanos = System.nanoTime();
         while (true) {
             checkConnection();
             boolean finished = stream.isFinished();
-            int available = stream.available();
+            int available = stream.availablePieces();
             if (stream.isCancelled()) {
                 writeLine(new StreamEvent.Failed(stream.attempt(), Ran.YES, "cancelled"));
                 return;
             }
-            if (next < available && !faults.silent()) {
+            if (next < available && !faults.frozen()) {
                 writePieces(stream, next, available);
                 next = available;
                 lastWriteNanos = System.nanoTime();
             }
-            if (finished && next >= count && !faults.silent()) {
+            if (finished && next >= count && !faults.frozen()) {
                 writeLine(new StreamEvent.End(
-                        stream.attempt(), count, stream.answer().reason()));
-                engine.delivered(stream);
+                        stream.attempt(), count, stream.answer().finishReason()));
+                engine.onDelivered(stream);
                 return;
             }
-            if (heartbeatDue(lastWriteNanos)) {
+            if (isHeartbeatDue(lastWriteNanos)) {
                 out.write('\n');
                 out.flush();
                 lastWriteNanos = System.nanoTime();
@@ -64,19 +64,19 @@
     }
 
     private void awaitMore(EngineStream stream, int next) throws InterruptedException {
-        if (faults.silent()) {
+        if (faults.frozen()) {
             Thread.sleep(FAULT_POLL_MILLIS);
             return;
         }
         stream.awaitMore(next, FAULT_POLL_MILLIS);
     }
 
-    private boolean heartbeatDue(long lastWriteNanos) {
-        return !faults.silent() && System.nanoTime() - lastWriteNanos > HEARTBEAT_MILLIS * 1_000_000;
+    private boolean isHeartbeatDue(long lastWriteNanos) {
+        return !faults.frozen() && System.nanoTime() - lastWriteNanos > HEARTBEAT_MILLIS * 1_000_000;
     }
 
     private void checkConnection() throws IOException {
-        if (engine.isClosed() || faults.dropReadersGeneration() != readersGeneration) {
+        if (engine.isClosed() || faults.readerDropCount() != initialReaderDropCount) {
             throw new IOException("reader dropped");
         }
     }
@@ -87,31 +87,31 @@
             StreamEvent.Piece piece = piece(stream, i);
             switch (fault) {
                 case DOUBLED -> {
-                    line(piece);
-                    line(piece);
+                    appendLine(piece);
+                    appendLine(piece);
                 }
                 case MISSING -> {
-                    if (i % MISSING_EVERY != MISSING_EVERY - 1) {
-                        line(piece);
+                    if (i % MISSING_PIECE_INTERVAL != MISSING_PIECE_INTERVAL - 1) {
+                        appendLine(piece);
                     }
                 }
-                case REORDERED -> i = reordered(stream, i, to);
+                case REORDERED -> i = writeReordered(stream, i, to);
                 case CROSSED -> {
-                    line(new StreamEvent.Piece(CROSSED, i, " crossed"));
-                    line(piece);
+                    appendLine(new StreamEvent.Piece(CROSSED_ATTEMPT, i, " crossed"));
+                    appendLine(piece);
                 }
-                default -> line(piece);
+                default -> appendLine(piece);
             }
         }
         out.flush();
     }
 
-    private int reordered(EngineStream stream, int index, int to) throws IOException {
+    private int writeReordered(EngineStream stream, int index, int to) throws IOException {
         boolean pair = index + 1 < to;
         if (pair) {
-            line(piece(stream, index + 1));
+            appendLine(piece(stream, index + 1));
         }
-        line(piece(stream, index));
+        appendLine(piece(stream, index));
         return pair ? index + 1 : index;
     }
 
@@ -120,11 +120,11 @@
     }
 
     private void writeLine(StreamEvent event) throws IOException {
-        line(event);
+        appendLine(event);
         out.flush();
     }
 
-    private void line(StreamEvent event) throws IOException {
+    private void appendLine(StreamEvent event) throws IOException {
         out.write(EngineJson.writeEvent(event));
         out.write('\n');
     }
--- a/elmline-standin/src/main/java/org/elmline/standin/model/CacheListener.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/CacheListener.java
@@ -3,5 +3,5 @@
 /** Hears each change of the prefix cache as it happens. */
 @FunctionalInterface
 public interface CacheListener {
-    void changed(long blockHash, boolean stored, long atNanos);
+    void onChange(long blockHash, boolean stored, long atNanos);
 }
--- a/elmline-standin/src/main/java/org/elmline/standin/model/EngineModel.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/EngineModel.java
@@ -12,7 +12,7 @@
  * budget with chunks of prefill, most urgent first; its time follows from what it computed. Not thread-safe.
  */
 public final class EngineModel {
-    /** What {@link #nextNanos()} answers when there is nothing to compute. */
+    /** What {@link #nextStepEndNanos()} answers when there is nothing to compute. */
     public static final long IDLE = Long.MAX_VALUE;
 
     private final EngineProfile profile;
@@ -22,10 +22,10 @@
     private final TreeSet<Sequence> prefilling;
     private final List<Sequence> decoding = new ArrayList<>();
     private final List<Chunk> chunks = new ArrayList<>();
-    private final List<Sequence> stepDecodes = new ArrayList<>();
-    private final Map<Long, Long> external = new HashMap<>();
+    private final List<Sequence> decodingInStep = new ArrayList<>();
+    private final Map<Long, Long> externalKvTokens = new HashMap<>();
     private long stepEndNanos = IDLE;
-    private long lastNanos;
+    private long clockNanos;
     private double slowdown = 1;
     private long preemptions;
     private long cachedPromptTokens;
@@ -34,7 +34,7 @@
     public EngineModel(EngineProfile profile, CacheListener cacheListener) {
         this.profile = profile;
         memory = new KvMemory(profile.capacityKvTokens(), profile.blockTokens(), cacheListener);
-        Comparator<Sequence> order = Comparator.<Sequence>comparingLong(s -> s.orderKey(profile.ageingNanos()))
+        Comparator<Sequence> order = Comparator.<Sequence>comparingLong(s -> s.schedulingKey(profile.ageingNanos()))
                 .thenComparingLong(s -> s.request.id());
         waiting = new TreeSet<>(order);
         prefilling = new TreeSet<>(order);
@@ -54,8 +54,8 @@
         Sequence sequence = new Sequence(request, nowNanos);
         sequences.put(request.id(), sequence);
         waiting.add(sequence);
-        lastNanos = Math.max(lastNanos, nowNanos);
-        wake();
+        clockNanos = Math.max(clockNanos, nowNanos);
+        startStepIfIdle();
         return true;
     }
 
@@ -70,7 +70,7 @@
         decoding.remove(sequence);
         freeMemory(sequence);
         sequence.stage = Sequence.Stage.FINISHED;
-        wake();
+        startStepIfIdle();
         return true;
     }
 
@@ -78,9 +78,9 @@
      * Starts a step when none runs and somebody waits. Needed after each release: finished sequences may hold all
      * memory, so that no step runs; without this the waiting ones would stay until the next submission.
      */
-    private void wake() {
+    private void startStepIfIdle() {
         if (stepEndNanos == IDLE && !waiting.isEmpty()) {
-            startStep(lastNanos);
+            startStep(clockNanos);
         }
     }
 
@@ -102,26 +102,26 @@
     }
 
     /** Holds memory for imported KV; false when there is no room or the id is in use. */
-    public boolean holdExternal(long id, long tokens, long nowNanos) {
-        if (external.containsKey(id) || !memory.take(tokens, nowNanos)) {
+    public boolean reserveExternal(long id, long tokens, long nowNanos) {
+        if (externalKvTokens.containsKey(id) || !memory.allocate(tokens, nowNanos)) {
             return false;
         }
-        external.put(id, tokens);
+        externalKvTokens.put(id, tokens);
         return true;
     }
 
     public boolean releaseExternal(long id) {
-        Long tokens = external.remove(id);
+        Long tokens = externalKvTokens.remove(id);
         if (tokens == null) {
             return false;
         }
-        memory.give(tokens);
-        wake();
+        memory.free(tokens);
+        startStepIfIdle();
         return true;
     }
 
     /** When the step in progress ends; {@link #IDLE} without one. */
-    public long nextNanos() {
+    public long nextStepEndNanos() {
         return stepEndNanos;
     }
 
@@ -130,10 +130,10 @@
         while (stepEndNanos <= nowNanos) {
             long ended = stepEndNanos;
             finishStep(ended, listener);
-            lastNanos = ended;
+            clockNanos = ended;
             startStep(ended);
         }
-        lastNanos = Math.max(lastNanos, nowNanos);
+        clockNanos = Math.max(clockNanos, nowNanos);
     }
 
     public int openSequences() {
@@ -145,18 +145,18 @@
     }
 
     /** KV tokens that this sequence holds now. */
-    public long heldTokens(long id) {
+    public long allocatedKvTokens(long id) {
         Sequence sequence = sequences.get(id);
-        return sequence == null ? 0 : sequence.privateTokens + (long) sequence.heldBlocks * profile.blockTokens();
+        return sequence == null ? 0 : sequence.privateTokens + (long) sequence.retainedBlocks * profile.blockTokens();
     }
 
     public long prefillBacklogTokens() {
         long backlog = 0;
         for (Sequence each : waiting) {
-            backlog += each.target;
+            backlog += each.prefillTargetTokens;
         }
         for (Sequence each : prefilling) {
-            backlog += each.remainingPrefill();
+            backlog += each.remainingPrefillTokens();
         }
         return backlog;
     }
@@ -178,15 +178,15 @@
 
     private void startStep(long nowNanos) {
         chunks.clear();
-        stepDecodes.clear();
-        growDecodes(nowNanos);
-        int budget = Math.max(0, profile.stepTokens() - stepDecodes.size());
+        decodingInStep.clear();
+        growDecodingSequences(nowNanos);
+        int budget = Math.max(0, profile.stepTokens() - decodingInStep.size());
         double nanos = decodeNanos();
         budget = fillWithPrefill(budget, nowNanos);
         for (Chunk chunk : chunks) {
             nanos += profile.prefillNanos(chunk.tokens(), chunk.sequence().contextTokens());
         }
-        if (chunks.isEmpty() && stepDecodes.isEmpty()) {
+        if (chunks.isEmpty() && decodingInStep.isEmpty()) {
             stepEndNanos = IDLE;
             return;
         }
@@ -195,21 +195,21 @@
 
     private double decodeNanos() {
         long kvTokens = 0;
-        for (Sequence each : stepDecodes) {
-            kvTokens += each.contextTokens() + each.generated;
+        for (Sequence each : decodingInStep) {
+            kvTokens += each.contextTokens() + each.generatedTokens;
         }
-        return profile.decodeNanos(stepDecodes.size(), kvTokens);
+        return profile.decodeNanos(decodingInStep.size(), kvTokens);
     }
 
     /** Takes one token of memory for each running sequence; without room the least urgent one is preempted. */
-    private void growDecodes(long nowNanos) {
+    private void growDecodingSequences(long nowNanos) {
         List<Sequence> running = new ArrayList<>(decoding);
         for (Sequence each : running) {
             if (each.stage != Sequence.Stage.DECODING) {
                 continue;
             }
-            while (!memory.take(1, nowNanos)) {
-                Sequence victim = leastUrgentRunning();
+            while (!memory.allocate(1, nowNanos)) {
+                Sequence victim = lowestPriorityRunning();
                 preempt(victim);
                 if (victim == each) {
                     break;
@@ -217,10 +217,10 @@
             }
             if (each.stage == Sequence.Stage.DECODING) {
                 each.privateTokens++;
-                stepDecodes.add(each);
+                decodingInStep.add(each);
             }
         }
-        stepDecodes.removeIf(each -> each.stage != Sequence.Stage.DECODING);
+        decodingInStep.removeIf(each -> each.stage != Sequence.Stage.DECODING);
     }
 
     private int fillWithPrefill(int stepBudget, long nowNanos) {
@@ -230,7 +230,7 @@
             if (budget == 0) {
                 break;
             }
-            int tokens = Math.min(budget, each.remainingPrefill());
+            int tokens = Math.min(budget, each.remainingPrefillTokens());
             chunks.add(new Chunk(each, tokens));
             budget -= tokens;
         }
@@ -243,7 +243,7 @@
             if (decoding.size() + prefilling.size() >= profile.maxSequences() && !preemptFor(first)) {
                 return;
             }
-            if (!takePromptMemory(first, nowNanos)) {
+            if (!allocatePromptMemory(first, nowNanos)) {
                 if (!preemptFor(first)) {
                     return;
                 }
@@ -255,23 +255,23 @@
         }
     }
 
-    private boolean takePromptMemory(Sequence sequence, long nowNanos) {
+    private boolean allocatePromptMemory(Sequence sequence, long nowNanos) {
         long[] blocks = sequence.request.blockHashes();
         int hits = Math.min(memory.leadingHits(blocks), (sequence.request.promptTokens() - 1) / profile.blockTokens());
         for (int i = 0; i < hits; i++) {
             memory.retain(blocks[i]);
         }
         int cached = hits * profile.blockTokens();
-        if (!memory.take(sequence.target - cached, nowNanos)) {
+        if (!memory.allocate(sequence.prefillTargetTokens - cached, nowNanos)) {
             for (int i = hits - 1; i >= 0; i--) {
                 memory.release(blocks[i]);
             }
             return false;
         }
-        sequence.heldBlocks = hits;
-        sequence.prefilled = cached;
-        sequence.privateTokens = sequence.target - cached;
-        if (sequence.generated == 0) {
+        sequence.retainedBlocks = hits;
+        sequence.prefilledTokens = cached;
+        sequence.privateTokens = sequence.prefillTargetTokens - cached;
+        if (sequence.generatedTokens == 0) {
             cachedPromptTokens += cached;
             promptTokens += sequence.request.promptTokens();
         }
@@ -280,21 +280,22 @@
 
     /** Makes room for a waiting sequence by preempting one of lower base priority; false when there is none. */
     private boolean preemptFor(Sequence urgent) {
-        Sequence victim = leastUrgentRunning();
+        Sequence victim = lowestPriorityRunning();
         if (victim == null || victim.priority <= urgent.priority) {
             return false;
         }
-        if (victim.orderKey(profile.ageingNanos()) <= urgent.orderKey(profile.ageingNanos())) {
+        if (victim.schedulingKey(profile.ageingNanos()) <= urgent.schedulingKey(profile.ageingNanos())) {
             return false;
         }
         preempt(victim);
         return true;
     }
 
-    private Sequence leastUrgentRunning() {
+    private Sequence lowestPriorityRunning() {
         Sequence least = prefilling.isEmpty() ? null : prefilling.last();
         for (Sequence each : decoding) {
-            if (least == null || each.orderKey(profile.ageingNanos()) > least.orderKey(profile.ageingNanos())) {
+            if (least == null
+                    || each.schedulingKey(profile.ageingNanos()) > least.schedulingKey(profile.ageingNanos())) {
                 least = each;
             }
         }
@@ -307,15 +308,15 @@
         prefilling.remove(victim);
         decoding.remove(victim);
         freeMemory(victim);
-        victim.target = victim.request.promptTokens() + victim.generated;
-        victim.prefilled = 0;
+        victim.prefillTargetTokens = victim.request.promptTokens() + victim.generatedTokens;
+        victim.prefilledTokens = 0;
         victim.stage = Sequence.Stage.WAITING;
         waiting.add(victim);
     }
 
     private void finishStep(long nowNanos, StepListener listener) {
         List<Sequence> finished = new ArrayList<>();
-        for (Sequence each : stepDecodes) {
+        for (Sequence each : decodingInStep) {
             if (each.stage == Sequence.Stage.DECODING) {
                 generate(each, nowNanos, listener, finished);
             }
@@ -325,9 +326,9 @@
             if (each.stage != Sequence.Stage.PREFILLING) {
                 continue;
             }
-            each.prefilled += chunk.tokens();
+            each.prefilledTokens += chunk.tokens();
             shareWholeBlocks(each, nowNanos);
-            if (each.remainingPrefill() == 0) {
+            if (each.remainingPrefillTokens() == 0) {
                 completePrefill(each);
                 generate(each, nowNanos, listener, finished);
             }
@@ -335,7 +336,7 @@
         for (Sequence each : finished) {
             decoding.remove(each);
             each.stage = Sequence.Stage.FINISHED;
-            listener.finished(each.request.id(), nowNanos);
+            listener.onFinished(each.request.id(), nowNanos);
         }
     }
 
@@ -348,21 +349,21 @@
     /** Shares each block once it is whole, so that a preempted read finds most of its work in the cache again. */
     private void shareWholeBlocks(Sequence sequence, long nowNanos) {
         long[] blocks = sequence.request.blockHashes();
-        int computed = Math.min(sequence.prefilled, sequence.request.promptTokens());
+        int computed = Math.min(sequence.prefilledTokens, sequence.request.promptTokens());
         int whole = Math.min(blocks.length, computed / profile.blockTokens());
-        for (int i = sequence.heldBlocks; i < whole; i++) {
+        for (int i = sequence.retainedBlocks; i < whole; i++) {
             memory.share(blocks[i], nowNanos);
             sequence.privateTokens -= profile.blockTokens();
         }
-        sequence.heldBlocks = Math.max(sequence.heldBlocks, whole);
+        sequence.retainedBlocks = Math.max(sequence.retainedBlocks, whole);
     }
 
     private void generate(Sequence sequence, long nowNanos, StepListener listener, List<Sequence> finished) {
-        if (sequence.generated < sequence.request.outputTokens()) {
-            int index = sequence.generated++;
-            listener.token(sequence.request.id(), index, nowNanos);
+        if (sequence.generatedTokens < sequence.request.outputTokens()) {
+            int index = sequence.generatedTokens++;
+            listener.onToken(sequence.request.id(), index, nowNanos);
         }
-        if (sequence.generated >= sequence.request.outputTokens()) {
+        if (sequence.generatedTokens >= sequence.request.outputTokens()) {
             finished.add(sequence);
         }
     }
@@ -370,11 +371,11 @@
     private void freeMemory(Sequence sequence) {
         long[] blocks = sequence.request.blockHashes();
         // Deepest block first, so that eviction shortens a cached prefix from its end.
-        for (int i = sequence.heldBlocks - 1; i >= 0; i--) {
+        for (int i = sequence.retainedBlocks - 1; i >= 0; i--) {
             memory.release(blocks[i]);
         }
-        memory.give(sequence.privateTokens);
-        sequence.heldBlocks = 0;
+        memory.free(sequence.privateTokens);
+        sequence.retainedBlocks = 0;
         sequence.privateTokens = 0;
     }
 }
--- a/elmline-standin/src/main/java/org/elmline/standin/model/KvMemory.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/KvMemory.java
@@ -14,7 +14,7 @@
     private final long capacity;
     private final int blockTokens;
     private final CacheListener listener;
-    private final Map<Long, Integer> references = new HashMap<>();
+    private final Map<Long, Integer> referenceCounts = new HashMap<>();
     private final Set<Long> unreferenced = new LinkedHashSet<>();
     private long privateTokens;
 
@@ -26,7 +26,7 @@
 
     /** Tokens that can't be evicted. */
     long usedTokens() {
-        return privateTokens + (long) (references.size() - unreferenced.size()) * blockTokens;
+        return privateTokens + (long) (referenceCounts.size() - unreferenced.size()) * blockTokens;
     }
 
     long freeTokens() {
@@ -34,13 +34,13 @@
     }
 
     int cachedBlocks() {
-        return references.size();
+        return referenceCounts.size();
     }
 
     /** Leading blocks that are in memory now. */
     int leadingHits(long[] blocks) {
         int hits = 0;
-        while (hits < blocks.length && references.containsKey(blocks[hits])) {
+        while (hits < blocks.length && referenceCounts.containsKey(blocks[hits])) {
             hits++;
         }
         return hits;
@@ -48,11 +48,11 @@
 
     void retain(long block) {
         unreferenced.remove(block);
-        references.merge(block, 1, Integer::sum);
+        referenceCounts.merge(block, 1, Integer::sum);
     }
 
     /** Takes private tokens, evicting unreferenced blocks for them; false and unchanged when there is no room. */
-    boolean take(long tokens, long nowNanos) {
+    boolean allocate(long tokens, long nowNanos) {
         if (tokens > freeTokens()) {
             return false;
         }
@@ -61,7 +61,7 @@
         return true;
     }
 
-    void give(long tokens) {
+    void free(long tokens) {
         privateTokens -= tokens;
         if (privateTokens < 0) {
             throw new IllegalStateException("more KV tokens given back than taken");
@@ -70,15 +70,15 @@
 
     /** Turns one block's worth of private tokens into a shared block. */
     void share(long block, long nowNanos) {
-        give(blockTokens);
-        if (!references.containsKey(block)) {
-            listener.changed(block, true, nowNanos);
+        free(blockTokens);
+        if (!referenceCounts.containsKey(block)) {
+            listener.onChange(block, true, nowNanos);
         }
         retain(block);
     }
 
     void release(long block) {
-        int left = references.merge(block, -1, Integer::sum);
+        int left = referenceCounts.merge(block, -1, Integer::sum);
         if (left < 0) {
             throw new IllegalStateException("block released more often than retained");
         }
@@ -88,14 +88,14 @@
     }
 
     private void evictOverflow(long nowNanos) {
-        long total = privateTokens + (long) references.size() * blockTokens;
+        long total = privateTokens + (long) referenceCounts.size() * blockTokens;
         Iterator<Long> oldest = unreferenced.iterator();
         while (total > capacity && oldest.hasNext()) {
             long block = oldest.next();
             oldest.remove();
-            references.remove(block);
+            referenceCounts.remove(block);
             total -= blockTokens;
-            listener.changed(block, false, nowNanos);
+            listener.onChange(block, false, nowNanos);
         }
     }
 }
--- a/elmline-standin/src/main/java/org/elmline/standin/model/Sequence.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/Sequence.java
@@ -15,32 +15,32 @@
     int priority;
     Stage stage = Stage.WAITING;
     /** Tokens to prefill: the prompt, and after a preemption the answer so far. */
-    int target;
+    int prefillTargetTokens;
 
-    int prefilled;
-    int generated;
+    int prefilledTokens;
+    int generatedTokens;
     /** Tokens held outside shared blocks. */
     long privateTokens;
     /** Leading blocks of the prompt on which this sequence holds a reference. */
-    int heldBlocks;
+    int retainedBlocks;
 
     Sequence(SequenceRequest request, long arrivedNanos) {
         this.request = request;
         this.arrivedNanos = arrivedNanos;
         priority = request.priority();
-        target = request.promptTokens();
+        prefillTargetTokens = request.promptTokens();
     }
 
     /** Smaller is sooner. Ageing makes the order one of fixed keys: a level of priority is worth a fixed wait. */
-    long orderKey(long ageingNanos) {
+    long schedulingKey(long ageingNanos) {
         return arrivedNanos + priority * ageingNanos;
     }
 
-    int remainingPrefill() {
-        return target - prefilled;
+    int remainingPrefillTokens() {
+        return prefillTargetTokens - prefilledTokens;
     }
 
     long contextTokens() {
-        return request.importedTokens() + prefilled;
+        return request.importedTokens() + prefilledTokens;
     }
 }
--- a/elmline-standin/src/main/java/org/elmline/standin/service/RunCounts.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/service/RunCounts.java
@@ -24,7 +24,7 @@
     private final Map<Call, Integer> counts = new TreeMap<>();
 
     /** How often it has run, this time included. */
-    public synchronized int ran(String idempotencyKey, String path, String body) {
+    public synchronized int recordRun(String idempotencyKey, String path, String body) {
         return counts.merge(new Call(idempotencyKey, path, body), 1, Integer::sum);
     }
 
--- a/elmline-standin/src/main/java/org/elmline/standin/service/ServiceServer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/service/ServiceServer.java
@@ -22,8 +22,8 @@
 import org.elmline.core.common.ServiceName;
 import org.elmline.core.engine.EngineLoad;
 import org.elmline.standin.Announcer;
-import org.elmline.standin.HttpAnswers;
-import org.elmline.standin.StandinHttp;
+import org.elmline.standin.JsonResponses;
+import org.elmline.standin.StandinHttpServer;
 import org.elmline.wire.engine.EngineJson;
 import org.elmline.wire.engine.EnginePaths;
 import org.xnio.IoUtils;
@@ -36,7 +36,7 @@
 public final class ServiceServer implements AutoCloseable {
     private static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
     private static final HttpString RAN = new HttpString(EnginePaths.RAN_HEADER);
-    private static final Duration FAREWELL_LIMIT = Duration.ofSeconds(5);
+    private static final Duration LEAVE_ANNOUNCE_TIMEOUT = Duration.ofSeconds(5);
     private static final long LEAVE_POLL_MILLIS = 20;
 
     private final Builder settings;
@@ -44,13 +44,13 @@
     private final RunCounts runs = new RunCounts();
     private final AtomicInteger inFlight = new AtomicInteger();
     private final AtomicBoolean closed = new AtomicBoolean();
-    private final StandinHttp http;
+    private final StandinHttpServer http;
     private final Announcer announcer;
     private volatile boolean leaving;
 
     private ServiceServer(Builder settings) {
         this.settings = settings;
-        http = new StandinHttp(settings.port, handler());
+        http = new StandinHttpServer(settings.port, handler());
         announcer = new Announcer(settings.announceTo, settings.backendKey, this::announcement);
         announcer.start();
     }
@@ -99,7 +99,7 @@
     /** Announces that it is leaving, waits for calls in flight up to the limit, and closes; true when none was cut. */
     public boolean leave(Duration limit) throws InterruptedException {
         leaving = true;
-        announcer.announceNow(FAREWELL_LIMIT);
+        announcer.announceNow(LEAVE_ANNOUNCE_TIMEOUT);
         long deadline = System.nanoTime() + limit.toNanos();
         while (inFlight.get() > 0 && System.nanoTime() < deadline) {
             Thread.sleep(LEAVE_POLL_MILLIS);
@@ -119,11 +119,11 @@
 
     private HttpHandler handler() {
         return Handlers.routing()
-                .get("/schedule", onWorker(exchange -> HttpAnswers.json(exchange, Schedule.today())))
-                .get("/seats/{seat}", onWorker(this::seat))
-                .post("/seats/{seat}/hold", onWorker(this::change))
-                .post("/fees", onWorker(this::change))
-                .get("/runs", exchange -> HttpAnswers.json(exchange, new Runs(runs.runs())))
+                .get("/schedule", onWorker(exchange -> JsonResponses.send(exchange, Schedule.today())))
+                .get("/seats/{seat}", onWorker(this::handleSeat))
+                .post("/seats/{seat}/hold", onWorker(this::handleMutation))
+                .post("/fees", onWorker(this::handleMutation))
+                .get("/runs", exchange -> JsonResponses.send(exchange, new Runs(runs.runs())))
                 .put("/standin/faults", this::setFaults);
     }
 
@@ -151,34 +151,34 @@
         });
     }
 
-    private void seat(HttpServerExchange exchange) {
-        HttpAnswers.json(exchange, new Seat(HttpAnswers.parameter(exchange, "seat")));
+    private void handleSeat(HttpServerExchange exchange) {
+        JsonResponses.send(exchange, new Seat(JsonResponses.queryParameter(exchange, "seat")));
     }
 
-    private void change(HttpServerExchange exchange) throws IOException {
+    private void handleMutation(HttpServerExchange exchange) throws IOException {
         if (faults.mode() == ServiceFaults.Mode.FAIL_BEFORE_RUNNING) {
             exchange.getResponseHeaders().put(RAN, "no");
-            HttpAnswers.problem(exchange, 503, "refused before running");
+            JsonResponses.sendProblem(exchange, 503, "refused before running");
             return;
         }
         String body = new String(exchange.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         String key = exchange.getRequestHeaders().getFirst(IDEMPOTENCY_KEY);
         String keyOrNone = key == null ? "" : key;
-        int count = runs.ran(keyOrNone, exchange.getRequestPath(), body);
+        int count = runs.recordRun(keyOrNone, exchange.getRequestPath(), body);
         if (faults.mode() == ServiceFaults.Mode.DROP_ANSWER) {
             IoUtils.safeClose(exchange.getConnection());
             return;
         }
-        HttpAnswers.json(exchange, new RunCounts.Run(keyOrNone, exchange.getRequestPath(), body, count));
+        JsonResponses.send(exchange, new RunCounts.Run(keyOrNone, exchange.getRequestPath(), body, count));
     }
 
     private void setFaults(HttpServerExchange exchange) {
         exchange.getRequestReceiver().receiveFullBytes((received, bytes) -> {
             try {
                 faults.apply(EngineJson.read(bytes, ServiceFaults.Settings.class));
-                HttpAnswers.json(received, true);
+                JsonResponses.send(received, true);
             } catch (IOException e) {
-                HttpAnswers.problem(received, 400, "not fault settings");
+                JsonResponses.sendProblem(received, 400, "not fault settings");
             }
         });
     }
--- a/elmline-standin/src/test/java/org/elmline/standin/engine/CacheEventLogTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/engine/CacheEventLogTest.java
@@ -33,7 +33,7 @@
 
     @Test
     void loadIsThatOfAnEarlierInterval() {
-        LaggingLoad load = new LaggingLoad(100);
+        DelayedLoad load = new DelayedLoad(100);
         EngineLoad busy = new EngineLoad(3, 2, 1);
         assertEquals(0, load.report(busy, 0).streams());
         assertEquals(0, load.report(busy, 99).streams());
--- a/elmline-standin/src/test/java/org/elmline/standin/model/EngineModelTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/model/EngineModelTest.java
@@ -22,19 +22,19 @@
     private static final class Log implements StepListener {
         final Map<Long, Long> firstToken = new HashMap<>();
         final Map<Long, Integer> tokens = new HashMap<>();
-        final List<Long> finished = new ArrayList<>();
+        final List<Long> onFinished = new ArrayList<>();
 
         @Override
-        public void token(long id, int index, long atNanos) {
+        public void onToken(long id, int index, long atNanos) {
             assertEquals(tokens.getOrDefault(id, 0), index);
             tokens.put(id, index + 1);
             firstToken.putIfAbsent(id, atNanos);
         }
 
         @Override
-        public void finished(long id, long atNanos) {
-            assertFalse(finished.contains(id));
-            finished.add(id);
+        public void onFinished(long id, long atNanos) {
+            assertFalse(onFinished.contains(id));
+            onFinished.add(id);
         }
     }
 
@@ -70,7 +70,7 @@
             expected.put(id, request.outputTokens());
             if (random.nextInt(6) == 0) {
                 long cancelled = random.nextInt((int) id + 1);
-                if (!log.finished.contains(cancelled)) {
+                if (!log.onFinished.contains(cancelled)) {
                     expected.remove(cancelled);
                 }
                 engine.release(cancelled);
@@ -79,16 +79,16 @@
             now += random.nextInt(300_000_000);
             engine.advance(now, log);
             assertTrue(engine.usedKvTokens() <= 20_000);
-            log.finished.forEach(engine::release);
+            log.onFinished.forEach(engine::release);
         }
         for (int i = 0; i < 10_000 && engine.openSequences() > 0; i++) {
             now += SECOND;
             engine.advance(now, log);
-            log.finished.forEach(engine::release);
+            log.onFinished.forEach(engine::release);
         }
         assertEquals(0, engine.openSequences());
         assertEquals(0, engine.usedKvTokens());
-        assertEquals(EngineModel.IDLE, engine.nextNanos());
+        assertEquals(EngineModel.IDLE, engine.nextStepEndNanos());
         expected.forEach((id, tokens) -> assertEquals(tokens, log.tokens.get(id)));
     }
 
@@ -127,13 +127,13 @@
         Log log = new Log();
         engine.submit(request(1, 100_000, 10, 3), 0);
         long now = 0;
-        for (long id = 2; id < 12_000 && !log.finished.contains(1L); id++) {
+        for (long id = 2; id < 12_000 && !log.onFinished.contains(1L); id++) {
             now += 20_000_000;
             engine.submit(request(id, 1_000, 1, 0), now);
             engine.advance(now, log);
-            log.finished.forEach(engine::release);
+            log.onFinished.forEach(engine::release);
         }
-        assertTrue(log.finished.contains(1L));
+        assertTrue(log.onFinished.contains(1L));
     }
 
     @Test
@@ -180,8 +180,8 @@
         assertTrue(engine.submit(request(2, 9_998, 2, 0), 0));
         assertFalse(engine.submit(request(2, 10, 2, 0), 0), "an id in use");
         assertTrue(engine.release(2));
-        assertTrue(engine.holdExternal(3, 10_000, 0));
-        assertFalse(engine.holdExternal(4, 1, 0));
+        assertTrue(engine.reserveExternal(3, 10_000, 0));
+        assertFalse(engine.reserveExternal(4, 1, 0));
         assertTrue(engine.releaseExternal(3));
         assertEquals(0, engine.usedKvTokens());
     }
