--- a/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
@@ -15,8 +15,8 @@
 import org.elmline.core.backend.AnnounceAnswer;
 import org.elmline.core.backend.Announcement;
 import org.elmline.core.common.Address;
-import org.elmline.standin.HttpAnswers;
-import org.elmline.standin.StandinHttp;
+import org.elmline.standin.JsonResponses;
+import org.elmline.standin.StandinHttpServer;
 import org.elmline.wire.engine.EngineJson;
 import org.junit.jupiter.api.Test;
 
@@ -67,7 +67,7 @@
     @Test
     void announcesToWhoeverAnswersAndSaysWhenItLeaves() throws Exception {
         BlockingQueue<Announcement> heard = new LinkedBlockingQueue<>();
-        try (StandinHttp entry = new StandinHttp(
+        try (StandinHttpServer entry = new StandinHttpServer(
                         0, exchange -> exchange.getRequestReceiver().receiveFullBytes((e, bytes) -> {
                             assertEquals("Bearer secret", e.getRequestHeaders().getFirst("Authorization"));
                             try {
@@ -75,7 +75,7 @@
                             } catch (IOException bad) {
                                 throw new AssertionError(bad);
                             }
-                            HttpAnswers.json(e, new AnnounceAnswer(50, 500, List.of()));
+                            JsonResponses.send(e, new AnnounceAnswer(50, 500, List.of()));
                         }));
                 ServiceServer service = ServiceServer.builder()
                         .id("booking-1")
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/RouteMessagesTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/RouteMessagesTest.java
@@ -21,8 +21,8 @@
 import org.elmline.core.route.Grant;
 import org.elmline.core.route.GrantReport;
 import org.elmline.core.route.ModelSummary;
+import org.elmline.core.route.OwnerPlaceAnswer;
 import org.elmline.core.route.OwnerSummary;
-import org.elmline.core.route.PlaceAnswer;
 import org.elmline.core.route.PlaceMode;
 import org.elmline.core.route.PlaceRequest;
 import org.elmline.core.route.RegisterGrants;
@@ -63,9 +63,9 @@
         Object[] messages = {
             new PlaceRequest(ATTEMPT, HOST, FIRST, ORGANISATION, demand),
             new PlaceRequest(ATTEMPT, HOST, FIRST, ORGANISATION, demand, PlaceMode.SEGMENT, 500),
-            new PlaceAnswer.Placed(grant),
-            new PlaceAnswer.Placed(grant, model),
-            new PlaceAnswer.Refused(Refusal.comeBack(RefusalReason.OVERLOADED, "full", 9), model),
+            new OwnerPlaceAnswer.Placed(grant),
+            new OwnerPlaceAnswer.Placed(grant, model),
+            new OwnerPlaceAnswer.Refused(Refusal.comeBack(RefusalReason.OVERLOADED, "full", 9), model),
             new GrantReport(HOST, FIRST, List.of(new FirstToken(ATTEMPT, 3)), List.of()),
             new GrantReport(
                     HOST,
@@ -82,7 +82,7 @@
         };
         int passed = 0;
         for (Object each : messages) {
-            Class<?> type = each instanceof PlaceAnswer ? PlaceAnswer.class : each.getClass();
+            Class<?> type = each instanceof OwnerPlaceAnswer ? OwnerPlaceAnswer.class : each.getClass();
             for (Codec codec : List.of(Codecs.MESSAGE_PACK, Codecs.JSON)) {
                 Decoded<?> decoded = codec.decode(codec.encode(each), type);
                 assertEquals(new Decoded.Value<>(each), decoded);
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/ShapeCodecTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/ShapeCodecTest.java
@@ -40,19 +40,19 @@
 import org.elmline.core.raft.Membership;
 import org.elmline.core.raft.Message;
 import org.elmline.core.raft.ReplicaId;
-import org.elmline.core.registry.EntryNews;
 import org.elmline.core.registry.EntryRecord;
+import org.elmline.core.registry.EntryUpdate;
 import org.elmline.core.registry.FollowAnswer;
 import org.elmline.core.registry.FollowRequest;
-import org.elmline.core.registry.Heard;
+import org.elmline.core.registry.HeartbeatAge;
 import org.elmline.core.registry.PackedRouting;
 import org.elmline.core.registry.Registration;
 import org.elmline.core.registry.RegistryChannels.RoutingQuery;
-import org.elmline.core.registry.RegistryChannels.RoutingSubmit;
-import org.elmline.core.registry.RegistryChannels.RoutingSubmitted;
+import org.elmline.core.registry.RegistryChannels.RoutingSubmission;
+import org.elmline.core.registry.RegistryChannels.RoutingSubmitResult;
 import org.elmline.core.registry.RegistryChannels.RoutingText;
-import org.elmline.core.registry.ServerNews;
 import org.elmline.core.registry.ServerState;
+import org.elmline.core.registry.ServerUpdate;
 import org.elmline.wire.shape.Shapes;
 import org.junit.jupiter.api.Test;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
@@ -95,7 +95,7 @@
         for (Object each : messages(new SplittableRandom(1))) {
             assertDoesNotThrow(() -> written(shapes, each), each.getClass().getName());
         }
-        for (Class<?> each : List.of(CommandResult.class, RoutingSubmitted.class, Reports.class)) {
+        for (Class<?> each : List.of(CommandResult.class, RoutingSubmitResult.class, Reports.class)) {
             assertDoesNotThrow(() -> shapes.of(each), each.getName());
         }
     }
@@ -176,11 +176,11 @@
                 new FollowAnswer(
                         random.nextLong(),
                         random.nextLong(),
-                        List.of(new ServerNews(server, random.nextBoolean(), random.nextBoolean())),
+                        List.of(new ServerUpdate(server, random.nextBoolean(), random.nextBoolean())),
                         5,
-                        List.of(new Heard(server.id(), 1, 2, random.nextLong())),
+                        List.of(new HeartbeatAge(server.id(), 1, 2, random.nextLong())),
                         random.nextBoolean() ? null : List.of(entry, entry),
-                        List.of(new EntryNews(entry, random.nextBoolean())),
+                        List.of(new EntryUpdate(entry, random.nextBoolean())),
                         6,
                         List.of(address(random)),
                         7,
@@ -190,7 +190,7 @@
                 RoutingText.UNKNOWN,
                 PACKED,
                 new RoutingQuery(),
-                new RoutingSubmit(random.nextLong(), text(random)));
+                new RoutingSubmission(random.nextLong(), text(random)));
     }
 
     private static List<Object> dispatch(SplittableRandom random) {
