--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
@@ -41,7 +41,7 @@
             return;
         }
         Announcement announcement = ((Decoded.Value<Announcement>) decoded).value();
-        exchange.dispatch(Runnable::run, () -> owners.announced(announcement)
+        exchange.dispatch(Runnable::run, () -> owners.handleAnnouncement(announcement)
                 .thenAccept(answer -> Answers.json(exchange, answer)));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/EngineClients.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/EngineClients.java
@@ -32,7 +32,7 @@
     }
 
     /** Drops the client of an engine that is gone. */
-    public void forget(String protocol, Address address) {
+    public void remove(String protocol, Address address) {
         EngineClient client = clients.remove(new Key(protocol, address));
         if (client != null) {
             client.close();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerDuties.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerMaintenance.java
@@ -25,27 +25,27 @@
  * What an owner does unasked: moves waiting requests on, repeats cancels until engines acknowledge them, lists what its
  * engines hold to find what dead entries left there, and reads cache events.
  */
-public final class OwnerDuties {
-    private static final Logger LOG = Logger.getLogger(OwnerDuties.class);
+public final class OwnerMaintenance {
+    private static final Logger LOG = Logger.getLogger(OwnerMaintenance.class);
     /** Between steps while a request waits here. */
-    private static final long ADVANCE_MILLIS = 20;
+    private static final long ADVANCE_INTERVAL_MILLIS = 20;
     /** Between steps while none does: waking fifty times a second for nothing took over 1 % of a core. */
-    private static final long IDLE_ADVANCE_MILLIS = 200;
+    private static final long IDLE_ADVANCE_INTERVAL_MILLIS = 200;
 
-    private static final long CANCEL_MILLIS = 250;
-    private static final long LIST_MILLIS = 2_000;
-    private static final long CACHE_MILLIS = 500;
-    private static final long CHANGES_MILLIS = 100;
+    private static final long CANCEL_INTERVAL_MILLIS = 250;
+    private static final long LIST_INTERVAL_MILLIS = 2_000;
+    private static final long CACHE_EVENTS_INTERVAL_MILLIS = 500;
+    private static final long CHANGES_INTERVAL_MILLIS = 100;
 
     private final Owner owner;
     private final OwnerService service;
     private final EngineClients engines;
     private final MonotonicClock clock;
-    private final AtomicBoolean advancing = new AtomicBoolean();
+    private final AtomicBoolean advanceScheduled = new AtomicBoolean();
     private final EventRing events;
     private final ServerChangeDetector changes = new ServerChangeDetector();
 
-    public OwnerDuties(
+    public OwnerMaintenance(
             Owner owner, OwnerService service, EngineClients engines, MonotonicClock clock, EventRing events) {
         this.owner = owner;
         this.service = service;
@@ -55,34 +55,34 @@
     }
 
     public void start(ScheduledExecutorService timer) {
-        every(timer, IDLE_ADVANCE_MILLIS, service::advance);
-        service.onWaiting(() -> advanceOften(timer));
-        every(timer, CANCEL_MILLIS, this::sendCancels);
-        every(timer, LIST_MILLIS, this::listEngines);
-        every(timer, CACHE_MILLIS, this::readCacheEvents);
-        every(timer, CHANGES_MILLIS, this::recordChanges);
+        scheduleEvery(timer, IDLE_ADVANCE_INTERVAL_MILLIS, service::advance);
+        service.onWaiting(() -> scheduleAdvance(timer));
+        scheduleEvery(timer, CANCEL_INTERVAL_MILLIS, this::sendCancels);
+        scheduleEvery(timer, LIST_INTERVAL_MILLIS, this::listEngines);
+        scheduleEvery(timer, CACHE_EVENTS_INTERVAL_MILLIS, this::readCacheEvents);
+        scheduleEvery(timer, CHANGES_INTERVAL_MILLIS, this::recordChanges);
     }
 
-    private void advanceOften(ScheduledExecutorService timer) {
-        if (advancing.compareAndSet(false, true)) {
-            timer.schedule(() -> advanceWhileWaiting(timer), ADVANCE_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleAdvance(ScheduledExecutorService timer) {
+        if (advanceScheduled.compareAndSet(false, true)) {
+            timer.schedule(() -> advanceWhileWaiting(timer), ADVANCE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
     private void advanceWhileWaiting(ScheduledExecutorService timer) {
-        guarded(service::advance);
-        advancing.set(false);
+        runAndLogFailures(service::advance);
+        advanceScheduled.set(false);
         if (service.hasWaiting()) {
-            advanceOften(timer);
+            scheduleAdvance(timer);
         }
     }
 
-    private static void every(ScheduledExecutorService timer, long millis, Runnable task) {
-        timer.scheduleWithFixedDelay(() -> guarded(task), millis, millis, TimeUnit.MILLISECONDS);
+    private static void scheduleEvery(ScheduledExecutorService timer, long millis, Runnable task) {
+        timer.scheduleWithFixedDelay(() -> runAndLogFailures(task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
     /** A timer drops a task that throws: one failed round would silently end all later ones. */
-    private static void guarded(Runnable task) {
+    private static void runAndLogFailures(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
@@ -32,7 +32,7 @@
 import org.elmline.core.route.RegisterGrants;
 import org.elmline.core.route.RouteChannels;
 import org.elmline.daemon.entry.HostIdentity;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 
 /** Serves the decisions of this entry's {@link Owner} to other entries, and passes on what belongs to other owners. */
 public final class OwnerService {
@@ -42,35 +42,35 @@
     private final HostIdentity self;
     private final Owner owner;
     private final OwnerTable owners;
-    private final SharedView view;
+    private final LeasedView leasedView;
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private volatile Runnable onWaiting = () -> {};
     private volatile Function<AuditRequest, AuditAnswer> localAudit = request -> new AuditAnswer(List.of());
-    private final Map<AttemptId, CompletableFuture<OwnerPlaceAnswer>> waiting = new ConcurrentHashMap<>();
+    private final Map<AttemptId, CompletableFuture<OwnerPlaceAnswer>> pendingAnswers = new ConcurrentHashMap<>();
 
     public OwnerService(
             HostIdentity self,
             Owner owner,
             OwnerTable owners,
-            SharedView view,
+            LeasedView view,
             PeerNetwork network,
             MonotonicClock clock) {
         this.self = self;
         this.owner = owner;
         this.owners = owners;
-        this.view = view;
+        this.leasedView = view;
         this.network = network;
         this.clock = clock;
-        view.onRenewal(this::renewed);
+        view.onRenewal(this::onLeaseRenewed);
         view.onMembers(() -> owner.members(view.members().hosts(), clock.nanos()));
     }
 
     public void register(HandlerRegistry handlers) {
-        handlers.register(RouteChannels.ANNOUNCE, this::forwarded);
+        handlers.register(RouteChannels.ANNOUNCE, this::acceptForwarded);
         handlers.register(RouteChannels.PLACE, this::place);
         handlers.register(RouteChannels.RELEASE, report -> CompletableFuture.completedFuture(report(report)));
-        handlers.register(RouteChannels.REGISTER, grants -> CompletableFuture.completedFuture(takeOver(grants)));
+        handlers.register(RouteChannels.REGISTER, grants -> CompletableFuture.completedFuture(registerGrants(grants)));
     }
 
     /**
@@ -78,8 +78,8 @@
      * backend server without an owner would get no work until the dead candidate's lease has run out, while two owners
      * for a moment cost accuracy only.
      */
-    CompletionStage<AnnounceAnswer> announced(Announcement announcement) {
-        Ownership ownership = new Ownership(view.members().hosts());
+    CompletionStage<AnnounceAnswer> handleAnnouncement(Announcement announcement) {
+        Ownership ownership = new Ownership(leasedView.members().hosts());
         List<HostRecord> candidates = new ArrayList<>();
         ownership.owner(announcement, owners).ifPresent(candidates::add);
         for (HostRecord each : ownership.candidates(announcement)) {
@@ -87,10 +87,11 @@
                 candidates.add(each);
             }
         }
-        return announce(announcement, candidates);
+        return forwardAnnouncement(announcement, candidates);
     }
 
-    private CompletionStage<AnnounceAnswer> announce(Announcement announcement, List<HostRecord> candidates) {
+    private CompletionStage<AnnounceAnswer> forwardAnnouncement(
+            Announcement announcement, List<HostRecord> candidates) {
         if (candidates.isEmpty() || candidates.get(0).id().equals(self.host())) {
             return CompletableFuture.completedFuture(owner.announce(announcement, clock.nanos()));
         }
@@ -98,15 +99,15 @@
         return network.call(candidates.get(0).peers(), RouteChannels.ANNOUNCE, announcement, FORWARD_TIMEOUT)
                 .thenCompose(result -> {
                     if (result instanceof CallResult.Answered<AnnounceAnswer> answered) {
-                        handedOver(announcement);
+                        releaseServer(announcement);
                         return CompletableFuture.completedFuture(answered.value());
                     }
-                    return announce(announcement, others);
+                    return forwardAnnouncement(announcement, others);
                 });
     }
 
     /** Another owner has the server now; if it was owned here, it gets no more work from here at once. */
-    private void handedOver(Announcement announcement) {
+    private void releaseServer(Announcement announcement) {
         for (Announcement each : owner.engines()) {
             if (each.id().equals(announcement.id())) {
                 owner.announce(announcement.asLeaving(), clock.nanos());
@@ -114,14 +115,14 @@
         }
     }
 
-    private CompletionStage<AnnounceAnswer> forwarded(Announcement announcement) {
+    private CompletionStage<AnnounceAnswer> acceptForwarded(Announcement announcement) {
         return CompletableFuture.completedFuture(owner.announce(announcement, clock.nanos()));
     }
 
     /** Decides one placement on the engines owned here; completes at the latest at the request's deadline. */
     public CompletableFuture<OwnerPlaceAnswer> place(PlaceRequest request) {
         CompletableFuture<OwnerPlaceAnswer> answer =
-                waiting.computeIfAbsent(request.attempt(), attempt -> new CompletableFuture<>());
+                pendingAnswers.computeIfAbsent(request.attempt(), attempt -> new CompletableFuture<>());
         Optional<OwnerPlaceAnswer> known = owner.place(request, clock.nanos());
         known.ifPresent(each -> complete(request.attempt(), each));
         if (known.isEmpty()) {
@@ -133,13 +134,13 @@
     /** Takes an entry's news of its grants; a release may let a waiting request in at once. */
     public GrantReportAnswer report(GrantReport report) {
         GrantReportAnswer answer = owner.report(report, clock.nanos());
-        report.releases().forEach(each -> waiting.remove(each.attempt()));
+        report.releases().forEach(each -> pendingAnswers.remove(each.attempt()));
         advance();
         return answer;
     }
 
     /** Reserves again what an earlier owner granted. */
-    public RegisterAnswer takeOver(RegisterGrants grants) {
+    public RegisterAnswer registerGrants(RegisterGrants grants) {
         return owner.register(grants, clock.nanos());
     }
 
@@ -148,7 +149,7 @@
         if (request.host().equals(self.host())) {
             return CompletableFuture.completedFuture(Optional.of(localAudit.apply(request)));
         }
-        Optional<HostRecord> record = view.members().host(request.host());
+        Optional<HostRecord> record = leasedView.members().host(request.host());
         if (record.isEmpty()) {
             return CompletableFuture.completedFuture(Optional.empty());
         }
@@ -164,7 +165,7 @@
     }
 
     boolean hasWaiting() {
-        return !waiting.isEmpty();
+        return !pendingAnswers.isEmpty();
     }
 
     /** Who answers audits of this entry's own attempts. */
@@ -180,14 +181,14 @@
     }
 
     private void complete(AttemptId attempt, OwnerPlaceAnswer answer) {
-        CompletableFuture<OwnerPlaceAnswer> future = waiting.remove(attempt);
+        CompletableFuture<OwnerPlaceAnswer> future = pendingAnswers.remove(attempt);
         if (future != null) {
             future.complete(answer);
         }
     }
 
-    private void renewed() {
-        owner.configure(view.configuration());
-        owner.leaseUntil(clock.nanos() + view.leaseRemainingNanos());
+    private void onLeaseRenewed() {
+        owner.configure(leasedView.configuration());
+        owner.leaseUntil(clock.nanos() + leasedView.leaseRemainingNanos());
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/Policies.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/PlacementFactory.java
@@ -6,18 +6,18 @@
 import org.elmline.daemon.settings.PlacementSettings;
 
 /** Turns the settings of placement into the policy and the weights that they name. */
-public final class Policies {
-    private Policies() {}
+public final class PlacementFactory {
+    private PlacementFactory() {}
 
     /** Fails, naming what there is, when no such policy is registered. */
-    public static PlacementPolicy find(PlacementSettings settings) {
+    public static PlacementPolicy policy(PlacementSettings settings) {
         return PlacementPolicies.named(settings.policy(), weights(settings))
                 .orElseThrow(() -> new IllegalArgumentException(
                         "no placement policy " + settings.policy() + "; there are " + PlacementPolicies.names()));
     }
 
     /** The ledger predicts under the same weights as the policy. */
-    public static LedgerSettings ledger(PlacementSettings settings) {
+    public static LedgerSettings ledgerSettings(PlacementSettings settings) {
         return new LedgerSettings(weights(settings), LedgerSettings.DEFAULT.blockTokens());
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/SummarySender.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/SummarySender.java
@@ -15,20 +15,20 @@
 import org.elmline.core.route.OwnerTable;
 import org.elmline.core.route.RouteChannels;
 import org.elmline.core.route.SummarySchedule;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 import org.elmline.wire.codec.Codecs;
 import org.jboss.logging.Logger;
 
 /** Tells other entries what this owner has, whenever {@link SummarySchedule} says so. */
 public final class SummarySender {
     private static final Logger LOG = Logger.getLogger(SummarySender.class);
-    private static final long CHECK_MILLIS = 200;
-    private static final Duration TIMEOUT = Duration.ofSeconds(1);
+    private static final long CHECK_INTERVAL_MILLIS = 200;
+    private static final Duration SEND_TIMEOUT = Duration.ofSeconds(1);
 
     private final Owner owner;
     private final OwnerTable table;
     private final SummarySchedule schedule;
-    private final SharedView view;
+    private final LeasedView leasedView;
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private final Counter sent;
@@ -38,14 +38,14 @@
             Owner owner,
             OwnerTable table,
             SummarySchedule schedule,
-            SharedView view,
+            LeasedView view,
             PeerNetwork network,
             MonotonicClock clock,
             MetricRegistry metrics) {
         this.owner = owner;
         this.table = table;
         this.schedule = schedule;
-        this.view = view;
+        this.leasedView = view;
         this.network = network;
         this.clock = clock;
         this.sent = metrics.counter("owner.summaries.sent");
@@ -53,20 +53,20 @@
     }
 
     public void start(ScheduledExecutorService timer) {
-        timer.scheduleWithFixedDelay(this::check, 0, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(this::sendDue, 0, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void check() {
+    private void sendDue() {
         try {
             long now = clock.nanos();
             OwnerSummary summary = owner.summary(now);
             table.accept(summary, now);
             int bytes = Codecs.MESSAGE_PACK.encode(summary).length;
-            List<HostRecord> members = view.members().hosts();
+            List<HostRecord> members = leasedView.members().hosts();
             for (HostRecord each : schedule.targets(summary, bytes, members, now)) {
                 sent.inc();
                 bytesSent.inc(bytes);
-                network.call(each.peers(), RouteChannels.SUMMARY, summary, TIMEOUT);
+                network.call(each.peers(), RouteChannels.SUMMARY, summary, SEND_TIMEOUT);
             }
         } catch (RuntimeException e) {
             LOG.error("sending the summary failed; it is tried again", e);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Gate.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmissionController.java
@@ -13,7 +13,7 @@
 import org.elmline.core.common.RequestId;
 import org.elmline.core.config.Organisation;
 import org.elmline.daemon.entry.HostIdentity;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.BearerKey;
 import org.elmline.daemon.settings.CallerSettings;
 
@@ -21,100 +21,100 @@
  * What every call of a caller passes first: the lease, the key, the time limit and the bound on calls at once. Counts
  * the calls inside, so that a stopping entry knows when the last one has its answer.
  */
-public final class Gate {
+public final class AdmissionController {
     static final String TIMEOUT_HEADER = "Elmline-Timeout-Ms";
-    private static final long RETRY_MILLIS = 500;
+    private static final long RETRY_AFTER_MILLIS = 500;
 
     private final HostIdentity self;
-    private final SharedView view;
+    private final LeasedView leasedView;
     private final MonotonicClock clock;
     private final CallerSettings settings;
     private final int maxConcurrent;
     private final AtomicLong nextRequest = new AtomicLong();
-    private final AtomicInteger inside = new AtomicInteger();
+    private final AtomicInteger inFlight = new AtomicInteger();
     private volatile boolean closed;
 
-    public Gate(
+    public AdmissionController(
             HostIdentity self,
-            SharedView view,
+            LeasedView view,
             MonotonicClock clock,
             CallerSettings settings,
             int maxConcurrent,
             MetricRegistry metrics) {
         this.self = self;
-        this.view = view;
+        this.leasedView = view;
         this.clock = clock;
         this.settings = settings;
         this.maxConcurrent = maxConcurrent;
-        metrics.gauge("entry.requests.open", () -> inside::get);
+        metrics.gauge("entry.requests.open", () -> inFlight::get);
     }
 
     /** What the gate decides. */
-    public sealed interface Passage {
-        /** The call may go on; {@link Gate#leave()} must follow exactly once. */
-        record Open(Admitted call) implements Passage {}
+    public sealed interface Admission {
+        /** The call may go on; {@link AdmissionController#release()} must follow exactly once. */
+        record Admitted(AdmittedCall call) implements Admission {}
 
         /** The call ends here. */
-        record Closed(Refusal refusal) implements Passage {}
+        record Refused(Refusal refusal) implements Admission {}
     }
 
-    public Passage enter(HttpServerExchange exchange) {
-        Optional<Refusal> refused = standing();
+    public Admission admit(HttpServerExchange exchange) {
+        Optional<Refusal> refused = hostRefusal();
         if (refused.isPresent()) {
-            return new Passage.Closed(refused.get());
+            return new Admission.Refused(refused.get());
         }
-        Optional<Organisation> organisation =
-                BearerKey.of(exchange).flatMap(key -> view.configuration().organisationByKeyHash(BearerKey.hash(key)));
+        Optional<Organisation> organisation = BearerKey.of(exchange)
+                .flatMap(key -> leasedView.configuration().organisationByKeyHash(BearerKey.hash(key)));
         if (organisation.isEmpty()) {
-            return new Passage.Closed(
+            return new Admission.Refused(
                     Refusal.didNotRun(RefusalReason.UNAUTHENTICATED, "no organisation has this API key"));
         }
         long timeout = timeoutMillis(exchange);
         if (timeout <= 0) {
-            return new Passage.Closed(Refusal.didNotRun(
+            return new Admission.Refused(Refusal.didNotRun(
                     RefusalReason.BAD_REQUEST,
                     TIMEOUT_HEADER + " must be a whole number of milliseconds from 1 to "
                             + settings.maxTimeoutMillis()));
         }
-        if (inside.incrementAndGet() > maxConcurrent) {
-            inside.decrementAndGet();
-            return new Passage.Closed(Refusal.comeBack(
-                    RefusalReason.OVERLOADED, "this host serves as many calls as it may", RETRY_MILLIS));
+        if (inFlight.incrementAndGet() > maxConcurrent) {
+            inFlight.decrementAndGet();
+            return new Admission.Refused(Refusal.comeBack(
+                    RefusalReason.OVERLOADED, "this host serves as many calls as it may", RETRY_AFTER_MILLIS));
         }
         long now = clock.nanos();
-        return new Passage.Open(
-                new Admitted(nextId(), organisation.get(), now, now + TimeUnit.MILLISECONDS.toNanos(timeout)));
+        return new Admission.Admitted(
+                new AdmittedCall(nextId(), organisation.get(), now, now + TimeUnit.MILLISECONDS.toNanos(timeout)));
     }
 
     /** Leaves with the end of the exchange: Undertow tells of every way out, a broken connection included. */
-    public void leaveWith(HttpServerExchange exchange) {
+    public void releaseOnCompletion(HttpServerExchange exchange) {
         exchange.addExchangeCompleteListener((done, next) -> {
-            leave();
+            release();
             next.proceed();
         });
     }
 
-    public void leave() {
-        inside.decrementAndGet();
+    public void release() {
+        inFlight.decrementAndGet();
     }
 
     /** Refuses every further call; those inside go on. */
-    public void close() {
+    public void stopAdmission() {
         closed = true;
     }
 
-    public int inside() {
-        return inside.get();
+    public int inFlight() {
+        return inFlight.get();
     }
 
-    private Optional<Refusal> standing() {
+    private Optional<Refusal> hostRefusal() {
         if (closed) {
             return Optional.of(Refusal.comeBack(
-                    RefusalReason.LEAVING, "this host is stopping; ask for entry hosts again", RETRY_MILLIS));
+                    RefusalReason.LEAVING, "this host is stopping; ask for entry hosts again", RETRY_AFTER_MILLIS));
         }
-        if (!view.mayServe()) {
+        if (!leasedView.mayServe()) {
             return Optional.of(Refusal.comeBack(
-                    RefusalReason.NO_LEASE, "this host holds no lease; use another entry host", RETRY_MILLIS));
+                    RefusalReason.NO_LEASE, "this host holds no lease; use another entry host", RETRY_AFTER_MILLIS));
         }
         return Optional.empty();
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Admitted.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmittedCall.java
@@ -11,7 +11,7 @@
  *
  * @param deadlineNanos on the monotonic clock
  */
-public record Admitted(RequestId id, Organisation organisation, long receivedNanos, long deadlineNanos) {
+public record AdmittedCall(RequestId id, Organisation organisation, long receivedNanos, long deadlineNanos) {
     long remainingMillis(MonotonicClock clock) {
         return TimeUnit.NANOSECONDS.toMillis(deadlineNanos - clock.nanos());
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Work.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmittedCompletion.java
@@ -3,4 +3,4 @@
 import org.elmline.daemon.openai.CompletionRequest;
 
 /** One admitted request for an answer, with its size in tokens. */
-record Work(Admitted call, CompletionRequest request, int promptTokens, int maxOutputTokens) {}
+record AdmittedCompletion(AdmittedCall call, CompletionRequest request, int promptTokens, int maxOutputTokens) {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerSink.java
@@ -17,5 +17,5 @@
     void refuse(Refusal refusal) throws IOException;
 
     /** Called while nothing arrives; finds a caller who has left. */
-    void idle() throws IOException;
+    void onIdle() throws IOException;
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/WholeSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/BufferingSink.java
@@ -14,28 +14,28 @@
 import org.elmline.daemon.openai.CompletionWriter;
 
 /** Gathers an answer and sends it whole. Looks now and then whether the caller is still there. */
-final class WholeSink implements AnswerSink {
-    private static final long LOOK_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+final class BufferingSink implements AnswerSink {
+    private static final long CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final HttpServerExchange exchange;
     private final CompletionWriter writer;
     private final MonotonicClock clock;
-    private final CallerPresence caller;
+    private final CallerPresence callerPresence;
     private final StringBuilder text = new StringBuilder();
-    private long lookedNanos;
+    private long lastCheckNanos;
 
-    WholeSink(HttpServerExchange exchange, CompletionWriter writer, MonotonicClock clock) {
+    BufferingSink(HttpServerExchange exchange, CompletionWriter writer, MonotonicClock clock) {
         this.exchange = exchange;
         this.writer = writer;
         this.clock = clock;
-        this.caller = new CallerPresence(exchange);
-        this.lookedNanos = clock.nanos();
+        this.callerPresence = new CallerPresence(exchange);
+        this.lastCheckNanos = clock.nanos();
     }
 
     @Override
     public void piece(String piece) throws IOException {
         text.append(piece);
-        idle();
+        onIdle();
     }
 
     @Override
@@ -50,11 +50,11 @@
     }
 
     @Override
-    public void idle() throws IOException {
+    public void onIdle() throws IOException {
         long now = clock.nanos();
-        if (now - lookedNanos >= LOOK_NANOS) {
-            lookedNanos = now;
-            caller.check();
+        if (now - lastCheckNanos >= CHECK_INTERVAL_NANOS) {
+            lastCheckNanos = now;
+            callerPresence.check();
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Exchange.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
@@ -29,26 +29,26 @@
  * One request from its first placement to its final answer, over as many attempts as it takes. Runs on one worker. Every
  * way out gives the grant back: at once when the engine has finished, else once it has acknowledged the cancel.
  */
-final class Exchange {
-    private static final long RETRY_MILLIS = 1_000;
-    private static final long CONTINUE_MILLIS = 10_000;
-    private static final long CONTINUE_PAUSE_MILLIS = 200;
+final class CompletionExecution {
+    private static final long RETRY_AFTER_MILLIS = 1_000;
+    private static final long CONTINUATION_TIMEOUT_MILLIS = 10_000;
+    private static final long CONTINUATION_RETRY_DELAY_MILLIS = 200;
 
-    private final Gateway gateway;
-    private final Work work;
+    private final CompletionGateway gateway;
+    private final AdmittedCompletion completion;
     private final AnswerSink sink;
-    private final AnswerPump pump;
+    private final AnswerForwarder forwarder;
     private final Set<BackendServerId> failedServers = new HashSet<>();
     private final List<Long> prefixHashes;
     private Grant grant;
-    private int tries;
-    private int placements;
+    private int attemptCount;
+    private int placementCount;
 
-    Exchange(Gateway gateway, Work work, AnswerSink sink) {
+    CompletionExecution(CompletionGateway gateway, AdmittedCompletion work, AnswerSink sink) {
         this.gateway = gateway;
-        this.work = work;
+        this.completion = work;
         this.sink = sink;
-        this.pump = new AnswerPump(gateway, work, sink);
+        this.forwarder = new AnswerForwarder(gateway, work, sink);
         CompletionRequest request = work.request();
         this.prefixHashes = PromptBlocks.blockHashes(request.model().value(), request.adapter(), request.prompt());
     }
@@ -56,85 +56,86 @@
     void run() throws IOException, InterruptedException {
         gateway.record(new RequestEvent.Received(
                 id(),
-                work.call().organisation().id(),
-                work.request().model().value(),
-                work.promptTokens(),
+                completion.call().organisation().id(),
+                completion.request().model().value(),
+                completion.promptTokens(),
                 remainingMillis()));
         try {
-            attempts();
+            runAttempts();
         } finally {
             if (grant != null) {
                 gateway.record(new RequestEvent.Cancelled(id(), grant.attempt()));
-                gateway.cancels().cancel(grant);
+                gateway.cancellations().cancel(grant);
             }
         }
     }
 
-    private void attempts() throws IOException, InterruptedException {
+    private void runAttempts() throws IOException, InterruptedException {
         boolean resume = false;
         while (true) {
             if (!resume && !place()) {
                 return;
             }
-            StreamEnding ending = stream(resume);
-            if (ending instanceof StreamEnding.Whole) {
-                gateway.record(new RequestEvent.Finished(id(), pump.count()));
-                gateway.grants().close(grant.attempt(), ReleaseCause.FINISHED);
+            StreamOutcome ending = stream(resume);
+            if (ending instanceof StreamOutcome.Complete) {
+                gateway.record(new RequestEvent.Finished(id(), forwarder.deliveredCount()));
+                gateway.grants().release(grant.attempt(), ReleaseCause.FINISHED);
                 grant = null;
                 return;
             }
-            if (ending instanceof StreamEnding.Expired) {
+            if (ending instanceof StreamOutcome.DeadlineExceeded) {
                 gateway.counter("deadline").inc();
-                refuse(expired());
+                refuse(deadlineRefusal());
                 return;
             }
-            StreamEnding.Broken broken = (StreamEnding.Broken) ending;
+            StreamOutcome.Broken broken = (StreamOutcome.Broken) ending;
             RetryDecision decision = decide(broken);
             gateway.counter("broken." + decision.name().toLowerCase(Locale.ROOT))
                     .inc();
             if (decision == RetryDecision.FAIL) {
-                refuse(failed(broken));
+                refuse(failureRefusal(broken));
                 return;
             }
             resume = decision == RetryDecision.RESUME;
             if (!resume) {
-                giveUpAttempt(broken);
+                abandonAttempt(broken);
             }
         }
     }
 
     /** False when the request has its final answer already: there is no place, or a group of engines served it. */
     private boolean place() throws IOException, InterruptedException {
-        tries++;
-        Placement placement = gateway.placer().place(work.call(), ++placements, demand());
-        long until = gateway.clock().millis() + CONTINUE_MILLIS;
+        attemptCount++;
+        PlacementResult placement = gateway.placer().place(completion.call(), ++placementCount, demand());
+        long until = gateway.clock().millis() + CONTINUATION_TIMEOUT_MILLIS;
         // A caller with half an answer can't use a refusal: for a while the rest is worth more tries, each a real one.
-        while (placement instanceof Placement.None none && worthAnotherTry(none.refusal(), until)) {
-            Thread.sleep(CONTINUE_PAUSE_MILLIS);
-            sink.idle();
-            placement = gateway.placer().place(work.call(), ++placements, demand());
+        while (placement instanceof PlacementResult.Refused none && mayRetryPlacement(none.refusal(), until)) {
+            Thread.sleep(CONTINUATION_RETRY_DELAY_MILLIS);
+            sink.onIdle();
+            placement = gateway.placer().place(completion.call(), ++placementCount, demand());
         }
-        if (placement instanceof Placement.None none) {
-            refuseOrGroup(none.refusal());
+        if (placement instanceof PlacementResult.Refused none) {
+            refuseOrServeByGroup(none.refusal());
             return false;
         }
-        Placement.Found found = (Placement.Found) placement;
+        PlacementResult.Placed found = (PlacementResult.Placed) placement;
         grant = found.grant();
         gateway.record(new RequestEvent.Placed(id(), grant.attempt(), grant.server(), found.owner()));
         return true;
     }
 
-    private boolean worthAnotherTry(Refusal refusal, long untilMillis) {
-        boolean half = pump.count() > 0;
+    private boolean mayRetryPlacement(Refusal refusal, long untilMillis) {
+        boolean half = forwarder.deliveredCount() > 0;
         return half
                 && refusal.reason().passing()
                 && remainingMillis() > 0
                 && gateway.clock().millis() < untilMillis;
     }
 
-    private void refuseOrGroup(Refusal refusal) throws IOException, InterruptedException {
-        boolean larger = refusal.reason() == RefusalReason.TOO_LARGE && !pump.everStarted();
-        Optional<Refusal> last = larger ? new GroupExchange(gateway, work, pump, demand()).run() : Optional.of(refusal);
+    private void refuseOrServeByGroup(Refusal refusal) throws IOException, InterruptedException {
+        boolean larger = refusal.reason() == RefusalReason.TOO_LARGE && !forwarder.anyAttemptRan();
+        Optional<Refusal> last =
+                larger ? new GroupExecution(gateway, completion, forwarder, demand()).run() : Optional.of(refusal);
         if (last.isPresent()) {
             gateway.counter("refused").inc();
             refuse(withRan(last.get()));
@@ -142,30 +143,30 @@
     }
 
     private Demand demand() {
-        CompletionRequest request = work.request();
+        CompletionRequest request = completion.request();
         return new Demand(
                 request.model(),
                 request.adapter(),
-                work.promptTokens(),
-                work.maxOutputTokens(),
+                completion.promptTokens(),
+                completion.maxOutputTokens(),
                 prefixHashes,
-                work.call().organisation().priority(),
+                completion.call().organisation().priority(),
                 Math.max(0, remainingMillis()),
                 failedServers);
     }
 
     /** A refusal to place a later attempt doesn't undo that an earlier one ran. */
     private Refusal withRan(Refusal refusal) {
-        Ran ran = pump.everStarted() ? Ran.YES : refusal.ran();
+        Ran ran = forwarder.anyAttemptRan() ? Ran.YES : refusal.ran();
         return new Refusal(refusal.reason(), refusal.message(), ran, refusal.retryAfterMillis());
     }
 
-    private StreamEnding stream(boolean resume) throws IOException, InterruptedException {
+    private StreamOutcome stream(boolean resume) throws IOException, InterruptedException {
         Optional<EngineClient> engine = gateway.engines().client(grant.protocol(), grant.engine());
         if (engine.isEmpty()) {
-            return new StreamEnding.Broken(Ran.NO, false, "no plug-in speaks " + grant.protocol());
+            return new StreamOutcome.Broken(Ran.NO, false, "no plug-in speaks " + grant.protocol());
         }
-        return resume ? pump.resume(engine.get()) : pump.start(engine.get(), request());
+        return resume ? forwarder.resume(engine.get()) : forwarder.start(engine.get(), request());
     }
 
     private EngineRequest request() {
@@ -174,28 +175,34 @@
                 gateway.self().host(),
                 gateway.self().incarnation(),
                 grant.model(),
-                work.request().adapter(),
-                work.request().prompt(),
-                work.promptTokens(),
-                work.maxOutputTokens(),
-                EnginePriority.of(LengthClass.of(work.promptTokens())),
-                pump.delivered(),
+                completion.request().adapter(),
+                completion.request().prompt(),
+                completion.promptTokens(),
+                completion.maxOutputTokens(),
+                EnginePriority.of(LengthClass.of(completion.promptTokens())),
+                forwarder.deliveredPieces(),
                 List.of());
     }
 
-    private RetryDecision decide(StreamEnding.Broken broken) {
+    private RetryDecision decide(StreamOutcome.Broken broken) {
         StreamFailure failure = new StreamFailure(
-                broken.ran(), true, broken.reachable(), pump.count(), pump.resumes(), tries, remainingMillis());
-        return RetryDecision.of(failure, gateway.budget());
+                broken.ran(),
+                true,
+                broken.reachable(),
+                forwarder.deliveredCount(),
+                forwarder.resumeCount(),
+                attemptCount,
+                remainingMillis());
+        return RetryDecision.of(failure, gateway.retryBudget());
     }
 
-    private void giveUpAttempt(StreamEnding.Broken broken) {
+    private void abandonAttempt(StreamOutcome.Broken broken) {
         failedServers.add(grant.server());
         gateway.record(new RequestEvent.Retried(id(), grant.attempt(), RefusalReason.BACKEND_FAILED, broken.ran()));
         if (broken.ran() == Ran.NO) {
-            gateway.grants().close(grant.attempt(), ReleaseCause.ENGINE_FAILED);
+            gateway.grants().release(grant.attempt(), ReleaseCause.ENGINE_FAILED);
         } else {
-            gateway.cancels().cancel(grant);
+            gateway.cancellations().cancel(grant);
         }
         grant = null;
     }
@@ -205,21 +212,21 @@
         sink.refuse(refusal);
     }
 
-    private Refusal expired() {
-        Ran ran = pump.everStarted() ? Ran.YES : Ran.UNKNOWN;
-        return new Refusal(RefusalReason.DEADLINE, "the answer did not finish in time", ran, RETRY_MILLIS);
+    private Refusal deadlineRefusal() {
+        Ran ran = forwarder.anyAttemptRan() ? Ran.YES : Ran.UNKNOWN;
+        return new Refusal(RefusalReason.DEADLINE, "the answer did not finish in time", ran, RETRY_AFTER_MILLIS);
     }
 
-    private Refusal failed(StreamEnding.Broken broken) {
-        Ran ran = pump.everStarted() ? Ran.YES : broken.ran();
-        return new Refusal(RefusalReason.BACKEND_FAILED, "the engine failed: " + broken.why(), ran, RETRY_MILLIS);
+    private Refusal failureRefusal(StreamOutcome.Broken broken) {
+        Ran ran = forwarder.anyAttemptRan() ? Ran.YES : broken.ran();
+        return new Refusal(RefusalReason.BACKEND_FAILED, "the engine failed: " + broken.why(), ran, RETRY_AFTER_MILLIS);
     }
 
     private RequestId id() {
-        return work.call().id();
+        return completion.call().id();
     }
 
     private long remainingMillis() {
-        return work.call().remainingMillis(gateway.clock());
+        return completion.call().remainingMillis(gateway.clock());
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Gateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionGateway.java
@@ -17,29 +17,29 @@
 import org.elmline.daemon.entry.HostIdentity;
 
 /** Serves requests for answers; what all of them share. */
-public final class Gateway {
-    private static final double RETRY_SHARE = 0.1;
+public final class CompletionGateway {
+    private static final double RETRY_RATIO = 0.1;
     private static final double RETRY_BURST = 20;
-    private static final long STOPPING_RETRY_MILLIS = 500;
+    private static final long STOPPING_RETRY_AFTER_MILLIS = 500;
 
     private final HostIdentity self;
     private final MonotonicClock clock;
     private final Placer placer;
-    private final GrantBook grants;
+    private final GrantTracker grants;
     private final EngineClients engines;
-    private final EngineCancels cancels;
-    private final RetryBudget budget = new RetryBudget(RETRY_SHARE, RETRY_BURST);
+    private final EngineCancellations cancellations;
+    private final RetryBudget retryBudget = new RetryBudget(RETRY_RATIO, RETRY_BURST);
     private final EventRing events;
     private final MetricRegistry metrics;
-    private final Counter callersLeft;
+    private final Counter disconnectedCallers;
 
-    public Gateway(
+    public CompletionGateway(
             HostIdentity self,
             MonotonicClock clock,
             Placer placer,
-            GrantBook grants,
+            GrantTracker grants,
             EngineClients engines,
-            EngineCancels cancels,
+            EngineCancellations cancels,
             EventRing events,
             MetricRegistry metrics) {
         this.self = self;
@@ -47,24 +47,25 @@
         this.placer = placer;
         this.grants = grants;
         this.engines = engines;
-        this.cancels = cancels;
+        this.cancellations = cancels;
         this.events = events;
         this.metrics = metrics;
-        this.callersLeft = metrics.counter("gateway.callers.left");
+        this.disconnectedCallers = metrics.counter("gateway.callers.left");
     }
 
     /** Runs on a worker until the caller has the answer, a refusal, or has left. */
-    void serve(Work work, AnswerSink sink) {
-        budget.onFirstAttempt();
+    void serve(AdmittedCompletion work, AnswerSink sink) {
+        retryBudget.onFirstAttempt();
         try {
-            new Exchange(this, work, sink).run();
+            new CompletionExecution(this, work, sink).run();
         } catch (IOException e) {
-            callersLeft.inc();
+            disconnectedCallers.inc();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             refuseQuietly(
                     sink,
-                    new Refusal(RefusalReason.LEAVING, "this host is stopping", Ran.UNKNOWN, STOPPING_RETRY_MILLIS));
+                    new Refusal(
+                            RefusalReason.LEAVING, "this host is stopping", Ran.UNKNOWN, STOPPING_RETRY_AFTER_MILLIS));
         }
     }
 
@@ -88,7 +89,7 @@
         return placer;
     }
 
-    GrantBook grants() {
+    GrantTracker grants() {
         return grants;
     }
 
@@ -96,16 +97,16 @@
         return engines;
     }
 
-    EngineCancels cancels() {
-        return cancels;
+    EngineCancellations cancellations() {
+        return cancellations;
     }
 
     void record(RequestEvent event) {
         events.record(event);
     }
 
-    RetryBudget budget() {
-        return budget;
+    RetryBudget retryBudget() {
+        return retryBudget;
     }
 
     /** Time to the first token, as callers have it, for prompts of one class. */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionsHandler.java
@@ -9,7 +9,7 @@
 import org.elmline.core.config.Model;
 import org.elmline.core.config.Organisation;
 import org.elmline.core.engine.PromptBlocks;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.Answers;
 import org.elmline.daemon.http.BodyReader;
 import org.elmline.daemon.openai.ApiKind;
@@ -22,17 +22,22 @@
     private static final int DEFAULT_OUTPUT_TOKENS = 256;
 
     private final ApiKind api;
-    private final Gate gate;
-    private final SharedView view;
+    private final AdmissionController admission;
+    private final LeasedView leasedView;
     private final BodyReader bodies;
-    private final Gateway gateway;
-    private final LimitService limits;
+    private final CompletionGateway gateway;
+    private final OrganisationLimitService limits;
 
     public CompletionsHandler(
-            ApiKind api, Gate gate, SharedView view, BodyReader bodies, Gateway gateway, LimitService limits) {
+            ApiKind api,
+            AdmissionController gate,
+            LeasedView view,
+            BodyReader bodies,
+            CompletionGateway gateway,
+            OrganisationLimitService limits) {
         this.api = api;
-        this.gate = gate;
-        this.view = view;
+        this.admission = gate;
+        this.leasedView = view;
         this.bodies = bodies;
         this.gateway = gateway;
         this.limits = limits;
@@ -40,31 +45,31 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        Gate.Passage passage = gate.enter(exchange);
-        if (passage instanceof Gate.Passage.Closed closed) {
+        AdmissionController.Admission passage = admission.admit(exchange);
+        if (passage instanceof AdmissionController.Admission.Refused closed) {
             Answers.refuse(exchange, closed.refusal());
             return;
         }
-        Admitted call = ((Gate.Passage.Open) passage).call();
-        gate.leaveWith(exchange);
+        AdmittedCall call = ((AdmissionController.Admission.Admitted) passage).call();
+        admission.releaseOnCompletion(exchange);
         bodies.read(exchange, body -> serve(exchange, call, body));
     }
 
-    private void serve(HttpServerExchange exchange, Admitted call, byte[] body) {
+    private void serve(HttpServerExchange exchange, AdmittedCall call, byte[] body) {
         CompletionReader.Result read = CompletionReader.read(api, body);
         if (read instanceof CompletionReader.Result.Invalid invalid) {
             Answers.refuse(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, invalid.why()));
             return;
         }
         CompletionRequest request = ((CompletionReader.Result.Valid) read).request();
-        Optional<Model> model = view.configuration().model(request.model());
+        Optional<Model> model = leasedView.configuration().model(request.model());
         if (model.isEmpty()) {
             Answers.refuse(
                     exchange, Refusal.didNotRun(RefusalReason.UNKNOWN_MODEL, "no model is named " + request.model()));
             return;
         }
         int promptTokens = PromptBlocks.tokenCount(request.prompt());
-        Optional<Refusal> unfit = unfit(request, model.get(), promptTokens);
+        Optional<Refusal> unfit = validate(request, model.get(), promptTokens);
         if (unfit.isPresent()) {
             Answers.refuse(exchange, unfit.get());
             return;
@@ -74,12 +79,13 @@
                 : request.maxOutputTokens();
         CompletionWriter writer =
                 new CompletionWriter(request, call.id(), System.currentTimeMillis() / 1000, promptTokens);
-        AnswerSink sink =
-                request.stream() ? new StreamSink(exchange, writer) : new WholeSink(exchange, writer, gateway.clock());
-        serve(new Work(call, request, promptTokens, maxOutput), sink, exchange);
+        AnswerSink sink = request.stream()
+                ? new StreamSink(exchange, writer)
+                : new BufferingSink(exchange, writer, gateway.clock());
+        serve(new AdmittedCompletion(call, request, promptTokens, maxOutput), sink, exchange);
     }
 
-    private void serve(Work work, AnswerSink sink, HttpServerExchange exchange) {
+    private void serve(AdmittedCompletion work, AnswerSink sink, HttpServerExchange exchange) {
         Organisation organisation = work.call().organisation();
         Optional<Refusal> over = limits.admit(organisation, (long) work.promptTokens() + work.maxOutputTokens());
         if (over.isPresent()) {
@@ -89,11 +95,11 @@
         try {
             gateway.serve(work, sink);
         } finally {
-            limits.finished(organisation.id());
+            limits.onFinished(organisation.id());
         }
     }
 
-    private static Optional<Refusal> unfit(CompletionRequest request, Model model, int promptTokens) {
+    private static Optional<Refusal> validate(CompletionRequest request, Model model, int promptTokens) {
         if (!request.adapter().isEmpty() && !model.adapters().contains(request.adapter())) {
             return Optional.of(Refusal.didNotRun(
                     RefusalReason.UNKNOWN_MODEL, "model " + model.name() + " has no adapter " + request.adapter()));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancels.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancellations.java
@@ -26,22 +26,26 @@
  * engine's memory taken, so each is repeated until the engine acknowledges it or no owner knows the engine any more; only
  * then is the grant given back.
  */
-public final class EngineCancels {
-    private static final Logger LOG = Logger.getLogger(EngineCancels.class);
-    private static final long CHECK_MILLIS = 250;
-    private static final long UNKNOWN_MILLIS = 15_000;
+public final class EngineCancellations {
+    private static final Logger LOG = Logger.getLogger(EngineCancellations.class);
+    private static final long SEND_INTERVAL_MILLIS = 250;
+    private static final long UNOWNED_ENGINE_TIMEOUT_MILLIS = 15_000;
 
     private final EngineClients engines;
     private final OwnerTable owners;
-    private final GrantBook grants;
+    private final GrantTracker grants;
     private final MonotonicClock clock;
     private final CancelQueue queue = new CancelQueue();
-    private final Map<Cancel, Given> given = new HashMap<>();
+    private final Map<Cancel, PendingCancel> pending = new HashMap<>();
 
-    private record Given(Grant grant, long atMillis, Consumer<Cancel> onFreed) {}
+    private record PendingCancel(Grant grant, long requestedAtMillis, Consumer<Cancel> onFreed) {}
 
-    public EngineCancels(
-            EngineClients engines, OwnerTable owners, GrantBook grants, MonotonicClock clock, MetricRegistry metrics) {
+    public EngineCancellations(
+            EngineClients engines,
+            OwnerTable owners,
+            GrantTracker grants,
+            MonotonicClock clock,
+            MetricRegistry metrics) {
         this.engines = engines;
         this.owners = owners;
         this.grants = grants;
@@ -50,29 +54,30 @@
     }
 
     public void start(ScheduledExecutorService timer) {
-        timer.scheduleWithFixedDelay(this::guardedSend, CHECK_MILLIS, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(
+                this::sendAndLogFailures, SEND_INTERVAL_MILLIS, SEND_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Cancels an attempt on its engine and gives its grant back once that is acknowledged. */
     void cancel(Grant grant) {
         Cancel cancel = Cancel.stream(grant.server(), grant.attempt());
-        free(cancel, grant, freed -> grants.close(freed.attempt(), ReleaseCause.CANCELLED));
+        free(cancel, grant, freed -> grants.release(freed.attempt(), ReleaseCause.CANCELLED));
     }
 
     /** Frees what an engine may hold, on the engine of the grant; tells once the engine holds nothing for it. */
     void free(Cancel cancel, Grant grant, Consumer<Cancel> onFreed) {
         synchronized (this) {
-            given.putIfAbsent(cancel, new Given(grant, clock.millis(), onFreed));
+            pending.putIfAbsent(cancel, new PendingCancel(grant, clock.millis(), onFreed));
             queue.add(cancel, clock.nanos());
         }
-        guardedSend();
+        sendAndLogFailures();
     }
 
     public synchronized int size() {
-        return given.size();
+        return pending.size();
     }
 
-    private void guardedSend() {
+    private void sendAndLogFailures() {
         try {
             send();
         } catch (RuntimeException e) {
@@ -86,9 +91,9 @@
             due = queue.due(clock.nanos());
         }
         for (Cancel each : due) {
-            Given held;
+            PendingCancel held;
             synchronized (this) {
-                held = given.get(each);
+                held = pending.get(each);
             }
             if (held != null) {
                 send(each, held);
@@ -96,18 +101,18 @@
         }
     }
 
-    private void send(Cancel cancel, Given held) {
+    private void send(Cancel cancel, PendingCancel held) {
         Grant grant = held.grant();
-        boolean old = clock.millis() - held.atMillis() > UNKNOWN_MILLIS;
+        boolean old = clock.millis() - held.requestedAtMillis() > UNOWNED_ENGINE_TIMEOUT_MILLIS;
         if (old && owners.ownerOf(grant.server()).isEmpty()) {
             // Every owner has dropped the engine: it is gone, and its memory with it.
-            done(cancel);
+            onAcknowledged(cancel);
             return;
         }
         Optional<EngineClient> engine = engines.client(grant.protocol(), grant.engine());
         engine.ifPresent(client -> release(client, cancel).thenAccept(result -> {
             if (result instanceof CallResult.Answered<Boolean>) {
-                done(cancel);
+                onAcknowledged(cancel);
             }
         }));
     }
@@ -116,11 +121,11 @@
         return cancel.targetsExport() ? engine.freeKv(cancel.exportId()) : engine.cancel(cancel.attempt());
     }
 
-    private void done(Cancel cancel) {
-        Given held;
+    private void onAcknowledged(Cancel cancel) {
+        PendingCancel held;
         synchronized (this) {
             queue.acknowledge(cancel);
-            held = given.remove(cancel);
+            held = pending.remove(cancel);
         }
         if (held != null) {
             held.onFreed().accept(cancel);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
@@ -12,21 +12,21 @@
 import org.elmline.core.common.Region;
 import org.elmline.core.control.HostRecord;
 import org.elmline.core.route.EntryHostChoice;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.Answers;
 
 /** {@code GET /v1/entry-hosts}: the addresses a caller may use and for how long to keep them. */
 public final class EntryHostsHandler implements HttpHandler {
-    private static final long RETRY_MILLIS = 1000;
-    private static final int MOST = 4;
+    private static final long RETRY_AFTER_MILLIS = 1000;
+    private static final int MAX_ADDRESSES = 4;
     private static final Random RANDOM = new Random();
 
-    private final SharedView view;
+    private final LeasedView leasedView;
     private final Region region;
     private final int keepSeconds;
 
-    public EntryHostsHandler(SharedView view, Region region, int keepSeconds) {
-        this.view = view;
+    public EntryHostsHandler(LeasedView view, Region region, int keepSeconds) {
+        this.leasedView = view;
         this.region = region;
         this.keepSeconds = keepSeconds;
     }
@@ -34,12 +34,13 @@
     @Override
     public void handleRequest(HttpServerExchange exchange) {
         List<Address> addresses = new ArrayList<>();
-        for (HostRecord each : EntryHostChoice.choose(view.members().hosts(), region, MOST, RANDOM)) {
+        for (HostRecord each : EntryHostChoice.choose(leasedView.members().hosts(), region, MAX_ADDRESSES, RANDOM)) {
             addresses.add(each.callers());
         }
         if (addresses.isEmpty()) {
             Answers.refuse(
-                    exchange, Refusal.comeBack(RefusalReason.NO_LEASE, "no entry host is live yet", RETRY_MILLIS));
+                    exchange,
+                    Refusal.comeBack(RefusalReason.NO_LEASE, "no entry host is live yet", RETRY_AFTER_MILLIS));
             return;
         }
         Answers.json(exchange, new EntryHosts(addresses, keepSeconds));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantBook.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantTracker.java
@@ -31,7 +31,7 @@
 import org.elmline.core.route.RouteChannels;
 import org.elmline.daemon.backend.OwnerService;
 import org.elmline.daemon.entry.HostIdentity;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 import org.jboss.logging.Logger;
 
 /**
@@ -41,61 +41,68 @@
  *
  * <p>One lock guards all state; no other lock is taken and nothing is sent under it.
  */
-public final class GrantBook {
-    private static final Logger LOG = Logger.getLogger(GrantBook.class);
+public final class GrantTracker {
+    private static final Logger LOG = Logger.getLogger(GrantTracker.class);
     /** Between repeats of reports that were not answered; a new one is sent at once. */
-    private static final long REPORT_MILLIS = 250;
+    private static final long REPORT_INTERVAL_MILLIS = 250;
 
-    private static final long REGISTER_MILLIS = 500;
-    private static final Duration TIMEOUT = Duration.ofSeconds(1);
+    private static final long REGISTER_INTERVAL_MILLIS = 500;
+    private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(1);
 
     private final HostIdentity self;
-    private final SharedView view;
+    private final LeasedView leasedView;
     private final MonotonicClock clock;
     private final PeerNetwork network;
-    private final OwnerService local;
+    private final OwnerService localOwner;
     private final OwnerTable owners;
-    private final Map<AttemptId, Held> open = new HashMap<>();
+    private final Map<AttemptId, TrackedGrant> open = new HashMap<>();
     private final Map<HostId, Outbox> outboxes = new HashMap<>();
 
-    private record Held(Grant grant, HostId owner) {}
+    private record TrackedGrant(Grant grant, HostId owner) {}
 
     /** What one owner must be told. */
     private static final class Outbox {
         private List<AttemptId> begun = new ArrayList<>();
         private List<FirstToken> firstTokens = new ArrayList<>();
         private List<Release> releases = new ArrayList<>();
-        private boolean sending;
+        private boolean inFlight;
 
-        boolean empty() {
+        boolean isEmpty() {
             return begun.isEmpty() && firstTokens.isEmpty() && releases.isEmpty();
         }
     }
 
-    public GrantBook(
+    public GrantTracker(
             HostIdentity self,
-            SharedView view,
+            LeasedView view,
             MonotonicClock clock,
             PeerNetwork network,
             OwnerService local,
             OwnerTable owners,
             MetricRegistry metrics) {
         this.self = self;
-        this.view = view;
+        this.leasedView = view;
         this.clock = clock;
         this.network = network;
-        this.local = local;
+        this.localOwner = local;
         this.owners = owners;
         metrics.gauge("gateway.grants.open", () -> this::size);
     }
 
     public void start(ScheduledExecutorService timer) {
-        timer.scheduleWithFixedDelay(() -> guarded(this::report), REPORT_MILLIS, REPORT_MILLIS, TimeUnit.MILLISECONDS);
         timer.scheduleWithFixedDelay(
-                () -> guarded(this::registerMoved), REGISTER_MILLIS, REGISTER_MILLIS, TimeUnit.MILLISECONDS);
+                () -> runAndLogFailures(this::report),
+                REPORT_INTERVAL_MILLIS,
+                REPORT_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(
+                () -> runAndLogFailures(this::registerMovedGrants),
+                REGISTER_INTERVAL_MILLIS,
+                REGISTER_INTERVAL_MILLIS,
+                TimeUnit.MILLISECONDS);
     }
 
-    private static void guarded(Runnable task) {
+    private static void runAndLogFailures(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
@@ -104,26 +111,26 @@
     }
 
     synchronized void open(Grant grant, HostId owner) {
-        open.put(grant.attempt(), new Held(grant, owner));
+        open.put(grant.attempt(), new TrackedGrant(grant, owner));
     }
 
     /** The engine's first token came, so its prompt is no backlog any more. */
-    void firstToken(AttemptId attempt, long millisSinceStart) {
+    void reportFirstToken(AttemptId attempt, long millisSinceStart) {
         synchronized (this) {
-            Held held = open.get(attempt);
+            TrackedGrant held = open.get(attempt);
             if (held == null) {
                 return;
             }
-            open.put(attempt, new Held(held.grant().afterFirstToken(), held.owner()));
+            open.put(attempt, new TrackedGrant(held.grant().afterFirstToken(), held.owner()));
             outbox(held.owner()).firstTokens.add(new FirstToken(attempt, millisSinceStart));
         }
         report();
     }
 
     /** The turn of a segment to be read has come. */
-    void begun(AttemptId attempt) {
+    void reportBegun(AttemptId attempt) {
         synchronized (this) {
-            Held held = open.get(attempt);
+            TrackedGrant held = open.get(attempt);
             if (held == null) {
                 return;
             }
@@ -133,7 +140,7 @@
     }
 
     /** Gives back a grant that was never used, whether this entry knows of it or not. */
-    void giveBack(AttemptId attempt, HostId owner) {
+    void releaseUnused(AttemptId attempt, HostId owner) {
         synchronized (this) {
             open.remove(attempt);
         }
@@ -154,9 +161,9 @@
     }
 
     /** The engine holds nothing for the attempt any more. */
-    void close(AttemptId attempt, ReleaseCause cause) {
+    void release(AttemptId attempt, ReleaseCause cause) {
         synchronized (this) {
-            Held held = open.remove(attempt);
+            TrackedGrant held = open.remove(attempt);
             if (held == null) {
                 return;
             }
@@ -187,8 +194,8 @@
             dropLostOwners();
             for (Map.Entry<HostId, Outbox> each : outboxes.entrySet()) {
                 Outbox outbox = each.getValue();
-                if (!outbox.sending && !outbox.empty()) {
-                    outbox.sending = true;
+                if (!outbox.inFlight && !outbox.isEmpty()) {
+                    outbox.inFlight = true;
                     due.put(
                             each.getKey(),
                             new GrantReport(
@@ -205,18 +212,18 @@
 
     /** An owner whose lease is over has lost its ledger with it; the next one learns of open grants by registration. */
     private void dropLostOwners() {
-        boolean membersKnown = !view.members().hosts().isEmpty();
+        boolean membersKnown = !leasedView.members().hosts().isEmpty();
         outboxes.keySet()
                 .removeIf(id -> membersKnown
                         && !id.equals(self.host())
-                        && view.members().host(id).isEmpty());
+                        && leasedView.members().host(id).isEmpty());
     }
 
     private void send(HostId owner, GrantReport report) {
-        tell(owner, report).thenAccept(told -> {
+        deliver(owner, report).thenAccept(told -> {
             synchronized (this) {
                 Outbox outbox = outbox(owner);
-                outbox.sending = false;
+                outbox.inFlight = false;
                 if (told) {
                     outbox.begun = new ArrayList<>(outbox.begun);
                     outbox.begun.removeAll(report.begun());
@@ -229,23 +236,23 @@
         });
     }
 
-    private CompletableFuture<Boolean> tell(HostId owner, GrantReport report) {
+    private CompletableFuture<Boolean> deliver(HostId owner, GrantReport report) {
         if (owner.equals(self.host())) {
-            local.report(report);
+            localOwner.report(report);
             return CompletableFuture.completedFuture(true);
         }
-        Optional<HostRecord> record = view.members().host(owner);
+        Optional<HostRecord> record = leasedView.members().host(owner);
         if (record.isEmpty()) {
             return CompletableFuture.completedFuture(false);
         }
-        return network.call(record.get().peers(), RouteChannels.RELEASE, report, TIMEOUT)
+        return network.call(record.get().peers(), RouteChannels.RELEASE, report, REQUEST_TIMEOUT)
                 .thenApply(result -> result instanceof CallResult.Answered<GrantReportAnswer>);
     }
 
-    private void registerMoved() {
+    private void registerMovedGrants() {
         Map<HostId, List<Grant>> moved = new HashMap<>();
         synchronized (this) {
-            for (Held each : open.values()) {
+            for (TrackedGrant each : open.values()) {
                 Optional<HostRecord> owner = owners.ownerOf(each.grant().server());
                 if (owner.isPresent() && !owner.get().id().equals(each.owner())) {
                     moved.computeIfAbsent(owner.get().id(), id -> new ArrayList<>())
@@ -259,23 +266,23 @@
     private void register(HostId owner, List<Grant> grants) {
         RegisterGrants request = new RegisterGrants(self.host(), self.incarnation(), grants);
         if (owner.equals(self.host())) {
-            registered(owner, grants, local.takeOver(request));
+            onRegistered(owner, grants, localOwner.registerGrants(request));
             return;
         }
-        view.members().host(owner).ifPresent(record -> network.call(
-                        record.peers(), RouteChannels.REGISTER, request, TIMEOUT)
+        leasedView.members().host(owner).ifPresent(record -> network.call(
+                        record.peers(), RouteChannels.REGISTER, request, REQUEST_TIMEOUT)
                 .thenAccept(result -> {
                     if (result instanceof CallResult.Answered<RegisterAnswer> answered) {
-                        registered(owner, grants, answered.value());
+                        onRegistered(owner, grants, answered.value());
                     }
                 }));
     }
 
-    private synchronized void registered(HostId owner, List<Grant> grants, RegisterAnswer answer) {
+    private synchronized void onRegistered(HostId owner, List<Grant> grants, RegisterAnswer answer) {
         for (Grant each : grants) {
-            Held held = open.get(each.attempt());
+            TrackedGrant held = open.get(each.attempt());
             if (held != null && !answer.notOwned().contains(each.attempt())) {
-                open.put(each.attempt(), new Held(held.grant(), owner));
+                open.put(each.attempt(), new TrackedGrant(held.grant(), owner));
             }
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExchange.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
@@ -33,48 +33,48 @@
  * Serves a prompt larger than any engine by a group of them: reserves all or nothing, reads the segments one after
  * another, streams the answer from the last engine, and frees every engine however it ends.
  */
-final class GroupExchange {
+final class GroupExecution {
     /** Part of a segment's memory that its import takes on another engine, as engines announce it to be at most. */
-    private static final double IMPORT_SHARE = 1.0 / 16;
+    private static final double IMPORT_MEMORY_SHARE = 1.0 / 16;
 
-    private static final int MAX_RESERVATIONS = 20;
+    private static final int MAX_RESERVATION_ATTEMPTS = 20;
     private static final int MAX_RESUMES = 3;
-    private static final long PAUSE_MILLIS = 200;
-    private static final long RETRY_MILLIS = 5_000;
+    private static final long RETRY_DELAY_MILLIS = 200;
+    private static final long RETRY_AFTER_MILLIS = 5_000;
 
-    private final Gateway gateway;
-    private final Work work;
-    private final AnswerPump pump;
+    private final CompletionGateway gateway;
+    private final AdmittedCompletion completion;
+    private final AnswerForwarder forwarder;
     private final Demand demand;
 
-    GroupExchange(Gateway gateway, Work work, AnswerPump pump, Demand demand) {
+    GroupExecution(CompletionGateway gateway, AdmittedCompletion work, AnswerForwarder pump, Demand demand) {
         this.gateway = gateway;
-        this.work = work;
-        this.pump = pump;
+        this.completion = work;
+        this.forwarder = pump;
         this.demand = demand;
     }
 
     /** Empty once the caller has the whole answer, else the refusal to give. */
     Optional<Refusal> run() throws IOException, InterruptedException {
-        for (int i = 0; i < MAX_RESERVATIONS && remainingMillis() > 0; i++) {
+        for (int i = 0; i < MAX_RESERVATION_ATTEMPTS && remainingMillis() > 0; i++) {
             PlaceRequest whole = new PlaceRequest(
-                    AttemptId.of(work.call().id() + "/g" + i),
+                    AttemptId.of(completion.call().id() + "/g" + i),
                     gateway.self().host(),
                     gateway.self().incarnation(),
-                    work.call().organisation().id(),
+                    completion.call().organisation().id(),
                     demand);
             Optional<GroupPlan> plan = GroupPlan.of(
                     demand.promptTokens(),
                     demand.maxOutputTokens(),
                     gateway.placer().slots(demand.model()),
-                    IMPORT_SHARE,
+                    IMPORT_MEMORY_SHARE,
                     PrefillCost.DEFAULT);
             if (plan.isPresent() && plan.get().predictedFirstTokenMillis() > remainingMillis()) {
                 return Optional.of(Refusal.comeBack(
                         RefusalReason.DEADLINE,
                         "reading " + demand.promptTokens() + " tokens takes about "
                                 + plan.get().predictedFirstTokenMillis() + " ms, more than the time limit",
-                        RETRY_MILLIS));
+                        RETRY_AFTER_MILLIS));
             }
             if (plan.isPresent()) {
                 GroupReservation reservation = reserve(whole, plan.get());
@@ -83,10 +83,10 @@
                 }
             }
             // Groups that meet hand back what they hold and come again at unlike times.
-            Thread.sleep(PAUSE_MILLIS + ThreadLocalRandom.current().nextLong(PAUSE_MILLIS));
+            Thread.sleep(RETRY_DELAY_MILLIS + ThreadLocalRandom.current().nextLong(RETRY_DELAY_MILLIS));
         }
         return Optional.of(Refusal.comeBack(
-                RefusalReason.OVERLOADED, "no group of engines has room for this prompt now", RETRY_MILLIS));
+                RefusalReason.OVERLOADED, "no group of engines has room for this prompt now", RETRY_AFTER_MILLIS));
     }
 
     private GroupReservation reserve(PlaceRequest whole, GroupPlan plan) throws InterruptedException {
@@ -94,7 +94,7 @@
         Optional<GroupReservation.OwnerCall> ask = reservation.nextCall();
         while (ask.isPresent()) {
             Optional<OwnerPlaceAnswer> answer =
-                    gateway.placer().ask(ask.get().owner(), ask.get().request(), work.call());
+                    gateway.placer().requestPlace(ask.get().owner(), ask.get().request(), completion.call());
             if (answer.isPresent()) {
                 reservation.onAnswer(answer.get());
             } else {
@@ -106,7 +106,7 @@
             ask = reservation.nextCall();
         }
         for (GroupReservation.OwnerRelease each : reservation.releases()) {
-            gateway.grants().giveBack(each.attempt(), each.owner());
+            gateway.grants().releaseUnused(each.attempt(), each.owner());
         }
         return reservation;
     }
@@ -114,24 +114,25 @@
     private Optional<Refusal> serve(PlaceRequest whole, GroupPlan plan, List<Grant> grants)
             throws IOException, InterruptedException {
         gateway.counter("groups").inc();
-        GroupRun run = new GroupRun(whole, plan, grants, work.request().prompt());
+        GroupRun run = new GroupRun(whole, plan, grants, completion.request().prompt());
         try {
-            return steps(run);
+            return runSteps(run);
         } finally {
-            free(run);
+            freeEngines(run);
         }
     }
 
-    private Optional<Refusal> steps(GroupRun run) throws IOException, InterruptedException {
-        Optional<GroupStep> next = run.nextStep(pump.delivered());
+    private Optional<Refusal> runSteps(GroupRun run) throws IOException, InterruptedException {
+        Optional<GroupStep> next = run.nextStep(forwarder.deliveredPieces());
         while (next.isPresent()) {
             GroupStep step = next.get();
             Optional<EngineClient> engine = client(step.target());
             if (engine.isEmpty()) {
-                return Optional.of(failed("no plug-in speaks " + step.target().protocol()));
+                return Optional.of(
+                        failureRefusal("no plug-in speaks " + step.target().protocol()));
             }
             if (step instanceof GroupStep.StreamAnswer stream) {
-                return answer(engine.get(), stream);
+                return streamAnswer(engine.get(), stream);
             }
             Optional<Refusal> refusal = step instanceof GroupStep.ImportKv transfer
                     ? importKv(run, engine.get(), transfer)
@@ -139,7 +140,7 @@
             if (refusal.isPresent()) {
                 return refusal;
             }
-            next = run.nextStep(pump.delivered());
+            next = run.nextStep(forwarder.deliveredPieces());
         }
         return Optional.empty();
     }
@@ -154,50 +155,54 @@
             run.imported();
             return Optional.empty();
         }
-        return Optional.of(failed("an engine could not import a segment: " + why(result)));
+        return Optional.of(failureRefusal("an engine could not import a segment: " + failureReason(result)));
     }
 
     private Optional<Refusal> exportKv(GroupRun run, EngineClient engine, GroupStep.ExportKv step)
             throws InterruptedException {
-        gateway.grants().begun(step.target().attempt());
+        gateway.grants().reportBegun(step.target().attempt());
         gateway.record(new RequestEvent.Placed(
-                work.call().id(),
+                completion.call().id(),
                 step.target().attempt(),
                 step.target().server(),
                 step.target().host()));
         long started = gateway.clock().millis();
         CallResult<KvExport> result = await(engine.exportKv(step.request()));
         if (result instanceof CallResult.Answered<KvExport> answered) {
-            gateway.grants().firstToken(step.target().attempt(), gateway.clock().millis() - started);
+            gateway.grants()
+                    .reportFirstToken(step.target().attempt(), gateway.clock().millis() - started);
             run.exported(answered.value());
             return Optional.empty();
         }
-        return Optional.of(failed("an engine failed to read its segment: " + why(result)));
+        return Optional.of(failureRefusal("an engine failed to read its segment: " + failureReason(result)));
     }
 
-    private Optional<Refusal> answer(EngineClient engine, GroupStep.StreamAnswer step)
+    private Optional<Refusal> streamAnswer(EngineClient engine, GroupStep.StreamAnswer step)
             throws IOException, InterruptedException {
-        gateway.grants().begun(step.target().attempt());
-        StreamEnding ending = pump.start(engine, step.request());
-        while (ending instanceof StreamEnding.Broken broken && broken.reachable() && pump.resumes() < MAX_RESUMES) {
-            ending = pump.resume(engine);
+        gateway.grants().reportBegun(step.target().attempt());
+        StreamOutcome ending = forwarder.start(engine, step.request());
+        while (ending instanceof StreamOutcome.Broken broken
+                && broken.reachable()
+                && forwarder.resumeCount() < MAX_RESUMES) {
+            ending = forwarder.resume(engine);
         }
-        if (ending instanceof StreamEnding.Whole) {
-            gateway.record(new RequestEvent.Finished(work.call().id(), pump.count()));
+        if (ending instanceof StreamOutcome.Complete) {
+            gateway.record(new RequestEvent.Finished(completion.call().id(), forwarder.deliveredCount()));
             return Optional.empty();
         }
-        return Optional.of(ending instanceof StreamEnding.Broken broken ? failed(broken.why()) : expired());
+        return Optional.of(
+                ending instanceof StreamOutcome.Broken broken ? failureRefusal(broken.why()) : deadlineRefusal());
     }
 
     /** Engines are told until they acknowledge; a grant is given back with its engine's last acknowledgement. */
-    private void free(GroupRun run) {
+    private void freeEngines(GroupRun run) {
         for (Cancel each : run.end()) {
-            gateway.cancels().free(each, grantOn(run, each), freed -> {
+            gateway.cancellations().free(each, grantOn(run, each), freed -> {
                 Optional<Grant> last;
                 synchronized (run) {
                     last = run.freed(freed);
                 }
-                last.ifPresent(grant -> gateway.grants().close(grant.attempt(), ReleaseCause.CANCELLED));
+                last.ifPresent(grant -> gateway.grants().release(grant.attempt(), ReleaseCause.CANCELLED));
             });
         }
     }
@@ -223,25 +228,25 @@
         return gateway.engines().client(grant.protocol(), grant.engine());
     }
 
-    private static String why(CallResult<?> result) {
+    private static String failureReason(CallResult<?> result) {
         if (result instanceof CallResult.NotSent<?> notSent) {
             return notSent.why();
         }
         return result instanceof CallResult.Unknown<?> unknown ? unknown.why() : "it refused";
     }
 
-    private Refusal failed(String why) {
+    private Refusal failureRefusal(String why) {
         if (remainingMillis() <= 0) {
-            return expired();
+            return deadlineRefusal();
         }
-        return new Refusal(RefusalReason.BACKEND_FAILED, why, Ran.YES, RETRY_MILLIS);
+        return new Refusal(RefusalReason.BACKEND_FAILED, why, Ran.YES, RETRY_AFTER_MILLIS);
     }
 
-    private static Refusal expired() {
-        return new Refusal(RefusalReason.DEADLINE, "the answer did not finish in time", Ran.YES, RETRY_MILLIS);
+    private static Refusal deadlineRefusal() {
+        return new Refusal(RefusalReason.DEADLINE, "the answer did not finish in time", Ran.YES, RETRY_AFTER_MILLIS);
     }
 
     private long remainingMillis() {
-        return work.call().remainingMillis(gateway.clock());
+        return completion.call().remainingMillis(gateway.clock());
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/ModelsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/ModelsHandler.java
@@ -6,29 +6,29 @@
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import org.elmline.core.config.Model;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.Answers;
 
 /** {@code GET /v1/models}, in the OpenAI API's form: each model, and each of its adapters as {@code model@adapter}. */
 public final class ModelsHandler implements HttpHandler {
-    private final Gate gate;
-    private final SharedView view;
+    private final AdmissionController admission;
+    private final LeasedView leasedView;
 
-    public ModelsHandler(Gate gate, SharedView view) {
-        this.gate = gate;
-        this.view = view;
+    public ModelsHandler(AdmissionController gate, LeasedView view) {
+        this.admission = gate;
+        this.leasedView = view;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        Gate.Passage passage = gate.enter(exchange);
-        if (passage instanceof Gate.Passage.Closed closed) {
+        AdmissionController.Admission passage = admission.admit(exchange);
+        if (passage instanceof AdmissionController.Admission.Refused closed) {
             Answers.refuse(exchange, closed.refusal());
             return;
         }
-        gate.leave();
+        admission.release();
         List<Entry> entries = new ArrayList<>();
-        for (Model each : view.configuration().models()) {
+        for (Model each : leasedView.configuration().models()) {
             entries.add(new Entry(each.name().value(), "model", 0, "elmline"));
             for (String adapter : each.adapters()) {
                 entries.add(new Entry(each.name() + "@" + adapter, "model", 0, "elmline"));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/LimitService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/OrganisationLimitService.java
@@ -25,33 +25,33 @@
 import org.elmline.core.route.Ownership;
 import org.elmline.core.route.RouteChannels;
 import org.elmline.daemon.entry.HostIdentity;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 import org.jboss.logging.Logger;
 
 /**
  * Holds organisations to their limits over all entries: asks the entry that splits an organisation's limit for a share,
  * and splits the limits that fall to this one.
  */
-public final class LimitService {
-    private static final Logger LOG = Logger.getLogger(LimitService.class);
-    private static final long SHARE_MILLIS = 4_000;
-    private static final long RENEW_MILLIS = 500;
-    private static final Duration TIMEOUT = Duration.ofMillis(500);
-    private static final long REQUESTS_RETRY_MILLIS = 1_000;
-    private static final long TOKENS_RETRY_MILLIS = 5_000;
+public final class OrganisationLimitService {
+    private static final Logger LOG = Logger.getLogger(OrganisationLimitService.class);
+    private static final long SHARE_LEASE_MILLIS = 4_000;
+    private static final long RENEW_INTERVAL_MILLIS = 500;
+    private static final Duration SHARE_REQUEST_TIMEOUT = Duration.ofMillis(500);
+    private static final long REQUESTS_RETRY_AFTER_MILLIS = 1_000;
+    private static final long TOKENS_RETRY_AFTER_MILLIS = 5_000;
 
     private final HostIdentity self;
-    private final SharedView view;
+    private final LeasedView leasedView;
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private final OrganisationLimits limits;
-    private final LimitShareAllocator shares = new LimitShareAllocator(SHARE_MILLIS);
+    private final LimitShareAllocator shares = new LimitShareAllocator(SHARE_LEASE_MILLIS);
     private final Counter refused;
 
-    public LimitService(
-            HostIdentity self, SharedView view, PeerNetwork network, MonotonicClock clock, MetricRegistry metrics) {
+    public OrganisationLimitService(
+            HostIdentity self, LeasedView view, PeerNetwork network, MonotonicClock clock, MetricRegistry metrics) {
         this.self = self;
-        this.view = view;
+        this.leasedView = view;
         this.network = network;
         this.clock = clock;
         this.limits = new OrganisationLimits(self.host(), self.incarnation());
@@ -59,15 +59,15 @@
     }
 
     public void register(HandlerRegistry handlers) {
-        handlers.register(RouteChannels.LIMIT_SHARE, request -> CompletableFuture.completedFuture(split(request)));
+        handlers.register(RouteChannels.LIMIT_SHARE, request -> CompletableFuture.completedFuture(grantShare(request)));
     }
 
     public void start(ScheduledExecutorService timer) {
-        timer.scheduleWithFixedDelay(this::renew, RENEW_MILLIS, RENEW_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(this::renew, RENEW_INTERVAL_MILLIS, RENEW_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
-     * Admits a request, or says why not; {@link #finished} must follow an admission exactly once. May wait for a share
+     * Admits a request, or says why not; {@link #onFinished} must follow an admission exactly once. May wait for a share
      * on the calling worker, for at most half a second.
      *
      * @param tokens its prompt and longest answer
@@ -75,17 +75,17 @@
     public Optional<Refusal> admit(Organisation organisation, long tokens) {
         LimitDecision answer = limits.admit(organisation, tokens, clock.nanos());
         if (answer == LimitDecision.NO_SHARE) {
-            askForShare(organisation.id()).join();
+            requestShare(organisation.id()).join();
             answer = limits.admit(organisation, tokens, clock.nanos());
         }
-        return refusal(organisation, answer);
+        return toRefusal(organisation, answer);
     }
 
-    public void finished(OrganisationId organisation) {
+    public void onFinished(OrganisationId organisation) {
         limits.release(organisation);
     }
 
-    private Optional<Refusal> refusal(Organisation organisation, LimitDecision answer) {
+    private Optional<Refusal> toRefusal(Organisation organisation, LimitDecision answer) {
         if (answer == LimitDecision.ADMITTED) {
             return Optional.empty();
         }
@@ -96,36 +96,36 @@
                     case TOO_MANY_TOKENS -> Refusal.comeBack(
                             RefusalReason.OVER_LIMIT,
                             who + " is over its " + organisation.maxTokensPerMinute() + " tokens a minute",
-                            TOKENS_RETRY_MILLIS);
+                            TOKENS_RETRY_AFTER_MILLIS);
                     case TOO_MANY_REQUESTS -> Refusal.comeBack(
                             RefusalReason.OVER_LIMIT,
                             who + " is over its " + organisation.maxConcurrentRequests() + " requests at once",
-                            REQUESTS_RETRY_MILLIS);
+                            REQUESTS_RETRY_AFTER_MILLIS);
                     default -> Refusal.comeBack(
                             RefusalReason.OVER_LIMIT,
                             "the share of " + who + " can't be learnt now",
-                            REQUESTS_RETRY_MILLIS);
+                            REQUESTS_RETRY_AFTER_MILLIS);
                 });
     }
 
     private void renew() {
         try {
             shares.expire(clock.nanos());
-            limits.dueRenewals(clock.nanos()).forEach(this::askForShare);
+            limits.dueRenewals(clock.nanos()).forEach(this::requestShare);
         } catch (RuntimeException e) {
             LOG.error("renewing shares of limits failed; it is tried again", e);
         }
     }
 
-    private CompletableFuture<Void> askForShare(OrganisationId organisation) {
+    private CompletableFuture<Void> requestShare(OrganisationId organisation) {
         long asked = clock.nanos();
         ShareRequest request = limits.shareRequest(organisation, asked);
-        Optional<HostRecord> splitter = new Ownership(view.members().hosts()).limitSplitter(organisation);
+        Optional<HostRecord> splitter = new Ownership(leasedView.members().hosts()).limitSplitter(organisation);
         if (splitter.isEmpty() || splitter.get().id().equals(self.host())) {
-            limits.applyShare(split(request), asked, clock.nanos());
+            limits.applyShare(grantShare(request), asked, clock.nanos());
             return CompletableFuture.completedFuture(null);
         }
-        return network.call(splitter.get().peers(), RouteChannels.LIMIT_SHARE, request, TIMEOUT)
+        return network.call(splitter.get().peers(), RouteChannels.LIMIT_SHARE, request, SHARE_REQUEST_TIMEOUT)
                 .thenAccept(result -> {
                     if (result instanceof CallResult.Answered<ShareAnswer> answered) {
                         limits.applyShare(answered.value(), asked, clock.nanos());
@@ -134,11 +134,12 @@
     }
 
     /** An organisation this entry doesn't know yet gets nothing; its entry asks again. */
-    private ShareAnswer split(ShareRequest request) {
-        return view.configuration()
+    private ShareAnswer grantShare(ShareRequest request) {
+        return leasedView
+                .configuration()
                 .organisation(request.organisation())
-                .map(known ->
-                        shares.renew(known, request, view.members().hosts().size(), clock.nanos()))
+                .map(known -> shares.renew(
+                        known, request, leasedView.members().hosts().size(), clock.nanos()))
                 .orElseGet(() -> new ShareAnswer(request.organisation(), 0, 0, 0));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placement.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/PlacementResult.java
@@ -5,10 +5,10 @@
 import org.elmline.core.route.Grant;
 
 /** Whether a place was found for an attempt. */
-sealed interface Placement {
+sealed interface PlacementResult {
     /** Memory is reserved on an engine, by this owner. */
-    record Found(Grant grant, HostId owner) implements Placement {}
+    record Placed(Grant grant, HostId owner) implements PlacementResult {}
 
     /** Nothing is reserved anywhere. */
-    record None(Refusal refusal) implements Placement {}
+    record Refused(Refusal refusal) implements PlacementResult {}
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
@@ -31,46 +31,46 @@
 import org.elmline.core.route.RouteChannels;
 import org.elmline.daemon.backend.OwnerService;
 import org.elmline.daemon.entry.HostIdentity;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 
 /** Finds a place for an attempt: asks a bounded number of owners, the most promising first. */
 public final class Placer {
     private static final int MAX_OWNERS = 3;
-    private static final long WATCH_MILLIS = 250;
-    private static final long RETRY_MILLIS = 1_000;
+    private static final long MEMBERSHIP_CHECK_MILLIS = 250;
+    private static final long RETRY_AFTER_MILLIS = 1_000;
 
     private final HostIdentity self;
-    private final SharedView view;
+    private final LeasedView leasedView;
     private final MonotonicClock clock;
     private final PeerNetwork network;
-    private final OwnerService local;
+    private final OwnerService localOwner;
     private final OwnerTable owners;
-    private final GrantBook grants;
-    private final Counter asked;
-    private final Counter lost;
+    private final GrantTracker grants;
+    private final Counter requestsSent;
+    private final Counter requestsLost;
 
     public Placer(
             HostIdentity self,
-            SharedView view,
+            LeasedView view,
             MonotonicClock clock,
             PeerNetwork network,
             OwnerService local,
             OwnerTable owners,
-            GrantBook grants,
+            GrantTracker grants,
             MetricRegistry metrics) {
         this.self = self;
-        this.view = view;
+        this.leasedView = view;
         this.clock = clock;
         this.network = network;
-        this.local = local;
+        this.localOwner = local;
         this.owners = owners;
         this.grants = grants;
-        this.asked = metrics.counter("gateway.owners.asked");
-        this.lost = metrics.counter("gateway.owners.lost");
+        this.requestsSent = metrics.counter("gateway.owners.asked");
+        this.requestsLost = metrics.counter("gateway.owners.lost");
     }
 
     /** Waits for a place until the demand's time is up. */
-    Placement place(Admitted call, int placement, Demand demand) throws InterruptedException {
+    PlacementResult place(AdmittedCall call, int placement, Demand demand) throws InterruptedException {
         Set<HostId> tried = new HashSet<>();
         Refusal last = null;
         for (int i = 0; i < MAX_OWNERS; i++) {
@@ -87,10 +87,10 @@
                     self.incarnation(),
                     call.organisation().id(),
                     demand);
-            asked.inc();
-            Optional<OwnerPlaceAnswer> answer = ask(owner, request, call);
+            requestsSent.inc();
+            Optional<OwnerPlaceAnswer> answer = requestPlace(owner, request, call);
             if (answer.isEmpty()) {
-                lost.inc();
+                requestsLost.inc();
                 grants.withdraw(attempt, owner.id());
                 continue;
             }
@@ -99,13 +99,13 @@
                 if (placed.summary() != null) {
                     owners.refresh(owner.id(), demand, placed.summary());
                 }
-                return new Placement.Found(placed.grant(), owner.id());
+                return new PlacementResult.Placed(placed.grant(), owner.id());
             }
             OwnerPlaceAnswer.Refused refused = (OwnerPlaceAnswer.Refused) answer.get();
             owners.refresh(owner.id(), demand, refused.summary());
             last = refused.refusal();
         }
-        return new Placement.None(last != null ? last : noOwner(demand));
+        return new PlacementResult.Refused(last != null ? last : noOwnerRefusal(demand));
     }
 
     /** The engines that may be free for segments of a prompt larger than one engine. */
@@ -114,22 +114,23 @@
     }
 
     /** As the other, for an owner known by its id; empty when it is no member. */
-    Optional<OwnerPlaceAnswer> ask(HostId owner, PlaceRequest request, Admitted call) throws InterruptedException {
-        Optional<HostRecord> record = view.members().host(owner);
-        return record.isEmpty() ? Optional.empty() : ask(record.get(), request, call);
+    Optional<OwnerPlaceAnswer> requestPlace(HostId owner, PlaceRequest request, AdmittedCall call)
+            throws InterruptedException {
+        Optional<HostRecord> record = leasedView.members().host(owner);
+        return record.isEmpty() ? Optional.empty() : requestPlace(record.get(), request, call);
     }
 
     /** Empty when the owner can't be reached, is no longer a member, or the time is up. */
-    private Optional<OwnerPlaceAnswer> ask(HostRecord owner, PlaceRequest request, Admitted call)
+    private Optional<OwnerPlaceAnswer> requestPlace(HostRecord owner, PlaceRequest request, AdmittedCall call)
             throws InterruptedException {
         CompletableFuture<Optional<OwnerPlaceAnswer>> answer = send(owner, request, call);
         while (true) {
             try {
-                return answer.get(WATCH_MILLIS, TimeUnit.MILLISECONDS);
+                return answer.get(MEMBERSHIP_CHECK_MILLIS, TimeUnit.MILLISECONDS);
             } catch (TimeoutException e) {
                 // A frozen owner keeps its connections open: without this look at the members its callers would wait
                 // their whole time limit. Its lease ends within seconds, and another owner takes its engines.
-                boolean gone = view.members().host(owner.id()).isEmpty();
+                boolean gone = leasedView.members().host(owner.id()).isEmpty();
                 if (gone || call.remainingMillis(clock) <= 0) {
                     return Optional.empty();
                 }
@@ -139,9 +140,10 @@
         }
     }
 
-    private CompletableFuture<Optional<OwnerPlaceAnswer>> send(HostRecord owner, PlaceRequest request, Admitted call) {
+    private CompletableFuture<Optional<OwnerPlaceAnswer>> send(
+            HostRecord owner, PlaceRequest request, AdmittedCall call) {
         if (owner.id().equals(self.host())) {
-            return local.place(request).thenApply(Optional::of);
+            return localOwner.place(request).thenApply(Optional::of);
         }
         Duration timeout = Duration.ofMillis(Math.max(1, call.remainingMillis(clock)));
         return network.call(owner.peers(), RouteChannels.PLACE, request, timeout)
@@ -150,9 +152,9 @@
                         : Optional.empty());
     }
 
-    private Refusal noOwner(Demand demand) {
-        boolean known = view.configuration().model(demand.model()).isPresent();
+    private Refusal noOwnerRefusal(Demand demand) {
+        boolean known = leasedView.configuration().model(demand.model()).isPresent();
         String why = known ? "no engine of " + demand.model() + " is ready" : "no model " + demand.model();
-        return Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, why, RETRY_MILLIS);
+        return Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, why, RETRY_AFTER_MILLIS);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EventQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamEventQueue.java
@@ -11,9 +11,9 @@
  * Carries events from an engine's stream to the caller's worker. Bounded: a caller that reads slowly makes the engine's
  * stream wait, in place of filling this process's memory.
  */
-final class EventQueue implements StreamListener {
+final class StreamEventQueue implements StreamListener {
     private static final int CAPACITY = 1024;
-    private static final long OFFER_MILLIS = 200;
+    private static final long OFFER_TIMEOUT_MILLIS = 200;
 
     private final BlockingQueue<StreamEvent> events = new LinkedBlockingQueue<>(CAPACITY);
     private volatile boolean closed;
@@ -21,7 +21,7 @@
     @Override
     public void onEvent(StreamEvent event) {
         try {
-            while (!closed && !events.offer(event, OFFER_MILLIS, TimeUnit.MILLISECONDS)) {
+            while (!closed && !events.offer(event, OFFER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
                 // The caller reads slowly.
                 continue;
             }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamEnding.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamOutcome.java
@@ -3,13 +3,13 @@
 import org.elmline.core.common.Ran;
 
 /** How reading one stream ended. */
-sealed interface StreamEnding {
+sealed interface StreamOutcome {
     /** The caller has the whole answer. */
-    record Whole() implements StreamEnding {}
+    record Complete() implements StreamOutcome {}
 
     /** The time is up. */
-    record Expired() implements StreamEnding {}
+    record DeadlineExceeded() implements StreamOutcome {}
 
     /** The stream broke; {@code reachable} tells whether the engine may still hold it. */
-    record Broken(Ran ran, boolean reachable, String why) implements StreamEnding {}
+    record Broken(Ran ran, boolean reachable, String why) implements StreamOutcome {}
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamSink.java
@@ -15,7 +15,7 @@
 /** Sends an answer piece by piece as server-sent events. The status line goes out with the first piece. */
 final class StreamSink implements AnswerSink {
     /** A comment line, which readers of server-sent events pass over. */
-    private static final byte[] PING = ": waiting\n\n".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] KEEP_ALIVE_COMMENT = ": waiting\n\n".getBytes(StandardCharsets.UTF_8);
 
     private final HttpServerExchange exchange;
     private final CompletionWriter writer;
@@ -34,7 +34,7 @@
 
     @Override
     public void end(int tokens, FinishReason reason) throws IOException {
-        write(writer.end(tokens, reason));
+        write(writer.endEvents(tokens, reason));
         out.close();
     }
 
@@ -44,18 +44,18 @@
             Answers.refuse(exchange, refusal);
             return;
         }
-        out.write(CompletionWriter.broken(refusal));
+        out.write(CompletionWriter.errorEvent(refusal));
         out.close();
     }
 
     @Override
-    public void idle() throws IOException {
+    public void onIdle() throws IOException {
         if (out == null) {
             // The status isn't known yet, so nothing may be written to find out.
             new CallerPresence(exchange).check();
             return;
         }
-        write(PING);
+        write(KEEP_ALIVE_COMMENT);
     }
 
     private void write(byte[] event) throws IOException {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
@@ -39,10 +39,10 @@
 /** One control host for routed calls: everything it opens, how it is put together, and its graceful stop. */
 public final class Coordinator implements AutoCloseable {
     private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(600);
-    private static final Duration HEARTBEAT = Duration.ofMillis(100);
+    private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(100);
 
     /** A restarted control host is back within this, so only one that stays away is replaced. */
-    private static final Duration LOST_AFTER = Duration.ofMillis(3_000);
+    private static final Duration VOTER_LOST_TIMEOUT = Duration.ofMillis(3_000);
 
     /** Longest routing document: the operators' own bound of 4 MB, and room for the ticket around it. */
     private static final int MAX_COMMAND_BYTES = 5 * 1024 * 1024;
@@ -50,16 +50,16 @@
     /** Log bytes after which it is compacted: a sixteenth of the smallest disk. */
     private static final long SNAPSHOT_BYTES = 8L * 1024 * 1024;
 
-    private static final long WATCH_MILLIS = 200;
+    private static final long STATUS_CHECK_MILLIS = 200;
 
     /**
      * Time for which a restarted host that remembers a routing table does nothing but answer its peers. Entries that have
      * lost theirs serve nobody until one of these answers, and the log takes more of a small host than all of them.
      */
-    private static final long PEERS_FIRST_MILLIS = 200;
+    private static final long LOG_OPEN_DELAY_MILLIS = 200;
 
-    private static final int EVENTS = 1_024;
-    private static final long HAND_OVER_MILLIS = 1_500;
+    private static final int EVENT_CAPACITY = 1_024;
+    private static final long LEADERSHIP_TRANSFER_TIMEOUT_MILLIS = 1_500;
 
     private final Closer closer = new Closer();
     private final NodeSettings settings;
@@ -68,21 +68,21 @@
     private final ProcessComponent process;
     private final DecisionLog log;
     private final long epoch = System.currentTimeMillis();
-    private final Map<Address, FollowLoop> follows = new HashMap<>();
+    private final Map<Address, FollowLoop> followLoops = new HashMap<>();
     private volatile RaftDriver driver;
     private PeerNode peers;
     private RegistryService registry;
-    private String standing = "";
-    private volatile List<Address> named;
+    private String lastStatus = "";
+    private volatile List<Address> configuredControlHosts;
 
     private Coordinator(NodeSettings settings, CoordinatorProtocol protocol, DecisionLog log, Runnable onFailure) {
         this.settings = settings;
-        this.named = settings.controlPeers();
+        this.configuredControlHosts = settings.controlPeers();
         this.protocol = protocol;
         this.log = log;
         this.onFailure = onFailure;
         this.process = DaggerProcessComponent.factory()
-                .create(settings.host(), Incarnation.of(epoch), new TimelineSettings(EVENTS));
+                .create(settings.host(), Incarnation.of(epoch), new TimelineSettings(EVENT_CAPACITY));
     }
 
     /**
@@ -112,55 +112,55 @@
         });
         closer.register(handlers::shutdownNow);
         peers = closer.register(new PeerNode(settings, "coordinator", handlers, process.hybridClock()));
-        HeldRouting held = new HeldRouting(memory("routing", RoutingText.class));
+        RoutingProvider held = new RoutingProvider(persistedValue("routing", RoutingText.class));
         registry = new RegistryService(
                 epoch,
                 settings.heartbeatMillis(),
                 process.clock(),
-                this::controls,
+                this::controlHostAddresses,
                 held,
-                memory("servers", KnownServers.class),
+                persistedValue("servers", PersistedServers.class),
                 process.metrics(),
                 log);
         registry.start(peers.timer());
         peers.handlers().register(RegistryChannels.FOLLOW, registry::follow);
         peers.handlers()
                 .register(RegistryChannels.FETCH_PACKED, query -> CompletableFuture.completedFuture(held.packed()));
-        if (held.remembers()) {
-            Thread.sleep(PEERS_FIRST_MILLIS);
+        if (held.hasRestored()) {
+            Thread.sleep(LOG_OPEN_DELAY_MILLIS);
         }
         ControlMachine machine = new ControlMachine();
         openLog(machine);
         RoutingStore store = new RoutingStore(driver, machine);
-        held.open(store);
+        held.attachStore(store);
         // The applying thread holds the state's lock here, so the polls are answered by another.
-        machine.onApplied((command, result) -> peers.timer().execute(registry::routingChanged));
-        peers.timer().execute(registry::routingChanged);
+        machine.onApplied((command, result) -> peers.timer().execute(registry::onRoutingChanged));
+        peers.timer().execute(registry::onRoutingChanged);
         serve(store);
     }
 
-    private <T> Memory<T> memory(String name, Class<T> type) {
+    private <T> PersistedValue<T> persistedValue(String name, Class<T> type) {
         CheckedFile file =
                 new CheckedFile(new SystemFiles(), settings.dataFolder().resolve(name));
-        return closer.register(new Memory<>(name, type, file, log));
+        return closer.register(new PersistedValue<>(name, type, file, log));
     }
 
     private void openLog(ControlMachine machine) throws IOException, InterruptedException {
-        OpenResult.Opened opened = new CoordinatorData(settings, log).open();
+        OpenResult.Opened opened = new CoordinatorDataFolder(settings, log).open();
         driver = RaftDriver.builder()
                 .folder(opened.folder(), opened.restored())
                 .machine(machine)
                 .network(peers.network(), peers.handlers())
-                .addresses(settings::peersOf, this::members)
+                .addresses(settings::peersOf, this::joinAddresses)
                 .clock(process.clock())
                 .metrics(process.metrics())
                 .settings(RaftSettings.builder()
                         .electionTimeout(ELECTION_TIMEOUT)
-                        .heartbeat(HEARTBEAT)
+                        .heartbeat(HEARTBEAT_INTERVAL)
                         .maxCommandBytes(MAX_COMMAND_BYTES)
                         .build())
                 .snapshotBytes(SNAPSHOT_BYTES)
-                .lostAfter(LOST_AFTER)
+                .voterLostTimeout(VOTER_LOST_TIMEOUT)
                 .onFailure(onFailure)
                 .start();
         closer.register(driver);
@@ -168,11 +168,11 @@
 
     private void serve(RoutingStore store) throws IOException {
         RoutingService routing =
-                new RoutingService(store, this::leader, peers.network(), peers.timer(), process.clock(), log);
+                new RoutingService(store, this::leaderAddress, peers.network(), peers.timer(), process.clock(), log);
         routing.register(peers.handlers());
-        peers.timer().scheduleWithFixedDelay(this::watch, 0, WATCH_MILLIS, TimeUnit.MILLISECONDS);
+        peers.timer().scheduleWithFixedDelay(this::checkStatus, 0, STATUS_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         HttpPorts ports = closer.register(new HttpPorts());
-        ports.with(settings.operators(), protocol.operators(routing, registry));
+        ports.with(settings.operators(), protocol.operatorHandler(routing, registry));
         if (settings.metricsPort() > 0) {
             ports.with(new Address(settings.ip(), settings.metricsPort()), process.metricsHandler());
         }
@@ -185,14 +185,14 @@
     }
 
     /** Where the leader is, null when none is known. */
-    private Address leader() {
+    private Address leaderAddress() {
         ReplicaId leader = driver.status().leader();
         return leader == null ? null : settings.peersOf(leader.host());
     }
 
     /** Where a fresh replica asks to become a member. */
-    private List<Address> members() {
-        Set<Address> all = new LinkedHashSet<>(named);
+    private List<Address> joinAddresses() {
+        Set<Address> all = new LinkedHashSet<>(configuredControlHosts);
         RaftDriver running = driver;
         if (running != null) {
             running.status().membership().all().forEach(each -> all.add(settings.peersOf(each.host())));
@@ -202,7 +202,7 @@
     }
 
     /** Where the control hosts are, as far as the membership of the log tells. */
-    private List<Address> controls() {
+    private List<Address> controlHostAddresses() {
         List<Address> all = new ArrayList<>();
         RaftDriver running = driver;
         if (running == null) {
@@ -212,12 +212,12 @@
         return all.isEmpty() ? settings.controlPeers() : all;
     }
 
-    private void watch() {
+    private void checkStatus() {
         try {
             RaftStatus status = driver.status();
             String now = status.role() + " " + status.term() + " " + status.leader() + " " + status.membership();
-            if (!now.equals(standing)) {
-                standing = now;
+            if (!now.equals(lastStatus)) {
+                lastStatus = now;
                 log.line("standing")
                         .with("raftRole", status.role())
                         .with("term", status.term())
@@ -226,17 +226,17 @@
                         .with("committed", status.committedIndex())
                         .write();
             }
-            followOthers();
+            followControlHosts();
         } catch (RuntimeException e) {
             log.line("watch failed").with("why", e).write();
         }
     }
 
     /** Follows every other control host, and stops to follow those that are none any more. */
-    private synchronized void followOthers() {
-        Set<Address> wanted = new LinkedHashSet<>(controls());
+    private synchronized void followControlHosts() {
+        Set<Address> wanted = new LinkedHashSet<>(controlHostAddresses());
         wanted.remove(settings.peers());
-        follows.entrySet().removeIf(each -> {
+        followLoops.entrySet().removeIf(each -> {
             boolean over = !wanted.contains(each.getKey());
             if (over) {
                 each.getValue().close();
@@ -245,7 +245,7 @@
             return over;
         });
         for (Address each : wanted) {
-            if (!follows.containsKey(each)) {
+            if (!followLoops.containsKey(each)) {
                 FollowLoop loop = new FollowLoop(
                         peers.network(),
                         each,
@@ -255,7 +255,7 @@
                         () -> PendingPoll.HOLD_MILLIS,
                         registry::merge,
                         peers.timer());
-                follows.put(each, loop);
+                followLoops.put(each, loop);
                 loop.start();
             }
         }
@@ -263,7 +263,7 @@
 
     /** Takes settings that have changed while this process runs; only the control hosts to join by can change so. */
     public void reload(NodeSettings next) {
-        named = next.controlPeers();
+        configuredControlHosts = next.controlPeers();
     }
 
     /** Hands leadership over, then closes. */
@@ -271,7 +271,7 @@
         log.line("stopping").with("leads", driver.isLeader()).write();
         if (driver.isLeader()) {
             driver.transferLeadership()
-                    .completeOnTimeout(false, HAND_OVER_MILLIS, TimeUnit.MILLISECONDS)
+                    .completeOnTimeout(false, LEADERSHIP_TRANSFER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
                     .join();
         }
         close();
@@ -279,7 +279,7 @@
 
     @Override
     public void close() {
-        follows.values().forEach(FollowLoop::close);
+        followLoops.values().forEach(FollowLoop::close);
         closer.close();
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorData.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorDataFolder.java
@@ -26,17 +26,17 @@
  * the same identity on all hosts' lists, so that it does not matter in which order they come up. Any other empty folder
  * gets an identity of its own and joins: it has forgotten what its predecessor promised and must not vote for it.
  */
-final class CoordinatorData {
+final class CoordinatorDataFolder {
     /** Log files are small, as the disk is. */
     private static final int SEGMENT_BYTES = 2 * 1024 * 1024;
 
     private static final long FIRST_INCARNATION = 0;
-    private static final long RETRY_MILLIS = 200;
+    private static final long RETRY_DELAY_MILLIS = 200;
 
     private final NodeSettings settings;
     private final DecisionLog log;
 
-    CoordinatorData(NodeSettings settings, DecisionLog log) {
+    CoordinatorDataFolder(NodeSettings settings, DecisionLog log) {
         this.settings = settings;
         this.log = log;
     }
@@ -46,23 +46,23 @@
         while (true) {
             OpenResult result = tryOpen();
             if (result instanceof OpenResult.Opened opened) {
-                return firstVoter() && isFresh(opened.restored()) ? bootstrap(opened) : opened;
+                return isFirstVoter() && isFresh(opened.restored()) ? bootstrap(opened) : opened;
             }
             log.line("data folder not opened").with("why", result).write();
             if (result instanceof OpenResult.Corrupt) {
                 // What was synced is gone, so this host may not speak for its old identity; it joins as a new one.
                 clear(settings.dataFolder());
             }
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
     private OpenResult tryOpen() {
-        RandomGenerator identities = firstVoter() ? () -> FIRST_INCARNATION : new SecureRandom();
+        RandomGenerator identities = isFirstVoter() ? () -> FIRST_INCARNATION : new SecureRandom();
         return DataFolder.open(new SystemFiles(), settings.dataFolder(), settings.host(), identities, SEGMENT_BYTES);
     }
 
-    private boolean firstVoter() {
+    private boolean isFirstVoter() {
         return settings.firstStart()
                 && settings.controlHosts().stream().anyMatch(each -> each.ip().equals(settings.ip()));
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorProtocol.java
@@ -5,5 +5,5 @@
 /** How operators and backend servers speak to a control host; translates and decides nothing. */
 public interface CoordinatorProtocol {
     /** Answers operators and backend servers. */
-    HttpHandler operators(RoutingService routing, RegistryService registry);
+    HttpHandler operatorHandler(RoutingService routing, RegistryService registry);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/KnownServers.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/PersistedServers.java
@@ -5,8 +5,8 @@
 import org.elmline.core.registry.Registration;
 
 /** The backend servers that take work, as a control host remembers them. */
-record KnownServers(List<Registration> servers) {
-    KnownServers {
+record PersistedServers(List<Registration> servers) {
+    PersistedServers {
         servers = servers == null ? List.of() : List.copyOf(servers);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Memory.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/PersistedValue.java
@@ -15,17 +15,17 @@
  * Something a control host knew, kept in a file for its next start. Written by a thread of its own, so that a disk that
  * hangs holds up nothing else.
  */
-final class Memory<T> implements AutoCloseable {
+final class PersistedValue<T> implements AutoCloseable {
     private final String name;
     private final Class<T> type;
     private final CheckedFile file;
     private final DecisionLog log;
-    private final AtomicBoolean writing = new AtomicBoolean();
-    private volatile boolean lost;
+    private final AtomicBoolean writeInProgress = new AtomicBoolean();
+    private volatile boolean lastWriteFailed;
     private final ExecutorService writer;
 
     /** @param name what it is, for the log and the thread */
-    Memory(String name, Class<T> type, CheckedFile file, DecisionLog log) {
+    PersistedValue(String name, Class<T> type, CheckedFile file, DecisionLog log) {
         this.name = name;
         this.type = type;
         this.file = file;
@@ -51,24 +51,24 @@
     }
 
     /** Whether the last writing failed, so that the file is older than what was to be written. */
-    boolean lost() {
-        return lost;
+    boolean lastWriteFailed() {
+        return lastWriteFailed;
     }
 
     /** Begins to write; false while the last writing goes on. */
-    boolean write(T value) {
-        if (!writing.compareAndSet(false, true)) {
+    boolean tryWrite(T value) {
+        if (!writeInProgress.compareAndSet(false, true)) {
             return false;
         }
         writer.execute(() -> {
             try {
                 file.write(Codecs.MESSAGE_PACK.encode(value));
-                lost = false;
+                lastWriteFailed = false;
             } catch (IOException e) {
-                lost = true;
+                lastWriteFailed = true;
                 log.line("memory not written").with("of", name).with("why", e).write();
             } finally {
-                writing.set(false);
+                writeInProgress.set(false);
             }
         });
         return true;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
@@ -33,89 +33,92 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** Heartbeats in a row that may be lost or late before a server counts as silent. */
-    private static final int MISSED_HEARTBEATS = 3;
+    private static final int TIMEOUT_HEARTBEATS = 3;
 
     /** Heartbeats in which a server that is only remembered must be heard; fewer than for one that was heard here. */
-    private static final int CONFIRMING_HEARTBEATS = 2;
+    private static final int RESTORED_TIMEOUT_HEARTBEATS = 2;
 
     /** Shortest pause between two writings of the servers known; changes come in bursts. */
-    private static final long WRITE_PAUSE_NANOS = 250 * NANOS_PER_MILLI;
+    private static final long MIN_WRITE_INTERVAL_NANOS = 250 * NANOS_PER_MILLI;
 
     /** A heartbeat held up by a cut may come this late; until then a server that left is remembered. */
-    private static final long FORGET_NANOS = 600_000 * NANOS_PER_MILLI;
+    private static final long TOMBSTONE_RETENTION_NANOS = 600_000 * NANOS_PER_MILLI;
 
     /** Time after a poll's hold for which its entry counts as alive: as much as an answer's way takes at worst. */
-    private static final long ALIVE_SLACK_NANOS = 450 * NANOS_PER_MILLI;
+    private static final long LIVENESS_MARGIN_NANOS = 450 * NANOS_PER_MILLI;
 
     /** Longest wait for all entries to have a change: a backend server expects its answer within a second. */
-    private static final long SPREAD_NANOS = 600 * NANOS_PER_MILLI;
+    private static final long PROPAGATION_TIMEOUT_NANOS = 600 * NANOS_PER_MILLI;
 
-    private static final long TICK_MILLIS = 25;
+    private static final long TICK_INTERVAL_MILLIS = 25;
 
     private final long epoch;
     private final MonotonicClock clock;
-    private final Supplier<List<Address>> controls;
-    private final HeldRouting routing;
-    private final Counter unreadable;
+    private final Supplier<List<Address>> controlHosts;
+    private final RoutingProvider routing;
+    private final Counter unreadableHeartbeat;
     private final DecisionLog log;
     private final ServerRegistry servers;
-    private final Memory<KnownServers> memory;
+    private final PersistedValue<PersistedServers> persistedServers;
     private final LiveEntries entries = new LiveEntries();
     private final Map<HostId, Follower> followers = new HashMap<>();
-    private final List<Poll> polls = new ArrayList<>();
-    private final List<Spread> spreads = new ArrayList<>();
-    private long leavingServers;
-    private long startedAt;
-    private long writtenChanges;
-    private long writtenAt;
+    private final List<Poll> openPolls = new ArrayList<>();
+    private final List<Propagation> propagations = new ArrayList<>();
+    private long lastLeaveChange;
+    private long startedAtNanos;
+    private long persistedChanges;
+    private long persistedAtNanos;
 
     private static final class Follower {
-        private long aliveUntil;
+        private long aliveUntilNanos;
         private long serversSeen;
-        private long heardUpTo;
-        private boolean entry;
+        private long heartbeatsReportedUntilNanos;
+        private boolean isEntry;
     }
 
     private record Poll(PendingPoll open, CompletableFuture<FollowAnswer> answer) {}
 
-    private record Spread(long number, long until, CompletableFuture<Boolean> done) {}
+    private record Propagation(long changeNumber, long expiresAtNanos, CompletableFuture<Boolean> done) {}
 
     RegistryService(
             long epoch,
             int heartbeatMillis,
             MonotonicClock clock,
             Supplier<List<Address>> controls,
-            HeldRouting routing,
-            Memory<KnownServers> memory,
+            RoutingProvider routing,
+            PersistedValue<PersistedServers> memory,
             MetricRegistry metrics,
             DecisionLog log) {
         this.epoch = epoch;
         this.clock = clock;
-        this.controls = controls;
+        this.controlHosts = controls;
         this.routing = routing;
-        this.unreadable = metrics.counter("registry.heartbeats.unreadable");
+        this.unreadableHeartbeat = metrics.counter("registry.heartbeats.unreadable");
         this.log = log;
-        this.memory = memory;
+        this.persistedServers = memory;
         long heartbeatNanos = heartbeatMillis * NANOS_PER_MILLI;
         this.servers = new ServerRegistry(
-                MISSED_HEARTBEATS * heartbeatNanos, CONFIRMING_HEARTBEATS * heartbeatNanos, FORGET_NANOS);
+                TIMEOUT_HEARTBEATS * heartbeatNanos,
+                RESTORED_TIMEOUT_HEARTBEATS * heartbeatNanos,
+                TOMBSTONE_RETENTION_NANOS);
     }
 
     /** Takes up what the last start knew, and begins to let time pass. */
     void start(ScheduledExecutorService timer) {
-        List<Registration> remembered = memory.read().map(KnownServers::servers).orElse(List.of());
+        List<Registration> remembered =
+                persistedServers.read().map(PersistedServers::servers).orElse(List.of());
         long now = clock.nanos();
         synchronized (this) {
-            startedAt = now;
+            startedAtNanos = now;
             remembered.forEach(each -> servers.restore(each, now));
-            writtenChanges = servers.lastChange();
-            writtenAt = now;
+            persistedChanges = servers.lastChange();
+            persistedAtNanos = now;
         }
         log.line("remembered")
                 .with("servers", remembered.size())
-                .with("routingVersion", routing.heldVersion())
+                .with("routingVersion", routing.currentVersion())
                 .write();
-        timer.scheduleWithFixedDelay(this::tick, TICK_MILLIS, TICK_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -136,15 +139,17 @@
                         .with("sequence", registration.sequence())
                         .write();
             }
-            done = registration.state().acceptsWork() ? CompletableFuture.completedFuture(spreadsNews()) : spread(now);
+            done = registration.state().acceptsWork()
+                    ? CompletableFuture.completedFuture(canPropagate())
+                    : propagate(now);
         }
         answerPolls();
         return done;
     }
 
     /** Notes a heartbeat that names no server to use, as it can't be read or lacks what a server must tell. */
-    public void unreadable(String server) {
-        unreadable.inc();
+    public void unreadableHeartbeat(String server) {
+        unreadableHeartbeat.inc();
         log.line("heartbeat unreadable").with("server", server).write();
     }
 
@@ -156,23 +161,23 @@
             if (servers.deregister(id, now)) {
                 log.line("server left").with("server", id).write();
             }
-            done = spread(now);
+            done = propagate(now);
         }
         answerPolls();
         return done;
     }
 
-    private boolean spreadsNews() {
-        return !entries.all().isEmpty() || routing.inQuorum();
+    private boolean canPropagate() {
+        return !entries.all().isEmpty() || routing.hasQuorum();
     }
 
-    private CompletableFuture<Boolean> spread(long now) {
-        if (entries.all().isEmpty() || !routing.inQuorum()) {
+    private CompletableFuture<Boolean> propagate(long now) {
+        if (entries.all().isEmpty() || !routing.hasQuorum()) {
             return CompletableFuture.completedFuture(false);
         }
         CompletableFuture<Boolean> done = new CompletableFuture<>();
-        leavingServers = servers.lastChange();
-        spreads.add(new Spread(leavingServers, now + SPREAD_NANOS, done));
+        lastLeaveChange = servers.lastChange();
+        propagations.add(new Propagation(lastLeaveChange, now + PROPAGATION_TIMEOUT_NANOS, done));
         return done;
     }
 
@@ -183,16 +188,16 @@
         synchronized (this) {
             Follower follower = followers.computeIfAbsent(request.host(), host -> new Follower());
             PendingPoll poll = new PendingPoll(request, now);
-            follower.aliveUntil = now + poll.holdMillis() * NANOS_PER_MILLI + ALIVE_SLACK_NANOS;
+            follower.aliveUntilNanos = now + poll.holdMillis() * NANOS_PER_MILLI + LIVENESS_MARGIN_NANOS;
             follower.serversSeen = request.epoch() == epoch ? request.serversSeen() : -1;
-            follower.entry = request.entry() != null;
-            if (request.entry() != null && entries.renew(request.entry(), follower.aliveUntil)) {
+            follower.isEntry = request.entry() != null;
+            if (request.entry() != null && entries.renew(request.entry(), follower.aliveUntilNanos)) {
                 log.line("entry heard")
                         .with("entry", request.host())
                         .with("serving", request.entry().serving())
                         .write();
             }
-            polls.add(new Poll(poll, answer));
+            openPolls.add(new Poll(poll, answer));
         }
         answerPolls();
         return answer;
@@ -209,7 +214,7 @@
     }
 
     /** To be called when the routing table has changed. */
-    void routingChanged() {
+    void onRoutingChanged() {
         answerPolls();
     }
 
@@ -221,21 +226,21 @@
                 if (entries.expire(now)) {
                     log.line("entries lost").with("left", entries.all().size()).write();
                 }
-                writeServers(now);
+                persistServers(now);
             }
-            routing.remember(now);
+            routing.persist(now);
             answerPolls();
         } catch (RuntimeException e) {
             log.line("registry tick failed").with("why", e).write();
         }
     }
 
-    private void writeServers(long now) {
-        boolean news = servers.lastChange() != writtenChanges || memory.lost();
-        boolean due = news && now - writtenAt >= WRITE_PAUSE_NANOS;
-        if (due && memory.write(new KnownServers(servers.availableServers()))) {
-            writtenChanges = servers.lastChange();
-            writtenAt = now;
+    private void persistServers(long now) {
+        boolean news = servers.lastChange() != persistedChanges || persistedServers.lastWriteFailed();
+        boolean due = news && now - persistedAtNanos >= MIN_WRITE_INTERVAL_NANOS;
+        if (due && persistedServers.tryWrite(new PersistedServers(servers.availableServers()))) {
+            persistedChanges = servers.lastChange();
+            persistedAtNanos = now;
         }
     }
 
@@ -244,22 +249,22 @@
         synchronized (this) {
             long now = clock.nanos();
             RegistryVersions news = new RegistryVersions(
-                    epoch, servers.lastChange(), leavingServers, entries.lastChange(), routing.heldVersion());
-            Iterator<Poll> each = polls.iterator();
+                    epoch, servers.lastChange(), lastLeaveChange, entries.lastChange(), routing.currentVersion());
+            Iterator<Poll> each = openPolls.iterator();
             while (each.hasNext()) {
                 Poll poll = each.next();
                 if (poll.open().isDue(news, now)) {
                     each.remove();
-                    FollowAnswer answer = answer(poll.open().request(), news.routingVersion(), now);
+                    FollowAnswer answer = buildAnswer(poll.open().request(), news.routingVersion(), now);
                     completions.add(() -> poll.answer().complete(answer));
                 }
             }
-            settleSpreads(now, completions);
+            completePropagations(now, completions);
         }
         completions.forEach(Runnable::run);
     }
 
-    private FollowAnswer answer(FollowRequest request, long version, long now) {
+    private FollowAnswer buildAnswer(FollowRequest request, long version, long now) {
         boolean whole = request.epoch() != epoch;
         boolean entry = request.entry() != null;
         boolean entryNews = entry && (whole || entries.lastChange() != request.entriesSeen());
@@ -269,39 +274,41 @@
                 && entries.canListChangesSince(request.entriesSeen());
         boolean document = request.needsRouting() && version >= 0;
         Follower follower = followers.get(request.host());
-        long heardFrom = follower.heardUpTo;
-        follower.heardUpTo = now;
+        long heardFrom = follower.heartbeatsReportedUntilNanos;
+        follower.heartbeatsReportedUntilNanos = now;
         return new FollowAnswer(
                 epoch,
-                (now - startedAt) / NANOS_PER_MILLI,
+                (now - startedAtNanos) / NANOS_PER_MILLI,
                 servers.changesSince(whole ? 0 : request.serversSeen()),
                 servers.lastChange(),
-                entry ? List.of() : servers.localHeartbeatsSince(whole ? now - FORGET_NANOS : heardFrom, now),
+                entry
+                        ? List.of()
+                        : servers.localHeartbeatsSince(whole ? now - TOMBSTONE_RETENTION_NANOS : heardFrom, now),
                 entryNews && !deltas ? entries.all() : null,
                 deltas ? entries.changesSince(request.entriesSeen()) : List.of(),
                 entries.lastChange(),
-                controls.get(),
+                controlHosts.get(),
                 version,
-                document && !request.acceptsPackedUpdates() ? routing.held() : null,
+                document && !request.acceptsPackedUpdates() ? routing.current() : null,
                 document && request.acceptsPackedUpdates() ? routing.packed() : null);
     }
 
-    private void settleSpreads(long now, List<Runnable> completions) {
-        Iterator<Spread> each = spreads.iterator();
+    private void completePropagations(long now, List<Runnable> completions) {
+        Iterator<Propagation> each = propagations.iterator();
         while (each.hasNext()) {
-            Spread spread = each.next();
-            boolean over = now - spread.until() >= 0;
-            if (over || everyEntryHas(spread.number(), now)) {
+            Propagation spread = each.next();
+            boolean over = now - spread.expiresAtNanos() >= 0;
+            if (over || hasReachedAllEntries(spread.changeNumber(), now)) {
                 each.remove();
-                boolean acknowledged = routing.inQuorum();
+                boolean acknowledged = routing.hasQuorum();
                 completions.add(() -> spread.done().complete(acknowledged));
             }
         }
     }
 
-    private boolean everyEntryHas(long number, long now) {
+    private boolean hasReachedAllEntries(long number, long now) {
         for (Follower each : followers.values()) {
-            boolean alive = each.entry && now - each.aliveUntil < 0;
+            boolean alive = each.isEntry && now - each.aliveUntilNanos < 0;
             if (alive && each.serversSeen < number) {
                 return false;
             }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
@@ -27,12 +27,12 @@
  */
 public final class RoutingService {
     /** An operator waits a second for an answer; the rest is for the way. */
-    private static final Duration TIME = Duration.ofMillis(850);
+    private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(850);
 
-    private static final long RETRY_MILLIS = 40;
+    private static final long RETRY_DELAY_MILLIS = 40;
 
     private final RoutingStore store;
-    private final Supplier<Address> leader;
+    private final Supplier<Address> leaderAddress;
     private final PeerNetwork network;
     private final ScheduledExecutorService timer;
     private final MonotonicClock clock;
@@ -46,7 +46,7 @@
             MonotonicClock clock,
             DecisionLog log) {
         this.store = store;
-        this.leader = leader;
+        this.leaderAddress = leader;
         this.network = network;
         this.timer = timer;
         this.clock = clock;
@@ -56,51 +56,51 @@
     void register(HandlerRegistry handlers) {
         handlers.register(RegistryChannels.SUBMIT_ROUTING, store::submit);
         handlers.register(RegistryChannels.READ_ROUTING, query -> store.read());
-        handlers.register(RegistryChannels.FETCH_ROUTING, query -> CompletableFuture.completedFuture(store.held()));
+        handlers.register(RegistryChannels.FETCH_ROUTING, query -> CompletableFuture.completedFuture(store.current()));
     }
 
     /** Puts a valid document in force, unless one of its version or a higher one is. */
     public CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submit) {
-        Attempts<RoutingSubmission, RoutingSubmitResult> attempts = new Attempts<>(
+        LeaderRequest<RoutingSubmission, RoutingSubmitResult> attempts = new LeaderRequest<>(
                 RegistryChannels.SUBMIT_ROUTING,
                 submit,
                 store::submit,
                 each -> each == RoutingSubmitResult.NOT_LEADER,
                 RoutingSubmitResult.NOT_LEADER,
                 RoutingSubmitResult.UNKNOWN);
-        attempts.next();
-        return attempts.done.whenComplete((outcome, failure) -> log.line("routing submitted")
+        attempts.attempt();
+        return attempts.completion.whenComplete((outcome, failure) -> log.line("routing submitted")
                 .with("version", submit.version())
                 .with("outcome", outcome)
-                .with("heldVersion", store.heldVersion())
-                .with("leader", leader.get())
+                .with("heldVersion", store.currentVersion())
+                .with("leader", leaderAddress.get())
                 .write());
     }
 
     /** Reads the newest document; unknown where no leader can be asked. */
     public CompletableFuture<RoutingText> read() {
-        Attempts<RoutingQuery, RoutingText> attempts = new Attempts<>(
+        LeaderRequest<RoutingQuery, RoutingText> attempts = new LeaderRequest<>(
                 RegistryChannels.READ_ROUTING,
                 new RoutingQuery(),
                 query -> store.read(),
                 each -> !each.known(),
                 RoutingText.UNKNOWN,
                 RoutingText.UNKNOWN);
-        attempts.next();
-        return attempts.done;
+        attempts.attempt();
+        return attempts.completion;
     }
 
     /** Asks the leader, here or elsewhere, again while there is none. */
-    private final class Attempts<Q, R> {
-        private final CompletableFuture<R> done = new CompletableFuture<>();
+    private final class LeaderRequest<Q, R> {
+        private final CompletableFuture<R> completion = new CompletableFuture<>();
         private final Channel<Q, R> channel;
         private final Q request;
-        private final Function<Q, CompletionStage<R>> here;
-        private final Function<R, Boolean> notLeader;
-        private final R noLeader;
-        private final long until = clock.nanos() + TIME.toNanos();
+        private final Function<Q, CompletionStage<R>> localHandler;
+        private final Function<R, Boolean> isNotLeader;
+        private final R noLeaderResult;
+        private final long deadlineNanos = clock.nanos() + REQUEST_TIMEOUT.toNanos();
 
-        Attempts(
+        LeaderRequest(
                 Channel<Q, R> channel,
                 Q request,
                 Function<Q, CompletionStage<R>> here,
@@ -109,47 +109,47 @@
                 R unknown) {
             this.channel = channel;
             this.request = request;
-            this.here = here;
-            this.notLeader = notLeader;
-            this.noLeader = noLeader;
-            done.completeOnTimeout(unknown, TIME.toMillis(), TimeUnit.MILLISECONDS);
+            this.localHandler = here;
+            this.isNotLeader = notLeader;
+            this.noLeaderResult = noLeader;
+            completion.completeOnTimeout(unknown, REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         }
 
-        void next() {
-            Address to = leader.get();
+        void attempt() {
+            Address to = leaderAddress.get();
             if (to == null) {
-                later(noLeader);
+                retryLater(noLeaderResult);
                 return;
             }
-            Duration left = Duration.ofNanos(Math.max(1_000_000, until - clock.nanos()));
-            here.apply(request).thenAccept(result -> {
-                if (notLeader.apply(result)) {
-                    network.call(to, channel, request, left).thenAccept(this::take);
+            Duration left = Duration.ofNanos(Math.max(1_000_000, deadlineNanos - clock.nanos()));
+            localHandler.apply(request).thenAccept(result -> {
+                if (isNotLeader.apply(result)) {
+                    network.call(to, channel, request, left).thenAccept(this::onAnswer);
                 } else {
-                    done.complete(result);
+                    completion.complete(result);
                 }
             });
         }
 
-        private void take(CallResult<R> result) {
+        private void onAnswer(CallResult<R> result) {
             if (result instanceof CallResult.Answered<R> answered) {
-                if (notLeader.apply(answered.value())) {
-                    later(answered.value());
+                if (isNotLeader.apply(answered.value())) {
+                    retryLater(answered.value());
                 } else {
-                    done.complete(answered.value());
+                    completion.complete(answered.value());
                 }
             } else if (result instanceof CallResult.NotSent<R>) {
-                later(noLeader);
+                retryLater(noLeaderResult);
             }
             // Sent and not answered: the time runs out, as it may have taken effect.
         }
 
-        private void later(R otherwise) {
-            if (until - clock.nanos() < TimeUnit.MILLISECONDS.toNanos(RETRY_MILLIS)) {
-                done.complete(otherwise);
+        private void retryLater(R otherwise) {
+            if (deadlineNanos - clock.nanos() < TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS)) {
+                completion.complete(otherwise);
                 return;
             }
-            timer.schedule(this::next, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+            timer.schedule(this::attempt, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
@@ -22,7 +22,7 @@
 
 /** The routing table in the replicated state: one ticket sets it whole, and the ticket's number is its version. */
 final class RoutingStore {
-    private static final String AUTHOR = "operator";
+    private static final String TICKET_AUTHOR = "operator";
 
     private final RaftDriver driver;
     private final ControlMachine machine;
@@ -37,20 +37,20 @@
         if (!driver.isLeader()) {
             return CompletableFuture.completedFuture(RoutingSubmitResult.NOT_LEADER);
         }
-        Ticket ticket =
-                new Ticket(TicketNumber.of(submit.version()), AUTHOR, List.of(new RoutingDocument(submit.text())));
+        Ticket ticket = new Ticket(
+                TicketNumber.of(submit.version()), TICKET_AUTHOR, List.of(new RoutingDocument(submit.text())));
         byte[] command = Codecs.MESSAGE_PACK.encode(Command.ApplyTicket.of(ticket));
-        return driver.propose(command).thenApply(RoutingStore::submitted);
+        return driver.propose(command).thenApply(RoutingStore::submitOutcome);
     }
 
-    private static RoutingSubmitResult submitted(ProposeResult result) {
+    private static RoutingSubmitResult submitOutcome(ProposeResult result) {
         if (result instanceof ProposeResult.Committed committed) {
-            return decided(committed.result());
+            return decisionOutcome(committed.result());
         }
         return result instanceof ProposeResult.Unknown ? RoutingSubmitResult.UNKNOWN : RoutingSubmitResult.NOT_LEADER;
     }
 
-    private static RoutingSubmitResult decided(byte[] result) {
+    private static RoutingSubmitResult decisionOutcome(byte[] result) {
         Decoded<CommandResult> decoded = Codecs.MESSAGE_PACK.decode(result, CommandResult.class);
         CommandResult applied = ((Decoded.Value<CommandResult>) decoded).value();
         TicketOutcome outcome = ((CommandResult.TicketDecided) applied).outcome();
@@ -60,31 +60,31 @@
     /** Reads the newest document, which only the leader can. */
     CompletableFuture<RoutingText> read() {
         return driver.readIndex()
-                .thenApply(result -> result instanceof ReadResult.Readable ? held() : RoutingText.UNKNOWN);
+                .thenApply(result -> result instanceof ReadResult.Readable ? current() : RoutingText.UNKNOWN);
     }
 
     /** The document as far as this host has it. */
-    RoutingText held() {
+    RoutingText current() {
         return machine.read(state -> state.configuration()
                 .object(RoutingDocument.KEY)
-                .map(RoutingStore::text)
+                .map(RoutingStore::toText)
                 .orElse(RoutingText.NONE));
     }
 
-    /** Version of {@link #held()}, -1 without one. */
-    long heldVersion() {
+    /** Version of {@link #current()}, -1 without one. */
+    long currentVersion() {
         return machine.read(state -> state.configuration()
                 .object(RoutingDocument.KEY)
                 .map(each -> each.ticket().value())
                 .orElse(-1L));
     }
 
-    private static RoutingText text(VersionedObject object) {
+    private static RoutingText toText(VersionedObject object) {
         return new RoutingText(true, object.ticket().value(), ((RoutingDocument) object.object()).text());
     }
 
     /** Whether this host leads or hears a leader, and so a majority of the voters. */
-    boolean inQuorum() {
+    boolean hasQuorum() {
         return driver.status().leader() != null;
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/SendMark.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/SendTracker.java
@@ -6,21 +6,21 @@
 import org.elmline.core.common.Ran;
 
 /** Remembers whether any byte of one call may have left this process: what decides between NO and UNKNOWN. */
-public final class SendMark extends EventListener {
-    private volatile boolean sending;
+public final class SendTracker extends EventListener {
+    private volatile boolean headersStarted;
 
     /** The mark that the call's request carries. */
     public static EventListener of(Request request) {
-        SendMark mark = request.tag(SendMark.class);
+        SendTracker mark = request.tag(SendTracker.class);
         return mark == null ? EventListener.NONE : mark;
     }
 
     @Override
     public void requestHeadersStart(Call call) {
-        sending = true;
+        headersStarted = true;
     }
 
     public Ran ran() {
-        return sending ? Ran.UNKNOWN : Ran.NO;
+        return headersStarted ? Ran.UNKNOWN : Ran.NO;
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineClient.java
@@ -83,7 +83,7 @@
 
     @Override
     public CompletableFuture<CallResult<List<StreamInfo>>> streams() {
-        return send(calls, read(EnginePaths.STREAMS), json -> EngineJson.read(json, STREAM_INFOS));
+        return send(calls, readRequest(EnginePaths.STREAMS), json -> EngineJson.read(json, STREAM_INFOS));
     }
 
     /** Takes as long as the segment's prefill; the engine's heartbeats bound its silence in place of the whole call. */
@@ -115,7 +115,7 @@
 
     @Override
     public CompletableFuture<CallResult<List<KvExport>>> exports() {
-        return send(calls, read(EnginePaths.EXPORTS), json -> EngineJson.read(json, EXPORTS));
+        return send(calls, readRequest(EnginePaths.EXPORTS), json -> EngineJson.read(json, EXPORTS));
     }
 
     @Override
@@ -128,12 +128,12 @@
 
     @Override
     public CompletableFuture<CallResult<EngineState>> state() {
-        return call(read(EnginePaths.STATE), EngineState.class);
+        return call(readRequest(EnginePaths.STATE), EngineState.class);
     }
 
     @Override
     public CompletableFuture<CallResult<EngineLoad>> load() {
-        return call(read(EnginePaths.LOAD), EngineLoad.class);
+        return call(readRequest(EnginePaths.LOAD), EngineLoad.class);
     }
 
     @Override
@@ -149,8 +149,8 @@
     public void close() {}
 
     private StreamCall stream(AttemptId attempt, boolean resumed, Request.Builder request, StreamListener listener) {
-        SendMark mark = new SendMark();
-        Call call = streams.newCall(request.tag(SendMark.class, mark).build());
+        SendTracker mark = new SendTracker();
+        Call call = streams.newCall(request.tag(SendTracker.class, mark).build());
         return new StreamCall(attempt, resumed, mark, listener, call).start();
     }
 
@@ -159,14 +159,15 @@
     }
 
     /** Turns an answer's body into its value. */
-    private interface Reader<T> {
-        T read(byte[] json) throws IOException;
+    private interface AnswerDecoder<T> {
+        T decode(byte[] json) throws IOException;
     }
 
-    private <T> CompletableFuture<CallResult<T>> send(OkHttpClient client, Request.Builder request, Reader<T> reader) {
+    private <T> CompletableFuture<CallResult<T>> send(
+            OkHttpClient client, Request.Builder request, AnswerDecoder<T> reader) {
         CompletableFuture<CallResult<T>> result = new CompletableFuture<>();
-        SendMark mark = new SendMark();
-        client.newCall(request.tag(SendMark.class, mark).build()).enqueue(new Callback() {
+        SendTracker mark = new SendTracker();
+        client.newCall(request.tag(SendTracker.class, mark).build()).enqueue(new Callback() {
             @Override
             public void onFailure(Call call, IOException e) {
                 String why = String.valueOf(e.getMessage());
@@ -175,20 +176,20 @@
 
             @Override
             public void onResponse(Call call, Response response) {
-                result.complete(answer(response, reader));
+                result.complete(toResult(response, reader));
             }
         });
         return result;
     }
 
-    private static <T> CallResult<T> answer(Response response, Reader<T> reader) {
+    private static <T> CallResult<T> toResult(Response response, AnswerDecoder<T> reader) {
         try (response) {
             if (!response.isSuccessful()) {
                 String why = "engine answered " + response.code();
                 boolean refused = response.code() < 500 && response.code() != 410 || response.code() == 503;
                 return refused ? new CallResult.NotSent<>(why) : new CallResult.Unknown<>(why);
             }
-            return new CallResult.Answered<>(reader.read(response.body().bytes()));
+            return new CallResult.Answered<>(reader.decode(response.body().bytes()));
         } catch (IOException e) {
             return new CallResult.Unknown<>(String.valueOf(e.getMessage()));
         }
@@ -198,7 +199,7 @@
         return RequestBody.create(EngineJson.write(value), JSON);
     }
 
-    private Request.Builder read(String path) {
+    private Request.Builder readRequest(String path) {
         return new Request.Builder().url(url(path).build());
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineProtocol.java
@@ -23,21 +23,21 @@
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
     /** The engine sends a line at least once a second, so this silence means that it is gone. */
-    private static final Duration STREAM_SILENCE = Duration.ofSeconds(5);
+    private static final Duration STREAM_TIMEOUT = Duration.ofSeconds(5);
 
     private static final int DEFAULT_STREAM_THREADS = 1_024;
     private static final int DEFAULT_CALL_THREADS = 32;
     private static final long IDLE_THREAD_SECONDS = 30;
 
-    private final OkHttpClient streams;
-    private final OkHttpClient calls;
+    private final OkHttpClient streamClient;
+    private final OkHttpClient callClient;
 
     /** As {@link java.util.ServiceLoader} makes it, with pools of its own. */
     public StandinEngineProtocol() {
         this(
-                pool("engine-stream", DEFAULT_STREAM_THREADS),
+                threadPool("engine-stream", DEFAULT_STREAM_THREADS),
                 DEFAULT_STREAM_THREADS,
-                pool("engine-call", DEFAULT_CALL_THREADS),
+                threadPool("engine-call", DEFAULT_CALL_THREADS),
                 DEFAULT_CALL_THREADS);
     }
 
@@ -49,18 +49,18 @@
     public StandinEngineProtocol(ExecutorService streamReaders, int maxStreams, ExecutorService callers, int maxCalls) {
         OkHttpClient common = new OkHttpClient.Builder()
                 .connectTimeout(CONNECT_TIMEOUT)
-                .eventListenerFactory(call -> SendMark.of(call.request()))
+                .eventListenerFactory(call -> SendTracker.of(call.request()))
                 // A silent second try by the library would make "sent once" untrue.
                 .retryOnConnectionFailure(false)
                 .followRedirects(false)
                 .connectionPool(new ConnectionPool(64, 30, TimeUnit.SECONDS))
                 .build();
-        streams = common.newBuilder()
+        streamClient = common.newBuilder()
                 .dispatcher(dispatcher(streamReaders, maxStreams))
-                .readTimeout(STREAM_SILENCE)
-                .writeTimeout(STREAM_SILENCE)
+                .readTimeout(STREAM_TIMEOUT)
+                .writeTimeout(STREAM_TIMEOUT)
                 .build();
-        calls = common.newBuilder()
+        callClient = common.newBuilder()
                 .dispatcher(dispatcher(callers, maxCalls))
                 .callTimeout(CALL_TIMEOUT)
                 .build();
@@ -73,16 +73,16 @@
 
     @Override
     public EngineClient connect(Address engine) {
-        return new StandinEngineClient(engine, streams, calls);
+        return new StandinEngineClient(engine, streamClient, callClient);
     }
 
     @Override
     public void close() {
-        streams.dispatcher().cancelAll();
-        calls.dispatcher().cancelAll();
-        streams.dispatcher().executorService().shutdown();
-        calls.dispatcher().executorService().shutdown();
-        streams.connectionPool().evictAll();
+        streamClient.dispatcher().cancelAll();
+        callClient.dispatcher().cancelAll();
+        streamClient.dispatcher().executorService().shutdown();
+        callClient.dispatcher().executorService().shutdown();
+        streamClient.connectionPool().evictAll();
     }
 
     private static Dispatcher dispatcher(ExecutorService executor, int most) {
@@ -92,7 +92,7 @@
         return dispatcher;
     }
 
-    private static ExecutorService pool(String name, int threads) {
+    private static ExecutorService threadPool(String name, int threads) {
         AtomicInteger number = new AtomicInteger();
         return new ThreadPoolExecutor(
                 0, threads, IDLE_THREAD_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), r -> {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
@@ -17,19 +17,19 @@
 final class StreamCall implements Callback, AutoCloseable {
     private static final int OK = 200;
     /** A line longer than this is no event: it would fill memory. */
-    private static final long LONGEST_LINE_BYTES = 1 << 20;
+    private static final long MAX_LINE_BYTES = 1 << 20;
 
     private final AttemptId attempt;
     private final boolean resumed;
-    private final SendMark mark;
+    private final SendTracker sendTracker;
     private final StreamListener listener;
     private final Call call;
     private final AtomicBoolean closed = new AtomicBoolean();
 
-    StreamCall(AttemptId attempt, boolean resumed, SendMark mark, StreamListener listener, Call call) {
+    StreamCall(AttemptId attempt, boolean resumed, SendTracker mark, StreamListener listener, Call call) {
         this.attempt = attempt;
         this.resumed = resumed;
-        this.mark = mark;
+        this.sendTracker = mark;
         this.listener = listener;
         this.call = call;
     }
@@ -47,7 +47,7 @@
 
     @Override
     public void onFailure(Call failed, IOException e) {
-        fail(resumed ? Ran.UNKNOWN : mark.ran(), String.valueOf(e.getMessage()));
+        fail(resumed ? Ran.UNKNOWN : sendTracker.ran(), String.valueOf(e.getMessage()));
     }
 
     @Override
@@ -75,12 +75,12 @@
                 fail(Ran.UNKNOWN, "stream ended early");
                 return;
             }
-            String line = source.readUtf8LineStrict(LONGEST_LINE_BYTES);
+            String line = source.readUtf8LineStrict(MAX_LINE_BYTES);
             if (line.isEmpty()) {
                 continue;
             }
             StreamEvent event = EngineJson.readEvent(line);
-            tell(event);
+            notifyListener(event);
             boolean own = attempt.equals(event.attempt());
             if (own && (event instanceof StreamEvent.End || event instanceof StreamEvent.Failed)) {
                 closed.set(true);
@@ -89,11 +89,11 @@
     }
 
     private void fail(Ran ran, String why) {
-        tell(new StreamEvent.Failed(attempt, ran, why));
+        notifyListener(new StreamEvent.Failed(attempt, ran, why));
         closed.set(true);
     }
 
-    private void tell(StreamEvent event) {
+    private void notifyListener(StreamEvent event) {
         if (!closed.get()) {
             listener.onEvent(event);
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlCalls.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlCalls.java
@@ -38,11 +38,11 @@
         return client.call(ControlChannels.TICKET_LIST, query, READ_TIMEOUT, LeaderHint.none());
     }
 
-    public CompletableFuture<CallResult<ClaimAnswer>> begin(ClaimBegin claim, Duration timeout) {
+    public CompletableFuture<CallResult<ClaimAnswer>> beginClaim(ClaimBegin claim, Duration timeout) {
         return client.call(ControlChannels.CLAIM_BEGIN, claim, timeout, LeaderHint.OF_CLAIM);
     }
 
-    public CompletableFuture<CallResult<ClaimAnswer>> finish(ClaimFinish claim, Duration timeout) {
+    public CompletableFuture<CallResult<ClaimAnswer>> finishClaim(ClaimFinish claim, Duration timeout) {
         return client.call(ControlChannels.CLAIM_FINISH, claim, timeout, LeaderHint.OF_CLAIM);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlClient.java
@@ -19,15 +19,15 @@
  * for again, at the next control host, until the time is up.
  */
 public final class ControlClient {
-    private static final Duration TRY_TIMEOUT = Duration.ofMillis(1000);
-    private static final long PAUSE_MILLIS = 50;
+    private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(1000);
+    private static final long RETRY_DELAY_MILLIS = 50;
 
     private final PeerNetwork network;
     private final MonotonicClock clock;
     private final ScheduledExecutorService timer;
     private final List<Address> seeds;
     private volatile List<Address> hosts;
-    private volatile Address preferred;
+    private volatile Address preferredHost;
 
     public ControlClient(
             PeerNetwork network, MonotonicClock clock, ScheduledExecutorService timer, List<Address> seeds) {
@@ -36,11 +36,11 @@
         this.timer = timer;
         this.seeds = List.copyOf(seeds);
         this.hosts = this.seeds;
-        this.preferred = this.seeds.get(0);
+        this.preferredHost = this.seeds.get(0);
     }
 
     /** Takes the control hosts as a lease answer lists them; the settings' hosts stay known as a way back. */
-    void learn(List<Address> current) {
+    void updateHosts(List<Address> current) {
         List<Address> all = new ArrayList<>(current);
         for (Address seed : seeds) {
             if (!all.contains(seed)) {
@@ -55,19 +55,19 @@
             Channel<Q, R> channel, Q request, Duration timeout, LeaderHint<R> hint) {
         long deadline = clock.nanos() + timeout.toNanos();
         CompletableFuture<CallResult<R>> result = new CompletableFuture<>();
-        new Attempts<>(channel, request, hint, deadline, result).next(preferred);
+        new RetryingCall<>(channel, request, hint, deadline, result).attempt(preferredHost);
         return result;
     }
 
-    private final class Attempts<Q, R> {
+    private final class RetryingCall<Q, R> {
         private final Channel<Q, R> channel;
         private final Q request;
         private final LeaderHint<R> hint;
-        private final long deadline;
+        private final long deadlineNanos;
         private final CompletableFuture<CallResult<R>> result;
-        private boolean everSent;
+        private boolean maybeSent;
 
-        Attempts(
+        RetryingCall(
                 Channel<Q, R> channel,
                 Q request,
                 LeaderHint<R> hint,
@@ -76,48 +76,48 @@
             this.channel = channel;
             this.request = request;
             this.hint = hint;
-            this.deadline = deadline;
+            this.deadlineNanos = deadline;
             this.result = result;
         }
 
-        void next(Address host) {
-            long left = deadline - clock.nanos();
+        void attempt(Address host) {
+            long left = deadlineNanos - clock.nanos();
             if (left <= 0) {
-                result.complete(everSent ? new CallResult.Unknown<>("no answer in time") : noLeader());
+                result.complete(maybeSent ? new CallResult.Unknown<>("no answer in time") : noLeader());
                 return;
             }
-            Duration timeout = Duration.ofNanos(Math.min(left, TRY_TIMEOUT.toNanos()));
-            network.call(host, channel, request, timeout).thenAccept(answer -> take(host, answer));
+            Duration timeout = Duration.ofNanos(Math.min(left, ATTEMPT_TIMEOUT.toNanos()));
+            network.call(host, channel, request, timeout).thenAccept(answer -> onAnswer(host, answer));
         }
 
-        private void take(Address host, CallResult<R> answer) {
+        private void onAnswer(Address host, CallResult<R> answer) {
             if (!(answer instanceof CallResult.Answered<R> answered)) {
-                everSent |= answer instanceof CallResult.Unknown;
-                later(after(host));
+                maybeSent |= answer instanceof CallResult.Unknown;
+                retryLater(nextHost(host));
                 return;
             }
-            LeaderHint.Redirect redirect = hint.of(answered.value());
-            if (!redirect.wanted()) {
-                preferred = host;
+            LeaderHint.Redirect redirect = hint.redirect(answered.value());
+            if (!redirect.required()) {
+                preferredHost = host;
                 result.complete(answer);
                 return;
             }
             Optional<Address> leader = redirect.leader().filter(each -> !each.equals(host));
             if (leader.isPresent()) {
-                next(leader.get());
+                attempt(leader.get());
                 return;
             }
-            later(after(host));
+            retryLater(nextHost(host));
         }
 
         /** A pause between rounds, so that a cluster without a leader isn't flooded. */
-        private void later(Address host) {
-            preferred = host;
+        private void retryLater(Address host) {
+            preferredHost = host;
             if (timer.isShutdown()) {
                 result.complete(noLeader());
                 return;
             }
-            timer.schedule(() -> next(host), PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+            timer.schedule(() -> attempt(host), RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
 
         private CallResult<R> noLeader() {
@@ -125,7 +125,7 @@
         }
     }
 
-    private Address after(Address host) {
+    private Address nextHost(Address host) {
         List<Address> all = hosts;
         return all.get((all.indexOf(host) + 1) % all.size());
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/EntryDaemon.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/EntryDaemon.java
@@ -31,18 +31,18 @@
 import org.elmline.daemon.backend.AnnounceHandler;
 import org.elmline.daemon.backend.EngineClients;
 import org.elmline.daemon.backend.EngineObserver;
-import org.elmline.daemon.backend.OwnerDuties;
+import org.elmline.daemon.backend.OwnerMaintenance;
 import org.elmline.daemon.backend.OwnerService;
-import org.elmline.daemon.backend.Policies;
+import org.elmline.daemon.backend.PlacementFactory;
 import org.elmline.daemon.backend.SummarySender;
+import org.elmline.daemon.caller.AdmissionController;
+import org.elmline.daemon.caller.CompletionGateway;
 import org.elmline.daemon.caller.CompletionsHandler;
-import org.elmline.daemon.caller.EngineCancels;
+import org.elmline.daemon.caller.EngineCancellations;
 import org.elmline.daemon.caller.EntryHostsHandler;
-import org.elmline.daemon.caller.Gate;
-import org.elmline.daemon.caller.Gateway;
-import org.elmline.daemon.caller.GrantBook;
-import org.elmline.daemon.caller.LimitService;
+import org.elmline.daemon.caller.GrantTracker;
 import org.elmline.daemon.caller.ModelsHandler;
+import org.elmline.daemon.caller.OrganisationLimitService;
 import org.elmline.daemon.caller.Placer;
 import org.elmline.daemon.component.DaggerProcessComponent;
 import org.elmline.daemon.component.ProcessComponent;
@@ -71,10 +71,10 @@
 /** One entry host: everything it opens, how it is put together, and its graceful stop. */
 public final class EntryDaemon implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(EntryDaemon.class);
-    private static final int BODY_MILLIS = 30_000;
-    private static final int IDLE_MILLIS = 60_000;
+    private static final int BODY_TIMEOUT_MILLIS = 30_000;
+    private static final int IDLE_TIMEOUT_MILLIS = 60_000;
     private static final long STOP_CHECK_MILLIS = 20;
-    private static final long SUMMARY_BEAT_MILLIS = 2_000;
+    private static final long SUMMARY_INTERVAL_MILLIS = 2_000;
     private static final double SUMMARY_BYTES_PER_SECOND = 2_000;
 
     private final Closer closer = new Closer();
@@ -85,12 +85,12 @@
     private final EventRing events;
     private final AtomicBoolean leaving = new AtomicBoolean();
     private final HostIdentity self;
-    private final RoutingHandler callerRoutes = routes();
-    private final RoutingHandler operatorRoutes = routes();
+    private final RoutingHandler callerRoutes = newRoutes();
+    private final RoutingHandler operatorRoutes = newRoutes();
     private HttpListener callers;
     private HttpListener operators;
     private TcpPeerServer peers;
-    private Gate gate;
+    private AdmissionController admission;
     private LeaseRenewer renewer;
     private Owner owner;
     private ControlCalls control;
@@ -132,11 +132,12 @@
                 workers.timer(),
                 workers.handlers(),
                 process.hybridClock()));
-        SharedView view = new SharedView(clock);
+        LeasedView view = new LeasedView(clock);
         List<Address> seeds =
                 settings.control().stream().map(each -> each.peers()).toList();
         ControlClient client = new ControlClient(network, clock, workers.timer(), seeds);
-        gate = new Gate(self, view, clock, settings.callers(), settings.limits().maxConcurrentRequests(), metrics);
+        admission = new AdmissionController(
+                self, view, clock, settings.callers(), settings.limits().maxConcurrentRequests(), metrics);
         BodyReader bodies = new BodyReader(workers.streams());
         control = new ControlCalls(client);
         openBackends(workers, channels, network, view, bodies);
@@ -145,11 +146,11 @@
                 client,
                 view,
                 clock,
-                this::record,
+                this::hostRecord,
                 Duration.ofMillis(settings.lease().renewMillis()),
                 metrics,
                 events,
-                gate::close);
+                admission::stopAdmission);
         renewer.start(workers.timer());
         events.record(new HostEvent.Started(self.host(), self.incarnation(), "entry"));
         LOG.infof("entry host %s serves callers at %s", self.host(), callers.address());
@@ -166,23 +167,23 @@
                 workers.connections(),
                 workers.timer(),
                 process.hybridClock()));
-        callers = closer.register(http(settings.addresses().callers(), callerRoutes));
+        callers = closer.register(listen(settings.addresses().callers(), callerRoutes));
         List<String> operatorKeys =
                 settings.keys().operatorKeys().stream().map(Secret::value).toList();
-        operators =
-                closer.register(http(settings.addresses().operators(), new OperatorKeys(operatorKeys, operatorRoutes)));
+        operators = closer.register(
+                listen(settings.addresses().operators(), new OperatorKeys(operatorKeys, operatorRoutes)));
     }
 
     private void openBackends(
-            Workers workers, HandlerRegistry channels, PeerNetwork network, SharedView view, BodyReader bodies) {
+            Workers workers, HandlerRegistry channels, PeerNetwork network, LeasedView view, BodyReader bodies) {
         EngineClients engines = closer.register(new EngineClients());
         OwnerSettings ownerSettings = OwnerSettings.builder()
                 .announceIntervalMillis(settings.backend().announceMillis())
                 .leaseMillis(settings.backend().leaseMillis())
-                .ledger(Policies.ledger(settings.placement()))
+                .ledger(PlacementFactory.ledgerSettings(settings.placement()))
                 .build();
-        HostRecord record = record();
-        owner = new Owner(record, Policies.find(settings.placement()), new Random(), ownerSettings);
+        HostRecord record = hostRecord();
+        owner = new Owner(record, PlacementFactory.policy(settings.placement()), new Random(), ownerSettings);
         OwnerTable table = new OwnerTable(record, OwnerTableSettings.DEFAULT);
         view.onMembers(() -> table.members(view.members().hosts()));
         OwnerService service = new OwnerService(self, owner, table, view, network, clock);
@@ -191,61 +192,64 @@
                 RouteChannels.SUMMARY,
                 summary -> CompletableFuture.completedFuture(table.accept(summary, clock.nanos())));
         new EngineObserver(owner, engines).register(channels);
-        new OwnerDuties(owner, service, engines, clock, events).start(workers.timer());
-        SummarySchedule schedule = new SummarySchedule(record, SUMMARY_BEAT_MILLIS, SUMMARY_BYTES_PER_SECOND);
+        new OwnerMaintenance(owner, service, engines, clock, events).start(workers.timer());
+        SummarySchedule schedule = new SummarySchedule(record, SUMMARY_INTERVAL_MILLIS, SUMMARY_BYTES_PER_SECOND);
         new SummarySender(owner, table, schedule, view, network, clock, metrics).start(workers.timer());
-        GrantBook grants = new GrantBook(self, view, clock, network, service, table, metrics);
+        GrantTracker grants = new GrantTracker(self, view, clock, network, service, table, metrics);
         service.localAudit(grants::audit);
         channels.register(RouteChannels.AUDIT, request -> CompletableFuture.completedFuture(grants.audit(request)));
         grants.start(workers.timer());
-        EngineCancels cancels = new EngineCancels(engines, table, grants, clock, metrics);
+        EngineCancellations cancels = new EngineCancellations(engines, table, grants, clock, metrics);
         cancels.start(workers.timer());
         Placer placer = new Placer(self, view, clock, network, service, table, grants, metrics);
-        Gateway gateway = new Gateway(self, clock, placer, grants, engines, cancels, events, metrics);
+        CompletionGateway gateway =
+                new CompletionGateway(self, clock, placer, grants, engines, cancels, events, metrics);
         ServiceGateway services = closer.register(new ServiceGateway(clock, table, control, metrics));
-        LimitService limits = new LimitService(self, view, network, clock, metrics);
+        OrganisationLimitService limits = new OrganisationLimitService(self, view, network, clock, metrics);
         limits.register(channels);
         limits.start(workers.timer());
         openCallers(view, service, gateway, services, limits, bodies);
     }
 
     private void openCallers(
-            SharedView view,
+            LeasedView view,
             OwnerService service,
-            Gateway gateway,
+            CompletionGateway gateway,
             ServiceGateway services,
-            LimitService limits,
+            OrganisationLimitService limits,
             BodyReader bodies) {
         List<String> backendKeys =
                 settings.keys().backendKeys().stream().map(Secret::value).toList();
         int keepSeconds = settings.callers().keepSeconds();
-        ServiceHandler serviceHandler = new ServiceHandler(self, gate, view, bodies, services, events);
+        ServiceHandler serviceHandler = new ServiceHandler(self, admission, view, bodies, services, events);
         callerRoutes
                 .get("/v1/entry-hosts", new EntryHostsHandler(view, self.region(), keepSeconds))
-                .get("/v1/models", new ModelsHandler(gate, view))
+                .get("/v1/models", new ModelsHandler(admission, view))
                 .post(
                         "/v1/completions",
-                        new CompletionsHandler(ApiKind.COMPLETIONS, gate, view, bodies, gateway, limits))
-                .post("/v1/chat/completions", new CompletionsHandler(ApiKind.CHAT, gate, view, bodies, gateway, limits))
-                .post("/v1/idempotency-keys", new IdempotencyKeysHandler(gate))
+                        new CompletionsHandler(ApiKind.COMPLETIONS, admission, view, bodies, gateway, limits))
+                .post(
+                        "/v1/chat/completions",
+                        new CompletionsHandler(ApiKind.CHAT, admission, view, bodies, gateway, limits))
+                .post("/v1/idempotency-keys", new IdempotencyKeysHandler(admission))
                 .post("/v1/backend-servers/announce", new AnnounceHandler(backendKeys, bodies, service));
         for (String method : List.of("GET", "HEAD", "POST", "PUT", "PATCH", "DELETE")) {
             callerRoutes.add(method, "/v1/services/{service}/*", serviceHandler);
         }
     }
 
-    private void openOperators(SharedView view, BodyReader bodies) {
+    private void openOperators(LeasedView view, BodyReader bodies) {
         TicketsHandler tickets = new TicketsHandler(control, bodies);
         operatorRoutes
                 .put("/v1/tickets/{number}", tickets::put)
                 .get("/v1/tickets/{number}", tickets::show)
                 .get("/v1/tickets", tickets::list)
-                .get("/v1/status", new StatusHandler(self, view, gate))
+                .get("/v1/status", new StatusHandler(self, view, admission))
                 .get("/v1/events", process.eventsHandler())
                 .get("/metrics", process.metricsHandler());
     }
 
-    private static RoutingHandler routes() {
+    private static RoutingHandler newRoutes() {
         return Handlers.routing()
                 .setFallbackHandler(exchange ->
                         Answers.refuse(exchange, Refusal.didNotRun(RefusalReason.NOT_FOUND, "no such path")))
@@ -253,17 +257,17 @@
                         exchange, Refusal.didNotRun(RefusalReason.METHOD_NOT_ALLOWED, "no such method on this path")));
     }
 
-    private HttpListener http(ListenAddress address, io.undertow.server.HttpHandler handler) {
+    private HttpListener listen(ListenAddress address, io.undertow.server.HttpHandler handler) {
         HttpLimits limits = new HttpLimits(
                 settings.limits().maxBodyBytes(),
                 settings.limits().maxHeaderBytes(),
                 settings.limits().maxConnections(),
-                IDLE_MILLIS,
-                BODY_MILLIS);
+                IDLE_TIMEOUT_MILLIS,
+                BODY_TIMEOUT_MILLIS);
         return HttpListener.start(address.ip(), address.port(), limits, handler);
     }
 
-    private HostRecord record() {
+    private HostRecord hostRecord() {
         return new HostRecord(
                 self.host(),
                 self.incarnation(),
@@ -300,9 +304,9 @@
         LOG.infof("entry host %s is leaving", self.host());
         renewer.renew();
         Thread.sleep(Duration.ofSeconds(settings.callers().keepSeconds()).toMillis());
-        gate.close();
+        admission.stopAdmission();
         long limit = clock.millis() + settings.callers().maxTimeoutMillis();
-        while (gate.inside() > 0 && clock.millis() < limit) {
+        while (admission.inFlight() > 0 && clock.millis() < limit) {
             Thread.sleep(STOP_CHECK_MILLIS);
         }
         owner.leave(clock.nanos());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaderHint.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaderHint.java
@@ -17,7 +17,7 @@
     LeaderHint<ClaimAnswer> OF_CLAIM =
             answer -> answer instanceof ClaimAnswer.NotLeader not ? Redirect.to(not.leader()) : Redirect.NONE;
 
-    Redirect of(R answer);
+    Redirect redirect(R answer);
 
     /** For answers that any control host gives. */
     static <R> LeaderHint<R> none() {
@@ -27,10 +27,10 @@
     /**
      * Where to ask next.
      *
-     * @param wanted whether the answer is no answer yet
+     * @param required whether the answer is no answer yet
      * @param leader the leader, empty when the asked host knows none
      */
-    record Redirect(boolean wanted, Optional<Address> leader) {
+    record Redirect(boolean required, Optional<Address> leader) {
         static final Redirect NONE = new Redirect(false, Optional.empty());
 
         static Redirect to(Address leader) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaseRenewer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaseRenewer.java
@@ -30,20 +30,20 @@
     private static final Logger LOG = Logger.getLogger(LeaseRenewer.class);
 
     private final ControlClient control;
-    private final SharedView view;
+    private final LeasedView leasedView;
     private final MonotonicClock clock;
-    private final Supplier<HostRecord> self;
-    private final Duration beat;
-    private final AtomicBoolean asking = new AtomicBoolean();
+    private final Supplier<HostRecord> hostRecord;
+    private final Duration renewInterval;
+    private final AtomicBoolean renewalInFlight = new AtomicBoolean();
     private final Counter renewed;
     private final Counter missed;
     private final EventRing events;
     private final Runnable onReplaced;
-    private volatile boolean held;
+    private volatile boolean wasHeld;
 
     LeaseRenewer(
             ControlClient control,
-            SharedView view,
+            LeasedView view,
             MonotonicClock clock,
             Supplier<HostRecord> self,
             Duration beat,
@@ -51,10 +51,10 @@
             EventRing events,
             Runnable onReplaced) {
         this.control = control;
-        this.view = view;
+        this.leasedView = view;
         this.clock = clock;
-        this.self = self;
-        this.beat = beat;
+        this.hostRecord = self;
+        this.renewInterval = beat;
         this.renewed = metrics.counter("entry.lease.renewed");
         this.missed = metrics.counter("entry.lease.missed");
         this.events = events;
@@ -62,45 +62,48 @@
     }
 
     void start(ScheduledExecutorService timer) {
-        timer.scheduleWithFixedDelay(this::renew, 0, beat.toMillis(), TimeUnit.MILLISECONDS);
-        timer.scheduleWithFixedDelay(this::watch, beat.toMillis(), beat.toMillis(), TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(this::renew, 0, renewInterval.toMillis(), TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(
+                this::checkLease, renewInterval.toMillis(), renewInterval.toMillis(), TimeUnit.MILLISECONDS);
     }
 
     /** Asks now, unless an answer is under way. */
     CompletableFuture<Void> renew() {
-        if (!asking.compareAndSet(false, true)) {
+        if (!renewalInFlight.compareAndSet(false, true)) {
             return CompletableFuture.completedFuture(null);
         }
         long asked = clock.nanos();
         LeaseRequest request = new LeaseRequest(
-                self.get(), view.configuration().version(), view.members().version());
-        return control.call(ControlChannels.LEASE_RENEW, request, beat, LeaderHint.OF_LEASE)
+                hostRecord.get(),
+                leasedView.configuration().version(),
+                leasedView.members().version());
+        return control.call(ControlChannels.LEASE_RENEW, request, renewInterval, LeaderHint.OF_LEASE)
                 .handle((answer, failure) -> {
-                    asking.set(false);
+                    renewalInFlight.set(false);
                     if (failure == null) {
-                        take(asked, answer);
+                        onAnswer(asked, answer);
                     }
                     return null;
                 });
     }
 
-    private void take(long asked, CallResult<LeaseAnswer> result) {
+    private void onAnswer(long asked, CallResult<LeaseAnswer> result) {
         if (!(result instanceof CallResult.Answered<LeaseAnswer> answered)) {
             missed.inc();
             return;
         }
         if (answered.value() instanceof LeaseAnswer.Replaced replaced) {
-            view.replaced();
+            leasedView.onReplaced();
             LOG.errorf("another process of this host holds the lease under incarnation %s", replaced.by());
             onReplaced.run();
             return;
         }
         if (answered.value() instanceof LeaseAnswer.Granted granted) {
             renewed.inc();
-            control.learn(granted.controlHosts());
+            control.updateHosts(granted.controlHosts());
             ConfigDelta config = granted.config();
-            boolean news = config.to().compareTo(view.configuration().version()) > 0;
-            view.granted(asked, granted);
+            boolean news = config.to().compareTo(leasedView.configuration().version()) > 0;
+            leasedView.onGranted(asked, granted);
             if (news) {
                 recordFollowed(config);
                 // The next renewal acknowledges the change; asking now spares the operator the rest of the beat.
@@ -118,11 +121,11 @@
         followed.forEach(events::record);
     }
 
-    private void watch() {
-        boolean now = view.mayServe();
-        if (now != held) {
-            held = now;
-            HostId host = self.get().id();
+    private void checkLease() {
+        boolean now = leasedView.mayServe();
+        if (now != wasHeld) {
+            wasHeld = now;
+            HostId host = hostRecord.get().id();
             events.record(now ? new HostEvent.LeaseGranted(host) : new HostEvent.LeaseLost(host));
             LOG.infof(now ? "lease held" : "lease lost: nothing new is admitted until it is held again");
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/SharedView.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeasedView.java
@@ -9,7 +9,7 @@
 import org.elmline.core.control.LeaseAnswer;
 
 /** What the lease keeps up to date on this entry: the configuration, the live entries, and the lease itself. */
-public final class SharedView {
+public final class LeasedView {
     private final HostLease lease = new HostLease();
     private final MonotonicClock clock;
     private final List<Runnable> onMembers = new CopyOnWriteArrayList<>();
@@ -17,7 +17,7 @@
     private volatile Configuration configuration = Configuration.EMPTY;
     private volatile MemberTable members = MemberTable.EMPTY;
 
-    public SharedView(MonotonicClock clock) {
+    public LeasedView(MonotonicClock clock) {
         this.clock = clock;
     }
 
@@ -53,7 +53,7 @@
         return lease;
     }
 
-    void granted(long askedNanos, LeaseAnswer.Granted granted) {
+    void onGranted(long askedNanos, LeaseAnswer.Granted granted) {
         configuration = configuration.with(granted.config());
         MemberTable before = members;
         members = before.with(granted.members());
@@ -65,7 +65,7 @@
         onRenewal.forEach(Runnable::run);
     }
 
-    void replaced() {
+    void onReplaced() {
         lease.replaced();
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/AnswerHead.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/AnswerHead.java
@@ -9,9 +9,9 @@
  * @param notExecuted whether the server says that it did not run the request
  * @param wrongServer whether another server than the one meant has answered
  * @param encoded whether the body was changed on the way, so that it isn't the server's own
- * @param sealed whether it carries the server's signature
- * @param keepSeconds seconds for which the connection may stay idle, negative when it does not say
- * @param closes whether the server closes the connection after it
+ * @param signed whether it carries the server's signature
+ * @param keepAliveSeconds seconds for which the connection may stay idle, negative when it does not say
+ * @param closesConnection whether the server closes the connection after it
  * @param limit the requests that the server takes; null when what it says of them can't be understood
  */
 public record AnswerHead(
@@ -19,7 +19,7 @@
         boolean notExecuted,
         boolean wrongServer,
         boolean encoded,
-        boolean sealed,
-        int keepSeconds,
-        boolean closes,
+        boolean signed,
+        int keepAliveSeconds,
+        boolean closesConnection,
         ServerRateLimit limit) {}
