--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
@@ -13,57 +13,58 @@
 import org.elmline.core.routing.CallRoute;
 
 /** One try of a call on one backend server. Used on the I/O thread only. */
-final class Attempt implements BackendListener {
-    private static final int SUCCESS_FROM = 200;
-    private static final int SUCCESS_TO = 299;
-    private static final int SERVER_ERROR = 500;
+final class Attempt implements BackendCallListener {
+    private static final int MIN_SUCCESS_STATUS = 200;
+    private static final int MAX_SUCCESS_STATUS = 299;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
     /** Longest answer that is held until it is complete, which lets a broken one be asked for again. */
-    private static final int MAX_HELD_BYTES = 16 * 1024 * 1024;
+    private static final int MAX_BUFFERED_BYTES = 16 * 1024 * 1024;
 
     /** Silence before a stream's first event that is borne beyond twice the predicted time; a busy engine's worst. */
     private static final long FIRST_EVENT_SLACK_MILLIS = 500;
 
     /** Time after which an engine gives up on a helper that is gone, and a round trip. */
-    private static final long HELPER_STALL_MILLIS = 1_600;
+    private static final long HELPER_TIMEOUT_MILLIS = 1_600;
 
     /** Pauses of the allowed length that a stream may be silent for before its server is taken for dead. */
-    private static final int SILENT_GAPS = 3;
+    private static final int STREAM_TIMEOUT_GAPS = 3;
 
     /** Shortest such silence; engines stall for a moment when many prompts come at once. */
-    private static final long SILENT_MILLIS = 700;
+    private static final long MIN_STREAM_TIMEOUT_MILLIS = 700;
 
     /** Part of the time left to the aim after which an answer that may be asked for twice is asked for elsewhere. */
-    private static final double IMPATIENCE = 0.65;
+    private static final double ANSWER_TIMEOUT_SHARE = 0.65;
 
-    private static final long LEAST_PATIENCE_MILLIS = 40;
+    private static final long MIN_ANSWER_TIMEOUT_MILLIS = 40;
 
     private final Call call;
-    private final DispatchCall placed;
+    private final DispatchCall placementRequest;
     private final DispatchAnswer.Granted granted;
-    private final Reservations reservations;
-    private final SilenceTimer silence;
-    private final ByteArrayOutputStream whole = new ByteArrayOutputStream();
-    private BackendCall backend;
-    private StreamAnswer stream;
+    private final HelperReservations reservations;
+    private final InactivityTimer inactivityTimer;
+    private final ByteArrayOutputStream bufferedBody = new ByteArrayOutputStream();
+    private BackendCall backendCall;
+    private StreamForwarder stream;
     private AnswerHead head;
     private HeaderMap headers;
     private int status;
     private boolean sent;
-    private boolean over;
+    private boolean ended;
 
     Attempt(Call call, DispatchCall placed, DispatchAnswer.Granted granted) {
         this.call = call;
-        this.placed = placed;
+        this.placementRequest = placed;
         this.granted = granted;
-        this.reservations = new Reservations(call.parts(), granted);
-        this.silence = new SilenceTimer(call.parts().thread(), call.parts().clock(), this::silent);
+        this.reservations = new HelperReservations(call.context(), granted);
+        this.inactivityTimer =
+                new InactivityTimer(call.context().thread(), call.context().clock(), this::onInactive);
     }
 
     /** Reserves what memory the call needs elsewhere, then sends it. */
     void start() {
-        reservations.begin(given -> {
-            if (over) {
+        reservations.reserve(given -> {
+            if (ended) {
                 return;
             }
             if (given) {
@@ -75,31 +76,31 @@
     }
 
     private void send() {
-        GatewayParts parts = call.parts();
+        GatewayContext parts = call.context();
         HttpServerExchange exchange = call.exchange();
         HeaderMap to = parts.protocol()
-                .forward(
+                .forwardedHeaders(
                         exchange.getRequestHeaders(),
                         call.organisation(),
                         granted,
-                        call.leftMillis(),
-                        call.afterEvent());
+                        call.remainingMillis(),
+                        call.lastEventId());
         if (call.body().length > 0 || exchange.getRequestHeaders().contains(Headers.CONTENT_LENGTH)) {
             to.put(Headers.CONTENT_LENGTH, call.body().length);
         }
         String query = exchange.getQueryString();
         String path = exchange.getRequestURI() + (query == null || query.isEmpty() ? "" : "?" + query);
         sent = true;
-        backend = new BackendCall(
+        backendCall = new BackendCall(
                 parts.connections(),
                 granted.address(),
-                BackendCall.request(exchange.getRequestMethod(), path, to),
+                BackendCall.newRequest(exchange.getRequestMethod(), path, to),
                 call.body(),
                 !call.route().mayRetry(),
                 parts.protocol(),
                 this);
-        backend.start();
-        watchFirst();
+        backendCall.start();
+        startFirstEventTimer();
     }
 
     /** Whether the server may have begun to work on the call. */
@@ -109,40 +110,40 @@
 
     /** Ends the attempt at once. */
     void cancel(AttemptEnd end) {
-        if (end()) {
-            if (backend != null) {
-                backend.cancel();
+        if (tryEnd()) {
+            if (backendCall != null) {
+                backendCall.cancel();
             }
-            call.parts().dispatch().end(placed, end, limit());
+            call.context().dispatchClient().reportEnd(placementRequest, end, reportedLimit());
         }
     }
 
-    private void watchFirst() {
+    private void startFirstEventTimer() {
         CallRoute route = call.route();
-        if (over || !route.mayRetry()) {
+        if (ended || !route.mayRetry()) {
             return;
         }
         long patience = route.isStreaming()
-                ? 2 * granted.firstMillis() + FIRST_EVENT_SLACK_MILLIS + helperSlack()
-                : Math.max(LEAST_PATIENCE_MILLIS, (long) (IMPATIENCE * placed.aimLeftMillis()));
-        silence.expectWithin(patience);
+                ? 2 * granted.firstMillis() + FIRST_EVENT_SLACK_MILLIS + helperSlackMillis()
+                : Math.max(MIN_ANSWER_TIMEOUT_MILLIS, (long) (ANSWER_TIMEOUT_SHARE * placementRequest.aimLeftMillis()));
+        inactivityTimer.restart(patience);
     }
 
     /** An engine whose helper has died says so after a while; sooner, a slow group would be taken for a dead one. */
-    private long helperSlack() {
-        return granted.helpers().isEmpty() ? 0 : HELPER_STALL_MILLIS;
+    private long helperSlackMillis() {
+        return granted.helpers().isEmpty() ? 0 : HELPER_TIMEOUT_MILLIS;
     }
 
-    private void silent() {
-        if (over || !call.mayTryAgain()) {
+    private void onInactive() {
+        if (ended || !call.mayRetry()) {
             return;
         }
         cancel(AttemptEnd.SILENT);
-        call.failed(AttemptEnd.SILENT, "silent");
+        call.onAttemptFailed(AttemptEnd.SILENT, "silent");
     }
 
     @Override
-    public void notSent(String why) {
+    public void onNotSent(String why) {
         sent = false;
         fail(AttemptEnd.NOT_SENT, why);
     }
@@ -152,76 +153,77 @@
         status = answered;
         headers = answerHeaders;
         head = read;
-        call.parts().limits().take(granted.server(), read.limit(), "answer");
+        call.context().observedLimits().record(granted.server(), read.limit(), "answer");
         boolean others =
                 head.requestId() != null && !head.requestId().equals(call.head().requestId());
         if (others || head.encoded()) {
-            spoiled(others ? "the answer belongs to another request" : "the answer is encoded");
+            rejectAnswer(others ? "the answer belongs to another request" : "the answer is encoded");
             return;
         }
-        if (success() && !head.sealed()) {
-            spoiled("an unsigned answer");
+        if (isSuccess() && !head.signed()) {
+            rejectAnswer("an unsigned answer");
             return;
         }
-        if (call.route().isStreaming() && success()) {
+        if (call.route().isStreaming() && isSuccess()) {
             stream = call.stream(status, headers);
-            stream.from(this);
+            stream.switchTo(this);
         }
     }
 
     /** What the answer says of the requests that its server takes; null without an answer. */
-    private ServerRateLimit limit() {
+    private ServerRateLimit reportedLimit() {
         return head == null ? null : head.limit();
     }
 
-    private boolean success() {
-        return status >= SUCCESS_FROM && status <= SUCCESS_TO;
+    private boolean isSuccess() {
+        return status >= MIN_SUCCESS_STATUS && status <= MAX_SUCCESS_STATUS;
     }
 
     @Override
-    public void data(ByteBuffer bytes) {
-        if (over) {
+    public void onData(ByteBuffer bytes) {
+        if (ended) {
             return;
         }
         if (stream == null) {
-            hold(bytes);
+            buffer(bytes);
             return;
         }
-        String fault = stream.take(bytes);
+        String fault = stream.forward(bytes);
         if (fault != null) {
-            spoiled(fault);
+            rejectAnswer(fault);
         }
     }
 
-    private void hold(ByteBuffer bytes) {
+    private void buffer(ByteBuffer bytes) {
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
-        whole.writeBytes(copy);
-        if (whole.size() > MAX_HELD_BYTES) {
-            spoiled("an answer of over " + MAX_HELD_BYTES + " bytes");
+        bufferedBody.writeBytes(copy);
+        if (bufferedBody.size() > MAX_BUFFERED_BYTES) {
+            rejectAnswer("an answer of over " + MAX_BUFFERED_BYTES + " bytes");
         }
     }
 
     /** An event has gone on to the caller. */
-    void eventPassed() {
-        call.parts().dispatch().writing(placed, limit());
+    void onEventForwarded() {
+        call.context().dispatchClient().reportFirstToken(placementRequest, reportedLimit());
         if (call.route().mayRetry()) {
-            silence.expectWithin(
-                    Math.max(SILENT_MILLIS, (long) SILENT_GAPS * call.route().gapMillis()));
+            inactivityTimer.restart(Math.max(
+                    MIN_STREAM_TIMEOUT_MILLIS,
+                    (long) STREAM_TIMEOUT_GAPS * call.route().gapMillis()));
         }
     }
 
     void pause() {
-        backend.pause();
+        backendCall.pause();
     }
 
     void resume() {
-        backend.resume();
+        backendCall.resume();
     }
 
     @Override
-    public void complete() {
-        if (over) {
+    public void onComplete() {
+        if (ended) {
             return;
         }
         if (stream != null) {
@@ -230,52 +232,52 @@
             fail(AttemptEnd.WRONG_SERVER, "another server has the address");
         } else if (head.notExecuted() && status != 400) {
             fail(AttemptEnd.NOT_EXECUTED, "turned down with " + status);
-        } else if (status >= SERVER_ERROR && call.route().mayRetry() && call.mayTryAgain()) {
-            end();
-            call.parts().dispatch().end(placed, AttemptEnd.SERVER_ERROR, limit());
-            call.serverFailed(status, headers, whole);
+        } else if (status >= MIN_SERVER_ERROR_STATUS && call.route().mayRetry() && call.mayRetry()) {
+            tryEnd();
+            call.context().dispatchClient().reportEnd(placementRequest, AttemptEnd.SERVER_ERROR, reportedLimit());
+            call.onServerError(status, headers, bufferedBody);
         } else {
-            end();
-            AttemptEnd end = status >= SERVER_ERROR ? AttemptEnd.SERVER_ERROR : AttemptEnd.DONE;
-            call.parts().dispatch().end(placed, end, limit());
-            call.answer(status, headers, whole);
+            tryEnd();
+            AttemptEnd end = status >= MIN_SERVER_ERROR_STATUS ? AttemptEnd.SERVER_ERROR : AttemptEnd.DONE;
+            call.context().dispatchClient().reportEnd(placementRequest, end, reportedLimit());
+            call.answer(status, headers, bufferedBody);
         }
     }
 
     private void completeStream() {
-        if (stream.inEvent()) {
+        if (stream.hasPartialEvent()) {
             fail(AttemptEnd.BROKEN, "the stream ends amid an event");
             return;
         }
-        end();
-        call.parts().dispatch().end(placed, AttemptEnd.DONE, limit());
+        tryEnd();
+        call.context().dispatchClient().reportEnd(placementRequest, AttemptEnd.DONE, reportedLimit());
         stream.complete();
     }
 
     @Override
-    public void broken(String why) {
+    public void onBroken(String why) {
         fail(AttemptEnd.BROKEN, why);
     }
 
     /** The answer can't be used; the server need not go on with it. */
-    private void spoiled(String why) {
-        backend.cancel();
+    private void rejectAnswer(String why) {
+        backendCall.cancel();
         fail(AttemptEnd.BROKEN, why);
     }
 
     private void fail(AttemptEnd end, String why) {
-        if (end()) {
-            call.parts().dispatch().end(placed, end, limit());
-            call.failed(end, why);
+        if (tryEnd()) {
+            call.context().dispatchClient().reportEnd(placementRequest, end, reportedLimit());
+            call.onAttemptFailed(end, why);
         }
     }
 
-    private boolean end() {
-        if (over) {
+    private boolean tryEnd() {
+        if (ended) {
             return false;
         }
-        over = true;
-        silence.stop();
+        ended = true;
+        inactivityTimer.cancel();
         reservations.release();
         return true;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallIds.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/AttemptIdGenerator.java
@@ -3,17 +3,17 @@
 import org.elmline.core.common.HostId;
 
 /** Ids of attempts, unique over all entries and their starts. Used on the I/O thread only. */
-final class CallIds {
+final class AttemptIdGenerator {
     private static final int RADIX = 36;
 
     private final String prefix;
-    private long next;
+    private long nextId;
 
-    CallIds(HostId host, long incarnation) {
+    AttemptIdGenerator(HostId host, long incarnation) {
         this.prefix = host.value() + '-' + Long.toString(incarnation, RADIX) + '-';
     }
 
-    String next() {
-        return prefix + Long.toString(next++, RADIX);
+    String nextId() {
+        return prefix + Long.toString(nextId++, RADIX);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCall.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCall.java
@@ -21,40 +21,40 @@
  * connection be used again. Used on the I/O thread only.
  */
 final class BackendCall {
-    private final BackendConnections connections;
+    private final BackendConnectionPool connections;
     private final Address address;
-    private final ClientRequest request;
+    private final ClientRequest newRequest;
     private final ByteBuffer body;
-    private final boolean careful;
+    private final boolean nonRepeatable;
     private final CallProtocol protocol;
-    private final BackendListener listener;
+    private final BackendCallListener listener;
     private ClientConnection connection;
-    private StreamSourceChannel source;
+    private StreamSourceChannel responseChannel;
     private AnswerHead head;
     private boolean bodySent;
     private boolean paused;
-    private boolean over;
+    private boolean ended;
 
     /** @param careful whether the call can't be sent again once it may have run */
     BackendCall(
-            BackendConnections connections,
+            BackendConnectionPool connections,
             Address address,
             ClientRequest request,
             byte[] body,
             boolean careful,
             CallProtocol protocol,
-            BackendListener listener) {
+            BackendCallListener listener) {
         this.connections = connections;
         this.address = address;
-        this.request = request;
+        this.newRequest = request;
         this.body = ByteBuffer.wrap(body);
-        this.careful = careful;
+        this.nonRepeatable = careful;
         this.protocol = protocol;
         this.listener = listener;
     }
 
     /** The request line and headers of a call. */
-    static ClientRequest request(HttpString method, String pathAndQuery, HeaderMap headers) {
+    static ClientRequest newRequest(HttpString method, String pathAndQuery, HeaderMap headers) {
         ClientRequest request =
                 new ClientRequest().setMethod(method).setPath(pathAndQuery).setProtocol(Protocols.HTTP_1_1);
         headers.forEach(each -> request.getRequestHeaders().addAll(each.getHeaderName(), each));
@@ -62,11 +62,11 @@
     }
 
     void start() {
-        connections.take(address, careful, new BackendConnections.Taker() {
+        connections.acquire(address, nonRepeatable, new BackendConnectionPool.AcquireCallback() {
             @Override
-            public void taken(ClientConnection taken) {
-                if (over) {
-                    connections.keep(address, taken, -1);
+            public void onAcquired(ClientConnection taken) {
+                if (ended) {
+                    connections.release(address, taken, -1);
                     return;
                 }
                 connection = taken;
@@ -75,8 +75,8 @@
 
             @Override
             public void failed(String why) {
-                if (end()) {
-                    listener.notSent(why);
+                if (tryEnd()) {
+                    listener.onNotSent(why);
                 }
             }
         });
@@ -84,16 +84,16 @@
 
     /** Ends the call at once, so that the server stops to work on it; nothing more is told. */
     void cancel() {
-        if (end() && connection != null) {
-            BackendConnections.closeNow(connection);
+        if (tryEnd() && connection != null) {
+            BackendConnectionPool.closeNow(connection);
         }
     }
 
     private void send() {
-        connection.sendRequest(request, new ClientCallback<>() {
+        connection.sendRequest(newRequest, new ClientCallback<>() {
             @Override
             public void completed(ClientExchange exchange) {
-                exchange.setResponseListener(responses());
+                exchange.setResponseListener(responseCallback());
                 writeBody(exchange);
             }
 
@@ -146,18 +146,18 @@
         }
     }
 
-    private ClientCallback<ClientExchange> responses() {
+    private ClientCallback<ClientExchange> responseCallback() {
         return new ClientCallback<>() {
             @Override
             public void completed(ClientExchange exchange) {
-                if (over) {
+                if (ended) {
                     return;
                 }
                 int status = exchange.getResponse().getResponseCode();
                 HeaderMap headers = exchange.getResponse().getResponseHeaders();
                 head = protocol.read(status, headers);
-                source = exchange.getResponseChannel();
-                source.getReadSetter().set((ChannelListener<StreamSourceChannel>) each -> read());
+                responseChannel = exchange.getResponseChannel();
+                responseChannel.getReadSetter().set((ChannelListener<StreamSourceChannel>) each -> read());
                 listener.head(status, headers, head);
                 read();
             }
@@ -172,8 +172,8 @@
     /** Stops to read while the caller is slower than the server. */
     void pause() {
         paused = true;
-        if (source != null && !over) {
-            source.suspendReads();
+        if (responseChannel != null && !ended) {
+            responseChannel.suspendReads();
         }
     }
 
@@ -185,16 +185,16 @@
     }
 
     private void read() {
-        if (over || paused || source == null) {
+        if (ended || paused || responseChannel == null) {
             return;
         }
         try (PooledByteBuffer pooled = connection.getBufferPool().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
-            while (!over && !paused) {
+            while (!ended && !paused) {
                 buffer.clear();
-                int count = source.read(buffer);
+                int count = responseChannel.read(buffer);
                 if (count == 0) {
-                    source.resumeReads();
+                    responseChannel.resumeReads();
                     return;
                 }
                 if (count < 0) {
@@ -202,7 +202,7 @@
                     return;
                 }
                 buffer.flip();
-                listener.data(buffer);
+                listener.onData(buffer);
             }
         } catch (IOException e) {
             fail(e);
@@ -210,30 +210,30 @@
     }
 
     private void complete() {
-        if (!end()) {
+        if (!tryEnd()) {
             return;
         }
-        if (!bodySent || head.closes()) {
+        if (!bodySent || head.closesConnection()) {
             // A server that answered before it read the whole body may still wait for the rest of it.
-            BackendConnections.closeNow(connection);
+            BackendConnectionPool.closeNow(connection);
         } else {
-            connections.keep(address, connection, head.keepSeconds());
+            connections.release(address, connection, head.keepAliveSeconds());
         }
-        listener.complete();
+        listener.onComplete();
     }
 
     private void fail(IOException e) {
-        if (end()) {
-            BackendConnections.closeNow(connection);
-            listener.broken(e.getMessage() == null ? e.toString() : e.getMessage());
+        if (tryEnd()) {
+            BackendConnectionPool.closeNow(connection);
+            listener.onBroken(e.getMessage() == null ? e.toString() : e.getMessage());
         }
     }
 
-    private boolean end() {
-        if (over) {
+    private boolean tryEnd() {
+        if (ended) {
             return false;
         }
-        over = true;
+        ended = true;
         return true;
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendListener.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCallListener.java
@@ -5,19 +5,19 @@
 import io.undertow.util.HeaderMap;
 
 /** What happens to one call to a backend server, told on the I/O thread; nothing is told after an end. */
-interface BackendListener {
+interface BackendCallListener {
     /** An end: no byte of the call has left this process. */
-    void notSent(String why);
+    void onNotSent(String why);
 
     /** The answer begins; {@code read} is what its headers say. */
     void head(int status, HeaderMap headers, AnswerHead read);
 
     /** Bytes of the body. */
-    void data(ByteBuffer bytes);
+    void onData(ByteBuffer bytes);
 
     /** An end: the answer is complete. */
-    void complete();
+    void onComplete();
 
     /** An end: the call was sent and no complete answer will come. */
-    void broken(String why);
+    void onBroken(String why);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnections.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnectionPool.java
@@ -25,46 +25,46 @@
  * Connections to backend servers, kept while idle for as long as the server says it keeps them: a new connection costs
  * the server work. Used on the I/O thread only.
  */
-final class BackendConnections {
+final class BackendConnectionPool {
     /**
      * Time to connect: many times a round trip between failure domains. A server that is dark answers nothing, and a call
      * that waits for it can't be in time any more.
      */
-    private static final long CONNECT_MILLIS = 250;
+    private static final long CONNECT_TIMEOUT_MILLIS = 250;
 
     /** Idle time for servers that do not say how long they keep a connection. */
-    private static final long KEEP_MILLIS = 2_500;
+    private static final long DEFAULT_KEEP_ALIVE_MILLIS = 2_500;
 
     /** Part of the time that a server keeps a connection after which it isn't used: a request sent as the server closes
      * would be lost. */
-    private static final double KEEP_SHARE = 0.7;
+    private static final double KEEP_ALIVE_SHARE = 0.7;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long SWEEP_MILLIS = 1_000;
+    private static final long SWEEP_INTERVAL_MILLIS = 1_000;
 
     private final XnioIoThread thread;
     private final ByteBufferPool buffers;
     private final MonotonicClock clock;
     private final Counter opened;
     private final Counter reused;
-    private final Map<Address, Deque<Idle>> idle = new HashMap<>();
+    private final Map<Address, Deque<IdleConnection>> idleConnections = new HashMap<>();
 
-    private record Idle(ClientConnection connection, long since, long until) {}
+    private record IdleConnection(ClientConnection connection, long idleSinceNanos, long expiresAtNanos) {}
 
     /** Gets a connection, or why there is none. */
-    interface Taker {
-        void taken(ClientConnection connection);
+    interface AcquireCallback {
+        void onAcquired(ClientConnection connection);
 
         void failed(String why);
     }
 
-    BackendConnections(XnioIoThread thread, ByteBufferPool buffers, MonotonicClock clock, MetricRegistry metrics) {
+    BackendConnectionPool(XnioIoThread thread, ByteBufferPool buffers, MonotonicClock clock, MetricRegistry metrics) {
         this.thread = thread;
         this.buffers = buffers;
         this.clock = clock;
         this.opened = metrics.counter("backend.connections.opened");
         this.reused = metrics.counter("backend.connections.reused");
-        thread.executeAfter(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::evictExpired, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /**
@@ -72,22 +72,24 @@
      *
      * @param careful whether the call can't be sent again: of an idle connection only the first half of its time is used
      */
-    void take(Address address, boolean careful, Taker taker) {
-        Idle found = poll(address, careful);
+    void acquire(Address address, boolean careful, AcquireCallback taker) {
+        IdleConnection found = pollIdle(address, careful);
         if (found != null) {
             reused.inc();
-            taker.taken(found.connection());
+            taker.onAcquired(found.connection());
         } else {
-            open(address, taker);
+            connect(address, taker);
         }
     }
 
-    private Idle poll(Address address, boolean careful) {
-        Deque<Idle> held = idle.get(address);
+    private IdleConnection pollIdle(Address address, boolean careful) {
+        Deque<IdleConnection> held = idleConnections.get(address);
         long now = clock.nanos();
         while (held != null && !held.isEmpty()) {
-            Idle newest = held.pollLast();
-            long limit = careful ? newest.since() + (newest.until() - newest.since()) / 2 : newest.until();
+            IdleConnection newest = held.pollLast();
+            long limit = careful
+                    ? newest.idleSinceNanos() + (newest.expiresAtNanos() - newest.idleSinceNanos()) / 2
+                    : newest.expiresAtNanos();
             if (newest.connection().isOpen() && now - limit < 0) {
                 return newest;
             }
@@ -96,28 +98,28 @@
         return null;
     }
 
-    private void open(Address address, Taker taker) {
+    private void connect(Address address, AcquireCallback taker) {
         opened.inc();
-        Opening opening = new Opening(taker);
-        opening.timer = thread.executeAfter(opening::expire, CONNECT_MILLIS, TimeUnit.MILLISECONDS);
+        ConnectAttempt opening = new ConnectAttempt(taker);
+        opening.timer = thread.executeAfter(opening::expire, CONNECT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         UndertowClient.getInstance()
                 .connect(opening, URI.create("http://" + address), thread, buffers, OptionMap.EMPTY);
     }
 
     /** One attempt to connect, which ends once. */
-    private static final class Opening implements ClientCallback<ClientConnection> {
-        private final Taker taker;
+    private static final class ConnectAttempt implements ClientCallback<ClientConnection> {
+        private final AcquireCallback callback;
         private XnioExecutor.Key timer;
-        private boolean over;
+        private boolean ended;
 
-        Opening(Taker taker) {
-            this.taker = taker;
+        ConnectAttempt(AcquireCallback taker) {
+            this.callback = taker;
         }
 
         @Override
         public void completed(ClientConnection connection) {
-            if (end()) {
-                taker.taken(connection);
+            if (tryEnd()) {
+                callback.onAcquired(connection);
             } else {
                 closeNow(connection);
             }
@@ -125,22 +127,22 @@
 
         @Override
         public void failed(IOException e) {
-            if (end()) {
-                taker.failed(String.valueOf(e.getMessage()));
+            if (tryEnd()) {
+                callback.failed(String.valueOf(e.getMessage()));
             }
         }
 
         private void expire() {
-            if (end()) {
-                taker.failed("no connection within " + CONNECT_MILLIS + " ms");
+            if (tryEnd()) {
+                callback.failed("no connection within " + CONNECT_TIMEOUT_MILLIS + " ms");
             }
         }
 
-        private boolean end() {
-            if (over) {
+        private boolean tryEnd() {
+            if (ended) {
                 return false;
             }
-            over = true;
+            ended = true;
             if (timer != null) {
                 timer.remove();
             }
@@ -149,15 +151,16 @@
     }
 
     /** Keeps a connection whose last answer is complete. */
-    void keep(Address address, ClientConnection connection, int keepSeconds) {
+    void release(Address address, ClientConnection connection, int keepSeconds) {
         if (!connection.isOpen() || keepSeconds == 0) {
             closeNow(connection);
             return;
         }
-        long millis = keepSeconds < 0 ? KEEP_MILLIS : (long) (keepSeconds * 1000L * KEEP_SHARE);
+        long millis = keepSeconds < 0 ? DEFAULT_KEEP_ALIVE_MILLIS : (long) (keepSeconds * 1000L * KEEP_ALIVE_SHARE);
         long now = clock.nanos();
-        idle.computeIfAbsent(address, each -> new ArrayDeque<>())
-                .addLast(new Idle(connection, now, now + millis * NANOS_PER_MILLI));
+        idleConnections
+                .computeIfAbsent(address, each -> new ArrayDeque<>())
+                .addLast(new IdleConnection(connection, now, now + millis * NANOS_PER_MILLI));
     }
 
     /**
@@ -174,11 +177,11 @@
         }
     }
 
-    private void sweep() {
+    private void evictExpired() {
         long now = clock.nanos();
-        idle.values().removeIf(held -> {
+        idleConnections.values().removeIf(held -> {
             held.removeIf(each -> {
-                boolean over = !each.connection().isOpen() || now - each.until() >= 0;
+                boolean over = !each.connection().isOpen() || now - each.expiresAtNanos() >= 0;
                 if (over) {
                     closeNow(each.connection());
                 }
@@ -186,6 +189,6 @@
             });
             return held.isEmpty();
         });
-        thread.executeAfter(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::evictExpired, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
@@ -34,23 +34,23 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** Tries that reached no server, or that a server turned down, beyond the sends that a route allows. */
-    private static final int MAX_FRUITLESS = 3;
+    private static final int MAX_UNEXECUTED_ATTEMPTS = 3;
 
     /** Time left below which nothing is sent any more: less than any server needs to answer. */
-    private static final long LEAST_MILLIS = 5;
+    private static final long MIN_SEND_MILLIS = 5;
 
     /** Time before a caller's patience ends at which it is told to come back; the answer's way and some tens of it. */
-    private static final long ANSWER_MILLIS = 250;
+    private static final long REFUSAL_MARGIN_MILLIS = 250;
 
     /** When to come back where no place was found for seconds: about the time in which a full house empties by half. */
-    private static final long COME_BACK_MILLIS = 1_000;
+    private static final long NO_PLACE_RETRY_AFTER_MILLIS = 1_000;
 
     /** When to come back after a failure that ended the call's last allowed try unrun. */
-    private static final long RETRY_MILLIS = 120;
+    private static final long RETRY_AFTER_MILLIS = 120;
 
-    private static final int SERVER_ERROR = 500;
+    private static final int MIN_SERVER_ERROR_STATUS = 500;
 
-    private final GatewayParts parts;
+    private final GatewayContext context;
     private final HttpServerExchange exchange;
     private final CallHead head;
     private final CallRoute route;
@@ -58,33 +58,33 @@
     private final int priority;
     private final ServiceName service;
     private final byte[] body;
-    private final long receivedAt;
-    private final long deadlineAt;
-    private final CallerPresence presence;
-    private final RequestLines lines;
-    private final List<BackendServerId> tried = new ArrayList<>();
-    private final XnioExecutor.Key deadline;
-    private DispatchCall placing;
+    private final long receivedAtNanos;
+    private final long deadlineAtNanos;
+    private final CallerPresence callerPresence;
+    private final RequestLines requestLog;
+    private final List<BackendServerId> triedServers = new ArrayList<>();
+    private final XnioExecutor.Key deadlineTimer;
+    private DispatchCall pendingPlacement;
     private Attempt attempt;
-    private StreamAnswer stream;
+    private StreamForwarder stream;
     private ServerFailure serverFailure;
-    private int sends;
-    private int fruitless;
+    private int sendCount;
+    private int unexecutedAttempts;
     private boolean mayHaveRun;
-    private boolean over;
+    private boolean ended;
 
     /** A server's own failure, kept while the call is tried elsewhere. */
-    private record ServerFailure(int status, HeaderMap headers, ByteArrayOutputStream bytes) {}
+    private record ServerFailure(int status, HeaderMap headers, ByteArrayOutputStream body) {}
 
     Call(
-            GatewayParts parts,
+            GatewayContext parts,
             HttpServerExchange exchange,
             CallHead head,
             RouteMatch.Allowed match,
             byte[] body,
             long receivedAt,
             double draw) {
-        this.parts = parts;
+        this.context = parts;
         this.exchange = exchange;
         this.head = head;
         this.route = match.route();
@@ -92,23 +92,24 @@
         this.priority = match.priority();
         this.service = route.chooseService(draw);
         this.body = body;
-        this.receivedAt = receivedAt;
+        this.receivedAtNanos = receivedAt;
         long waits = head.deadlineMillis() < 0
                 ? route.timeoutMillis()
                 : Math.min(head.deadlineMillis(), route.timeoutMillis());
-        this.deadlineAt = receivedAt + waits * NANOS_PER_MILLI;
-        this.presence = new CallerPresence(exchange);
-        this.lines = new RequestLines(head.requestId());
-        this.deadline = parts.thread().executeAfter(this::expire, Math.max(1, leftMillis()), TimeUnit.MILLISECONDS);
-        parts.open().add(this);
+        this.deadlineAtNanos = receivedAt + waits * NANOS_PER_MILLI;
+        this.callerPresence = new CallerPresence(exchange);
+        this.requestLog = new RequestLines(head.requestId());
+        this.deadlineTimer =
+                parts.thread().executeAfter(this::onDeadline, Math.max(1, remainingMillis()), TimeUnit.MILLISECONDS);
+        parts.openCalls().add(this);
     }
 
     void start() {
         place(false);
     }
 
-    GatewayParts parts() {
-        return parts;
+    GatewayContext context() {
+        return context;
     }
 
     HttpServerExchange exchange() {
@@ -131,104 +132,109 @@
         return organisation;
     }
 
-    long leftMillis() {
-        return (deadlineAt - parts.clock().nanos()) / NANOS_PER_MILLI;
+    long remainingMillis() {
+        return (deadlineAtNanos - context.clock().nanos()) / NANOS_PER_MILLI;
     }
 
-    private long ageMillis() {
-        return (parts.clock().nanos() - receivedAt) / NANOS_PER_MILLI;
+    private long elapsedMillis() {
+        return (context.clock().nanos() - receivedAtNanos) / NANOS_PER_MILLI;
     }
 
     /** Number of the last event that the caller has. */
-    long afterEvent() {
-        return stream == null ? head.afterEvent() : Math.max(head.afterEvent(), stream.lastEvent());
+    long lastEventId() {
+        return stream == null ? head.lastEventId() : Math.max(head.lastEventId(), stream.lastEventId());
     }
 
     /** The stream to the caller, begun by the first server's answer. */
-    StreamAnswer stream(int status, HeaderMap headers) {
+    StreamForwarder stream(int status, HeaderMap headers) {
         if (stream == null) {
-            stream = new StreamAnswer(this, status, headers);
+            stream = new StreamForwarder(this, status, headers);
         }
         return stream;
     }
 
     Line line(String event) {
-        return parts.log()
+        return context.log()
                 .line(event)
                 .with("request", head.requestId())
                 .with("route", route.name())
-                .with("ageMs", ageMillis());
+                .with("ageMs", elapsedMillis());
     }
 
     private void place(boolean repeated) {
-        long patience = patienceLeftMillis();
+        long patience = firstEventRemainingMillis();
         long answerTokens = head.expectedAnswerTokens() > 0 ? head.expectedAnswerTokens() : head.maxAnswerTokens();
-        placing = new DispatchCall(
-                parts.ids().next(),
-                parts.settings().host(),
-                parts.incarnation(),
-                parts.settings().failureDomain(),
+        pendingPlacement = new DispatchCall(
+                context.attemptIds().nextId(),
+                context.settings().host(),
+                context.incarnation(),
+                context.settings().failureDomain(),
                 service,
                 Shard.WHOLE,
                 priority,
                 head.promptTokens(),
                 Math.min(answerTokens, Math.max(1, head.maxAnswerTokens())),
                 head.maxAnswerTokens(),
-                route.aimMillis() - ageMillis(),
+                route.aimMillis() - elapsedMillis(),
                 route.gapMillis(),
                 patience,
-                leftMillis(),
+                remainingMillis(),
                 repeated,
-                tried);
-        DispatchCall asked = placing;
+                triedServers);
+        DispatchCall asked = pendingPlacement;
         if (route.isStreaming()) {
-            parts.thread()
-                    .executeAfter(() -> tire(asked), Math.max(1, patience - ANSWER_MILLIS), TimeUnit.MILLISECONDS);
+            context.thread()
+                    .executeAfter(
+                            () -> expirePlacement(asked),
+                            Math.max(1, patience - REFUSAL_MARGIN_MILLIS),
+                            TimeUnit.MILLISECONDS);
         }
-        parts.dispatch().place(asked, answer -> placed(asked, answer));
+        context.dispatchClient().place(asked, answer -> onPlacementDecided(asked, answer));
     }
 
     /** Time left until a caller leaves a stream that stays silent; that of any other call ends with its deadline. */
-    private long patienceLeftMillis() {
-        long sinceRead = stream == null ? ageMillis() : 0;
-        return route.isStreaming() ? Math.min(leftMillis(), route.eventTimeoutMillis() - sinceRead) : leftMillis();
+    private long firstEventRemainingMillis() {
+        long sinceRead = stream == null ? elapsedMillis() : 0;
+        return route.isStreaming()
+                ? Math.min(remainingMillis(), route.eventTimeoutMillis() - sinceRead)
+                : remainingMillis();
     }
 
     /** No place has come while the caller still waits: it is told when to come back rather than left to give up. */
-    private void tire(DispatchCall asked) {
-        if (over || placing != asked) {
+    private void expirePlacement(DispatchCall asked) {
+        if (ended || pendingPlacement != asked) {
             return;
         }
-        stop();
-        giveUp("no place in time", COME_BACK_MILLIS);
+        cancelInFlight();
+        fail("no place in time", NO_PLACE_RETRY_AFTER_MILLIS);
     }
 
-    private void placed(DispatchCall asked, DispatchAnswer answer) {
-        placing = null;
+    private void onPlacementDecided(DispatchCall asked, DispatchAnswer answer) {
+        pendingPlacement = null;
         if (answer instanceof DispatchAnswer.Granted granted) {
             send(asked, granted);
             return;
         }
         DispatchAnswer.Refused refused = (DispatchAnswer.Refused) answer;
-        lines.failure(line("not placed")
+        requestLog.failure(line("not placed")
                 .with("attempt", asked.attempt())
                 .with("why", refused.why())
                 .with("service", service)
-                .with("leftMs", leftMillis())
+                .with("leftMs", remainingMillis())
                 .with("retryAfterMs", refused.retryAfterMillis()));
-        giveUp(refused.why().name(), refused.retryAfterMillis());
+        fail(refused.why().name(), refused.retryAfterMillis());
     }
 
     private void send(DispatchCall asked, DispatchAnswer.Granted granted) {
-        Registration server = parts.fleet().server(granted.server());
+        Registration server = context.deployment().server(granted.server());
         boolean left = server != null && !server.state().acceptsWork();
-        if (left || leftMillis() < LEAST_MILLIS) {
-            parts.dispatch().end(asked, AttemptEnd.CANCELLED);
-            tried.add(granted.server());
-            retry(left ? "server left" : "no time left", true);
+        if (left || remainingMillis() < MIN_SEND_MILLIS) {
+            context.dispatchClient().reportEnd(asked, AttemptEnd.CANCELLED);
+            triedServers.add(granted.server());
+            retryOrFail(left ? "server left" : "no time left", true);
             return;
         }
-        lines.success(line("placed")
+        requestLog.success(line("placed")
                 .with("attempt", asked.attempt())
                 .with("server", granted.server())
                 .with("helpers", granted.helpers().size())
@@ -236,117 +242,120 @@
                 .with("predictedFirstMs", granted.firstMillis())
                 .with("backlogMs", granted.backlogMillis())
                 .with("running", granted.running())
-                .with("limited", parts.limits().isLimited(granted.server()))
-                .with("leftMs", leftMillis()));
-        parts.callMetrics().placed(service, ageMillis());
-        tried.add(granted.server());
-        sends++;
+                .with("limited", context.observedLimits().isLimited(granted.server()))
+                .with("leftMs", remainingMillis()));
+        context.callMetrics().recordPlacement(service, elapsedMillis());
+        triedServers.add(granted.server());
+        sendCount++;
         attempt = new Attempt(this, asked, granted);
         attempt.start();
     }
 
     /** An attempt has ended without an answer for the caller. */
-    void failed(AttemptEnd end, String why) {
+    void onAttemptFailed(AttemptEnd end, String why) {
         attempt = null;
         boolean ran = end.mayHaveRun();
         mayHaveRun |= ran;
         if (!ran) {
-            sends--;
-            fruitless++;
+            sendCount--;
+            unexecutedAttempts++;
         }
-        parts.callMetrics().attemptFailed(service, end.name());
-        lines.failure(line("attempt failed").with("end", end).with("why", why).with("server", lastTried()));
-        retry(why, !ran);
+        context.callMetrics().recordAttemptFailure(service, end.name());
+        requestLog.failure(
+                line("attempt failed").with("end", end).with("why", why).with("server", lastTriedServer()));
+        retryOrFail(why, !ran);
     }
 
     /** A server has answered with a failure of its own, and the call may run once more. */
-    void serverFailed(int status, HeaderMap headers, ByteArrayOutputStream bytes) {
+    void onServerError(int status, HeaderMap headers, ByteArrayOutputStream bytes) {
         serverFailure = new ServerFailure(status, headers, bytes);
-        failed(AttemptEnd.SERVER_ERROR, "answered " + status);
+        onAttemptFailed(AttemptEnd.SERVER_ERROR, "answered " + status);
     }
 
-    private BackendServerId lastTried() {
-        return tried.isEmpty() ? null : tried.get(tried.size() - 1);
+    private BackendServerId lastTriedServer() {
+        return triedServers.isEmpty() ? null : triedServers.get(triedServers.size() - 1);
     }
 
     /** Whether the route allows another send of a call that may have run. */
-    boolean mayTryAgain() {
-        return route.mayRetry() && sendsLeft();
+    boolean mayRetry() {
+        return route.mayRetry() && hasSendsLeft();
     }
 
-    private boolean sendsLeft() {
-        return sends < Math.max(1, route.maxAttempts()) && fruitless <= MAX_FRUITLESS && leftMillis() >= LEAST_MILLIS;
+    private boolean hasSendsLeft() {
+        return sendCount < Math.max(1, route.maxAttempts())
+                && unexecutedAttempts <= MAX_UNEXECUTED_ATTEMPTS
+                && remainingMillis() >= MIN_SEND_MILLIS;
     }
 
-    private void retry(String why, boolean unrun) {
-        if (over) {
+    private void retryOrFail(String why, boolean unrun) {
+        if (ended) {
             return;
         }
         boolean allowed = (unrun && !mayHaveRun) || route.mayRetry();
-        if (allowed && sendsLeft()) {
+        if (allowed && hasSendsLeft()) {
             place(true);
         } else {
-            giveUp(why, RETRY_MILLIS);
+            fail(why, RETRY_AFTER_MILLIS);
         }
     }
 
     /** Ends the call without a server's answer; says that it didn't run only where that is sure. */
-    private void giveUp(String why, long retryAfterMillis) {
-        if (over) {
+    private void fail(String why, long retryAfterMillis) {
+        if (ended) {
             return;
         }
         if (stream != null) {
-            lines.failure(line("stream broken off").with("why", why).with("lastEvent", stream.lastEvent()));
+            requestLog.failure(line("stream broken off").with("why", why).with("lastEvent", stream.lastEventId()));
             // Ended first: the end of the caller's channel would else be taken for that of a whole stream.
-            end("broken_off");
+            finish("broken_off");
             stream.abort();
             return;
         }
         if (serverFailure != null) {
             // What a server said tells the caller more than that no other one could be asked.
-            answer(serverFailure.status(), serverFailure.headers(), serverFailure.bytes());
+            answer(serverFailure.status(), serverFailure.headers(), serverFailure.body());
             return;
         }
-        boolean late = leftMillis() < LEAST_MILLIS;
+        boolean late = remainingMillis() < MIN_SEND_MILLIS;
         int status = mayHaveRun ? (late ? 504 : 502) : 503;
-        lines.failure(line("refused")
+        requestLog.failure(line("refused")
                 .with("status", status)
                 .with("why", why)
                 .with("mayHaveRun", mayHaveRun)
-                .with("sends", sends)
-                .with("leftMs", leftMillis()));
+                .with("sends", sendCount)
+                .with("leftMs", remainingMillis()));
         if (!mayHaveRun) {
-            parts.protocol().retryAfter(exchange.getResponseHeaders(), retryAfterMillis);
+            context.protocol().setRetryAfter(exchange.getResponseHeaders(), retryAfterMillis);
         }
         Refusals.send(exchange, status, why, mayHaveRun);
-        end("refused_" + status);
+        finish("refused_" + status);
     }
 
     /** Answers with a server's whole answer. */
     void answer(int status, HeaderMap headers, ByteArrayOutputStream bytes) {
-        if (over) {
+        if (ended) {
             return;
         }
         if (stream != null) {
             // No other answer can follow the head of a stream; the caller would wait until its time is up.
             attempt = null;
-            retry("answered " + status + " in place of the rest of a stream", false);
+            retryOrFail("answered " + status + " in place of the rest of a stream", false);
             return;
         }
         Line line = line("answered")
                 .with("status", status)
                 .with("bytes", bytes.size())
-                .with("server", lastTried())
-                .with("sends", sends);
-        if (status >= SERVER_ERROR) {
-            lines.failure(line);
+                .with("server", lastTriedServer())
+                .with("sends", sendCount);
+        if (status >= MIN_SERVER_ERROR_STATUS) {
+            requestLog.failure(line);
         } else {
-            lines.success(line);
+            requestLog.success(line);
         }
         exchange.setStatusCode(status);
         HeaderMap own = exchange.getResponseHeaders();
-        parts.protocol().back(headers, own);
-        end("answered");
+        context.protocol().copyAnswerHeaders(headers, own);
+        finish("answered");
         if (bytes.size() == 0) {
             own.put(Headers.CONTENT_LENGTH, 0);
             exchange.endExchange();
@@ -356,35 +365,36 @@
     }
 
     /** The whole stream is on its way to the caller. */
-    void streamed() {
-        if (over) {
+    void onStreamComplete() {
+        if (ended) {
             return;
         }
-        lines.success(line("streamed")
-                .with("lastEvent", stream.lastEvent())
-                .with("firstMs", stream.firstAtMillis() - receivedAt / NANOS_PER_MILLI)
+        requestLog.success(line("streamed")
+                .with("lastEvent", stream.lastEventId())
+                .with("firstMs", stream.firstEventAtMillis() - receivedAtNanos / NANOS_PER_MILLI)
                 .with("longestPauseMs", stream.longestPauseMillis())
-                .with("server", lastTried())
-                .with("sends", sends));
-        parts.callMetrics().firstEvent(service, stream.firstAtMillis() - receivedAt / NANOS_PER_MILLI);
-        end("streamed");
+                .with("server", lastTriedServer())
+                .with("sends", sendCount));
+        context.callMetrics()
+                .recordFirstEvent(service, stream.firstEventAtMillis() - receivedAtNanos / NANOS_PER_MILLI);
+        finish("streamed");
     }
 
     /** The caller does not take the answer any more. */
-    void callerGone() {
-        if (over) {
+    void onCallerDisconnected() {
+        if (ended) {
             return;
         }
-        lines.failure(line("caller left").with("sends", sends).with("placing", placing != null));
-        stop();
+        requestLog.failure(line("caller left").with("sends", sendCount).with("placing", pendingPlacement != null));
+        cancelInFlight();
         IoUtils.safeClose(exchange.getConnection());
-        end("caller_left");
+        finish("caller_left");
     }
 
-    private void stop() {
-        if (placing != null) {
-            parts.dispatch().withdraw(placing);
-            placing = null;
+    private void cancelInFlight() {
+        if (pendingPlacement != null) {
+            context.dispatchClient().withdraw(pendingPlacement);
+            pendingPlacement = null;
         }
         if (attempt != null) {
             attempt.cancel(AttemptEnd.CANCELLED);
@@ -393,43 +403,43 @@
     }
 
     void checkCaller() {
-        if (over) {
+        if (ended) {
             return;
         }
         try {
-            presence.check();
+            callerPresence.check();
         } catch (IOException e) {
-            callerGone();
+            onCallerDisconnected();
         }
     }
 
-    private void expire() {
-        if (over) {
+    private void onDeadline() {
+        if (ended) {
             return;
         }
         if (attempt != null) {
             mayHaveRun |= attempt.mayHaveRun();
         }
-        stop();
-        giveUp("time is up", RETRY_MILLIS);
+        cancelInFlight();
+        fail("time is up", RETRY_AFTER_MILLIS);
     }
 
     /** Ends the call because this process ends. */
     void abort() {
-        if (over) {
+        if (ended) {
             return;
         }
         if (attempt != null) {
             mayHaveRun |= attempt.mayHaveRun();
         }
-        stop();
-        giveUp("the entry stops", RETRY_MILLIS);
+        cancelInFlight();
+        fail("the entry stops", RETRY_AFTER_MILLIS);
     }
 
-    private void end(String outcome) {
-        parts.callMetrics().ended(service, outcome, ageMillis());
-        over = true;
-        deadline.remove();
-        parts.open().remove(this);
+    private void finish(String outcome) {
+        context.callMetrics().recordEnd(service, outcome, elapsedMillis());
+        ended = true;
+        deadlineTimer.remove();
+        context.openCalls().remove(this);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
@@ -23,77 +23,83 @@
     private static final int UNAVAILABLE = 503;
 
     /** When to come back to an entry that knows too little to answer: a control host's start and an election. */
-    private static final long RETRY_MILLIS = 1_500;
+    private static final long RETRY_AFTER_MILLIS = 1_500;
 
     /**
      * When to come back where another entry serves: a new connection takes longer than this. Told to come back later
      * by a stopping entry, callers of questions would be late though others serve.
      */
-    private static final long ELSEWHERE_MILLIS = 10;
+    private static final long OTHER_ENTRY_RETRY_AFTER_MILLIS = 10;
 
-    private final GatewayParts parts;
-    private final StopPlan stop;
-    private final TableWait tableWait;
+    private final GatewayContext context;
+    private final GracefulShutdown shutdown;
+    private final RoutingTableWaitQueue tableWaitQueue;
     private final SplittableRandom random = new SplittableRandom();
 
-    CallHandler(GatewayParts parts, StopPlan stop) {
-        this.parts = parts;
-        this.stop = stop;
-        this.tableWait = new TableWait(parts.thread());
+    CallHandler(GatewayContext parts, GracefulShutdown stop) {
+        this.context = parts;
+        this.shutdown = stop;
+        this.tableWaitQueue = new RoutingTableWaitQueue(parts.thread());
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> take(exchange));
+        exchange.dispatch(SameThreadExecutor.INSTANCE, () -> handle(exchange));
     }
 
-    private void take(HttpServerExchange exchange) {
-        long receivedAt = parts.clock().nanos();
-        if (stop.stopping()) {
+    private void handle(HttpServerExchange exchange) {
+        long receivedAt = context.clock().nanos();
+        if (shutdown.isStopping()) {
             exchange.setPersistent(false);
         }
         CallHead head;
         try {
-            head = parts.protocol().read(exchange.getRequestHeaders());
+            head = context.protocol().read(exchange.getRequestHeaders());
         } catch (IllegalArgumentException e) {
             refuse(exchange, null, BAD_REQUEST, e.getMessage());
             return;
         }
-        if (parts.fleet().table().isEmpty()) {
-            tableWait.hold(
+        if (context.deployment().table().isEmpty()) {
+            tableWaitQueue.add(
                     head.deadlineMillis(),
                     () -> readBody(exchange, head, receivedAt),
-                    () -> comeBack(exchange, head, "no routing table yet", RETRY_MILLIS));
+                    () -> refuseWithRetryAfter(exchange, head, "no routing table yet", RETRY_AFTER_MILLIS));
             return;
         }
         readBody(exchange, head, receivedAt);
     }
 
     /** To be called when the routing table has come or changed. */
-    void tableArrived() {
-        tableWait.arrived();
+    void onRoutingTable() {
+        tableWaitQueue.releaseAll();
     }
 
     private void readBody(HttpServerExchange exchange, CallHead head, long receivedAt) {
         WholeBody.read(
-                exchange, body -> route(exchange, head, body, receivedAt), failure -> unread(exchange, head, failure));
+                exchange,
+                body -> route(exchange, head, body, receivedAt),
+                failure -> onBodyUnreadable(exchange, head, failure));
     }
 
     private void route(HttpServerExchange exchange, CallHead head, byte[] body, long receivedAt) {
-        RoutingTable table = parts.fleet().table().orElseThrow();
+        RoutingTable table = context.deployment().table().orElseThrow();
         RouteMatch match =
                 table.match(exchange.getRequestHeaders().getFirst(Headers.HOST), exchange.getRequestURI(), head.key());
         if (match instanceof RouteMatch.Allowed allowed) {
-            if (!stop.takes(allowed.route().isStreaming())) {
-                comeBack(exchange, head, "the entry stops", othersServe() ? ELSEWHERE_MILLIS : RETRY_MILLIS);
+            if (!shutdown.admits(allowed.route().isStreaming())) {
+                refuseWithRetryAfter(
+                        exchange,
+                        head,
+                        "the entry stops",
+                        hasOtherServingEntry() ? OTHER_ENTRY_RETRY_AFTER_MILLIS : RETRY_AFTER_MILLIS);
                 return;
             }
-            new Call(parts, exchange, head, allowed, body, receivedAt, random.nextDouble()).start();
+            new Call(context, exchange, head, allowed, body, receivedAt, random.nextDouble()).start();
             return;
         }
         // What no route or key allows here may be allowed by a table that has not come through.
-        if (!parts.fleet().current()) {
-            comeBack(exchange, head, "the routing table may be old", RETRY_MILLIS);
+        if (!context.deployment().isCurrent()) {
+            refuseWithRetryAfter(exchange, head, "the routing table may be old", RETRY_AFTER_MILLIS);
             return;
         }
         boolean noRoute = match instanceof RouteMatch.NoRoute;
@@ -104,32 +110,32 @@
                 noRoute ? "no route leads from here" : "the key opens nothing");
     }
 
-    private boolean othersServe() {
-        HostId self = parts.settings().host();
-        return parts.fleet().entries().stream()
+    private boolean hasOtherServingEntry() {
+        HostId self = context.settings().host();
+        return context.deployment().entries().stream()
                 .anyMatch(each -> each.serving() && !each.host().equals(self));
     }
 
-    private void comeBack(HttpServerExchange exchange, CallHead head, String why, long retryMillis) {
-        parts.protocol().retryAfter(exchange.getResponseHeaders(), retryMillis);
+    private void refuseWithRetryAfter(HttpServerExchange exchange, CallHead head, String why, long retryMillis) {
+        context.protocol().setRetryAfter(exchange.getResponseHeaders(), retryMillis);
         refuse(exchange, head, UNAVAILABLE, why);
     }
 
     private void refuse(HttpServerExchange exchange, CallHead head, int status, String why) {
-        parts.log()
+        context.log()
                 .line("turned away")
                 .with("request", head == null ? null : head.requestId())
                 .with("status", status)
                 .with("why", why)
                 .with(
                         "version",
-                        parts.fleet().table().map(RoutingTable::version).orElse(-1L))
-                .with("controlCurrent", parts.fleet().current())
+                        context.deployment().table().map(RoutingTable::version).orElse(-1L))
+                .with("controlCurrent", context.deployment().isCurrent())
                 .write();
         Refusals.send(exchange, status, why, false);
     }
 
-    private void unread(HttpServerExchange exchange, CallHead head, IOException failure) {
+    private void onBodyUnreadable(HttpServerExchange exchange, CallHead head, IOException failure) {
         if (failure instanceof RequestTooBigException) {
             exchange.setPersistent(false);
             refuse(exchange, head, TOO_LARGE, "the body is too long");
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHead.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHead.java
@@ -9,7 +9,7 @@
  * @param promptTokens 0 for a call that is no generation
  * @param maxAnswerTokens tokens that the answer may have, 0 for a call that is no generation
  * @param expectedAnswerTokens the caller's estimate; 0 when it gives none
- * @param afterEvent number of the last event that the caller has, negative without one
+ * @param lastEventId number of the last event that the caller has, negative without one
  */
 public record CallHead(
         String requestId,
@@ -18,4 +18,4 @@
         long promptTokens,
         long maxAnswerTokens,
         long expectedAnswerTokens,
-        long afterEvent) {}
+        long lastEventId) {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallProtocol.java
@@ -20,7 +20,7 @@
      * @param organisation whom the caller's key belongs to, null without a key
      * @param afterEvent last event that the caller has, negative for none
      */
-    HeaderMap forward(
+    HeaderMap forwardedHeaders(
             HeaderMap from,
             OrganisationId organisation,
             DispatchAnswer.Granted grant,
@@ -28,20 +28,20 @@
             long afterEvent);
 
     /** Sets the headers of a backend server's answer that the caller gets. */
-    void back(HeaderMap from, HeaderMap to);
+    void copyAnswerHeaders(HeaderMap from, HeaderMap to);
 
     /** Sets the time after which the caller should come back. */
-    void retryAfter(HeaderMap headers, long millis);
+    void setRetryAfter(HeaderMap headers, long millis);
 
     /** Where engines take orders. */
-    String orderPath();
+    String reservationPath();
 
     /** The headers of an order to an engine. */
-    HeaderMap orderHeaders(Helper engine);
+    HeaderMap reservationHeaders(Helper engine);
 
     /** The body of an order to set memory aside under an id, or to hold it for longer. */
-    byte[] reserveOrder(String id, long tokens, long holdMillis);
+    byte[] reserveBody(String id, long tokens, long holdMillis);
 
     /** The body of an order to give back what was set aside under an id. */
-    byte[] releaseOrder(String id);
+    byte[] releaseBody(String id);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallerChannel.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallerChannel.java
@@ -16,16 +16,16 @@
  */
 final class CallerChannel {
     /** Bytes that wait for a slow caller before the server is read no further. */
-    private static final int MAX_WAITING_BYTES = 64 * 1024;
+    private static final int MAX_PENDING_BYTES = 64 * 1024;
 
     private final HttpServerExchange exchange;
     private final StreamSinkChannel sink;
-    private final Deque<ByteBuffer> waiting = new ArrayDeque<>();
-    private final Runnable onRoom;
+    private final Deque<ByteBuffer> pending = new ArrayDeque<>();
+    private final Runnable onWritable;
     private final Runnable onEnd;
-    private int waitingBytes;
-    private boolean ending;
-    private boolean over;
+    private int pendingBytes;
+    private boolean completing;
+    private boolean closed;
 
     /**
      * @param onRoom called when the caller has caught up
@@ -34,70 +34,70 @@
     CallerChannel(HttpServerExchange exchange, Runnable onRoom, Runnable onEnd) {
         this.exchange = exchange;
         this.sink = exchange.getResponseChannel();
-        this.onRoom = onRoom;
+        this.onWritable = onRoom;
         this.onEnd = onEnd;
-        sink.getWriteSetter().set((ChannelListener<StreamSinkChannel>) each -> drain());
+        sink.getWriteSetter().set((ChannelListener<StreamSinkChannel>) each -> flushPending());
     }
 
     /** Writes bytes now or later. Returns false when the caller is too far behind. */
     boolean write(byte[] bytes) {
-        if (over) {
+        if (closed) {
             return true;
         }
-        waiting.add(ByteBuffer.wrap(bytes));
-        waitingBytes += bytes.length;
-        drain();
-        return waitingBytes < MAX_WAITING_BYTES;
+        pending.add(ByteBuffer.wrap(bytes));
+        pendingBytes += bytes.length;
+        flushPending();
+        return pendingBytes < MAX_PENDING_BYTES;
     }
 
     /** Ends the answer as complete. */
     void complete() {
-        ending = true;
-        drain();
+        completing = true;
+        flushPending();
     }
 
     /** Ends the answer so that the caller can tell that it isn't complete. */
     void abort() {
-        if (!over) {
-            over = true;
+        if (!closed) {
+            closed = true;
             IoUtils.safeClose(exchange.getConnection());
             onEnd.run();
         }
     }
 
-    private void drain() {
-        if (over) {
+    private void flushPending() {
+        if (closed) {
             return;
         }
         try {
-            boolean wasFull = waitingBytes >= MAX_WAITING_BYTES;
-            if (!writeWaiting() || !sink.flush()) {
+            boolean wasFull = pendingBytes >= MAX_PENDING_BYTES;
+            if (!writePending() || !sink.flush()) {
                 sink.resumeWrites();
                 return;
             }
-            if (ending && !finish()) {
+            if (completing && !finish()) {
                 sink.resumeWrites();
                 return;
             }
             sink.suspendWrites();
-            if (wasFull && !over) {
-                onRoom.run();
+            if (wasFull && !closed) {
+                onWritable.run();
             }
         } catch (IOException e) {
             abort();
         }
     }
 
-    private boolean writeWaiting() throws IOException {
-        while (!waiting.isEmpty()) {
-            ByteBuffer next = waiting.peek();
+    private boolean writePending() throws IOException {
+        while (!pending.isEmpty()) {
+            ByteBuffer next = pending.peek();
             int before = next.remaining();
             sink.write(next);
-            waitingBytes -= before - next.remaining();
+            pendingBytes -= before - next.remaining();
             if (next.hasRemaining()) {
                 return false;
             }
-            waiting.poll();
+            pending.poll();
         }
         return true;
     }
@@ -107,7 +107,7 @@
         if (!sink.flush()) {
             return false;
         }
-        over = true;
+        closed = true;
         exchange.endExchange();
         onEnd.run();
         return true;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Fleet.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
@@ -38,15 +38,15 @@
  * What an entry knows of the deployment: it follows every control host and puts the newest routing table in force. While
  * no control host answers, it goes on with what it holds. Used on the I/O thread only.
  */
-final class Fleet {
+final class DeploymentFollower {
     /** A control host that has not answered for this long after a poll's hold has no say on who is silent. */
-    private static final long CURRENT_MILLIS = 1_200;
+    private static final long CONTROL_TIMEOUT_MILLIS = 1_200;
 
     /** Three heartbeats of a backend server, after which one that was not heard is silent. */
-    private static final long RELEARN_NANOS = Duration.ofMillis(3_600).toNanos();
+    private static final long HEARTBEAT_TIMEOUT_NANOS = Duration.ofMillis(3_600).toNanos();
 
     /** Two polls of each entry, after which a control host that has started knows all entries that live. */
-    private static final long SETTLE_NANOS = Duration.ofMillis(1_000).toNanos();
+    private static final long ENTRY_DISCOVERY_NANOS = Duration.ofMillis(1_000).toNanos();
 
     private static final Duration FETCH_TIMEOUT = Duration.ofMillis(600);
 
@@ -54,37 +54,37 @@
      * Pause before the next control host is followed. After a loss of all power each entry came to all of them at once, and
      * they were busy with handshakes for longer than with all else before the first table could go out.
      */
-    private static final long FOLLOW_PAUSE_MILLIS = 60;
+    private static final long FOLLOW_INTERVAL_MILLIS = 60;
 
     /** Failed polls after which a control host that is named by no other is given up. */
-    private static final int GIVE_UP_FAILURES = 12;
+    private static final int MAX_POLL_FAILURES = 12;
 
     private final NodeSettings settings;
     private final PeerNode peers;
-    private final RoutingFormat format;
+    private final RoutingFormat routingFormat;
     private final MonotonicClock clock;
     private final DecisionLog log;
-    private final Supplier<EntryRecord> self;
-    private final Runnable onTable;
-    private final Runnable onNews;
-    private final RegistryView view =
-            new RegistryView(currentNanos(PendingPoll.HOLD_MILLIS), RELEARN_NANOS, SETTLE_NANOS);
-    private final Map<Address, FollowLoop> follows = new HashMap<>();
-    private final StaggeredStart<Address> starts;
-    private final Map<ServiceName, List<BackendServerId>> byService = new HashMap<>();
-    private List<Registration> grouped;
+    private final Supplier<EntryRecord> selfRecord;
+    private final Runnable onRoutingTable;
+    private final Runnable onChange;
+    private final RegistryView view = new RegistryView(
+            controlTimeoutNanos(PendingPoll.HOLD_MILLIS), HEARTBEAT_TIMEOUT_NANOS, ENTRY_DISCOVERY_NANOS);
+    private final Map<Address, FollowLoop> followLoops = new HashMap<>();
+    private final StaggeredStart<Address> followStarter;
+    private final Map<ServiceName, List<BackendServerId>> serversByService = new HashMap<>();
+    private List<Registration> groupedServers;
     private RoutingTable table;
-    private volatile long versionKnown = -1;
+    private volatile long announcedVersion = -1;
     private volatile long holdMillis = PendingPoll.HOLD_MILLIS;
     private boolean fetching;
-    private boolean wasSettled;
+    private boolean hadAllEntries;
 
     /**
      * @param self what this entry tells of itself
      * @param onTable called once a new routing table is held, and before anybody can know of it
      * @param onNews called after every change of servers or entries
      */
-    Fleet(
+    DeploymentFollower(
             NodeSettings settings,
             PeerNode peers,
             XnioExecutor thread,
@@ -96,13 +96,13 @@
             Runnable onNews) {
         this.settings = settings;
         this.peers = peers;
-        this.format = format;
+        this.routingFormat = format;
         this.clock = clock;
         this.log = log;
-        this.self = self;
-        this.onTable = onTable;
-        this.onNews = onNews;
-        this.starts = new StaggeredStart<>(thread, FOLLOW_PAUSE_MILLIS, this::follow);
+        this.selfRecord = self;
+        this.onRoutingTable = onTable;
+        this.onChange = onNews;
+        this.followStarter = new StaggeredStart<>(thread, FOLLOW_INTERVAL_MILLIS, this::follow);
     }
 
     void start() {
@@ -114,7 +114,7 @@
 
     /** Follows these control hosts beside those that are followed already. */
     void followAll(List<Address> controls) {
-        controls.forEach(starts::add);
+        controls.forEach(followStarter::add);
     }
 
     private void follow(Address control) {
@@ -123,31 +123,31 @@
                 peers.network(),
                 control,
                 settings.host(),
-                self,
-                () -> versionKnown,
+                selfRecord,
+                () -> announcedVersion,
                 () -> holdMillis,
-                answer -> take(control, answer),
+                answer -> handleAnswer(control, answer),
                 timer);
-        follows.put(control, loop);
-        holdMillis = PendingPoll.holdMillis(follows.size());
-        view.updateAnswerValidity(currentNanos(holdMillis));
+        followLoops.put(control, loop);
+        holdMillis = PendingPoll.holdMillis(followLoops.size());
+        view.updateAnswerValidity(controlTimeoutNanos(holdMillis));
         log.line("control host followed").with("control", control).write();
         loop.start();
     }
 
-    private static long currentNanos(long holdMillis) {
-        return Duration.ofMillis(holdMillis + CURRENT_MILLIS).toNanos();
+    private static long controlTimeoutNanos(long holdMillis) {
+        return Duration.ofMillis(holdMillis + CONTROL_TIMEOUT_MILLIS).toNanos();
     }
 
-    private void take(Address control, FollowAnswer answer) {
+    private void handleAnswer(Address control, FollowAnswer answer) {
         boolean changed = view.apply(control, answer, clock.nanos());
-        answer.controls().forEach(starts::add);
-        dropLost(answer.controls());
-        if (answer.routingVersion() > versionKnown) {
-            versionKnown = answer.routingVersion();
+        answer.controls().forEach(followStarter::add);
+        dropLostControlHosts(answer.controls());
+        if (answer.routingVersion() > announcedVersion) {
+            announcedVersion = answer.routingVersion();
             log.line("routing announced")
                     .with("control", control)
-                    .with("version", versionKnown)
+                    .with("version", announcedVersion)
                     .with("held", heldVersion())
                     .write();
         }
@@ -155,26 +155,26 @@
             apply(answer.routing(), "poll");
         }
         if (answer.packedRouting() != null) {
-            unpack(answer.packedRouting(), control, "poll");
+            applyPacked(answer.packedRouting(), control, "poll");
         }
         if (heldVersion() < answer.routingVersion()) {
             fetch(control);
         }
-        if (changed || settled() != wasSettled) {
-            wasSettled = settled();
-            onNews.run();
+        if (changed || hasAllEntries() != hadAllEntries) {
+            hadAllEntries = hasAllEntries();
+            onChange.run();
         }
     }
 
-    private void dropLost(List<Address> named) {
-        follows.entrySet().removeIf(each -> {
-            boolean lost = each.getValue().failures() >= GIVE_UP_FAILURES
+    private void dropLostControlHosts(List<Address> named) {
+        followLoops.entrySet().removeIf(each -> {
+            boolean lost = each.getValue().failures() >= MAX_POLL_FAILURES
                     && !named.contains(each.getKey())
                     && !settings.controlPeers().contains(each.getKey());
             if (lost) {
                 log.line("control host given up").with("control", each.getKey()).write();
                 each.getValue().close();
-                starts.remove(each.getKey());
+                followStarter.remove(each.getKey());
                 view.removeControlHost(each.getKey());
                 peers.network().forget(each.getKey());
             }
@@ -192,7 +192,7 @@
                 .thenAccept(result -> {
                     fetching = false;
                     if (result instanceof CallResult.Answered<PackedRouting> answered) {
-                        unpack(answered.value(), control, "fetch");
+                        applyPacked(answered.value(), control, "fetch");
                     } else if (result instanceof CallResult.NotSent<PackedRouting>) {
                         fetchText(control);
                     }
@@ -210,7 +210,7 @@
                 });
     }
 
-    private void unpack(PackedRouting packed, Address control, String by) {
+    private void applyPacked(PackedRouting packed, Address control, String by) {
         if (packed.version() <= heldVersion()) {
             return;
         }
@@ -224,14 +224,14 @@
         if (!text.known() || text.version() <= heldVersion()) {
             return;
         }
-        RoutingTable.BuildResult built = format.read(text.text().getBytes(StandardCharsets.UTF_8));
+        RoutingTable.BuildResult built = routingFormat.read(text.text().getBytes(StandardCharsets.UTF_8));
         if (built instanceof RoutingTable.BuildResult.Valid valid) {
             table = valid.table();
             log.line("routing in force")
                     .with("version", table.version())
                     .with("by", by)
                     .write();
-            onTable.run();
+            onRoutingTable.run();
         } else {
             log.line("routing not understood")
                     .with("version", text.version())
@@ -250,16 +250,16 @@
     }
 
     /** Whether a control host answers, so that what is held is new. */
-    boolean current() {
+    boolean isCurrent() {
         return view.answeringControlHosts(clock.nanos()) > 0;
     }
 
     /** Whether {@link #entries()} are all there are; not so for a moment after a loss of all hosts. */
-    boolean settled() {
+    boolean hasAllEntries() {
         return view.isEntryListComplete(clock.nanos());
     }
 
-    List<Registration> usable() {
+    List<Registration> usableServers() {
         return view.usable(clock.nanos());
     }
 
@@ -269,17 +269,17 @@
 
     /** The servers of a service that may be sent work. */
     List<BackendServerId> servers(ServiceName service) {
-        List<Registration> all = usable();
-        if (all != grouped) {
-            grouped = all;
-            byService.clear();
+        List<Registration> all = usableServers();
+        if (all != groupedServers) {
+            groupedServers = all;
+            serversByService.clear();
             for (Registration each : all) {
-                byService
+                serversByService
                         .computeIfAbsent(each.service(), name -> new ArrayList<>())
                         .add(each.id());
             }
         }
-        return byService.getOrDefault(service, List.of());
+        return serversByService.getOrDefault(service, List.of());
     }
 
     Registration server(BackendServerId id) {
@@ -287,6 +287,6 @@
     }
 
     void close() {
-        follows.values().forEach(FollowLoop::close);
+        followLoops.values().forEach(FollowLoop::close);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DirectoryProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DirectoryProtocol.java
@@ -10,11 +10,11 @@
 /** How callers ask which entries to use; translates and decides nothing. */
 public interface DirectoryProtocol {
     /** Answers callers, who may keep an answer for some seconds. */
-    HttpHandler directory(Entries entries, int keepSeconds);
+    HttpHandler directoryHandler(EntryLookup entries, int keepSeconds);
 
     /** Where the callers of a place should connect. */
-    interface Entries {
+    interface EntryLookup {
         /** Addresses in random order, empty when no entry is known to serve. */
-        List<Address> of(Region region, FailureDomain domain);
+        List<Address> addressesFor(Region region, FailureDomain domain);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
@@ -32,46 +32,47 @@
      * Part of the thread's time that looking through waiting calls may take. In a burst each call and each report would
      * have all that wait looked through, and this host would answer nobody for a second.
      */
-    private static final double LOOK_SHARE = 0.2;
+    private static final double TICK_TIME_SHARE = 0.2;
 
     /** A look during which this process was not run seems to have taken long; calls that wait need not pay for it. */
-    private static final long LONGEST_REST_NANOS = Duration.ofMillis(40).toNanos();
+    private static final long MAX_TICK_PAUSE_NANOS = Duration.ofMillis(40).toNanos();
 
     private final HostId self;
     private final RetryLimit retries;
     private final MonotonicClock clock;
     private final DecisionLog log;
-    private final Decisions decisions;
-    private final Map<ServiceShard, Running> dispatchers = new HashMap<>();
+    private final DecisionListener decisionListener;
+    private final Map<ServiceShard, RunningDispatcher> dispatchers = new HashMap<>();
     private final Map<ServiceName, RoutedService> services = new HashMap<>();
-    private final Map<String, HostId> waiting = new HashMap<>();
-    private final HeardLimits limits;
-    private List<Registration> usable = List.of();
+    private final Map<String, HostId> hostsOfWaitingCalls = new HashMap<>();
+    private final ObservedServerLimits observedLimits;
+    private List<Registration> usableServers = List.of();
     private List<EntryRecord> entries = List.of();
-    private boolean settled;
-    private Runnable onWork = () -> {};
+    private boolean entriesComplete;
+    private Runnable onWorkAdded = () -> {};
 
-    private static final class Running {
+    private static final class RunningDispatcher {
         private final Dispatcher dispatcher;
-        private final WorkShare looks = new WorkShare(LOOK_SHARE, LONGEST_REST_NANOS);
+        private final DutyCycleLimiter tickLimiter = new DutyCycleLimiter(TICK_TIME_SHARE, MAX_TICK_PAUSE_NANOS);
 
-        Running(Dispatcher dispatcher) {
+        RunningDispatcher(Dispatcher dispatcher) {
             this.dispatcher = dispatcher;
         }
     }
 
     /** Takes decisions on calls that waited. */
-    interface Decisions {
-        void decided(HostId host, DispatchAnswer answer);
+    interface DecisionListener {
+        void onDecision(HostId host, DispatchAnswer answer);
     }
 
-    DispatchService(HostId self, RetryLimit retries, MonotonicClock clock, DecisionLog log, Decisions decisions) {
+    DispatchService(
+            HostId self, RetryLimit retries, MonotonicClock clock, DecisionLog log, DecisionListener decisions) {
         this.self = self;
         this.retries = retries;
         this.clock = clock;
         this.log = log;
-        this.decisions = decisions;
-        this.limits = new HeardLimits(clock, log);
+        this.decisionListener = decisions;
+        this.observedLimits = new ObservedServerLimits(clock, log);
     }
 
     /**
@@ -80,26 +81,26 @@
      * @param isSettled whether these are all entries that live
      */
     void update(RoutingTable table, List<Registration> servers, Collection<EntryRecord> alive, boolean isSettled) {
-        settled = isSettled;
+        entriesComplete = isSettled;
         long now = clock.nanos();
-        usable = servers;
+        usableServers = servers;
         entries = List.copyOf(alive);
         services.clear();
         table.services().forEach(each -> services.put(each.name(), each));
-        dispatchers.entrySet().removeIf(each -> !fits(each.getKey(), each.getValue().dispatcher));
+        dispatchers.entrySet().removeIf(each -> !isNeeded(each.getKey(), each.getValue().dispatcher));
         Map<HostId, Long> starts = new HashMap<>();
         entries.forEach(each -> starts.put(each.host(), each.incarnation()));
         dispatchers.forEach((shard, running) -> {
             running.dispatcher.updateServers(services.get(shard.service()), serversOf(shard), now);
-            running.dispatcher.updatePrimary(askedFirst(shard), now);
+            running.dispatcher.updatePrimary(isFirstDispatcher(shard), now);
             running.dispatcher.updateEntryCount(entries.size());
-            dropGone(running.dispatcher, starts, now);
+            releaseLostEntries(running.dispatcher, starts, now);
         });
         tick();
     }
 
     /** One of other shards than there are now is kept while calls run on it. */
-    private boolean fits(ServiceShard shard, Dispatcher dispatcher) {
+    private boolean isNeeded(ServiceShard shard, Dispatcher dispatcher) {
         RoutedService service = services.get(shard.service());
         boolean current =
                 Shard.forServerCount(serversOf(shard.service()).size()).contains(shard.shard());
@@ -107,7 +108,7 @@
         return service != null && dispatcher.isCompatibleWith(service) && (current || used);
     }
 
-    private void dropGone(Dispatcher dispatcher, Map<HostId, Long> alive, long now) {
+    private void releaseLostEntries(Dispatcher dispatcher, Map<HostId, Long> alive, long now) {
         if (alive.isEmpty()) {
             return;
         }
@@ -123,15 +124,17 @@
         });
     }
 
-    private boolean askedFirst(ServiceShard shard) {
-        return settled
+    private boolean isFirstDispatcher(ServiceShard shard) {
+        return entriesComplete
                 && DispatcherChoice.first(shard, entries)
                         .map(first -> first.host().equals(self))
                         .orElse(true);
     }
 
     private List<Registration> serversOf(ServiceName name) {
-        return usable.stream().filter(each -> each.service().equals(name)).toList();
+        return usableServers.stream()
+                .filter(each -> each.service().equals(name))
+                .toList();
     }
 
     private List<Registration> serversOf(ServiceShard shard) {
@@ -140,18 +143,18 @@
                 .toList();
     }
 
-    private Optional<Running> dispatcher(ServiceShard shard) {
+    private Optional<RunningDispatcher> dispatcherFor(ServiceShard shard) {
         RoutedService service = services.get(shard.service());
         if (service == null) {
             return Optional.empty();
         }
-        Running running = dispatchers.get(shard);
+        RunningDispatcher running = dispatchers.get(shard);
         if (running == null) {
             long now = clock.nanos();
-            boolean first = askedFirst(shard);
+            boolean first = isFirstDispatcher(shard);
             List<Registration> servers = serversOf(shard);
-            running = new Running(
-                    new Dispatcher(service, retries.dividedInto(shard.shard().count()), limits.table(), now));
+            running = new RunningDispatcher(new Dispatcher(
+                    service, retries.dividedInto(shard.shard().count()), observedLimits.serverLimits(), now));
             running.dispatcher.updateServers(service, servers, now);
             running.dispatcher.updatePrimary(first, now);
             running.dispatcher.updateEntryCount(entries.size());
@@ -161,55 +164,55 @@
                     .with("first", first)
                     .with("servers", servers.size())
                     .write();
-            onWork.run();
+            onWorkAdded.run();
         }
         return Optional.of(running);
     }
 
     /** The limits that servers have named. */
-    HeardLimits limits() {
-        return limits;
+    ObservedServerLimits observedLimits() {
+        return observedLimits;
     }
 
     /** Tells of a dispatcher that was not there, and of each call that begins to wait. */
-    void onWork(Runnable listener) {
-        onWork = listener;
+    void onWorkAdded(Runnable listener) {
+        onWorkAdded = listener;
     }
 
     DispatchAnswer place(DispatchCall call) {
-        Optional<Running> dispatcher = dispatcher(call.serviceShard());
+        Optional<RunningDispatcher> dispatcher = dispatcherFor(call.serviceShard());
         if (dispatcher.isEmpty()) {
             return new DispatchAnswer.Refused(call.attempt(), DispatchAnswer.RefusalCause.NO_SERVER, 200);
         }
         tick(dispatcher.get());
         DispatchAnswer answer = dispatcher.get().dispatcher.place(call, clock.nanos());
         if (answer instanceof DispatchAnswer.Queued) {
-            waiting.put(call.attempt(), call.host());
-            onWork.run();
+            hostsOfWaitingCalls.put(call.attempt(), call.host());
+            onWorkAdded.run();
         }
         return answer;
     }
 
     void report(ServiceName service, List<AttemptReport> reports) {
         long now = clock.nanos();
-        for (Running each : running(service)) {
+        for (RunningDispatcher each : runningDispatchers(service)) {
             reports.forEach(report -> each.dispatcher.report(report, now));
             tick(each);
         }
         for (AttemptReport each : reports) {
             if (each.end() != null) {
-                waiting.remove(each.attempt());
+                hostsOfWaitingCalls.remove(each.attempt());
             }
         }
     }
 
     /** A copy: what is decided may lead to a call of this entry that asks a dispatcher not there yet. */
-    private List<Running> running() {
+    private List<RunningDispatcher> runningDispatchers() {
         return List.copyOf(dispatchers.values());
     }
 
-    private List<Running> running(ServiceName service) {
-        List<Running> all = new ArrayList<>();
+    private List<RunningDispatcher> runningDispatchers(ServiceName service) {
+        List<RunningDispatcher> all = new ArrayList<>();
         dispatchers.forEach((shard, running) -> {
             if (shard.service().equals(service)) {
                 all.add(running);
@@ -219,13 +222,13 @@
     }
 
     /** Frees the place of an attempt that its entry knows nothing of. */
-    void giveBack(AttemptReport report) {
-        running().forEach(each -> each.dispatcher.report(report, clock.nanos()));
+    void releasePlace(AttemptReport report) {
+        runningDispatchers().forEach(each -> each.dispatcher.report(report, clock.nanos()));
     }
 
     void adopt(Adoption adoption) {
-        adoption.limits().forEach(each -> limits.take(each.server(), each.limit(), "entry"));
-        dispatcher(adoption.serviceShard()).ifPresent(running -> {
+        adoption.limits().forEach(each -> observedLimits.record(each.server(), each.limit(), "entry"));
+        dispatcherFor(adoption.serviceShard()).ifPresent(running -> {
             Dispatcher each = running.dispatcher;
             long now = clock.nanos();
             if (adoption.all()) {
@@ -241,30 +244,30 @@
 
     /** Lets time pass; to be called often while calls wait. */
     void tick() {
-        running().forEach(this::tick);
+        runningDispatchers().forEach(this::tick);
     }
 
-    private void tick(Running running) {
+    private void tick(RunningDispatcher running) {
         long now = clock.nanos();
-        if (!running.looks.allows(now)) {
+        if (!running.tickLimiter.mayRun(now)) {
             return;
         }
         List<DispatchAnswer> decided = running.dispatcher.tick(now);
-        running.looks.took(now, clock.nanos());
+        running.tickLimiter.recordRun(now, clock.nanos());
         for (DispatchAnswer each : decided) {
-            HostId host = waiting.remove(each.attempt());
+            HostId host = hostsOfWaitingCalls.remove(each.attempt());
             if (host != null) {
-                decisions.decided(host, each);
+                decisionListener.onDecision(host, each);
             }
         }
     }
 
     /** Whether this entry decides for anybody. */
-    boolean any() {
+    boolean hasDispatchers() {
         return !dispatchers.isEmpty();
     }
 
-    boolean anyWaiting() {
-        return !waiting.isEmpty();
+    boolean hasWaitingCalls() {
+        return !hostsOfWaitingCalls.isEmpty();
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
@@ -22,15 +22,15 @@
 /** Which entries dispatch which shards, and which of them is doubted for a while. Used on the I/O thread only. */
 final class DispatcherDirectory {
     /** Time for which a dispatcher that did not answer isn't asked. */
-    private static final long DOUBT_NANOS = Duration.ofMillis(700).toNanos();
+    private static final long SUSPICION_NANOS = Duration.ofMillis(700).toNanos();
 
     private final Supplier<Collection<EntryRecord>> entries;
     private final Function<ServiceName, List<BackendServerId>> servers;
     private final MonotonicClock clock;
     private final SplittableRandom random = new SplittableRandom();
-    private final Map<HostId, Long> doubted = new HashMap<>();
-    private final Map<ServiceShard, List<EntryRecord>> orders = new HashMap<>();
-    private Collection<EntryRecord> orderedEntries = List.of();
+    private final Map<HostId, Long> suspectedUntilNanos = new HashMap<>();
+    private final Map<ServiceShard, List<EntryRecord>> cachedOrders = new HashMap<>();
+    private Collection<EntryRecord> cachedEntries = List.of();
 
     /**
      * @param entries all entries that live
@@ -46,15 +46,16 @@
     }
 
     List<ServiceShard> shards(ServiceName service) {
-        return of(service, Shard.forServerCount(servers.apply(service).size()));
+        return serviceShards(
+                service, Shard.forServerCount(servers.apply(service).size()));
     }
 
     /** The shards of a service in the order in which one call asks them. */
-    List<ServiceShard> shardsToAsk(ServiceName service) {
-        return of(service, ShardChoice.order(servers.apply(service), random));
+    List<ServiceShard> shardsByPreference(ServiceName service) {
+        return serviceShards(service, ShardChoice.order(servers.apply(service), random));
     }
 
-    private static List<ServiceShard> of(ServiceName service, List<Shard> shards) {
+    private static List<ServiceShard> serviceShards(ServiceName service, List<Shard> shards) {
         return shards.stream().map(each -> new ServiceShard(service, each)).toList();
     }
 
@@ -66,27 +67,27 @@
     }
 
     /** The entries that may dispatch a shard, the one to ask first in front. */
-    List<EntryRecord> order(ServiceShard shard) {
+    List<EntryRecord> dispatchersByPreference(ServiceShard shard) {
         Collection<EntryRecord> alive = entries.get();
-        if (alive != orderedEntries) {
-            orders.clear();
-            orderedEntries = alive;
+        if (alive != cachedEntries) {
+            cachedOrders.clear();
+            cachedEntries = alive;
         }
-        return orders.computeIfAbsent(shard, each -> DispatcherChoice.order(each, alive));
+        return cachedOrders.computeIfAbsent(shard, each -> DispatcherChoice.order(each, alive));
     }
 
     /** Notes that a dispatcher has not answered. */
-    void doubt(HostId dispatcher) {
-        doubted.put(dispatcher, clock.nanos() + DOUBT_NANOS);
+    void suspect(HostId dispatcher) {
+        suspectedUntilNanos.put(dispatcher, clock.nanos() + SUSPICION_NANOS);
     }
 
     /** Notes that a dispatcher has answered. */
-    void trust(HostId dispatcher) {
-        doubted.remove(dispatcher);
+    void clearSuspicion(HostId dispatcher) {
+        suspectedUntilNanos.remove(dispatcher);
     }
 
-    boolean isDoubted(HostId dispatcher) {
-        Long until = doubted.get(dispatcher);
+    boolean isSuspected(HostId dispatcher) {
+        Long until = suspectedUntilNanos.get(dispatcher);
         return until != null && clock.nanos() - until < 0;
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Gateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EntryGateway.java
@@ -36,38 +36,38 @@
 import org.xnio.XnioIoThread;
 
 /** One entry that passes calls through: everything it opens, how it is put together, and its graceful stop. */
-public final class Gateway implements AutoCloseable {
-    private static final int READY = 200;
-    private static final int NOT_READY = 503;
-    private static final int EVENTS = 1_024;
+public final class EntryGateway implements AutoCloseable {
+    private static final int READY_STATUS = 200;
+    private static final int NOT_READY_STATUS = 503;
+    private static final int EVENT_CAPACITY = 1_024;
 
-    private static final long STOP_LOOK_MILLIS = 50;
+    private static final long STOP_CHECK_MILLIS = 50;
 
     /** Time for which news are gathered. */
-    private static final long CHANGE_MILLIS = 15;
+    private static final long CHANGE_DELAY_MILLIS = 15;
 
     private final Closer closer = new Closer();
     private final NodeSettings settings;
     private final CallProtocol protocol;
     private final DirectoryProtocol directory;
-    private final RoutingFormat format;
+    private final RoutingFormat routingFormat;
     private final DecisionLog log;
     private final ProcessComponent process;
     private final long incarnation = System.currentTimeMillis();
-    private final StopPlan stop;
+    private final GracefulShutdown stop;
     private final SplittableRandom random = new SplittableRandom();
     private HttpPorts ports;
     private PeerNode peers;
     private XnioIoThread thread;
-    private Fleet fleet;
+    private DeploymentFollower deployment;
     private DispatchService dispatchers;
-    private DispatchClient dispatch;
+    private DispatchClient dispatchClient;
     private OpenCalls open;
-    private CallHandler calls;
-    private CallerLimits limits;
+    private CallHandler callHandler;
+    private CallerLimits callerLimits;
     private boolean changePending;
 
-    private Gateway(
+    private EntryGateway(
             NodeSettings settings,
             CallProtocol protocol,
             DirectoryProtocol directory,
@@ -76,22 +76,22 @@
         this.settings = settings;
         this.protocol = protocol;
         this.directory = directory;
-        this.format = format;
+        this.routingFormat = format;
         this.log = log;
         this.process = DaggerProcessComponent.factory()
-                .create(settings.host(), Incarnation.of(incarnation), new TimelineSettings(EVENTS));
-        this.stop = new StopPlan(process.clock(), settings.drainMillis());
+                .create(settings.host(), Incarnation.of(incarnation), new TimelineSettings(EVENT_CAPACITY));
+        this.stop = new GracefulShutdown(process.clock(), settings.drainMillis());
     }
 
     /** Opens everything and begins to serve. */
-    public static Gateway start(
+    public static EntryGateway start(
             NodeSettings settings,
             CallProtocol protocol,
             DirectoryProtocol directory,
             RoutingFormat format,
             DecisionLog log)
             throws IOException {
-        Gateway gateway = new Gateway(settings, protocol, directory, format, log);
+        EntryGateway gateway = new EntryGateway(settings, protocol, directory, format, log);
         try {
             gateway.open();
             return gateway;
@@ -107,9 +107,12 @@
         peers = closer.register(new PeerNode(settings, "gateway", thread, process.hybridClock()));
         // The control hosts are asked before the ports open: their answers take longer than opening them.
         thread.execute(this::assemble);
-        ports.with(settings.callers(), new HttpContinueReadHandler(this::call)).with(settings.ready(), this::ready);
+        ports.with(settings.callers(), new HttpContinueReadHandler(this::handleCall))
+                .with(settings.ready(), this::handleReady);
         if (settings.directory() != null) {
-            ports.with(settings.directory(), directory.directory(this::entries, settings.directoryKeepSeconds()));
+            ports.with(
+                    settings.directory(),
+                    directory.directoryHandler(this::callerAddresses, settings.directoryKeepSeconds()));
         }
         if (settings.metricsPort() > 0) {
             ports.with(new Address(settings.ip(), settings.metricsPort()), process.metricsHandler());
@@ -119,80 +122,80 @@
 
     /** On the I/O thread, to which all of it belongs. */
     private void assemble() {
-        fleet = new Fleet(
+        deployment = new DeploymentFollower(
                 settings,
                 peers,
                 thread,
-                format,
+                routingFormat,
                 process.clock(),
                 log,
-                this::record,
-                this::fleetChanged,
-                this::fleetChangedSoon);
-        dispatchers =
-                new DispatchService(settings.host(), settings.retries().limit(), process.clock(), log, this::tell);
-        dispatch = new DispatchClient(
+                this::entryRecord,
+                this::updateDeployment,
+                this::scheduleDeploymentUpdate);
+        dispatchers = new DispatchService(
+                settings.host(), settings.retries().limit(), process.clock(), log, this::sendDecision);
+        dispatchClient = new DispatchClient(
                 settings,
                 incarnation,
                 peers.network(),
-                new DispatcherDirectory(fleet::entries, fleet::servers, process.clock()),
+                new DispatcherDirectory(deployment::entries, deployment::servers, process.clock()),
                 dispatchers,
                 thread,
                 process.clock(),
                 log);
-        new QueueTicks(thread, dispatchers);
+        new DispatchTicker(thread, dispatchers);
         open = new OpenCalls(thread);
-        BackendConnections connections =
-                new BackendConnections(thread, ports.buffers(), process.clock(), process.metrics());
-        GatewayParts parts = new GatewayParts(
+        BackendConnectionPool connections =
+                new BackendConnectionPool(thread, ports.buffers(), process.clock(), process.metrics());
+        GatewayContext parts = new GatewayContext(
                 settings,
                 incarnation,
                 protocol,
-                fleet,
-                dispatch,
-                dispatchers.limits(),
+                deployment,
+                dispatchClient,
+                dispatchers.observedLimits(),
                 connections,
                 thread,
                 process.clock(),
                 log,
                 new CallMetrics(process.metrics()),
-                new CallIds(settings.host(), incarnation),
+                new AttemptIdGenerator(settings.host(), incarnation),
                 open);
-        calls = new CallHandler(parts, stop);
-        dispatch.register(peers.handlers());
-        fleet.start();
+        callHandler = new CallHandler(parts, stop);
+        dispatchClient.register(peers.handlers());
+        deployment.start();
         log.line("started").with("incarnation", incarnation).write();
     }
 
-    private void call(HttpServerExchange exchange) {
-        calls.handleRequest(exchange);
+    private void handleCall(HttpServerExchange exchange) {
+        callHandler.handleRequest(exchange);
     }
 
-    private void ready(HttpServerExchange exchange) {
-        exchange.setStatusCode(serving() ? READY : NOT_READY);
+    private void handleReady(HttpServerExchange exchange) {
+        exchange.setStatusCode(isServing() ? READY_STATUS : NOT_READY_STATUS);
     }
 
-    private boolean serving() {
-        return fleet != null && fleet.table().isPresent() && !stop.stopping();
+    private boolean isServing() {
+        return deployment != null && deployment.table().isPresent() && !stop.isStopping();
     }
 
     /**
      * Where callers connect, asked of entries as every failure domain has several of them. Asked of the one control host
      * of a domain, each look-up would wait for its time-out while that is frozen.
      */
-    private List<Address> entries(Region region, FailureDomain domain) {
-        if (fleet == null) {
+    private List<Address> callerAddresses(Region region, FailureDomain domain) {
+        if (deployment == null) {
             return List.of();
         }
-        List<EntryRecord> known = new ArrayList<>(fleet.entries());
-        if (stop.stopping()) {
+        List<EntryRecord> known = new ArrayList<>(deployment.entries());
+        if (stop.isStopping()) {
             // The control hosts may not have heard of it yet.
             known.removeIf(each -> each.host().equals(settings.host()));
         }
         return CallerDirectory.addresses(known, region, domain, random);
     }
 
-    private EntryRecord record() {
+    private EntryRecord entryRecord() {
         return new EntryRecord(
                 settings.host(),
                 incarnation,
@@ -200,34 +203,34 @@
                 settings.peers(),
                 settings.failureDomain(),
                 settings.region(),
-                serving());
+                isServing());
     }
 
     /** News of one event come from each control host; what follows from them is worked out once. */
-    private void fleetChangedSoon() {
+    private void scheduleDeploymentUpdate() {
         if (!changePending) {
             changePending = true;
-            thread.executeAfter(this::fleetChanged, CHANGE_MILLIS, TimeUnit.MILLISECONDS);
+            thread.executeAfter(this::updateDeployment, CHANGE_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void fleetChanged() {
+    private void updateDeployment() {
         changePending = false;
-        fleet.table().ifPresent(table -> {
-            if (!table.limits().sameAs(limits)) {
-                limits = table.limits();
-                ports.apply(limits);
+        deployment.table().ifPresent(table -> {
+            if (!table.limits().sameAs(callerLimits)) {
+                callerLimits = table.limits();
+                ports.apply(callerLimits);
             }
-            dispatchers.update(table, fleet.usable(), fleet.entries(), fleet.settled());
-            dispatch.fleetChanged();
-            calls.tableArrived();
+            dispatchers.update(table, deployment.usableServers(), deployment.entries(), deployment.hasAllEntries());
+            dispatchClient.onDeploymentChanged();
+            callHandler.onRoutingTable();
         });
     }
 
     /** Tells an entry the decision on its call; one that does not know the call any more gives the place back. */
-    private void tell(HostId host, DispatchAnswer answer) {
+    private void sendDecision(HostId host, DispatchAnswer answer) {
         if (host.equals(settings.host())) {
-            giveBack(answer, dispatch.decided(host, answer));
+            releaseIfUnknown(answer, dispatchClient.onDecision(host, answer));
             return;
         }
         peers.network()
@@ -235,49 +238,49 @@
                         settings.peersOf(host),
                         DispatchChannels.DECIDED,
                         new QueuedDecision(settings.host(), answer),
-                        ReportQueue.TIMEOUT)
+                        ReportQueue.SEND_TIMEOUT)
                 .thenAccept(result -> {
                     if (result instanceof CallResult.Answered<Acknowledgement> taken) {
-                        giveBack(answer, taken.value());
+                        releaseIfUnknown(answer, taken.value());
                     }
                 });
     }
 
-    private void giveBack(DispatchAnswer answer, Acknowledgement taken) {
+    private void releaseIfUnknown(DispatchAnswer answer, Acknowledgement taken) {
         if (!taken.known()) {
-            dispatchers.giveBack(new AttemptReport(answer.attempt(), AttemptEnd.CANCELLED));
+            dispatchers.releasePlace(new AttemptReport(answer.attempt(), AttemptEnd.CANCELLED));
         }
     }
 
     /** Takes settings that have changed while this process runs; only the control hosts to follow can change so. */
     public void reload(NodeSettings next) {
-        thread.execute(() -> fleet.followAll(next.controlPeers()));
+        thread.execute(() -> deployment.followAll(next.controlPeers()));
     }
 
     /** Leaves the directory, finishes what is in flight as far as there is time, then closes. */
     public void stop() throws InterruptedException {
         stop.begin();
         log.line("stopping").with("open", open == null ? 0 : open.size()).write();
-        while (open != null && !ends()) {
-            Thread.sleep(STOP_LOOK_MILLIS);
+        while (open != null && !tryEnd()) {
+            Thread.sleep(STOP_CHECK_MILLIS);
         }
         thread.execute(() -> open.all().forEach(Call::abort));
-        Thread.sleep(STOP_LOOK_MILLIS);
+        Thread.sleep(STOP_CHECK_MILLIS);
         log.line("stopped").with("open", open == null ? 0 : open.size()).write();
         close();
     }
 
     /** Decided where calls are taken, so that none slips in between. */
-    private boolean ends() {
+    private boolean tryEnd() {
         CompletableFuture<Boolean> ends = new CompletableFuture<>();
-        thread.execute(() -> ends.complete(stop.end(open.size())));
+        thread.execute(() -> ends.complete(stop.tryEnd(open.size())));
         return ends.join();
     }
 
     @Override
     public void close() {
-        if (fleet != null) {
-            fleet.close();
+        if (deployment != null) {
+            deployment.close();
         }
         closer.close();
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/GatewayParts.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/GatewayContext.java
@@ -6,17 +6,17 @@
 import org.xnio.XnioIoThread;
 
 /** What every call through a gateway uses. */
-record GatewayParts(
+record GatewayContext(
         NodeSettings settings,
         long incarnation,
         CallProtocol protocol,
-        Fleet fleet,
-        DispatchClient dispatch,
-        HeardLimits limits,
-        BackendConnections connections,
+        DeploymentFollower deployment,
+        DispatchClient dispatchClient,
+        ObservedServerLimits observedLimits,
+        BackendConnectionPool connections,
         XnioIoThread thread,
         MonotonicClock clock,
         DecisionLog log,
         CallMetrics callMetrics,
-        CallIds ids,
-        OpenCalls open) {}
+        AttemptIdGenerator attemptIds,
+        OpenCalls openCalls) {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Reservations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HelperReservations.java
@@ -19,81 +19,81 @@
  * <p>An order may be lost, or be carried out long after its answer was given up. So a reservation is never made for
  * longer than an engine may hold memory for nobody: what is forgotten anywhere frees itself.
  */
-final class Reservations {
+final class HelperReservations {
     /** How long one order holds the memory: below the four seconds for which memory may lie idle. */
     private static final long HOLD_MILLIS = 3_400;
 
     /** Pause between two renewals; two may get lost in a row before the memory is gone. */
-    private static final long RENEW_MILLIS = 1_000;
+    private static final long RENEW_INTERVAL_MILLIS = 1_000;
 
     /** Time for an engine to answer an order; many round trips. */
-    private static final long ANSWER_MILLIS = 250;
+    private static final long ANSWER_TIMEOUT_MILLIS = 250;
 
     /** A release that got no answer is sent again this often in all. */
-    private static final int RELEASES = 3;
+    private static final int MAX_RELEASE_ATTEMPTS = 3;
 
     private static final int OK = 200;
 
-    private final GatewayParts parts;
+    private final GatewayContext context;
     private final DispatchAnswer.Granted granted;
-    private final List<Helper> holders = new ArrayList<>();
-    private int outstanding;
+    private final List<Helper> helpers = new ArrayList<>();
+    private int pendingAnswers;
     private boolean failed;
     private boolean released;
 
-    Reservations(GatewayParts parts, DispatchAnswer.Granted granted) {
-        this.parts = parts;
+    HelperReservations(GatewayContext parts, DispatchAnswer.Granted granted) {
+        this.context = parts;
         this.granted = granted;
         for (Helper each : granted.helpers()) {
             if (each.memoryTokens() > 0) {
-                holders.add(each);
+                helpers.add(each);
             }
         }
     }
 
     /** Reserves all; tells whether all was given. Tells at once when there is nothing to reserve. */
-    void begin(Consumer<Boolean> ready) {
-        if (holders.isEmpty()) {
+    void reserve(Consumer<Boolean> ready) {
+        if (helpers.isEmpty()) {
             ready.accept(true);
             return;
         }
-        outstanding = holders.size();
-        for (Helper each : holders) {
-            order(each, reserveBody(each), given -> {
+        pendingAnswers = helpers.size();
+        for (Helper each : helpers) {
+            sendRequest(each, reserveBody(each), given -> {
                 failed |= !given;
-                outstanding--;
-                if (outstanding == 0 && !released) {
-                    begun(ready);
+                pendingAnswers--;
+                if (pendingAnswers == 0 && !released) {
+                    onReserved(ready);
                 }
             });
         }
     }
 
-    private void begun(Consumer<Boolean> ready) {
-        parts.log()
+    private void onReserved(Consumer<Boolean> ready) {
+        context.log()
                 .line("memory reserved")
                 .with("attempt", granted.attempt())
-                .with("holders", holders.size())
+                .with("holders", helpers.size())
                 .with("given", !failed)
                 .write();
         if (failed) {
             release();
         } else {
-            renewLater();
+            scheduleRenewal();
         }
         ready.accept(!failed);
     }
 
-    private void renewLater() {
-        parts.thread().executeAfter(this::renew, RENEW_MILLIS, TimeUnit.MILLISECONDS);
+    private void scheduleRenewal() {
+        context.thread().executeAfter(this::renew, RENEW_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     private void renew() {
         if (released) {
             return;
         }
-        holders.forEach(each -> order(each, reserveBody(each), given -> {}));
-        renewLater();
+        helpers.forEach(each -> sendRequest(each, reserveBody(each), given -> {}));
+        scheduleRenewal();
     }
 
     /** Gives all back; does nothing the second time. */
@@ -102,11 +102,11 @@
             return;
         }
         released = true;
-        holders.forEach(each -> release(each, RELEASES));
+        helpers.forEach(each -> release(each, MAX_RELEASE_ATTEMPTS));
     }
 
     private void release(Helper holder, int times) {
-        order(holder, parts.protocol().releaseOrder(granted.attempt()), given -> {
+        sendRequest(holder, context.protocol().releaseBody(granted.attempt()), given -> {
             if (!given && times > 1) {
                 release(holder, times - 1);
             }
@@ -114,53 +114,53 @@
     }
 
     private byte[] reserveBody(Helper holder) {
-        return parts.protocol().reserveOrder(granted.attempt(), holder.memoryTokens(), HOLD_MILLIS);
+        return context.protocol().reserveBody(granted.attempt(), holder.memoryTokens(), HOLD_MILLIS);
     }
 
-    private void order(Helper holder, byte[] body, Consumer<Boolean> done) {
-        HeaderMap headers = parts.protocol().orderHeaders(holder);
+    private void sendRequest(Helper holder, byte[] body, Consumer<Boolean> done) {
+        HeaderMap headers = context.protocol().reservationHeaders(holder);
         headers.put(Headers.CONTENT_LENGTH, body.length);
-        Order order = new Order(done);
+        ReservationRequest order = new ReservationRequest(done);
         order.call = new BackendCall(
-                parts.connections(),
+                context.connections(),
                 holder.address(),
-                BackendCall.request(Methods.POST, parts.protocol().orderPath(), headers),
+                BackendCall.newRequest(Methods.POST, context.protocol().reservationPath(), headers),
                 body,
                 false,
-                parts.protocol(),
+                context.protocol(),
                 order);
-        parts.thread().executeAfter(order::expire, ANSWER_MILLIS, TimeUnit.MILLISECONDS);
+        context.thread().executeAfter(order::expire, ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         order.call.start();
     }
 
     /** One order on its way; ends once. */
-    private static final class Order implements BackendListener {
-        private final Consumer<Boolean> done;
+    private static final class ReservationRequest implements BackendCallListener {
+        private final Consumer<Boolean> callback;
         private BackendCall call;
         private int status;
-        private boolean over;
+        private boolean ended;
 
-        Order(Consumer<Boolean> done) {
-            this.done = done;
+        ReservationRequest(Consumer<Boolean> done) {
+            this.callback = done;
         }
 
-        private void end(boolean given) {
-            if (!over) {
-                over = true;
-                done.accept(given);
+        private void finish(boolean given) {
+            if (!ended) {
+                ended = true;
+                callback.accept(given);
             }
         }
 
         private void expire() {
-            if (!over) {
+            if (!ended) {
                 call.cancel();
-                end(false);
+                finish(false);
             }
         }
 
         @Override
-        public void notSent(String why) {
-            end(false);
+        public void onNotSent(String why) {
+            finish(false);
         }
 
         @Override
@@ -169,18 +169,18 @@
         }
 
         @Override
-        public void data(ByteBuffer bytes) {
+        public void onData(ByteBuffer bytes) {
             bytes.position(bytes.limit());
         }
 
         @Override
-        public void complete() {
-            end(status == OK);
+        public void onComplete() {
+            finish(status == OK);
         }
 
         @Override
-        public void broken(String why) {
-            end(false);
+        public void onBroken(String why) {
+            finish(false);
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/SilenceTimer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/InactivityTimer.java
@@ -10,44 +10,44 @@
  * thread was held up would else take every server that it serves callers from for dead at once. Used on the I/O thread
  * only.
  */
-final class SilenceTimer {
+final class InactivityTimer {
     /** Lateness of a timer from which on the thread was held up. */
-    private static final long STALLED_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+    private static final long STALL_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
     /** Time to read what came while the thread was held up. */
-    private static final long AFTER_STALL_MILLIS = 100;
+    private static final long STALL_GRACE_MILLIS = 100;
 
     private final XnioExecutor thread;
     private final MonotonicClock clock;
-    private final Runnable onSilence;
+    private final Runnable onInactive;
     private XnioExecutor.Key timer;
 
-    SilenceTimer(XnioExecutor thread, MonotonicClock clock, Runnable onSilence) {
+    InactivityTimer(XnioExecutor thread, MonotonicClock clock, Runnable onSilence) {
         this.thread = thread;
         this.clock = clock;
-        this.onSilence = onSilence;
+        this.onInactive = onSilence;
     }
 
     /** Expects something within a time from now, in place of what was expected before. */
-    void expectWithin(long millis) {
-        stop();
+    void restart(long millis) {
+        cancel();
         long dueAt = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
-        timer = thread.executeAfter(() -> expired(dueAt), millis, TimeUnit.MILLISECONDS);
+        timer = thread.executeAfter(() -> onTimer(dueAt), millis, TimeUnit.MILLISECONDS);
     }
 
     /** Expects nothing any more. */
-    void stop() {
+    void cancel() {
         if (timer != null) {
             timer.remove();
             timer = null;
         }
     }
 
-    private void expired(long dueAt) {
-        if (clock.nanos() - dueAt > STALLED_NANOS) {
-            expectWithin(AFTER_STALL_MILLIS);
+    private void onTimer(long dueAt) {
+        if (clock.nanos() - dueAt > STALL_THRESHOLD_NANOS) {
+            restart(STALL_GRACE_MILLIS);
         } else {
-            onSilence.run();
+            onInactive.run();
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HeardLimits.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ObservedServerLimits.java
@@ -9,12 +9,12 @@
 import org.elmline.daemon.log.DecisionLog;
 
 /** The limits that this entry has heard of, with a line for each change. Used on the I/O thread only. */
-final class HeardLimits {
+final class ObservedServerLimits {
     private final ServerRateLimits limits = new ServerRateLimits();
     private final MonotonicClock clock;
     private final DecisionLog log;
 
-    HeardLimits(MonotonicClock clock, DecisionLog log) {
+    ObservedServerLimits(MonotonicClock clock, DecisionLog log) {
         this.clock = clock;
         this.log = log;
     }
@@ -25,7 +25,7 @@
      * @param limit null when that can't be understood
      * @param by where it was heard, for the log
      */
-    void take(BackendServerId server, ServerRateLimit limit, String by) {
+    void record(BackendServerId server, ServerRateLimit limit, String by) {
         if (limit == null) {
             log.line("server limit not understood").with("server", server).write();
         } else if (limits.update(server, limit, clock.nanos())) {
@@ -47,7 +47,7 @@
     }
 
     /** The table behind it, which dispatchers here decide by. */
-    ServerRateLimits table() {
+    ServerRateLimits serverLimits() {
         return limits;
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/OpenCalls.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/OpenCalls.java
@@ -14,14 +14,14 @@
  */
 final class OpenCalls {
     /** Pause between two looks; a backend server must be told within half a second. */
-    private static final long LOOK_MILLIS = 120;
+    private static final long CHECK_INTERVAL_MILLIS = 120;
 
     private final Set<Call> calls = new LinkedHashSet<>();
     private final XnioIoThread thread;
 
     OpenCalls(XnioIoThread thread) {
         this.thread = thread;
-        look();
+        checkCallers();
     }
 
     void add(Call call) {
@@ -40,10 +40,10 @@
         return List.copyOf(calls);
     }
 
-    private void look() {
+    private void checkCallers() {
         for (Call each : new ArrayList<>(calls)) {
             each.checkCaller();
         }
-        thread.executeAfter(this::look, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        thread.executeAfter(this::checkCallers, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/TableWait.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/RoutingTableWaitQueue.java
@@ -11,31 +11,31 @@
  * Calls that came before this entry had a routing table. After a restart of everything the table is a second or two away;
  * turned away at once, all callers would use up their retries before it comes. Used on the I/O thread only.
  */
-final class TableWait {
+final class RoutingTableWaitQueue {
     /** Calls held at once; a restarted entry gets some hundred connections in its first seconds. */
-    private static final int MAX_HELD = 512;
+    private static final int MAX_WAITING_CALLS = 512;
 
     /**
      * Longest hold: callers of streams leave after two seconds without an event, and must hear of a refusal before.
      */
-    private static final long MAX_MILLIS = 1_850;
+    private static final long MAX_WAIT_MILLIS = 1_850;
 
     /** Part of a caller's time that the hold may take; the rest is for the call itself. */
-    private static final int PART_OF_DEADLINE = 4;
+    private static final int DEADLINE_DIVISOR = 4;
 
     private final XnioIoThread thread;
-    private final Deque<Held> held = new ArrayDeque<>();
+    private final Deque<HeldCall> waitingCalls = new ArrayDeque<>();
 
-    private static final class Held {
+    private static final class HeldCall {
         private final Runnable onTable;
         private XnioExecutor.Key timer;
 
-        Held(Runnable onTable) {
+        HeldCall(Runnable onTable) {
             this.onTable = onTable;
         }
     }
 
-    TableWait(XnioIoThread thread) {
+    RoutingTableWaitQueue(XnioIoThread thread) {
         this.thread = thread;
     }
 
@@ -45,28 +45,28 @@
      * @param deadlineMillis how long its caller waits
      * @param onTimeout run instead when the table has not come in time
      */
-    void hold(long deadlineMillis, Runnable onTable, Runnable onTimeout) {
-        if (held.size() >= MAX_HELD) {
+    void add(long deadlineMillis, Runnable onTable, Runnable onTimeout) {
+        if (waitingCalls.size() >= MAX_WAITING_CALLS) {
             onTimeout.run();
             return;
         }
-        Held next = new Held(onTable);
-        long millis = Math.min(MAX_MILLIS, Math.max(0, deadlineMillis) / PART_OF_DEADLINE);
+        HeldCall next = new HeldCall(onTable);
+        long millis = Math.min(MAX_WAIT_MILLIS, Math.max(0, deadlineMillis) / DEADLINE_DIVISOR);
         next.timer = thread.executeAfter(
                 () -> {
-                    if (held.remove(next)) {
+                    if (waitingCalls.remove(next)) {
                         onTimeout.run();
                     }
                 },
                 Math.max(1, millis),
                 TimeUnit.MILLISECONDS);
-        held.add(next);
+        waitingCalls.add(next);
     }
 
     /** The table has come. */
-    void arrived() {
-        while (!held.isEmpty()) {
-            Held next = held.poll();
+    void releaseAll() {
+        while (!waitingCalls.isEmpty()) {
+            HeldCall next = waitingCalls.poll();
             next.timer.remove();
             next.onTable.run();
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EventScanner.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ServerSentEventParser.java
@@ -10,7 +10,7 @@
  * Cuts a stream of server-sent events into whole events. What a server sends last may be half an event; passed on, it
  * could not be taken back when another server goes on with that event from its beginning.
  */
-final class EventScanner {
+final class ServerSentEventParser {
     private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
     /** Longest event that is held; a server that never ends one is broken. */
@@ -19,7 +19,7 @@
     private final ByteArrayOutputStream event = new ByteArrayOutputStream();
     private final ByteArrayOutputStream line = new ByteArrayOutputStream();
     private long id = NO_ID;
-    private boolean content;
+    private boolean hasContent;
 
     static final long NO_ID = -1;
 
@@ -31,7 +31,7 @@
     record Event(byte[] bytes, long id) {}
 
     /** Takes bytes and returns the events that they complete. Throws IllegalStateException on an endless event. */
-    List<Event> take(ByteBuffer bytes) {
+    List<Event> parse(ByteBuffer bytes) {
         List<Event> events = new ArrayList<>();
         while (bytes.hasRemaining()) {
             byte next = bytes.get();
@@ -40,11 +40,11 @@
                 line.write(next);
                 continue;
             }
-            if (endLine()) {
+            if (finishLine()) {
                 events.add(new Event(event.toByteArray(), id));
                 event.reset();
                 id = NO_ID;
-                content = false;
+                hasContent = false;
             }
         }
         if (event.size() > MAX_EVENT_BYTES) {
@@ -54,7 +54,7 @@
     }
 
     /** Whether bytes of an event that isn't complete are held. */
-    boolean inEvent() {
+    boolean hasPartialEvent() {
         return event.size() > 0;
     }
 
@@ -63,20 +63,20 @@
         event.reset();
         line.reset();
         id = NO_ID;
-        content = false;
+        hasContent = false;
     }
 
     /** Returns whether the line ends an event. */
-    private boolean endLine() {
+    private boolean finishLine() {
         byte[] ended = line.toByteArray();
         line.reset();
         boolean empty = ended.length == 0 || (ended.length == 1 && ended[0] == '\r');
         if (empty) {
-            return content;
+            return hasContent;
         }
-        content = true;
+        hasContent = true;
         if (startsWithId(ended)) {
-            id = number(ended);
+            id = parseId(ended);
         }
         return false;
     }
@@ -90,7 +90,7 @@
         return true;
     }
 
-    private static long number(byte[] text) {
+    private static long parseId(byte[] text) {
         String value = new String(text, ID_FIELD.length, text.length - ID_FIELD.length, StandardCharsets.UTF_8).trim();
         try {
             return Long.parseLong(value);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StaggeredStart.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StaggeredStart.java
@@ -15,7 +15,7 @@
     private final long pauseMillis;
     private final Consumer<T> start;
     private final Deque<T> waiting = new ArrayDeque<>();
-    private final Set<T> known = new HashSet<>();
+    private final Set<T> added = new HashSet<>();
     private boolean pausing;
 
     /** @param start begins with one */
@@ -27,7 +27,7 @@
 
     /** Has a thing begun in its turn, unless it was before. */
     void add(T next) {
-        if (!known.add(next)) {
+        if (!added.add(next)) {
             return;
         }
         waiting.add(next);
@@ -38,7 +38,7 @@
 
     /** Forgets a thing, which may then be added again. */
     void remove(T gone) {
-        known.remove(gone);
+        added.remove(gone);
         waiting.remove(gone);
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StreamAnswer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StreamForwarder.java
@@ -9,63 +9,63 @@
  * A stream to one caller, from one server or from several in turn: it passes on whole events, each number once and in
  * order. Used on the I/O thread only.
  */
-final class StreamAnswer {
+final class StreamForwarder {
     private final Call call;
-    private final CallerChannel caller;
-    private final EventScanner scanner = new EventScanner();
+    private final CallerChannel callerChannel;
+    private final ServerSentEventParser scanner = new ServerSentEventParser();
     private Attempt attempt;
-    private long last = EventScanner.NO_ID;
+    private long lastEventId = ServerSentEventParser.NO_ID;
     private boolean completing;
-    private long firstAt;
-    private long eventAt;
-    private long longestPause;
+    private long firstEventAtMillis;
+    private long lastEventAtMillis;
+    private long longestPauseMillis;
 
-    StreamAnswer(Call call, int status, HeaderMap headers) {
+    StreamForwarder(Call call, int status, HeaderMap headers) {
         this.call = call;
         call.exchange().setStatusCode(status);
         HeaderMap own = call.exchange().getResponseHeaders();
-        call.parts().protocol().back(headers, own);
+        call.context().protocol().copyAnswerHeaders(headers, own);
         own.remove(Headers.CONTENT_LENGTH);
         // Named outright: on a connection that closes after the answer the server would leave chunks out, and a stream
         // that is broken off would look complete.
         own.put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
-        this.last = call.head().afterEvent();
-        this.caller = new CallerChannel(call.exchange(), this::room, this::ended);
+        this.lastEventId = call.head().lastEventId();
+        this.callerChannel = new CallerChannel(call.exchange(), this::onWritable, this::onChannelClosed);
     }
 
     /** Takes the events of an attempt from now on. */
-    void from(Attempt next) {
+    void switchTo(Attempt next) {
         attempt = next;
         scanner.reset();
     }
 
     /** Number of the last event passed on. */
-    long lastEvent() {
-        return last;
+    long lastEventId() {
+        return lastEventId;
     }
 
-    boolean inEvent() {
-        return scanner.inEvent();
+    boolean hasPartialEvent() {
+        return scanner.hasPartialEvent();
     }
 
     /** Passes on the events that the bytes complete. Returns what is wrong with them, null when nothing is. */
-    String take(ByteBuffer bytes) {
+    String forward(ByteBuffer bytes) {
         Attempt from = attempt;
-        for (EventScanner.Event each : scanner.take(bytes)) {
-            boolean numbered = each.id() != EventScanner.NO_ID;
-            if (numbered && last >= 0 && each.id() <= last) {
+        for (ServerSentEventParser.Event each : scanner.parse(bytes)) {
+            boolean numbered = each.id() != ServerSentEventParser.NO_ID;
+            if (numbered && lastEventId >= 0 && each.id() <= lastEventId) {
                 continue;
             }
-            if (numbered && last >= 0 && each.id() != last + 1) {
-                return "event " + each.id() + " follows event " + last;
+            if (numbered && lastEventId >= 0 && each.id() != lastEventId + 1) {
+                return "event " + each.id() + " follows event " + lastEventId;
             }
-            last = numbered ? each.id() : last;
-            time();
-            boolean room = caller.write(each.bytes());
+            lastEventId = numbered ? each.id() : lastEventId;
+            recordEventTime();
+            boolean room = callerChannel.write(each.bytes());
             if (attempt != from) {
                 return null;
             }
-            from.eventPassed();
+            from.onEventForwarded();
             if (!room) {
                 from.pause();
             }
@@ -73,47 +73,47 @@
         return null;
     }
 
-    private void time() {
-        long now = call.parts().clock().millis();
-        if (eventAt == 0) {
-            firstAt = now;
+    private void recordEventTime() {
+        long now = call.context().clock().millis();
+        if (lastEventAtMillis == 0) {
+            firstEventAtMillis = now;
         } else {
-            longestPause = Math.max(longestPause, now - eventAt);
+            longestPauseMillis = Math.max(longestPauseMillis, now - lastEventAtMillis);
         }
-        eventAt = now;
+        lastEventAtMillis = now;
     }
 
     /** When the first event was passed on, in milliseconds of the monotonic clock; 0 before. */
-    long firstAtMillis() {
-        return firstAt;
+    long firstEventAtMillis() {
+        return firstEventAtMillis;
     }
 
     /** Longest time between two events, in milliseconds. */
     long longestPauseMillis() {
-        return longestPause;
+        return longestPauseMillis;
     }
 
     void complete() {
         completing = true;
-        caller.complete();
+        callerChannel.complete();
     }
 
     void abort() {
         completing = true;
-        caller.abort();
+        callerChannel.abort();
     }
 
-    private void room() {
+    private void onWritable() {
         if (attempt != null) {
             attempt.resume();
         }
     }
 
-    private void ended() {
+    private void onChannelClosed() {
         if (completing) {
-            call.streamed();
+            call.onStreamComplete();
         } else {
-            call.callerGone();
+            call.onCallerDisconnected();
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/openai/CompletionWriter.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/openai/CompletionWriter.java
@@ -28,7 +28,7 @@
 
     /** The whole answer's body. */
     public byte[] whole(String text, int tokens, FinishReason reason) {
-        ObjectNode body = head(request.api().wholeObject());
+        ObjectNode body = newBody(request.api().wholeObject());
         choice(body, request.api().whole(text), reason);
         usage(body, tokens);
         return Codecs.JSON.encode(body);
@@ -36,31 +36,31 @@
 
     /** The event for one piece. */
     public byte[] piece(String text, boolean first) {
-        ObjectNode body = head(request.api().pieceObject());
+        ObjectNode body = newBody(request.api().pieceObject());
         choice(body, request.api().piece(text, first), null);
         return event(body);
     }
 
     /** The last events of a whole answer: the finish reason, token counts when asked for, and the end mark. */
-    public byte[] end(int tokens, FinishReason reason) {
-        ObjectNode last = head(request.api().pieceObject());
+    public byte[] endEvents(int tokens, FinishReason reason) {
+        ObjectNode last = newBody(request.api().pieceObject());
         choice(last, request.api().piece("", false), reason);
         byte[] finish = event(last);
         if (!request.includeUsage()) {
             return join(finish, DONE);
         }
-        ObjectNode usage = head(request.api().pieceObject());
+        ObjectNode usage = newBody(request.api().pieceObject());
         usage.putArray("choices");
         usage(usage, tokens);
         return join(finish, event(usage), DONE);
     }
 
     /** The event that tells a caller that the answer broke off: no end mark follows, so it can't pass for whole. */
-    public static byte[] broken(Refusal refusal) {
+    public static byte[] errorEvent(Refusal refusal) {
         return event(ErrorBody.of(refusal));
     }
 
-    private ObjectNode head(String object) {
+    private ObjectNode newBody(String object) {
         ObjectNode body = JsonNodeFactory.instance.objectNode();
         body.put("id", id).put("object", object).put("created", createdSeconds);
         String adapter = request.adapter().isEmpty() ? "" : "@" + request.adapter();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/StatusHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/StatusHandler.java
@@ -6,18 +6,18 @@
 import io.undertow.server.HttpServerExchange;
 import org.elmline.core.common.ConfigVersion;
 import org.elmline.core.control.HostRecord;
-import org.elmline.daemon.caller.Gate;
+import org.elmline.daemon.caller.AdmissionController;
 import org.elmline.daemon.entry.HostIdentity;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.Answers;
 
 /** {@code GET /v1/status}: this host and all that it knows of the others. */
 public final class StatusHandler implements HttpHandler {
     private final HostIdentity self;
-    private final SharedView view;
-    private final Gate gate;
+    private final LeasedView view;
+    private final AdmissionController gate;
 
-    public StatusHandler(HostIdentity self, SharedView view, Gate gate) {
+    public StatusHandler(HostIdentity self, LeasedView view, AdmissionController gate) {
         this.self = self;
         this.view = view;
         this.gate = gate;
@@ -31,7 +31,7 @@
                         self,
                         view.mayServe(),
                         view.configuration().version(),
-                        gate.inside(),
+                        gate.inFlight(),
                         view.members().hosts()));
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/MembershipLog.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/MembershipReporter.java
@@ -18,65 +18,65 @@
  * Tells operators how the membership of the log goes: who asks to join and what becomes of it, each step and its
  * refusal, and which voters are missing. Repetitions are left out. Used by the log's thread only.
  */
-final class MembershipLog {
-    private static final Logger LOG = Logger.getLogger(MembershipLog.class);
+final class MembershipReporter {
+    private static final Logger LOG = Logger.getLogger(MembershipReporter.class);
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     /** Replicas of which the last line is remembered; each start with an empty disk brings a new one. */
-    private static final int MAX_REMEMBERED = 256;
+    private static final int MAX_LAST_LINES = 256;
 
     private final RaftNode node;
-    private final long missingNanos;
+    private final long missingTimeoutNanos;
     private final Map<ReplicaId, String> lastLines = new HashMap<>();
-    private final Set<ReplicaId> missing = new HashSet<>();
-    private volatile int missingVoters;
+    private final Set<ReplicaId> missingReplicas = new HashSet<>();
+    private volatile int missingVoterCount;
 
     /** @param missingNanos silence after which a voter counts as missing */
-    MembershipLog(RaftNode node, MetricRegistry metrics, long missingNanos) {
+    MembershipReporter(RaftNode node, MetricRegistry metrics, long missingNanos) {
         this.node = node;
-        this.missingNanos = missingNanos;
-        metrics.gauge("raft.voters.missing", () -> () -> missingVoters);
+        this.missingTimeoutNanos = missingNanos;
+        metrics.gauge("raft.voters.missing", () -> () -> missingVoterCount);
     }
 
     /** This replica asks these hosts to let it join. */
-    void asks(Collection<Address> hosts) {
-        write(node.self(), "asks to join at " + hosts + ", knows " + node.membership());
+    void logJoinRequest(Collection<Address> hosts) {
+        logOnce(node.self(), "asks to join at " + hosts + ", knows " + node.membership());
     }
 
     /** A replica asked here to join, and nothing is done about it. */
-    void turnedAway(ReplicaId joining, boolean known) {
+    void logJoinRefused(ReplicaId joining, boolean known) {
         if (joining.equals(node.self())) {
             return;
         }
-        write(joining, "asks to join: " + (known ? "not the leader, which is " + node.leader() : "host unknown"));
+        logOnce(joining, "asks to join: " + (known ? "not the leader, which is " + node.leader() : "host unknown"));
     }
 
     /** A step was proposed. */
-    void step(MembershipChange change, ProposeOutcome outcome) {
-        write(change.replica(), change + ": " + outcome);
+    void logChange(MembershipChange change, ProposeOutcome outcome) {
+        logOnce(change.replica(), change + ": " + outcome);
     }
 
     /** Looks at who is missing, which only the leader knows. */
-    void look() {
+    void checkMissingVoters() {
         Set<ReplicaId> now = new HashSet<>();
         if (node.isLeader()) {
             for (ReplicaId each : node.membership().voters()) {
                 long silent = node.silentNanos(each);
-                if (each.equals(node.self()) || silent < missingNanos) {
+                if (each.equals(node.self()) || silent < missingTimeoutNanos) {
                     continue;
                 }
                 now.add(each);
-                if (missing.add(each)) {
+                if (missingReplicas.add(each)) {
                     LOG.warnf("voter %s missing, silent for %d ms", each, silent / NANOS_PER_MILLI);
                 }
             }
         }
-        missing.retainAll(now);
-        missingVoters = now.size();
+        missingReplicas.retainAll(now);
+        missingVoterCount = now.size();
     }
 
-    private void write(ReplicaId about, String line) {
-        if (lastLines.size() >= MAX_REMEMBERED) {
+    private void logOnce(ReplicaId about, String line) {
+        if (lastLines.size() >= MAX_LAST_LINES) {
             lastLines.clear();
         }
         if (!line.equals(lastLines.put(about, line))) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/Waiters.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/PendingOperations.java
@@ -11,7 +11,7 @@
 import org.elmline.core.raft.ReplicaId;
 
 /** Callers whose proposals or reads are under way. Used by the log's thread only. */
-final class Waiters {
+final class PendingOperations {
     private record Proposal(long term, CompletableFuture<ProposeResult> done) {}
 
     private record Read(long term, CompletableFuture<ReadResult> done) {}
@@ -20,7 +20,7 @@
     private final Map<Long, Read> reads = new HashMap<>();
     private final List<CompletableFuture<Boolean>> transfers = new ArrayList<>();
 
-    void add(long index, long term, CompletableFuture<ProposeResult> done) {
+    void addProposal(long index, long term, CompletableFuture<ProposeResult> done) {
         proposals.put(index, new Proposal(term, done));
     }
 
@@ -32,7 +32,7 @@
         transfers.add(done);
     }
 
-    void applied(Entry entry, byte[] result, ReplicaId leader) {
+    void onApplied(Entry entry, byte[] result, ReplicaId leader) {
         Proposal waiting = proposals.remove(entry.index());
         if (waiting == null) {
             return;
@@ -44,7 +44,7 @@
                         own ? new ProposeResult.Committed(entry.index(), result) : new ProposeResult.NotLeader(leader));
     }
 
-    void confirmed(ConfirmedRead read) {
+    void onReadConfirmed(ConfirmedRead read) {
         Read waiting = reads.remove(read.number());
         if (waiting != null) {
             waiting.done().complete(new ReadResult.Readable(read.index()));
@@ -55,7 +55,7 @@
      * This replica leads no term before {@code term} any more. What it put in the log then may be committed by another
      * leader or not. A term of Long.MAX_VALUE says that it leads none, so that hand-overs are done.
      */
-    void deposed(long term, ReplicaId leader, String why) {
+    void onDeposed(long term, ReplicaId leader, String why) {
         proposals.values().removeIf(each -> each.term() < term && each.done().complete(new ProposeResult.Unknown(why)));
         reads.values().removeIf(each -> each.term() < term && each.done().complete(new ReadResult.NotLeader(leader)));
         if (term == Long.MAX_VALUE) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftChannels.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftChannels.java
@@ -10,8 +10,8 @@
 /** What control hosts serve to each other for the log. */
 public final class RaftChannels {
     /** Messages of the log; one-way, the answer only says that they were taken. */
-    public static final Channel<Messages, Received> MESSAGES =
-            new Channel<>("raft.messages", Messages.class, Received.class);
+    public static final Channel<Messages, Acknowledged> MESSAGES =
+            new Channel<>("raft.messages", Messages.class, Acknowledged.class);
 
     /** A replica with a fresh data folder asks to become a member; to be repeated until it votes. */
     public static final Channel<Join, JoinAnswer> JOIN = new Channel<>("raft.join", Join.class, JoinAnswer.class);
@@ -45,7 +45,7 @@
     }
 
     /** Taken, not yet handled. */
-    public record Received() {}
+    public record Acknowledged() {}
 
     /** Asks for a replica's standing. */
     public record StatusQuery() {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
@@ -37,23 +37,24 @@
     private static final Logger LOG = Logger.getLogger(RaftDriver.class);
     private static final long CLOSE_SECONDS = 10;
 
-    private final BlockingQueue<Input> queue;
+    private final BlockingQueue<RaftInput> queue;
     private final RaftLoop loop;
     private final ExecutorService thread;
     private final DataFolder folder;
-    private final Counter dropped;
+    private final Counter droppedMessages;
     private volatile boolean closed;
 
     private RaftDriver(Builder parts) {
         queue = new ArrayBlockingQueue<>(parts.queueLength);
         folder = parts.folder;
-        dropped = parts.metrics.counter("raft.messages.dropped");
+        droppedMessages = parts.metrics.counter("raft.messages.dropped");
         Restored restored = parts.restored;
         if (restored.snapshot() != null) {
             parts.machine.restore(restored.snapshot().data());
         }
         RaftNode node = new RaftNode(folder.identity(), parts.settings, restored, parts.random, parts.clock.nanos());
-        Sender sender = new Sender(parts.network, parts.addresses, parts.settings.electionTimeout(), parts.metrics);
+        RaftMessageSender sender =
+                new RaftMessageSender(parts.network, parts.addresses, parts.settings.electionTimeout(), parts.metrics);
         loop = new RaftLoop(parts, node, queue, sender);
         register(parts.handlers);
         thread = Executors.newSingleThreadExecutor(task -> new Thread(task, "raft-" + folder.identity()));
@@ -62,11 +63,11 @@
 
     private void register(HandlerRegistry handlers) {
         handlers.register(RaftChannels.MESSAGES, request -> {
-            request.messages().forEach(each -> offer(new Input.Received(each)));
-            return CompletableFuture.completedFuture(new RaftChannels.Received());
+            request.messages().forEach(each -> enqueue(new RaftInput.MessageReceived(each)));
+            return CompletableFuture.completedFuture(new RaftChannels.Acknowledged());
         });
         handlers.register(RaftChannels.JOIN, request -> {
-            offer(new Input.Join(request.replica()));
+            enqueue(new RaftInput.Join(request.replica()));
             RaftStatus now = status();
             return CompletableFuture.completedFuture(new RaftChannels.JoinAnswer(now.leader(), now.membership()));
         });
@@ -74,16 +75,16 @@
     }
 
     /** A message that finds the queue full counts as lost. */
-    private void offer(Input input) {
+    private void enqueue(RaftInput input) {
         if (!queue.offer(input)) {
-            dropped.inc();
+            droppedMessages.inc();
         }
     }
 
     /** Proposes a command; completes when it is applied here or known not to be decided here. */
     public CompletableFuture<ProposeResult> propose(byte[] command) {
         CompletableFuture<ProposeResult> done = new CompletableFuture<>();
-        return submit(new Input.Propose(command, done), done);
+        return submit(new RaftInput.Propose(command, done), done);
     }
 
     /** Adds a replica that receives the log and decides nothing. */
@@ -102,10 +103,10 @@
 
     private CompletableFuture<ProposeResult> change(MembershipChange change) {
         CompletableFuture<ProposeResult> done = new CompletableFuture<>();
-        return submit(new Input.Change(change, done), done);
+        return submit(new RaftInput.ChangeMembership(change, done), done);
     }
 
-    private CompletableFuture<ProposeResult> submit(Input input, CompletableFuture<ProposeResult> done) {
+    private CompletableFuture<ProposeResult> submit(RaftInput input, CompletableFuture<ProposeResult> done) {
         if (closed) {
             done.complete(new ProposeResult.Refused(ProposeRefusal.CLOSED));
         } else if (!queue.offer(input)) {
@@ -120,7 +121,7 @@
     /** Completes when the state machine here holds all that is committed now. */
     public CompletableFuture<ReadResult> readIndex() {
         CompletableFuture<ReadResult> done = new CompletableFuture<>();
-        if (closed || !queue.offer(new Input.Read(done))) {
+        if (closed || !queue.offer(new RaftInput.Read(done))) {
             done.complete(new ReadResult.NotReady());
         }
         return done;
@@ -137,7 +138,7 @@
     /** Hands leadership to a voter, null for the one that holds most of the log. */
     public CompletableFuture<Boolean> transferLeadership(ReplicaId target) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
-        if (closed || !queue.offer(new Input.Transfer(target, done))) {
+        if (closed || !queue.offer(new RaftInput.TransferLeadership(target, done))) {
             done.complete(false);
         }
         return done;
@@ -200,8 +201,8 @@
         RandomGenerator random = new SplittableRandom();
         RaftSettings settings = RaftSettings.builder().build();
         Function<HostId, Address> addresses;
-        Supplier<List<Address>> members = List::of;
-        Duration lostAfter;
+        Supplier<List<Address>> joinAddresses = List::of;
+        Duration voterLostTimeout;
         Runnable onFailure = () -> {};
         int queueLength = QUEUE_LENGTH;
         int snapshotEntries = SNAPSHOT_ENTRIES;
@@ -235,7 +236,7 @@
          */
         public Builder addresses(Function<HostId, Address> byHost, Supplier<List<Address>> all) {
             addresses = byHost;
-            members = all;
+            joinAddresses = all;
             return this;
         }
 
@@ -281,8 +282,8 @@
          * Time without a sign of life after which a voter is taken for lost and makes room for one that joins; without
          * it members change only by hand.
          */
-        public Builder lostAfter(Duration value) {
-            lostAfter = value;
+        public Builder voterLostTimeout(Duration value) {
+            voterLostTimeout = value;
             return this;
         }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
@@ -37,34 +37,34 @@
     /** Syncs that take less leave time for one more that isn't owed to anybody; a faulty disk is left alone. */
     private static final long QUICK_SYNC_NANOS = 20_000_000;
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_RESULT = new byte[0];
 
-    private final RaftDriver.Builder parts;
+    private final RaftDriver.Builder configuration;
     private final RaftNode node;
     private final DataFolder folder;
     private final StateMachine machine;
     private final MonotonicClock clock;
-    private final BlockingQueue<Input> queue;
-    private final Sender sender;
-    private final Waiters waiters = new Waiters();
-    private final MembershipLog membershipLog;
-    private final Joining joining;
-    private final JoinQueue joins;
+    private final BlockingQueue<RaftInput> queue;
+    private final RaftMessageSender sender;
+    private final PendingOperations pendingOperations = new PendingOperations();
+    private final MembershipReporter membershipReporter;
+    private final JoinRequester joinRequester;
+    private final JoinQueue joinQueue;
     private final long tickNanos;
     private final Counter syncs;
     private final Counter committed;
     private final Counter snapshots;
-    private final Counter unnoted;
+    private final Counter unrecordedCommits;
     private volatile RaftStatus status;
     private volatile boolean stopping;
     private long snapshotIndex;
     private long bytesSinceSnapshot;
-    private long pruneAt;
-    private long lookAt;
+    private long nextPruneNanos;
+    private long nextVoterCheckNanos;
     private long lastSyncNanos;
 
-    RaftLoop(RaftDriver.Builder parts, RaftNode node, BlockingQueue<Input> queue, Sender sender) {
-        this.parts = parts;
+    RaftLoop(RaftDriver.Builder parts, RaftNode node, BlockingQueue<RaftInput> queue, RaftMessageSender sender) {
+        this.configuration = parts;
         this.node = node;
         this.folder = parts.folder;
         this.machine = parts.machine;
@@ -73,19 +73,23 @@
         this.sender = sender;
         this.tickNanos = parts.settings.heartbeat().toNanos() / 4;
         MetricRegistry metrics = parts.metrics;
-        this.membershipLog = new MembershipLog(
+        this.membershipReporter = new MembershipReporter(
                 node, metrics, 2 * parts.settings.electionTimeout().toNanos());
-        this.joins = new JoinQueue(2 * parts.settings.electionTimeout().toNanos());
-        this.joining =
-                new Joining(parts, node, sender, membershipLog, answer -> queue.offer(new Input.JoinAnswered(answer)));
+        this.joinQueue = new JoinQueue(2 * parts.settings.electionTimeout().toNanos());
+        this.joinRequester = new JoinRequester(
+                parts,
+                node,
+                sender,
+                membershipReporter,
+                answer -> queue.offer(new RaftInput.JoinAnswerReceived(answer)));
         this.syncs = metrics.counter("raft.syncs");
         this.committed = metrics.counter("raft.committed");
         this.snapshots = metrics.counter("raft.snapshots");
-        this.unnoted = metrics.counter("raft.commits.unnoted");
+        this.unrecordedCommits = metrics.counter("raft.commits.unnoted");
         this.status = RaftStatus.of(node);
         this.snapshotIndex = node.snapshot() == null ? 0 : node.snapshot().index();
-        this.pruneAt = clock.nanos();
-        this.lookAt = pruneAt;
+        this.nextPruneNanos = clock.nanos();
+        this.nextVoterCheckNanos = nextPruneNanos;
     }
 
     RaftStatus status() {
@@ -100,33 +104,33 @@
     public void run() {
         try {
             while (!stopping) {
-                turn();
+                runOnce();
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (StorageFailure e) {
             LOG.errorf("replica %s stops: %s", node.self(), e.getMessage());
-            parts.onFailure.run();
+            configuration.onFailure.run();
         } catch (RuntimeException e) {
             LOG.errorf(e, "replica %s stops on a broken invariant", node.self());
-            parts.onFailure.run();
+            configuration.onFailure.run();
         } finally {
-            end();
+            shutDown();
         }
     }
 
-    private void end() {
+    private void shutDown() {
         stopping = true;
-        status = status.withoutLeader();
-        waiters.deposed(Long.MAX_VALUE, null, "the replica stopped");
-        List<Input> left = new ArrayList<>();
+        status = status.withoutLeadership();
+        pendingOperations.onDeposed(Long.MAX_VALUE, null, "the replica stopped");
+        List<RaftInput> left = new ArrayList<>();
         queue.drainTo(left);
-        left.forEach(each -> refuse(each, ProposeRefusal.CLOSED));
+        left.forEach(each -> reject(each, ProposeRefusal.CLOSED));
     }
 
-    private void turn() throws InterruptedException {
-        List<Input> inputs = new ArrayList<>();
-        Input first = queue.poll(tickNanos, TimeUnit.NANOSECONDS);
+    private void runOnce() throws InterruptedException {
+        List<RaftInput> inputs = new ArrayList<>();
+        RaftInput first = queue.poll(tickNanos, TimeUnit.NANOSECONDS);
         if (first != null) {
             inputs.add(first);
             queue.drainTo(inputs, MAX_BATCH - 1);
@@ -134,105 +138,108 @@
         // The clock is read after the messages were taken, as the node demands.
         long now = clock.nanos();
         // Answers that waited while this thread was held up must count before the node judges who is silent.
-        takeAll(inputs, now);
+        handleAll(inputs, now);
         node.tick(now);
-        letIn(now);
-        work();
-        joining.tick(now);
-        prune(now);
-        if (now >= lookAt) {
-            lookAt = now + parts.settings.electionTimeout().toNanos();
-            membershipLog.look();
+        proposeNextJoin(now);
+        processReady();
+        joinRequester.tick(now);
+        pruneLostVoters(now);
+        if (now >= nextVoterCheckNanos) {
+            nextVoterCheckNanos = now + configuration.settings.electionTimeout().toNanos();
+            membershipReporter.checkMissingVoters();
         }
     }
 
-    private boolean lost(ReplicaId member) {
-        return parts.lostAfter != null && node.isLeader() && node.silentNanos(member) >= parts.lostAfter.toNanos();
+    private boolean isLost(ReplicaId member) {
+        return configuration.voterLostTimeout != null
+                && node.isLeader()
+                && node.silentNanos(member) >= configuration.voterLostTimeout.toNanos();
     }
 
-    private void prune(long now) {
-        if (parts.lostAfter == null || !node.isLeader() || now < pruneAt) {
+    private void pruneLostVoters(long now) {
+        if (configuration.voterLostTimeout == null || !node.isLeader() || now < nextPruneNanos) {
             return;
         }
-        pruneAt = now + parts.settings.electionTimeout().toNanos();
-        JoinPlan.prune(node.membership(), this::lost).ifPresent(change -> proposeChange(change, now));
+        nextPruneNanos = now + configuration.settings.electionTimeout().toNanos();
+        JoinPlan.prune(node.membership(), this::isLost).ifPresent(change -> proposeChange(change, now));
     }
 
-    private void takeAll(List<Input> inputs, long now) {
-        List<Input.Propose> proposals = new ArrayList<>();
-        for (Input each : inputs) {
-            if (each instanceof Input.Propose propose) {
+    private void handleAll(List<RaftInput> inputs, long now) {
+        List<RaftInput.Propose> proposals = new ArrayList<>();
+        for (RaftInput each : inputs) {
+            if (each instanceof RaftInput.Propose propose) {
                 proposals.add(propose);
             } else {
-                take(each, now);
+                handle(each, now);
             }
         }
         propose(proposals, now);
     }
 
-    private void take(Input input, long now) {
-        if (input instanceof Input.Received received) {
+    private void handle(RaftInput input, long now) {
+        if (input instanceof RaftInput.MessageReceived received) {
             if (!received.message().to().equals(node.self())) {
-                joining.sentToPredecessor(received.message().from(), now);
+                joinRequester.onMessageToPredecessor(received.message().from(), now);
             }
             node.step(now, received.message());
-        } else if (input instanceof Input.Change change) {
+        } else if (input instanceof RaftInput.ChangeMembership change) {
             ProposeOutcome outcome = node.propose(now, change.change());
             if (outcome instanceof ProposeOutcome.Appended at) {
-                waiters.add(at.firstIndex(), at.term(), change.done());
+                pendingOperations.addProposal(at.firstIndex(), at.term(), change.done());
             } else {
                 change.done().complete(result(outcome));
             }
-        } else if (input instanceof Input.Read read) {
+        } else if (input instanceof RaftInput.Read read) {
             read(read, now);
-        } else if (input instanceof Input.Join join) {
-            join(join.replica(), now);
-        } else if (input instanceof Input.JoinAnswered answered) {
-            joining.answered(answered.answer(), now);
-        } else if (input instanceof Input.Transfer transfer) {
+        } else if (input instanceof RaftInput.Join join) {
+            handleJoin(join.replica(), now);
+        } else if (input instanceof RaftInput.JoinAnswerReceived answered) {
+            joinRequester.onAnswer(answered.answer(), now);
+        } else if (input instanceof RaftInput.TransferLeadership transfer) {
             boolean started = transfer.target() == null
                     ? node.transferLeadership(now)
                     : node.transferLeadership(now, transfer.target());
             if (started) {
-                waiters.addTransfer(transfer.done());
+                pendingOperations.addTransfer(transfer.done());
             } else {
                 transfer.done().complete(false);
             }
         }
     }
 
-    private void join(ReplicaId joining, long now) {
-        boolean known = parts.addresses.apply(joining.host()) != null;
+    private void handleJoin(ReplicaId joining, long now) {
+        boolean known = configuration.addresses.apply(joining.host()) != null;
         if (!known || !node.isLeader()) {
-            membershipLog.turnedAway(joining, known);
+            membershipReporter.logJoinRefused(joining, known);
             return;
         }
-        joins.ask(joining, now);
+        joinQueue.ask(joining, now);
     }
 
-    private void letIn(long now) {
+    private void proposeNextJoin(long now) {
         if (node.isLeader()) {
-            joins.next(node.membership(), this::readyToVote, this::lost, now)
+            joinQueue
+                    .next(node.membership(), this::isReadyToVote, this::isLost, now)
                     .ifPresent(change -> proposeChange(change, now));
         } else {
-            joins.clear();
+            joinQueue.clear();
         }
     }
 
-    private boolean readyToVote(ReplicaId joining) {
-        boolean heard =
-                node.silentNanos(joining) < parts.settings.electionTimeout().toNanos();
+    private boolean isReadyToVote(ReplicaId joining) {
+        boolean heard = node.silentNanos(joining)
+                < configuration.settings.electionTimeout().toNanos();
         return heard && node.isCaughtUp(joining);
     }
 
     private void proposeChange(MembershipChange change, long now) {
-        membershipLog.step(change, node.propose(now, change));
+        membershipReporter.logChange(change, node.propose(now, change));
     }
 
-    private void read(Input.Read read, long now) {
+    private void read(RaftInput.Read read, long now) {
         ReadOutcome outcome = node.readIndex(now);
         if (outcome instanceof ReadOutcome.Waiting waiting) {
-            waiters.addRead(waiting.number(), node.term(), read.done());
+            pendingOperations.addRead(waiting.number(), node.term(), read.done());
         } else if (outcome instanceof ReadOutcome.NotLeader not) {
             read.done().complete(new ReadResult.NotLeader(not.leader()));
         } else {
@@ -241,15 +248,16 @@
     }
 
     /** All in one batch, or each on its own when the batch as a whole is too much. */
-    private void propose(List<Input.Propose> proposals, long now) {
+    private void propose(List<RaftInput.Propose> proposals, long now) {
         if (proposals.isEmpty()) {
             return;
         }
-        ProposeOutcome outcome =
-                node.propose(now, proposals.stream().map(Input.Propose::command).toList());
+        ProposeOutcome outcome = node.propose(
+                now, proposals.stream().map(RaftInput.Propose::command).toList());
         if (outcome instanceof ProposeOutcome.Appended at) {
             for (int i = 0; i < proposals.size(); i++) {
-                waiters.add(at.firstIndex() + i, at.term(), proposals.get(i).done());
+                pendingOperations.addProposal(
+                        at.firstIndex() + i, at.term(), proposals.get(i).done());
             }
         } else if (outcome instanceof ProposeOutcome.Refused && proposals.size() > 1) {
             proposals.forEach(each -> propose(List.of(each), now));
@@ -265,7 +273,7 @@
         return new ProposeResult.Refused(((ProposeOutcome.Refused) outcome).why());
     }
 
-    private void work() throws InterruptedException {
+    private void processReady() throws InterruptedException {
         while (node.hasReady() && !stopping) {
             Ready ready = node.ready();
             sender.send(ready.before());
@@ -278,8 +286,8 @@
                 snapshotIndex = ready.install().index();
             }
             ready.committed().forEach(this::apply);
-            noteCommitted(ready.committed());
-            ready.reads().forEach(waiters::confirmed);
+            recordCommitted(ready.committed());
+            ready.reads().forEach(pendingOperations::onReadConfirmed);
             node.advance(clock.nanos(), ready);
             // A sync may have waited for room; without a look at the time a leader would be published as such although
             // another leads meanwhile.
@@ -289,12 +297,12 @@
         compact();
     }
 
-    private void noteCommitted(List<Entry> committed) {
+    private void recordCommitted(List<Entry> committed) {
         if (!committed.isEmpty()) {
             Entry newest = committed.get(committed.size() - 1);
             boolean quick = lastSyncNanos < QUICK_SYNC_NANOS;
             if (!folder.noteCommitted(newest.index(), newest.term(), quick)) {
-                unnoted.inc();
+                unrecordedCommits.inc();
             }
         }
     }
@@ -328,28 +336,28 @@
                 LOG.warnf("replica %s waits: its disk is full", node.self());
                 full = true;
             }
-            waitForRoom();
+            waitForDiskSpace();
         }
         return false;
     }
 
-    private void waitForRoom() throws InterruptedException {
-        status = status.withoutLeader();
-        List<Input> waiting = new ArrayList<>();
+    private void waitForDiskSpace() throws InterruptedException {
+        status = status.withoutLeadership();
+        List<RaftInput> waiting = new ArrayList<>();
         queue.drainTo(waiting);
-        waiting.forEach(each -> refuse(each, ProposeRefusal.DISK_FULL));
+        waiting.forEach(each -> reject(each, ProposeRefusal.DISK_FULL));
         Thread.sleep(FULL_DISK_RETRY_MILLIS);
     }
 
     /** Messages are dropped: what is not answered counts as lost. */
-    private static void refuse(Input input, ProposeRefusal why) {
-        if (input instanceof Input.Propose propose) {
+    private static void reject(RaftInput input, ProposeRefusal why) {
+        if (input instanceof RaftInput.Propose propose) {
             propose.done().complete(new ProposeResult.Refused(why));
-        } else if (input instanceof Input.Change change) {
+        } else if (input instanceof RaftInput.ChangeMembership change) {
             change.done().complete(new ProposeResult.Refused(why));
-        } else if (input instanceof Input.Read read) {
+        } else if (input instanceof RaftInput.Read read) {
             read.done().complete(new ReadResult.NotReady());
-        } else if (input instanceof Input.Transfer transfer) {
+        } else if (input instanceof RaftInput.TransferLeadership transfer) {
             transfer.done().complete(false);
         }
     }
@@ -358,8 +366,8 @@
         committed.inc();
         bytesSinceSnapshot += entry.weight();
         boolean command = entry.kind() == EntryKind.COMMAND;
-        byte[] result = command ? machine.apply(entry.index(), entry.data()) : NOTHING;
-        waiters.applied(entry, result, node.leader());
+        byte[] result = command ? machine.apply(entry.index(), entry.data()) : EMPTY_RESULT;
+        pendingOperations.onApplied(entry, result, node.leader());
     }
 
     private void publish() {
@@ -367,15 +375,15 @@
         RaftStatus after = RaftStatus.of(node);
         status = after;
         long firstLedTerm = after.leads() ? after.term() : Long.MAX_VALUE;
-        waiters.deposed(firstLedTerm, after.leader(), "this replica leads no more");
+        pendingOperations.onDeposed(firstLedTerm, after.leader(), "this replica leads no more");
         if (after.role() != before.role() && (after.leads() || before.leads())) {
             LOG.infof("replica %s is %s in term %d", after.self(), after.role(), after.term());
         }
     }
 
     private void compact() {
-        boolean due = node.appliedIndex() - snapshotIndex >= parts.snapshotEntries
-                || bytesSinceSnapshot >= parts.snapshotBytes;
+        boolean due = node.appliedIndex() - snapshotIndex >= configuration.snapshotEntries
+                || bytesSinceSnapshot >= configuration.snapshotBytes;
         if (!due || stopping) {
             return;
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/Sender.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftMessageSender.java
@@ -20,23 +20,24 @@
 import org.elmline.core.raft.ReplicaId;
 
 /** Sends messages to the hosts of other replicas, those of one step to one host in one call. A lost one is not resent. */
-final class Sender {
+final class RaftMessageSender {
     /** Calls to one host that may be unanswered; a host that does not answer must not pile up messages here. */
-    private static final int MAX_CALLS = 64;
+    private static final int MAX_UNANSWERED_CALLS = 64;
 
     private final PeerNetwork network;
     private final Function<HostId, Address> addresses;
     private final Duration timeout;
-    private final Map<HostId, AtomicInteger> calls = new ConcurrentHashMap<>();
+    private final Map<HostId, AtomicInteger> unansweredCalls = new ConcurrentHashMap<>();
     private final Counter sent;
-    private final Counter dropped;
+    private final Counter unsent;
 
-    Sender(PeerNetwork network, Function<HostId, Address> addresses, Duration timeout, MetricRegistry metrics) {
+    RaftMessageSender(
+            PeerNetwork network, Function<HostId, Address> addresses, Duration timeout, MetricRegistry metrics) {
         this.network = network;
         this.addresses = addresses;
         this.timeout = timeout;
         this.sent = metrics.counter("raft.messages.sent");
-        this.dropped = metrics.counter("raft.messages.unsent");
+        this.unsent = metrics.counter("raft.messages.unsent");
     }
 
     void send(List<Message> messages) {
@@ -49,9 +50,9 @@
 
     private void send(HostId host, List<Message> messages) {
         Address address = addresses.apply(host);
-        AtomicInteger unanswered = calls.computeIfAbsent(host, key -> new AtomicInteger());
-        if (address == null || unanswered.get() >= MAX_CALLS) {
-            dropped.inc(messages.size());
+        AtomicInteger unanswered = unansweredCalls.computeIfAbsent(host, key -> new AtomicInteger());
+        if (address == null || unanswered.get() >= MAX_UNANSWERED_CALLS) {
+            unsent.inc(messages.size());
             return;
         }
         sent.inc(messages.size());
@@ -61,7 +62,7 @@
     }
 
     /** Asks these hosts; one that does not answer is left out. */
-    void askToJoin(List<Address> hosts, ReplicaId self, Consumer<RaftChannels.JoinAnswer> answers) {
+    void requestJoin(List<Address> hosts, ReplicaId self, Consumer<RaftChannels.JoinAnswer> answers) {
         for (Address each : hosts) {
             network.call(each, RaftChannels.JOIN, new RaftChannels.Join(self), timeout)
                     .thenAccept(result -> {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftStatus.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftStatus.java
@@ -36,7 +36,7 @@
     }
 
     /** The same replica while its disk is full: it can promise nothing, so it does not count as leader. */
-    RaftStatus withoutLeader() {
+    RaftStatus withoutLeadership() {
         return new RaftStatus(
                 self,
                 Role.FOLLOWER,
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/IdempotencyKeysHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/IdempotencyKeysHandler.java
@@ -5,27 +5,27 @@
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import org.elmline.core.control.IdempotencyKey;
-import org.elmline.daemon.caller.Gate;
+import org.elmline.daemon.caller.AdmissionController;
 import org.elmline.daemon.http.Answers;
 
 /** {@code POST /v1/idempotency-keys}: a fresh key for the caller's organisation. */
 public final class IdempotencyKeysHandler implements HttpHandler {
-    private final Gate gate;
+    private final AdmissionController admission;
     private final SecureRandom random = new SecureRandom();
 
-    public IdempotencyKeysHandler(Gate gate) {
-        this.gate = gate;
+    public IdempotencyKeysHandler(AdmissionController gate) {
+        this.admission = gate;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        Gate.Passage passage = gate.enter(exchange);
-        if (passage instanceof Gate.Passage.Closed closed) {
+        AdmissionController.Admission passage = admission.admit(exchange);
+        if (passage instanceof AdmissionController.Admission.Refused closed) {
             Answers.refuse(exchange, closed.refusal());
             return;
         }
-        gate.leave();
-        Gate.Passage.Open open = (Gate.Passage.Open) passage;
+        admission.release();
+        AdmissionController.Admission.Admitted open = (AdmissionController.Admission.Admitted) passage;
         IdempotencyKey key = IdempotencyKey.issue(open.call().organisation().id(), System.currentTimeMillis(), random);
         Answers.json(exchange, new Issued(key.value()));
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/Replicas.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ReplicaSelector.java
@@ -17,26 +17,26 @@
 import org.elmline.core.route.ServiceReplica;
 
 /** Chooses a replica of a plain service: the less busy of two drawn at random, by this entry's own open calls. */
-final class Replicas {
+final class ReplicaSelector {
     private final OwnerTable owners;
     private final MonotonicClock clock;
-    private final Map<BackendServerId, AtomicInteger> open = new ConcurrentHashMap<>();
+    private final Map<BackendServerId, AtomicInteger> openCalls = new ConcurrentHashMap<>();
 
-    Replicas(OwnerTable owners, MonotonicClock clock) {
+    ReplicaSelector(OwnerTable owners, MonotonicClock clock) {
         this.owners = owners;
         this.clock = clock;
     }
 
     /** One replica held for a call; closing it gives it back. */
-    record Held(ServiceReplica replica, AtomicInteger calls) implements AutoCloseable {
+    record AcquiredReplica(ServiceReplica replica, AtomicInteger openCalls) implements AutoCloseable {
         @Override
         public void close() {
-            calls.decrementAndGet();
+            openCalls.decrementAndGet();
         }
     }
 
     /** Empty when no replica that wasn't tried takes calls. */
-    Optional<Held> hold(ServiceName service, Set<BackendServerId> tried) {
+    Optional<AcquiredReplica> acquire(ServiceName service, Set<BackendServerId> tried) {
         List<ServiceReplica> able = new ArrayList<>();
         Set<BackendServerId> seen = new HashSet<>(tried);
         for (ServiceReplica each : owners.serviceReplicas(service, clock.nanos())) {
@@ -47,18 +47,18 @@
         if (able.isEmpty()) {
             return Optional.empty();
         }
-        ServiceReplica first = draw(able);
-        ServiceReplica second = draw(able);
-        ServiceReplica chosen = calls(first).get() <= calls(second).get() ? first : second;
-        calls(chosen).incrementAndGet();
-        return Optional.of(new Held(chosen, calls(chosen)));
+        ServiceReplica first = pickRandom(able);
+        ServiceReplica second = pickRandom(able);
+        ServiceReplica chosen = openCallsOf(first).get() <= openCallsOf(second).get() ? first : second;
+        openCallsOf(chosen).incrementAndGet();
+        return Optional.of(new AcquiredReplica(chosen, openCallsOf(chosen)));
     }
 
-    private static ServiceReplica draw(List<ServiceReplica> able) {
+    private static ServiceReplica pickRandom(List<ServiceReplica> able) {
         return able.get(ThreadLocalRandom.current().nextInt(able.size()));
     }
 
-    private AtomicInteger calls(ServiceReplica replica) {
-        return open.computeIfAbsent(replica.server(), id -> new AtomicInteger());
+    private AtomicInteger openCallsOf(ServiceReplica replica) {
+        return openCalls.computeIfAbsent(replica.server(), id -> new AtomicInteger());
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceClient.java
@@ -19,29 +19,29 @@
 import org.elmline.core.common.CallResult;
 import org.elmline.core.common.Ran;
 import org.elmline.core.control.RecordedAnswer;
-import org.elmline.daemon.engine.SendMark;
+import org.elmline.daemon.engine.SendTracker;
 
 /** Sends one call to one replica of a plain service, once. Blocks the calling worker until the result is known. */
 final class ServiceClient implements AutoCloseable {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
-    private static final int MAX_IDLE = 64;
-    private static final long IDLE_SECONDS = 30;
+    private static final int MAX_IDLE_CONNECTIONS = 64;
+    private static final long IDLE_CONNECTION_SECONDS = 30;
     /** A service that refuses before anything ran says so in this header; nothing else counts as "did not run". */
     private static final String RAN_HEADER = "Elmline-Ran";
 
-    private static final Set<String> NOT_PASSED_BACK = hopByHop();
+    private static final Set<String> EXCLUDED_ANSWER_HEADERS = hopByHopHeaders();
 
     private final OkHttpClient http = new OkHttpClient.Builder()
             .connectTimeout(CONNECT_TIMEOUT)
-            .eventListenerFactory(call -> SendMark.of(call.request()))
+            .eventListenerFactory(call -> SendTracker.of(call.request()))
             // A silent second try by the library would make "sent once" untrue.
             .retryOnConnectionFailure(false)
             .followRedirects(false)
-            .connectionPool(new ConnectionPool(MAX_IDLE, IDLE_SECONDS, TimeUnit.SECONDS))
+            .connectionPool(new ConnectionPool(MAX_IDLE_CONNECTIONS, IDLE_CONNECTION_SECONDS, TimeUnit.SECONDS))
             .build();
 
     /** Headers that belong to one connection, and those that this process sets itself. */
-    static Set<String> hopByHop() {
+    static Set<String> hopByHopHeaders() {
         Set<String> names = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
         names.addAll(List.of(
                 "Connection",
@@ -59,10 +59,10 @@
     }
 
     CallResult<RecordedAnswer> send(Address replica, ServiceCall call, Duration timeout) {
-        SendMark mark = new SendMark();
+        SendTracker mark = new SendTracker();
         Request request;
         try {
-            request = request(replica, call).tag(SendMark.class, mark).build();
+            request = request(replica, call).tag(SendTracker.class, mark).build();
         } catch (IllegalArgumentException e) {
             return new CallResult.NotSent<>("the call can't be passed on: " + e.getMessage());
         }
@@ -99,7 +99,7 @@
     private static List<RecordedAnswer.Header> headers(Response response) {
         List<RecordedAnswer.Header> headers = new ArrayList<>();
         response.headers().forEach(pair -> {
-            if (!NOT_PASSED_BACK.contains(pair.getFirst())) {
+            if (!EXCLUDED_ANSWER_HEADERS.contains(pair.getFirst())) {
                 headers.add(new RecordedAnswer.Header(pair.getFirst(), pair.getSecond()));
             }
         });
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
@@ -25,20 +25,20 @@
 
 /** Passes calls on to plain services: those that may be repeated with retries, the others under a claim. */
 public final class ServiceGateway implements AutoCloseable {
-    private static final int MAX_TRIES = 3;
-    private static final double RETRY_SHARE = 0.1;
+    private static final int MAX_ATTEMPTS = 3;
+    private static final double RETRY_RATIO = 0.1;
     private static final double RETRY_BURST = 10;
-    private static final long RETRY_MILLIS = 1_000;
+    private static final long RETRY_AFTER_MILLIS = 1_000;
     private static final Duration CLAIM_TIMEOUT = Duration.ofSeconds(2);
 
     private final MonotonicClock clock;
-    private final Replicas replicas;
+    private final ReplicaSelector replicas;
     private final ControlCalls control;
     private final ServiceClient client = new ServiceClient();
-    private final RetryBudget budget = new RetryBudget(RETRY_SHARE, RETRY_BURST);
-    private final Counter claimed;
-    private final Counter repeated;
-    private final Counter retried;
+    private final RetryBudget retryBudget = new RetryBudget(RETRY_RATIO, RETRY_BURST);
+    private final Counter claimsSent;
+    private final Counter claimsRepeated;
+    private final Counter retries;
 
     public ServiceGateway(
             MonotonicClock clock,
@@ -46,56 +46,57 @@
             ControlCalls control,
             MetricRegistry metrics) {
         this.clock = clock;
-        this.replicas = new Replicas(owners, clock);
+        this.replicas = new ReplicaSelector(owners, clock);
         this.control = control;
-        this.claimed = metrics.counter("service.claims.sent");
-        this.repeated = metrics.counter("service.claims.repeated");
-        this.retried = metrics.counter("service.retries");
+        this.claimsSent = metrics.counter("service.claims.sent");
+        this.claimsRepeated = metrics.counter("service.claims.repeated");
+        this.retries = metrics.counter("service.retries");
     }
 
     /** A call that may be repeated: tries other replicas while the time and the retry budget last. */
-    ClaimReply repeatable(Service service, ServiceCall call, long deadlineNanos) {
-        budget.onFirstAttempt();
+    ClaimReply callRepeatable(Service service, ServiceCall call, long deadlineNanos) {
+        retryBudget.onFirstAttempt();
         Set<BackendServerId> tried = new HashSet<>();
         CallResult<RecordedAnswer> result = new CallResult.NotSent<>("no replica of " + service.name() + " is ready");
-        for (int i = 0; i < MAX_TRIES && remainingMillis(deadlineNanos) > 0; i++) {
-            Optional<Replicas.Held> held = replicas.hold(service.name(), tried);
-            if (held.isEmpty() || (i > 0 && !budget.tryAcquire())) {
-                held.ifPresent(Replicas.Held::close);
+        for (int i = 0; i < MAX_ATTEMPTS && remainingMillis(deadlineNanos) > 0; i++) {
+            Optional<ReplicaSelector.AcquiredReplica> held = replicas.acquire(service.name(), tried);
+            if (held.isEmpty() || (i > 0 && !retryBudget.tryAcquire())) {
+                held.ifPresent(ReplicaSelector.AcquiredReplica::close);
                 break;
             }
-            retried.inc(i > 0 ? 1 : 0);
+            retries.inc(i > 0 ? 1 : 0);
             tried.add(held.get().replica().server());
             result = send(held.get(), service, call, deadlineNanos);
             if (result instanceof CallResult.Answered<RecordedAnswer> answered) {
                 return new ClaimReply.Answered(answered.value(), false);
             }
         }
-        return refused(result);
+        return toRefusal(result);
     }
 
     /**
      * A call that may run at most once: works off the session's steps, so that the call leaves only after a quorum has
      * committed the claim and is never sent a second time. The caller has its reply as soon as it is known.
      */
-    void once(Service service, ServiceCall call, ClaimSession session, long deadlineNanos, Consumer<ClaimReply> reply) {
+    void callOnce(
+            Service service, ServiceCall call, ClaimSession session, long deadlineNanos, Consumer<ClaimReply> reply) {
         ClaimStep step = session.start();
         while (true) {
             if (step instanceof ClaimStep.Begin begin) {
                 Duration timeout = Duration.ofMillis(
                         Math.max(1, Math.min(CLAIM_TIMEOUT.toMillis(), remainingMillis(deadlineNanos))));
-                step = session.begun(control.begin(begin.begin(), timeout).join(), clock.nanos());
+                step = session.begun(control.beginClaim(begin.begin(), timeout).join(), clock.nanos());
             } else if (step instanceof ClaimStep.Send) {
-                claimed.inc();
+                claimsSent.inc();
                 step = session.called(sendOnce(service, call, deadlineNanos));
             } else if (step instanceof ClaimStep.Finish finish) {
                 if (finish.reply() != null) {
-                    answer(finish.reply(), reply);
+                    deliver(finish.reply(), reply);
                 }
                 step = session.finished(
-                        control.finish(finish.finish(), CLAIM_TIMEOUT).join());
+                        control.finishClaim(finish.finish(), CLAIM_TIMEOUT).join());
             } else if (step instanceof ClaimStep.Reply last) {
-                answer(last.reply(), reply);
+                deliver(last.reply(), reply);
                 return;
             } else {
                 return;
@@ -103,9 +104,9 @@
         }
     }
 
-    private void answer(ClaimReply reply, Consumer<ClaimReply> to) {
+    private void deliver(ClaimReply reply, Consumer<ClaimReply> to) {
         if (reply instanceof ClaimReply.Answered answered && answered.repeated()) {
-            repeated.inc();
+            claimsRepeated.inc();
         }
         to.accept(reply);
     }
@@ -114,8 +115,8 @@
     private CallResult<RecordedAnswer> sendOnce(Service service, ServiceCall call, long deadlineNanos) {
         Set<BackendServerId> tried = new HashSet<>();
         CallResult<RecordedAnswer> result = new CallResult.NotSent<>("no replica of " + service.name() + " is ready");
-        for (int i = 0; i < MAX_TRIES && remainingMillis(deadlineNanos) > 0; i++) {
-            Optional<Replicas.Held> held = replicas.hold(service.name(), tried);
+        for (int i = 0; i < MAX_ATTEMPTS && remainingMillis(deadlineNanos) > 0; i++) {
+            Optional<ReplicaSelector.AcquiredReplica> held = replicas.acquire(service.name(), tried);
             if (held.isEmpty()) {
                 return result;
             }
@@ -128,20 +129,21 @@
         return result;
     }
 
-    private CallResult<RecordedAnswer> send(Replicas.Held held, Service service, ServiceCall call, long deadlineNanos) {
+    private CallResult<RecordedAnswer> send(
+            ReplicaSelector.AcquiredReplica held, Service service, ServiceCall call, long deadlineNanos) {
         try (held) {
             long millis = Math.min(service.timeoutMillis(), Math.max(1, remainingMillis(deadlineNanos)));
             return client.send(held.replica().address(), call, Duration.ofMillis(millis));
         }
     }
 
-    private static ClaimReply refused(CallResult<RecordedAnswer> result) {
+    private static ClaimReply toRefusal(CallResult<RecordedAnswer> result) {
         if (result instanceof CallResult.NotSent<RecordedAnswer> notSent) {
             return new ClaimReply.Refused(
-                    Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, notSent.why(), RETRY_MILLIS));
+                    Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, notSent.why(), RETRY_AFTER_MILLIS));
         }
         String why = "the service's answer was lost: " + ((CallResult.Unknown<RecordedAnswer>) result).why();
-        return new ClaimReply.Refused(new Refusal(RefusalReason.BACKEND_FAILED, why, Ran.UNKNOWN, RETRY_MILLIS));
+        return new ClaimReply.Refused(new Refusal(RefusalReason.BACKEND_FAILED, why, Ran.UNKNOWN, RETRY_AFTER_MILLIS));
     }
 
     private long remainingMillis(long deadlineNanos) {
