--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
@@ -30,10 +30,10 @@
 import org.elmline.core.control.RecordedAnswer;
 import org.elmline.core.timeline.EventRing;
 import org.elmline.core.timeline.RequestEvent;
-import org.elmline.daemon.caller.Admitted;
-import org.elmline.daemon.caller.Gate;
+import org.elmline.daemon.caller.AdmissionController;
+import org.elmline.daemon.caller.AdmittedCall;
 import org.elmline.daemon.entry.HostIdentity;
-import org.elmline.daemon.entry.SharedView;
+import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.Answers;
 import org.elmline.daemon.http.BodyReader;
 
@@ -46,28 +46,28 @@
     private static final String PREFIX = "/v1/services/";
     private static final String KEY_HEADER = "Idempotency-Key";
     private static final String IDEMPOTENT_HEADER = "Elmline-Idempotent";
-    private static final HttpString REPLAYED = new HttpString("Elmline-Replayed");
-    private static final int FINISH_TRIES = 3;
-    private static final Set<String> NOT_PASSED_ON = ServiceClient.hopByHop();
+    private static final HttpString REPLAYED_HEADER = new HttpString("Elmline-Replayed");
+    private static final int MAX_FINISH_ATTEMPTS = 3;
+    private static final Set<String> EXCLUDED_REQUEST_HEADERS = ServiceClient.hopByHopHeaders();
 
     private final HostIdentity self;
-    private final Gate gate;
-    private final SharedView view;
+    private final AdmissionController admission;
+    private final LeasedView leasedView;
     private final BodyReader bodies;
     private final ServiceGateway gateway;
     private final EventRing events;
-    private final AtomicLong sessions = new AtomicLong();
+    private final AtomicLong lastSession = new AtomicLong();
 
     public ServiceHandler(
             HostIdentity self,
-            Gate gate,
-            SharedView view,
+            AdmissionController gate,
+            LeasedView view,
             BodyReader bodies,
             ServiceGateway gateway,
             EventRing events) {
         this.self = self;
-        this.gate = gate;
-        this.view = view;
+        this.admission = gate;
+        this.leasedView = view;
         this.bodies = bodies;
         this.gateway = gateway;
         this.events = events;
@@ -75,13 +75,13 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        Gate.Passage passage = gate.enter(exchange);
-        if (passage instanceof Gate.Passage.Closed closed) {
-            Answers.refuse(exchange, forKey(exchange, closed.refusal()));
+        AdmissionController.Admission passage = admission.admit(exchange);
+        if (passage instanceof AdmissionController.Admission.Refused closed) {
+            Answers.refuse(exchange, withUnknownRan(exchange, closed.refusal()));
             return;
         }
-        Admitted call = ((Gate.Passage.Open) passage).call();
-        gate.leaveWith(exchange);
+        AdmittedCall call = ((AdmissionController.Admission.Admitted) passage).call();
+        admission.releaseOnCompletion(exchange);
         bodies.read(exchange, body -> serve(exchange, call, body));
     }
 
@@ -89,7 +89,7 @@
      * A call under a key may have run in an earlier try that this entry knows nothing of. Told that it did not run, a
      * caller could take a new key and pay twice; so a refusal that a retry may change says that nobody knows.
      */
-    private static Refusal forKey(HttpServerExchange exchange, Refusal refusal) {
+    private static Refusal withUnknownRan(HttpServerExchange exchange, Refusal refusal) {
         boolean keyed = exchange.getRequestHeaders().contains(KEY_HEADER);
         if (!keyed || !refusal.reason().passing()) {
             return refusal;
@@ -97,11 +97,11 @@
         return new Refusal(refusal.reason(), refusal.message(), Ran.UNKNOWN, refusal.retryAfterMillis());
     }
 
-    private void serve(HttpServerExchange exchange, Admitted admitted, byte[] body) {
+    private void serve(HttpServerExchange exchange, AdmittedCall admitted, byte[] body) {
         String rest = exchange.getRequestPath().substring(PREFIX.length());
         int slash = rest.indexOf('/');
         String name = slash < 0 ? rest : rest.substring(0, slash);
-        Optional<Service> service = find(name);
+        Optional<Service> service = findService(name);
         if (service.isEmpty()) {
             refuse(exchange, RefusalReason.UNKNOWN_SERVICE, "no service is named " + name);
             return;
@@ -111,7 +111,7 @@
         ServiceCall call = new ServiceCall(
                 exchange.getRequestMethod().toString(),
                 query.isEmpty() ? path : path + "?" + query,
-                headers(exchange.getRequestHeaders()),
+                forwardedHeaders(exchange.getRequestHeaders()),
                 body);
         events.record(new RequestEvent.Received(
                 admitted.id(),
@@ -119,14 +119,14 @@
                 name,
                 0,
                 service.get().timeoutMillis()));
-        if (repeatable(exchange, service.get())) {
-            reply(exchange, admitted, gateway.repeatable(service.get(), call, admitted.deadlineNanos()));
+        if (isRepeatable(exchange, service.get())) {
+            reply(exchange, admitted, gateway.callRepeatable(service.get(), call, admitted.deadlineNanos()));
             return;
         }
-        once(exchange, admitted, service.get(), call);
+        serveOnce(exchange, admitted, service.get(), call);
     }
 
-    private void once(HttpServerExchange exchange, Admitted admitted, Service service, ServiceCall call) {
+    private void serveOnce(HttpServerExchange exchange, AdmittedCall admitted, Service service, ServiceCall call) {
         String text = exchange.getRequestHeaders().getFirst(KEY_HEADER);
         Optional<IdempotencyKey> key = IdempotencyKey.parse(text);
         if (key.isEmpty() || !key.get().belongsTo(admitted.organisation().id())) {
@@ -136,26 +136,26 @@
             refuse(exchange, RefusalReason.BAD_REQUEST, why);
             return;
         }
-        ClaimOwner owner = new ClaimOwner(self.host(), self.incarnation(), sessions.incrementAndGet());
+        ClaimOwner owner = new ClaimOwner(self.host(), self.incarnation(), lastSession.incrementAndGet());
         ClaimKey claim = new ClaimKey(admitted.organisation().id(), key.get());
         ClaimSession session = new ClaimSession(
                 new ClaimBegin(claim, digest(service, call), owner),
-                view.lease(),
+                leasedView.lease(),
                 admitted.deadlineNanos(),
-                FINISH_TRIES);
+                MAX_FINISH_ATTEMPTS);
         events.record(new RequestEvent.ClaimBegun(admitted.id()));
-        gateway.once(service, call, session, admitted.deadlineNanos(), reply -> reply(exchange, admitted, reply));
+        gateway.callOnce(service, call, session, admitted.deadlineNanos(), reply -> reply(exchange, admitted, reply));
     }
 
-    private Optional<Service> find(String name) {
+    private Optional<Service> findService(String name) {
         try {
-            return view.configuration().service(ServiceName.of(name));
+            return leasedView.configuration().service(ServiceName.of(name));
         } catch (IllegalArgumentException e) {
             return Optional.empty();
         }
     }
 
-    private static boolean repeatable(HttpServerExchange exchange, Service service) {
+    private static boolean isRepeatable(HttpServerExchange exchange, Service service) {
         String header = exchange.getRequestHeaders().getFirst(IDEMPOTENT_HEADER);
         if (header != null) {
             return header.trim().equalsIgnoreCase("true");
@@ -163,18 +163,19 @@
         return service.idempotentMethods().contains(exchange.getRequestMethod().toString());
     }
 
-    private static List<RecordedAnswer.Header> headers(HeaderMap given) {
+    private static List<RecordedAnswer.Header> forwardedHeaders(HeaderMap given) {
         List<RecordedAnswer.Header> headers = new ArrayList<>();
         for (HeaderValues values : given) {
             String name = values.getHeaderName().toString();
-            if (!NOT_PASSED_ON.contains(name) && !name.regionMatches(true, 0, "Elmline-", 0, "Elmline-".length())) {
+            if (!EXCLUDED_REQUEST_HEADERS.contains(name)
+                    && !name.regionMatches(true, 0, "Elmline-", 0, "Elmline-".length())) {
                 values.forEach(value -> headers.add(new RecordedAnswer.Header(name, value)));
             }
         }
         return headers;
     }
 
-    private void reply(HttpServerExchange exchange, Admitted admitted, ClaimReply reply) {
+    private void reply(HttpServerExchange exchange, AdmittedCall admitted, ClaimReply reply) {
         if (reply instanceof ClaimReply.Refused refused) {
             events.record(new RequestEvent.Refused(
                     admitted.id(), refused.refusal().reason(), refused.refusal().ran()));
@@ -189,7 +190,7 @@
             exchange.getResponseHeaders().add(new HttpString(each.name()), each.value());
         }
         if (answered.repeated()) {
-            exchange.getResponseHeaders().put(REPLAYED, answer.body() == null ? "body-too-long" : "true");
+            exchange.getResponseHeaders().put(REPLAYED_HEADER, answer.body() == null ? "body-too-long" : "true");
         }
         exchange.getResponseSender()
                 .send(answer.body() == null ? ByteBuffer.allocate(0) : ByteBuffer.wrap(answer.body()));
--- a/elmline-daemon/src/test/java/org/elmline/daemon/backend/PoliciesTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/backend/PoliciesTest.java
@@ -13,11 +13,12 @@
     void theSettingsNameThePolicyAndItsWeights() {
         for (String name : PlacementPolicies.names()) {
             assertEquals(
-                    name, Policies.find(new PlacementSettings(name, 1, 0.5)).name());
+                    name,
+                    PlacementFactory.policy(new PlacementSettings(name, 1, 0.5)).name());
         }
         assertEquals(PlacementPolicies.DEFAULT, PlacementSettings.DEFAULT.policy());
-        var weights =
-                Policies.ledger(new PlacementSettings("two-ended", 2, 0.5)).placement();
+        var weights = PlacementFactory.ledgerSettings(new PlacementSettings("two-ended", 2, 0.5))
+                .placement();
         var measured = org.elmline.core.placement.PlacementSettings.defaults();
         assertEquals(0.5, weights.maxLongShare());
         assertEquals(2 * measured.shortSlowdownWeight(), weights.shortSlowdownWeight());
@@ -27,7 +28,7 @@
     @Test
     void anUnknownPolicyIsNamedWithWhatThereIs() {
         PlacementSettings misspelt = new PlacementSettings("two-eneded", 1, 0.5);
-        Exception failure = assertThrows(IllegalArgumentException.class, () -> Policies.find(misspelt));
+        Exception failure = assertThrows(IllegalArgumentException.class, () -> PlacementFactory.policy(misspelt));
         assertTrue(failure.getMessage().contains("two-eneded"));
         assertTrue(failure.getMessage().contains("shortest-wait"));
     }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/coordinator/MemoryTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/coordinator/MemoryTest.java
@@ -26,7 +26,7 @@
 
     private volatile boolean full;
 
-    private Memory<RoutingText> memory() {
+    private PersistedValue<RoutingText> memory() {
         SystemFiles files = new SystemFiles() {
             @Override
             public OutputFile open(Path file) throws IOException {
@@ -37,17 +37,18 @@
             }
         };
         DecisionLog log = new DecisionLog("c", "control", new SystemClock(), OutputStream.nullOutputStream());
-        return new Memory<>("routing", RoutingText.class, new CheckedFile(files, folder.resolve("routing")), log);
+        return new PersistedValue<>(
+                "routing", RoutingText.class, new CheckedFile(files, folder.resolve("routing")), log);
     }
 
     @Test
     void theNextStartKnowsWhatWasWritten() throws Exception {
-        try (Memory<RoutingText> memory = memory()) {
+        try (PersistedValue<RoutingText> memory = memory()) {
             assertTrue(memory.read().isEmpty());
-            assertTrue(memory.write(TEXT));
+            assertTrue(memory.tryWrite(TEXT));
             await(() -> memory.read().isPresent());
         }
-        try (Memory<RoutingText> again = memory()) {
+        try (PersistedValue<RoutingText> again = memory()) {
             assertEquals(TEXT, again.read().orElseThrow());
         }
     }
@@ -55,14 +56,14 @@
     /** The next start would know an old state for ever: the disk is full for a while. The failure is told until one is written. */
     @Test
     void aFullDiskIsToldUntilThereIsRoom() throws Exception {
-        try (Memory<RoutingText> memory = memory()) {
+        try (PersistedValue<RoutingText> memory = memory()) {
             full = true;
-            assertTrue(memory.write(TEXT));
-            await(memory::lost);
+            assertTrue(memory.tryWrite(TEXT));
+            await(memory::lastWriteFailed);
             assertTrue(memory.read().isEmpty());
             full = false;
-            await(() -> memory.write(TEXT));
-            await(() -> !memory.lost());
+            await(() -> memory.tryWrite(TEXT));
+            await(() -> !memory.lastWriteFailed());
             assertEquals(TEXT, memory.read().orElseThrow());
         }
     }
@@ -70,7 +71,7 @@
     @Test
     void whatIsNoSuchValueCountsAsNothing() throws Exception {
         new CheckedFile(new SystemFiles(), folder.resolve("routing")).write(new byte[] {1, 2});
-        try (Memory<RoutingText> memory = memory()) {
+        try (PersistedValue<RoutingText> memory = memory()) {
             assertFalse(memory.read().isPresent());
         }
     }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/entry/LeaseRenewerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/entry/LeaseRenewerTest.java
@@ -56,7 +56,7 @@
     @Test
     void aTicketIsFollowedOnce() {
         ManualClock clock = new ManualClock();
-        SharedView view = new SharedView(clock);
+        LeasedView view = new LeasedView(clock);
         ControlClient control = new ControlClient(new AnsweringNetwork(), clock, timer, List.of(ADDRESS));
         LeaseRenewer renewer = new LeaseRenewer(
                 control,
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
@@ -157,10 +157,10 @@
     void aNewDispatcherIsToldTheLimitsThatServersName() {
         List<EntryRecord> order = DispatcherChoice.order(WHOLE, entries);
         DispatchClient client = client();
-        own.limits().take(BackendServerId.of("s1"), ServerRateLimit.ofPerSecond(2), "answer");
+        own.observedLimits().record(BackendServerId.of("s1"), ServerRateLimit.ofPerSecond(2), "answer");
         client.place(call(), answer -> {});
         entries = List.of(order.get(1));
-        client.fleetChanged();
+        client.onDeploymentChanged();
         Adoption told = sent.stream()
                 .filter(each -> each.request() instanceof Adoption)
                 .map(each -> (Adoption) each.request())
@@ -181,7 +181,7 @@
         DispatchClient client = client();
         client.place(call(), answer -> {});
         entries = List.of(order.get(1));
-        client.fleetChanged();
+        client.onDeploymentChanged();
         assertEquals(
                 1,
                 sent.stream()
@@ -211,7 +211,7 @@
         assertTrue(told.all());
         assertEquals(List.of(running), told.open().stream().map(OpenGrant::call).toList());
         assertEquals(call("next").attempt(), ((DispatchCall) toSecond.get(1)).attempt());
-        client.end(running, AttemptEnd.DONE);
+        client.reportEnd(running, AttemptEnd.DONE);
         thread.runLater();
         Reports ended = new Reports(DESK, List.of(new AttemptReport("running", AttemptEnd.DONE)));
         assertTrue(requestsTo(second).contains(ended), sent.toString());
@@ -268,7 +268,7 @@
             client.place(call(attempt), answers::add);
             assertEquals(1, answers.size());
             assertTrue(firsts.containsAll(askedFor(attempt)), askedFor(attempt) + " of " + firsts);
-            client.end(call(attempt), AttemptEnd.DONE);
+            client.reportEnd(call(attempt), AttemptEnd.DONE);
         }
     }
 
@@ -297,7 +297,7 @@
         client.place(call("running"), answer -> {});
         servers = many;
         client.place(call("next"), answer -> {});
-        client.fleetChanged();
+        client.onDeploymentChanged();
         Shard shard = Shard.forServerCount(350).stream()
                 .filter(each -> each.contains(BackendServerId.of("s1")))
                 .findFirst()
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchServiceTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchServiceTest.java
@@ -101,7 +101,7 @@
     @Test
     void aCallThatBeginsToWaitIsLookedAtSoon() {
         ManualThread thread = new ManualThread();
-        new QueueTicks(thread, service);
+        new DispatchTicker(thread, service);
         know();
         service.place(call("runs", DESK));
         service.place(call("waits", DESK));
@@ -115,7 +115,7 @@
     @Test
     void anEntryThatDecidesForNobodyIsNotWoken() {
         ManualThread thread = new ManualThread();
-        new QueueTicks(thread, service);
+        new DispatchTicker(thread, service);
         know();
         assertEquals(List.of(), thread.delays());
     }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/EventScannerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/EventScannerTest.java
@@ -27,27 +27,27 @@
     /** However the bytes are cut, the same events come out, and half an event never does. */
     @Property(tries = 100, seed = "5")
     void cutsMakeNoDifference(@ForAll @IntRange(min = 1, max = 9) int size) {
-        EventScanner scanner = new EventScanner();
+        ServerSentEventParser scanner = new ServerSentEventParser();
         List<Long> ids = new ArrayList<>();
         ByteArrayOutputStream passed = new ByteArrayOutputStream();
         for (int i = 0; i < STREAM.length(); i += size) {
-            for (EventScanner.Event each :
-                    scanner.take(bytes(STREAM.substring(i, Math.min(STREAM.length(), i + size))))) {
+            for (ServerSentEventParser.Event each :
+                    scanner.parse(bytes(STREAM.substring(i, Math.min(STREAM.length(), i + size))))) {
                 ids.add(each.id());
                 passed.writeBytes(each.bytes());
             }
         }
-        assertEquals(List.of(1L, 2L, EventScanner.NO_ID), ids);
+        assertEquals(List.of(1L, 2L, ServerSentEventParser.NO_ID), ids);
         assertEquals(STREAM.substring(0, STREAM.indexOf("id: 10")), passed.toString());
-        assertTrue(scanner.inEvent());
+        assertTrue(scanner.hasPartialEvent());
     }
 
     @Test
     void whatWasBrokenOffIsForgotten() {
-        EventScanner scanner = new EventScanner();
-        scanner.take(bytes("id: 3\ndata: pie"));
+        ServerSentEventParser scanner = new ServerSentEventParser();
+        scanner.parse(bytes("id: 3\ndata: pie"));
         scanner.reset();
-        assertFalse(scanner.inEvent());
-        assertEquals(3, scanner.take(bytes("id: 3\ndata: piece\n\n")).get(0).id());
+        assertFalse(scanner.hasPartialEvent());
+        assertEquals(3, scanner.parse(bytes("id: 3\ndata: piece\n\n")).get(0).id());
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/SilenceTimerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/SilenceTimerTest.java
@@ -11,7 +11,7 @@
     private final ManualClock clock = new ManualClock();
     private final ManualThread thread = new ManualThread();
     private int silences;
-    private final SilenceTimer timer = new SilenceTimer(thread, clock, () -> silences++);
+    private final InactivityTimer timer = new InactivityTimer(thread, clock, () -> silences++);
 
     private void runLaterAfter(long millis) {
         clock.advance(Duration.ofMillis(millis));
@@ -20,15 +20,15 @@
 
     @Test
     void silenceIsNoticed() {
-        timer.expectWithin(300);
+        timer.restart(300);
         runLaterAfter(301);
         assertEquals(1, silences);
     }
 
     @Test
     void whatIsNotExpectedAnyMoreIsNotMissed() {
-        timer.expectWithin(300);
-        timer.stop();
+        timer.restart(300);
+        timer.cancel();
         runLaterAfter(301);
         assertEquals(0, silences);
     }
@@ -36,7 +36,7 @@
     /** Guards against an entry that was held up for a second taking all its servers for dead. */
     @Test
     void anEntryThatDidNotListenBlamesNobody() {
-        timer.expectWithin(300);
+        timer.restart(300);
         runLaterAfter(1_300);
         assertEquals(0, silences, "what came meanwhile is still to be read");
         runLaterAfter(101);
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/StopPlanTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/StopPlanTest.java
@@ -12,7 +12,7 @@
 class StopPlanTest {
 
     private final ManualClock clock = new ManualClock();
-    private final StopPlan plan = new StopPlan(clock, 8_000);
+    private final GracefulShutdown plan = new GracefulShutdown(clock, 8_000);
 
     private void after(long millis) {
         clock.advance(Duration.ofMillis(millis));
@@ -24,28 +24,28 @@
      */
     @Test
     void longWorkIsTurnedAwayBeforeItCouldBeCut() {
-        assertTrue(plan.takes(true));
+        assertTrue(plan.admits(true));
         plan.begin();
-        assertTrue(plan.takes(true), "callers keep the address for a while");
+        assertTrue(plan.admits(true), "callers keep the address for a while");
         after(2_400);
-        assertTrue(plan.takes(true));
+        assertTrue(plan.admits(true));
         after(200);
-        assertFalse(plan.takes(true));
-        assertTrue(plan.takes(false), "a plain call takes a tenth of a second");
+        assertFalse(plan.admits(true));
+        assertTrue(plan.admits(false), "a plain call takes a tenth of a second");
         after(3_800);
-        assertFalse(plan.takes(false));
+        assertFalse(plan.admits(false));
     }
 
     @Test
     void theProcessEndsWhenNothingIsLeftOrTimeIsUp() {
         plan.begin();
         after(3_000);
-        assertFalse(plan.ends(0), "callers may still come");
+        assertFalse(plan.shouldEnd(0), "callers may still come");
         after(1_100);
-        assertTrue(plan.ends(0));
-        assertFalse(plan.ends(1));
+        assertTrue(plan.shouldEnd(0));
+        assertFalse(plan.shouldEnd(1));
         after(3_300);
-        assertTrue(plan.ends(1));
+        assertTrue(plan.shouldEnd(1));
     }
 
     /**
@@ -56,8 +56,8 @@
     void nothingIsTakenOnceTheProcessEnds() {
         plan.begin();
         after(4_100);
-        assertTrue(plan.takes(false));
-        assertTrue(plan.end(0));
-        assertFalse(plan.takes(false));
+        assertTrue(plan.admits(false));
+        assertTrue(plan.tryEnd(0));
+        assertFalse(plan.admits(false));
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/WorkShareTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/WorkShareTest.java
@@ -13,14 +13,14 @@
     /** Guards against a dispatcher that answers nobody as it looks through its queue at each call and report of a burst. */
     @Test
     void workThatIsWantedAllTheTimeKeepsToItsShare() {
-        WorkShare share = new WorkShare(0.2, 1_000 * MILLI);
+        DutyCycleLimiter share = new DutyCycleLimiter(0.2, 1_000 * MILLI);
         Random random = new Random(5);
         long worked = 0;
         long now = 0;
         while (now < 10_000 * MILLI) {
-            if (share.allows(now)) {
+            if (share.mayRun(now)) {
                 long took = random.nextInt((int) (20 * MILLI));
-                share.took(now, now + took);
+                share.recordRun(now, now + took);
                 worked += took;
                 now += took;
             }
@@ -32,9 +32,9 @@
     /** Guards against calls that wait for seconds as the process was frozen amid a look. */
     @Test
     void restsAreBounded() {
-        WorkShare share = new WorkShare(0.2, 40 * MILLI);
-        share.took(0, 4_000 * MILLI);
-        assertFalse(share.allows(4_039 * MILLI));
-        assertTrue(share.allows(4_040 * MILLI));
+        DutyCycleLimiter share = new DutyCycleLimiter(0.2, 40 * MILLI);
+        share.recordRun(0, 4_000 * MILLI);
+        assertFalse(share.mayRun(4_039 * MILLI));
+        assertTrue(share.mayRun(4_040 * MILLI));
     }
 }
