--- a/elmline-cli/src/main/java/org/elmline/cli/CommandGroup.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/CommandGroup.java
@@ -5,17 +5,17 @@
     PROGRAM("", ""),
     BENCH("bench", "Measures elmline and its policies.");
 
-    private final String word;
+    private final String commandName;
     private final String description;
 
     CommandGroup(String word, String description) {
-        this.word = word;
+        this.commandName = word;
         this.description = description;
     }
 
     /** The group's own command; empty for the program. */
-    public String word() {
-        return word;
+    public String commandName() {
+        return commandName;
     }
 
     public String description() {
--- a/elmline-cli/src/main/java/org/elmline/cli/Main.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/Main.java
@@ -27,33 +27,33 @@
         for (CommandPlugin plugin : ServiceLoader.load(CommandPlugin.class)) {
             commands.computeIfAbsent(plugin.group(), group -> new ArrayList<>()).addAll(plugin.commands());
         }
-        commands.forEach((group, members) -> add(root, group, members));
-        document(root);
-        root.setExecutionExceptionHandler(Main::explain);
+        commands.forEach((group, members) -> addCommands(root, group, members));
+        addVersionAndExitCodes(root);
+        root.setExecutionExceptionHandler(Main::reportFailure);
         return root;
     }
 
-    private static void add(CommandLine root, CommandGroup group, List<Object> members) {
+    private static void addCommands(CommandLine root, CommandGroup group, List<Object> members) {
         CommandLine parent = root;
         if (group != CommandGroup.PROGRAM) {
             parent = new CommandLine(new GroupCommand());
             parent.getCommandSpec().usageMessage().description(group.description());
         }
-        members.sort(Comparator.comparing(Main::name));
+        members.sort(Comparator.comparing(Main::commandName));
         for (Object member : members) {
             parent.addSubcommand(member);
         }
         if (parent != root) {
-            root.addSubcommand(group.word(), parent);
+            root.addSubcommand(group.commandName(), parent);
         }
     }
 
-    private static String name(Object command) {
+    private static String commandName(Object command) {
         return command.getClass().getAnnotation(Command.class).name();
     }
 
     /** Gives every command the version and the list of exit codes. */
-    private static void document(CommandLine command) {
+    private static void addVersionAndExitCodes(CommandLine command) {
         Map<String, String> meanings = new LinkedHashMap<>();
         for (ExitCode code : ExitCode.values()) {
             meanings.put(" " + code.code(), code.meaning());
@@ -62,11 +62,11 @@
         command.getCommandSpec().usageMessage().exitCodeListHeading("%nExit codes:%n");
         command.getCommandSpec().usageMessage().exitCodeList(meanings);
         for (CommandLine subcommand : command.getSubcommands().values()) {
-            document(subcommand);
+            addVersionAndExitCodes(subcommand);
         }
     }
 
-    private static int explain(Exception failure, CommandLine command, CommandLine.ParseResult parsed) {
+    private static int reportFailure(Exception failure, CommandLine command, CommandLine.ParseResult parsed) {
         command.getErr().println("elmline: " + failure);
         return ExitCode.FAILED.code();
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/ControlBenchCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/ControlBenchCommand.java
@@ -17,10 +17,10 @@
 /** Measures the control state in one process, with no log, disk or network. */
 @Command(name = "control", description = "Times commands and lease renewals; sizes messages, snapshots and memory.")
 final class ControlBenchCommand implements ExitingCommand {
-    private static final int[] ENTRIES = {18, 72, 180, 370};
-    private static final int[] OBJECTS = {1_000, 8_000};
-    private static final int[] BATCHES = {1, 100};
-    private static final int CLAIMS = 1_000;
+    private static final int[] ENTRY_COUNTS = {18, 72, 180, 370};
+    private static final int[] OBJECT_COUNTS = {1_000, 8_000};
+    private static final int[] BATCH_SIZES = {1, 100};
+    private static final int CLAIM_COUNT = 1_000;
 
     @Spec
     private CommandSpec spec;
@@ -38,27 +38,28 @@
     public ExitCode execute() {
         PrintWriter out = spec.commandLine().getOut();
         out.println("median (lowest to highest) of 9 rounds after 3 of warm-up");
-        commands(out, new ApplyCostExperiment());
-        leases(out, new LeaseCostExperiment(objects, controlHosts));
-        states(out, new StateCostExperiment());
+        measureCommands(out, new ApplyCostExperiment());
+        measureLeases(out, new LeaseCostExperiment(objects, controlHosts));
+        measureState(out, new StateCostExperiment());
         return ExitCode.OK;
     }
 
-    private static void commands(PrintWriter out, ApplyCostExperiment experiment) {
-        for (int each : OBJECTS) {
-            print(out, "one ticket over " + each + " objects, us", experiment.ticketMicros(each));
+    private static void measureCommands(PrintWriter out, ApplyCostExperiment experiment) {
+        for (int each : OBJECT_COUNTS) {
+            printSpread(out, "one ticket over " + each + " objects, us", experiment.ticketMicros(each));
         }
-        for (int each : BATCHES) {
-            print(out, "one claim begun and finished, " + each + " to a command, us", experiment.claimMicros(each));
+        for (int each : BATCH_SIZES) {
+            printSpread(
+                    out, "one claim begun and finished, " + each + " to a command, us", experiment.claimMicros(each));
             out.printf("  log bytes of it: %.0f%n", experiment.claimLogBytes(each));
         }
         out.printf("log bytes of a ticket on one role: %d%n", experiment.ticketLogBytes());
     }
 
-    private void leases(PrintWriter out, LeaseCostExperiment experiment) {
+    private void measureLeases(PrintWriter out, LeaseCostExperiment experiment) {
         out.printf("bytes of a renewal over %d objects, unframed%n", objects);
         out.println("entries  request  idle answer  one role changed  one host changed     join");
-        for (int each : ENTRIES) {
+        for (int each : ENTRY_COUNTS) {
             LeaseCost cost = experiment.run(each);
             out.printf(
                     "%7d %8d %12d %17d %17d %8d%n",
@@ -68,22 +69,23 @@
                     cost.objectBytes(),
                     cost.memberBytes(),
                     cost.joinBytes());
-            print(out, "  leader's time for an idle renewal, us", cost.renewMicros());
+            printSpread(out, "  leader's time for an idle renewal, us", cost.renewMicros());
         }
     }
 
-    private static void states(PrintWriter out, StateCostExperiment experiment) {
-        for (int each : OBJECTS) {
-            print(out, "heap of " + each + " objects with their tickets, bytes", experiment.objectHeapBytes(each));
-            print(out, "  snapshot taken and encoded, us", experiment.snapshotMicros(each));
-            print(out, "  snapshot decoded and restored, us", experiment.restoreMicros(each));
+    private static void measureState(PrintWriter out, StateCostExperiment experiment) {
+        for (int each : OBJECT_COUNTS) {
+            printSpread(
+                    out, "heap of " + each + " objects with their tickets, bytes", experiment.objectHeapBytes(each));
+            printSpread(out, "  snapshot taken and encoded, us", experiment.snapshotMicros(each));
+            printSpread(out, "  snapshot decoded and restored, us", experiment.restoreMicros(each));
             out.printf("  snapshot bytes: %d%n", experiment.snapshotBytes(each));
         }
-        print(out, "heap of " + CLAIMS + " recorded claims, bytes", experiment.claimHeapBytes(CLAIMS));
-        out.printf("  snapshot bytes: %d%n", experiment.claimSnapshotBytes(CLAIMS));
+        printSpread(out, "heap of " + CLAIM_COUNT + " recorded claims, bytes", experiment.claimHeapBytes(CLAIM_COUNT));
+        out.printf("  snapshot bytes: %d%n", experiment.claimSnapshotBytes(CLAIM_COUNT));
     }
 
-    private static void print(PrintWriter out, String what, Spread spread) {
+    private static void printSpread(PrintWriter out, String what, Spread spread) {
         out.printf("%s: %.1f (%.1f to %.1f)%n", what, spread.median(), spread.lowest(), spread.highest());
         out.flush();
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/DeploymentBenchCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/DeploymentBenchCommand.java
@@ -33,11 +33,11 @@
         description =
                 "Runs entries and control hosts in this process: tickets to in force, and an entry against a proxy.")
 final class DeploymentBenchCommand implements ExitingCommand {
-    private static final int WARM_UP = 200;
-    private static final int PROBES = 500;
-    private static final int CALLERS = 8;
-    private static final int CALLS_EACH = 150;
-    private static final double FAST_ENGINE = 200;
+    private static final int WARM_UP_PROBES = 200;
+    private static final int MEASURED_PROBES = 500;
+    private static final int CALLER_THREADS = 8;
+    private static final int CALLS_PER_CALLER = 150;
+    private static final double ENGINE_TIME_SCALE = 200;
     private static final int FIRST_FREE_TICKET = 10;
 
     @Spec
@@ -58,16 +58,17 @@
         try (LocalDeployment deployment = LocalDeployment.builder()
                 .entries(entries)
                 .controlHosts(controlHosts)
-                .timeScale(FAST_ENGINE)
+                .timeScale(ENGINE_TIME_SCALE)
                 .start()) {
-            times(out, tickets + " tickets on " + entries + " entries, ms: accepted", accepted(deployment));
-            times(out, "the same, ms: in force on all", inForce(deployment));
-            againstProxy(out, deployment);
+            printTimes(
+                    out, tickets + " tickets on " + entries + " entries, ms: accepted", acceptanceMillis(deployment));
+            printTimes(out, "the same, ms: in force on all", inForce(deployment));
+            compareWithProxy(out, deployment);
         }
         return ExitCode.OK;
     }
 
-    private List<Long> accepted(LocalDeployment deployment) throws IOException {
+    private List<Long> acceptanceMillis(LocalDeployment deployment) throws IOException {
         List<Long> millis = new ArrayList<>();
         for (int i = 0; i < tickets; i++) {
             long start = System.nanoTime();
@@ -112,43 +113,43 @@
     }
 
     /** The same engine behind both, probes taken in turn, so that what else the machine does falls on both alike. */
-    private static void againstProxy(PrintWriter out, LocalDeployment deployment) throws Exception {
+    private static void compareWithProxy(PrintWriter out, LocalDeployment deployment) throws Exception {
         StreamProbe probe = new StreamProbe(deployment.callerKey());
         Address entry = deployment.entries().get(0).callers();
         try (PassThroughProxy proxy =
                 new PassThroughProxy(deployment.engines().get(0).address())) {
             List<Long> byEntry = new ArrayList<>();
             List<Long> byProxy = new ArrayList<>();
-            for (int i = 0; i < WARM_UP + PROBES; i++) {
+            for (int i = 0; i < WARM_UP_PROBES + MEASURED_PROBES; i++) {
                 long one = probe.firstEventMicros(entry, "probe " + i);
                 long other = probe.firstEventMicros(proxy.address(), "probe " + i);
-                if (i >= WARM_UP) {
+                if (i >= WARM_UP_PROBES) {
                     byEntry.add(one);
                     byProxy.add(other);
                 }
             }
-            times(out, "first event through the entry, us", byEntry);
-            times(out, "first event through the proxy, us", byProxy);
+            printTimes(out, "first event through the entry, us", byEntry);
+            printTimes(out, "first event through the proxy, us", byProxy);
             out.printf(
                     "ratio of the medians: %.2f, added: %d us%n",
                     (double) median(byEntry) / median(byProxy), median(byEntry) - median(byProxy));
-            double entryRate = rate(probe, entry);
-            double proxyRate = rate(probe, proxy.address());
+            double entryRate = requestsPerSecond(probe, entry);
+            double proxyRate = requestsPerSecond(probe, proxy.address());
             out.printf(
                     "%d callers at once, requests a second: entry %.0f, proxy %.0f, ratio %.2f%n",
-                    CALLERS, entryRate, proxyRate, entryRate / proxyRate);
+                    CALLER_THREADS, entryRate, proxyRate, entryRate / proxyRate);
         } finally {
             probe.close();
         }
     }
 
-    private static double rate(StreamProbe probe, Address target) throws Exception {
-        ExecutorService callers = Executors.newFixedThreadPool(CALLERS);
+    private static double requestsPerSecond(StreamProbe probe, Address target) throws Exception {
+        ExecutorService callers = Executors.newFixedThreadPool(CALLER_THREADS);
         long start = System.nanoTime();
         try {
             List<CompletableFuture<Void>> running = new ArrayList<>();
-            for (int caller = 0; caller < CALLERS; caller++) {
-                running.add(CompletableFuture.runAsync(() -> callOften(probe, target), callers));
+            for (int caller = 0; caller < CALLER_THREADS; caller++) {
+                running.add(CompletableFuture.runAsync(() -> sendCalls(probe, target), callers));
             }
             for (CompletableFuture<Void> each : running) {
                 each.get();
@@ -157,12 +158,12 @@
             callers.shutdown();
         }
         double seconds = (System.nanoTime() - start) / (double) TimeUnit.SECONDS.toNanos(1);
-        return CALLERS * CALLS_EACH / seconds;
+        return CALLER_THREADS * CALLS_PER_CALLER / seconds;
     }
 
-    private static void callOften(StreamProbe probe, Address target) {
+    private static void sendCalls(StreamProbe probe, Address target) {
         try {
-            for (int i = 0; i < CALLS_EACH; i++) {
+            for (int i = 0; i < CALLS_PER_CALLER; i++) {
                 probe.firstEventMicros(target, "rate " + i);
             }
         } catch (IOException e) {
@@ -170,7 +171,7 @@
         }
     }
 
-    private static void times(PrintWriter out, String what, List<Long> values) {
+    private static void printTimes(PrintWriter out, String what, List<Long> values) {
         List<Long> sorted = new ArrayList<>(values);
         Collections.sort(sorted);
         int last = sorted.size() - 1;
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/StreamProbe.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/StreamProbe.java
@@ -17,12 +17,12 @@
 /** Sends streamed completions one after another and times the first event. Safe for use by many threads. */
 final class StreamProbe {
     private static final MediaType JSON = MediaType.get("application/json");
-    private static final int CONNECTIONS = 64;
-    private static final int TOKENS = 8;
+    private static final int MAX_IDLE_CONNECTIONS = 64;
+    private static final int MAX_OUTPUT_TOKENS = 8;
 
     private final OkHttpClient http = new OkHttpClient.Builder()
             .readTimeout(Duration.ofSeconds(30))
-            .connectionPool(new ConnectionPool(CONNECTIONS, 1, TimeUnit.MINUTES))
+            .connectionPool(new ConnectionPool(MAX_IDLE_CONNECTIONS, 1, TimeUnit.MINUTES))
             .build();
     private final String key;
 
@@ -33,7 +33,7 @@
     /** Microseconds from sending to the first event; the answer is read to its end. */
     long firstEventMicros(Address target, String prompt) throws IOException {
         String body = "{\"model\":\"" + LocalDeployment.MODEL + "\",\"prompt\":\"" + prompt + "\",\"max_tokens\":"
-                + TOKENS + ",\"stream\":true}";
+                + MAX_OUTPUT_TOKENS + ",\"stream\":true}";
         Request request = new Request.Builder()
                 .url("http://" + target + "/v1/completions")
                 .header("Authorization", "Bearer " + key)
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/TimelineBenchCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/TimelineBenchCommand.java
@@ -19,7 +19,7 @@
 @Command(name = "timeline", description = "Counts effects shown before their cause by each clock, and times a stamp.")
 final class TimelineBenchCommand implements ExitingCommand {
     private static final double[] SKEWS_MILLIS = {0.5, 1, 2, 5, 10, 20, 50};
-    private static final int[] THREADS = {1, 4};
+    private static final int[] THREAD_COUNTS = {1, 4};
     private static final int CALLS_PER_ROUND = 500_000;
     private static final int PERCENT = 100;
 
@@ -64,7 +64,7 @@
                     result.maxAheadMillis());
         }
         out.println("threads   wall clock ns   hybrid stamp ns   merge ns   recorded event ns");
-        for (int threads : THREADS) {
+        for (int threads : THREAD_COUNTS) {
             StampCostResult cost = new StampCostExperiment(threads, CALLS_PER_ROUND).run();
             out.printf(
                     "%7d %15.1f %17.1f %10.1f %19.1f%n",
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/ExplainCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/ExplainCommand.java
@@ -25,13 +25,13 @@
 
     @Override
     public ExitCode execute() {
-        RequestStory story = new RequestStory(request);
-        ExitCode read = LogLines.read(files, spec.commandLine(), story::take);
+        RequestTrace story = new RequestTrace(request);
+        ExitCode read = LogFileReader.read(files, spec.commandLine(), story::add);
         if (read != ExitCode.OK) {
             return read;
         }
         PrintWriter out = spec.commandLine().getOut();
-        List<String> told = story.tell();
+        List<String> told = story.format();
         told.forEach(out::println);
         if (told.isEmpty()) {
             spec.commandLine().getErr().println("no line names the request " + request);
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/LogLines.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/LogFileReader.java
@@ -17,10 +17,10 @@
 import picocli.CommandLine;
 
 /** Reads the lines of decision logs. */
-final class LogLines {
+final class LogFileReader {
     private static final ObjectMapper MAPPER = Codecs.jsonMapper();
 
-    private LogLines() {}
+    private LogFileReader() {}
 
     /** Reads files in order; tells on the command's error output which one can't be read. */
     static ExitCode read(List<Path> files, CommandLine command, Consumer<JsonNode> taker) {
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/LossTable.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/LossTable.java
@@ -15,27 +15,27 @@
  */
 final class LossTable {
     /** A request whose entry wrote no last line: it was lost with the entry, or still runs. */
-    private static final String NO_END = "no end";
+    private static final String NO_END_LOGGED = "no end";
 
-    private static final int SERVER_ERROR = 500;
+    private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
     private final long windowMillis;
-    private final Map<String, Story> stories = new HashMap<>();
+    private final Map<String, RequestOutcome> outcomes = new HashMap<>();
 
-    private static final class Story {
-        private long cameAt = Long.MAX_VALUE;
-        private long waitedMillis;
-        private long pauseMillis;
-        private String end = NO_END;
-        private String failure;
+    private static final class RequestOutcome {
+        private long arrivedAtMillis = Long.MAX_VALUE;
+        private long placementWaitMillis;
+        private long longestPauseMillis;
+        private String lossReason = NO_END_LOGGED;
+        private String attemptFailure;
     }
 
     private static final class Row {
-        private int came;
+        private int arrived;
         private int answered;
         private int answeredAfterFailure;
-        private long longestWait;
-        private long longestPause;
+        private long longestWaitMillis;
+        private long longestPauseMillis;
         private final Map<String, Integer> losses = new TreeMap<>();
     }
 
@@ -43,24 +43,25 @@
         this.windowMillis = windowMillis;
     }
 
-    void take(JsonNode line) {
+    void add(JsonNode line) {
         if (!line.path("request").isTextual()) {
             return;
         }
-        Story story = stories.computeIfAbsent(line.path("request").asText(), each -> new Story());
+        RequestOutcome story = outcomes.computeIfAbsent(line.path("request").asText(), each -> new RequestOutcome());
         long age = line.path("ageMs").asLong(0);
-        story.cameAt = Math.min(story.cameAt, line.path("at").asLong() - age);
+        story.arrivedAtMillis = Math.min(story.arrivedAtMillis, line.path("at").asLong() - age);
         switch (line.path("event").asText()) {
-            case "placed" -> story.waitedMillis = Math.max(story.waitedMillis, age);
-            case "attempt failed" -> story.failure = line.path("why").asText();
+            case "placed" -> story.placementWaitMillis = Math.max(story.placementWaitMillis, age);
+            case "attempt failed" -> story.attemptFailure = line.path("why").asText();
             case "streamed" -> {
-                story.end = "";
-                story.pauseMillis = line.path("longestPauseMs").asLong();
+                story.lossReason = "";
+                story.longestPauseMillis = line.path("longestPauseMs").asLong();
             }
-            case "answered" -> story.end = line.path("status").asInt() < SERVER_ERROR ? "" : "a server's own failure";
-            case "refused", "turned away", "stream broken off" -> story.end =
+            case "answered" -> story.lossReason =
+                    line.path("status").asInt() < FIRST_SERVER_ERROR_STATUS ? "" : "a server's own failure";
+            case "refused", "turned away", "stream broken off" -> story.lossReason =
                     line.path("event").asText() + ": " + line.path("why").asText();
-            case "caller left" -> story.end = "caller left";
+            case "caller left" -> story.lossReason = "caller left";
             default -> {
                 // Tells nothing of the request's end.
             }
@@ -68,10 +69,11 @@
     }
 
     /** The table, a line a window; empty when no line names a request. */
-    List<String> tell() {
+    List<String> format() {
         TreeMap<Long, Row> rows = new TreeMap<>();
-        stories.values()
-                .forEach(each -> count(each, rows.computeIfAbsent(each.cameAt / windowMillis, at -> new Row())));
+        outcomes.values()
+                .forEach(each ->
+                        addToRow(each, rows.computeIfAbsent(each.arrivedAtMillis / windowMillis, at -> new Row())));
         if (rows.isEmpty()) {
             return List.of();
         }
@@ -82,28 +84,28 @@
                 Locale.ROOT,
                 "%6.1f %6d %8d %13d %15d %16d %s",
                 (at - start) * windowMillis / 1_000.0,
-                row.came,
+                row.arrived,
                 row.answered,
                 row.answeredAfterFailure,
-                row.longestWait,
-                row.longestPause,
-                losses(row))));
+                row.longestWaitMillis,
+                row.longestPauseMillis,
+                formatLosses(row))));
         return table;
     }
 
-    private static void count(Story story, Row row) {
-        row.came++;
-        row.longestWait = Math.max(row.longestWait, story.waitedMillis);
-        row.longestPause = Math.max(row.longestPause, story.pauseMillis);
-        if (!story.end.isEmpty()) {
-            row.losses.merge(story.end, 1, Integer::sum);
+    private static void addToRow(RequestOutcome story, Row row) {
+        row.arrived++;
+        row.longestWaitMillis = Math.max(row.longestWaitMillis, story.placementWaitMillis);
+        row.longestPauseMillis = Math.max(row.longestPauseMillis, story.longestPauseMillis);
+        if (!story.lossReason.isEmpty()) {
+            row.losses.merge(story.lossReason, 1, Integer::sum);
             return;
         }
         row.answered++;
-        row.answeredAfterFailure += story.failure == null ? 0 : 1;
+        row.answeredAfterFailure += story.attemptFailure == null ? 0 : 1;
     }
 
-    private static String losses(Row row) {
+    private static String formatLosses(Row row) {
         StringBuilder text = new StringBuilder();
         row.losses.forEach((why, count) -> text.append(text.length() == 0 ? "" : "; ")
                 .append(count)
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/LossesCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/LossesCommand.java
@@ -36,11 +36,11 @@
             return ExitCode.INVALID;
         }
         LossTable table = new LossTable(windowSeconds * MILLIS_PER_SECOND);
-        ExitCode read = LogLines.read(files, spec.commandLine(), table::take);
+        ExitCode read = LogFileReader.read(files, spec.commandLine(), table::add);
         if (read != ExitCode.OK) {
             return read;
         }
-        List<String> told = table.tell();
+        List<String> told = table.format();
         told.forEach(spec.commandLine().getOut()::println);
         if (told.isEmpty()) {
             spec.commandLine().getErr().println("no line names a request");
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/RequestStory.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/RequestTrace.java
@@ -14,49 +14,49 @@
  * to shortly before and while it ran. Within one process lines keep the order of its monotonic clock; between processes the
  * time of day decides, which may be wrong by as much as the hosts' clocks differ.
  */
-final class RequestStory {
+final class RequestTrace {
     /** News of a server up to this long before a request's first line may explain it: some heartbeats. */
-    private static final long BEFORE_MILLIS = 5_000;
+    private static final long LOOKBACK_MILLIS = 5_000;
 
-    private final String request;
+    private final String requestId;
     private final List<JsonNode> lines = new ArrayList<>();
 
-    RequestStory(String request) {
-        this.request = request;
+    RequestTrace(String request) {
+        this.requestId = request;
     }
 
-    void take(JsonNode line) {
+    void add(JsonNode line) {
         lines.add(line);
     }
 
     /** The story in order; empty when no line names the request. */
-    List<String> tell() {
+    List<String> format() {
         Set<String> attempts = new HashSet<>();
         Set<String> servers = new HashSet<>();
         long first = Long.MAX_VALUE;
         long last = Long.MIN_VALUE;
         for (JsonNode each : lines) {
-            if (each.path("request").asText().equals(request)) {
-                text(each, "attempt").ifPresent(attempts::add);
-                text(each, "server").ifPresent(servers::add);
+            if (each.path("request").asText().equals(requestId)) {
+                textField(each, "attempt").ifPresent(attempts::add);
+                textField(each, "server").ifPresent(servers::add);
                 first = Math.min(first, each.path("at").asLong());
                 last = Math.max(last, each.path("at").asLong());
             }
         }
         List<JsonNode> chosen = new ArrayList<>();
         for (JsonNode each : lines) {
-            if (belongs(each, attempts, servers, first - BEFORE_MILLIS, last)) {
+            if (isRelated(each, attempts, servers, first - LOOKBACK_MILLIS, last)) {
                 chosen.add(each);
             }
         }
         chosen.sort(Comparator.comparingLong((JsonNode each) -> each.path("at").asLong())
                 .thenComparing(each -> each.path("host").asText())
                 .thenComparingLong(each -> each.path("mono").asLong()));
-        return chosen.stream().map(RequestStory::tell).toList();
+        return chosen.stream().map(RequestTrace::format).toList();
     }
 
-    private boolean belongs(JsonNode line, Set<String> attempts, Set<String> servers, long from, long until) {
-        if (line.path("request").asText().equals(request)) {
+    private boolean isRelated(JsonNode line, Set<String> attempts, Set<String> servers, long from, long until) {
+        if (line.path("request").asText().equals(requestId)) {
             return true;
         }
         if (line.path("request").isTextual()) {
@@ -68,11 +68,11 @@
         return ofAttempt || ofServer;
     }
 
-    private static Optional<String> text(JsonNode line, String field) {
+    private static Optional<String> textField(JsonNode line, String field) {
         return line.path(field).isTextual() ? Optional.of(line.path(field).asText()) : Optional.empty();
     }
 
-    private static String tell(JsonNode line) {
+    private static String format(JsonNode line) {
         StringBuilder text = new StringBuilder();
         text.append(line.path("at").asLong()).append(' ');
         text.append(line.path("host").asText())
--- a/elmline-cli/src/main/java/org/elmline/cli/local/LocalDeployment.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/local/LocalDeployment.java
@@ -26,7 +26,7 @@
 import org.elmline.core.control.Ticket;
 import org.elmline.core.control.TicketAnswer;
 import org.elmline.daemon.control.ControlDaemon;
-import org.elmline.daemon.control.ControlData;
+import org.elmline.daemon.control.ControlDataFolder;
 import org.elmline.daemon.entry.EntryDaemon;
 import org.elmline.daemon.http.BearerKey;
 import org.elmline.daemon.settings.CallerSettings;
@@ -52,23 +52,23 @@
     public static final String SERVICE = "booking";
     private static final String ORGANISATION = "local";
     private static final Region REGION = Region.of("local");
-    private static final Duration START_LIMIT = Duration.ofSeconds(60);
-    private static final long PAUSE_MILLIS = 20;
+    private static final Duration START_TIMEOUT = Duration.ofSeconds(60);
+    private static final long RETRY_DELAY_MILLIS = 20;
     private static final int MAX_PROMPT_TOKENS = 1_000_000;
     private static final int MAX_OUTPUT_TOKENS = 4_096;
     private static final long DEFAULT_KV_TOKENS = 500_000;
-    private static final int SERVICE_MILLIS = 10_000;
+    private static final int SERVICE_TIMEOUT_MILLIS = 10_000;
 
     private final Closer closer = new Closer();
-    private final Builder plan;
+    private final Builder options;
     private final LocalKeys keys;
-    private final List<ControlDaemon> controls = new ArrayList<>();
+    private final List<ControlDaemon> controlHosts = new ArrayList<>();
     private final List<EntryDaemon> entries = new ArrayList<>();
     private final List<EngineServer> engines = new ArrayList<>();
     private ServiceServer service;
 
     private LocalDeployment(Builder plan, LocalKeys keys) {
-        this.plan = plan;
+        this.options = plan;
         this.keys = keys;
     }
 
@@ -77,127 +77,127 @@
     }
 
     private void open() throws IOException, InterruptedException {
-        List<ControlHost> seats = seats();
+        List<ControlHost> seats = initialControlHosts();
         for (ControlHost each : seats) {
-            ControlSettings settings = control(each, seats);
-            if (controls.isEmpty() && !Files.exists(settings.dataFolder())) {
-                ControlData.bootstrap(settings);
+            ControlSettings settings = controlSettings(each, seats);
+            if (controlHosts.isEmpty() && !Files.exists(settings.dataFolder())) {
+                ControlDataFolder.bootstrap(settings);
             }
-            controls.add(closer.register(ControlDaemon.start(settings, this::close)));
+            controlHosts.add(closer.register(ControlDaemon.start(settings, this::close)));
         }
-        for (int i = 0; i < plan.entries; i++) {
-            entries.add(closer.register(EntryDaemon.start(entry(i, seats))));
+        for (int i = 0; i < options.entries; i++) {
+            entries.add(closer.register(EntryDaemon.start(entrySettings(i, seats))));
         }
-        for (int i = 0; i < plan.engines; i++) {
-            engines.add(closer.register(engine(i)));
+        for (int i = 0; i < options.engines; i++) {
+            engines.add(closer.register(startEngine(i)));
         }
         ServiceServer.Builder builder = ServiceServer.builder()
                 .id("booking-1")
                 .incarnation(System.currentTimeMillis())
                 .service(SERVICE)
                 .region(REGION.value())
-                .failureDomain(domain(0).value())
+                .failureDomain(failureDomain(0).value())
                 .backendKey(keys.backend());
         entries.forEach(each -> builder.announceTo(each.callers()));
         service = closer.register(builder.start());
         applyFirstTicket();
     }
 
-    private List<ControlHost> seats() throws IOException {
+    private List<ControlHost> initialControlHosts() throws IOException {
         List<ControlHost> seats = new ArrayList<>();
-        for (int i = 0; i < plan.controlHosts; i++) {
-            Address peers = new Address("127.0.0.1", plan.controlPort(i));
-            seats.add(new ControlHost(HostId.of("control-" + (i + 1)), peers, domain(i)));
+        for (int i = 0; i < options.controlHosts; i++) {
+            Address peers = new Address("127.0.0.1", options.controlPort(i));
+            seats.add(new ControlHost(HostId.of("control-" + (i + 1)), peers, failureDomain(i)));
         }
         return seats;
     }
 
-    private ControlSettings control(ControlHost seat, List<ControlHost> seats) {
+    private ControlSettings controlSettings(ControlHost seat, List<ControlHost> seats) {
         return ControlSettings.builder()
                 .host(seat.host())
                 .region(REGION)
                 .failureDomain(seat.failureDomain())
-                .dataFolder(plan.dataFolder.resolve(seat.host().value()))
+                .dataFolder(options.dataFolder.resolve(seat.host().value()))
                 .addresses(new ControlAddresses(
-                        ListenAddress.anyLoopback(),
+                        ListenAddress.anyLoopbackPort(),
                         ListenAddress.loopback(seat.peers().port())))
                 .control(seats)
                 .keys(new ControlKeys(Secret.of(keys.peer()), List.of(Secret.of(keys.operator()))))
                 .build();
     }
 
-    private EntrySettings entry(int number, List<ControlHost> seats) {
-        int callerPort = number == 0 ? plan.callerPort : 0;
-        int operatorPort = number == 0 ? plan.operatorPort : 0;
+    private EntrySettings entrySettings(int number, List<ControlHost> seats) {
+        int callerPort = number == 0 ? options.callerPort : 0;
+        int operatorPort = number == 0 ? options.operatorPort : 0;
         return EntrySettings.builder()
                 .host(HostId.of("entry-" + (number + 1)))
                 .region(REGION)
-                .failureDomain(domain(number))
+                .failureDomain(failureDomain(number))
                 .addresses(new EntryAddresses(
                         ListenAddress.loopback(callerPort),
                         ListenAddress.loopback(operatorPort),
-                        ListenAddress.anyLoopback()))
+                        ListenAddress.anyLoopbackPort()))
                 .control(seats)
                 .keys(new EntryKeys(
                         Secret.of(keys.peer()),
                         List.of(Secret.of(keys.operator())),
                         List.of(Secret.of(keys.backend()))))
                 .callers(new CallerSettings(
-                        plan.keepSeconds,
+                        options.keepSeconds,
                         CallerSettings.DEFAULT.defaultTimeoutMillis(),
                         CallerSettings.DEFAULT.maxTimeoutMillis()))
                 .build();
     }
 
-    private EngineServer engine(int number) {
+    private EngineServer startEngine(int number) {
         EngineServer.Builder builder = EngineServer.builder()
                 .id("engine-" + (number + 1))
                 .incarnation(System.currentTimeMillis())
                 .model(MODEL)
                 .version("1")
                 .region(REGION.value())
-                .failureDomain(domain(number).value())
-                .timeScale(plan.timeScale)
-                .checksFencing(number < plan.engines - plan.carelessEngines)
+                .failureDomain(failureDomain(number).value())
+                .timeScale(options.timeScale)
+                .checksFencing(number < options.engines - options.enginesWithoutFencing)
                 .profile(EngineProfile.builder()
-                        .capacityKvTokens(plan.engineKvTokens)
+                        .capacityKvTokens(options.engineKvTokens)
                         .build())
                 .backendKey(keys.backend());
         entries.forEach(each -> builder.announceTo(each.callers()));
         return builder.start();
     }
 
-    private static FailureDomain domain(int number) {
+    private static FailureDomain failureDomain(int number) {
         return FailureDomain.of("domain-" + (number % 3 + 1));
     }
 
     private void applyFirstTicket() throws IOException, InterruptedException {
         Model model = new Model(ModelName.of(MODEL), "1", List.of(), MAX_PROMPT_TOKENS, MAX_OUTPUT_TOKENS, 1, false);
-        Service booking = new Service(ServiceName.of(SERVICE), List.of("GET", "HEAD"), SERVICE_MILLIS, false);
+        Service booking = new Service(ServiceName.of(SERVICE), List.of("GET", "HEAD"), SERVICE_TIMEOUT_MILLIS, false);
         Organisation organisation = new Organisation(
                 OrganisationId.of(ORGANISATION), 1, 1, List.of(BearerKey.hash(keys.caller())), 0, 0, false);
         Ticket ticket = new Ticket(TicketNumber.of(1), "local", List.of(model, booking, organisation));
-        long end = System.nanoTime() + START_LIMIT.toNanos();
+        long end = System.nanoTime() + START_TIMEOUT.toNanos();
         while (System.nanoTime() < end) {
             CallResult<TicketAnswer> answer =
                     entries.get(0).control().submit(ticket).join();
-            if (inForce(answer)) {
+            if (isInForce(answer)) {
                 return;
             }
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
+            TimeUnit.MILLISECONDS.sleep(RETRY_DELAY_MILLIS);
         }
-        throw new IOException("the first ticket was not in force within " + START_LIMIT.toSeconds() + " s");
+        throw new IOException("the first ticket was not in force within " + START_TIMEOUT.toSeconds() + " s");
     }
 
     /** On a data folder that has moved on, the first ticket is stale or superseded, which is as good. */
-    private static boolean inForce(CallResult<TicketAnswer> answer) {
+    private static boolean isInForce(CallResult<TicketAnswer> answer) {
         return answer instanceof CallResult.Answered<TicketAnswer> answered
                 && answered.value() instanceof TicketAnswer.Decided decided
                 && decided.status().inForce();
     }
 
-    public List<ControlDaemon> controls() {
-        return List.copyOf(controls);
+    public List<ControlDaemon> controlHosts() {
+        return List.copyOf(controlHosts);
     }
 
     public List<EntryDaemon> entries() {
@@ -234,7 +234,7 @@
         private int controlHosts = 1;
         private int entries = 1;
         private int engines = 1;
-        private int carelessEngines;
+        private int enginesWithoutFencing;
         private int callerPort;
         private int operatorPort;
         private int keepSeconds = CallerSettings.DEFAULT.keepSeconds();
@@ -260,8 +260,8 @@
         }
 
         /** How many of the engines, the last ones, ignore fencing numbers. */
-        public Builder carelessEngines(int value) {
-            carelessEngines = value;
+        public Builder enginesWithoutFencing(int value) {
+            enginesWithoutFencing = value;
             return this;
         }
 
@@ -306,7 +306,7 @@
             if (dataFolder == null) {
                 dataFolder = Files.createTempDirectory("elmline-local");
             }
-            LocalDeployment deployment = new LocalDeployment(this, LocalKeys.in(dataFolder));
+            LocalDeployment deployment = new LocalDeployment(this, LocalKeys.loadOrGenerate(dataFolder));
             try {
                 deployment.open();
                 return deployment;
--- a/elmline-cli/src/main/java/org/elmline/cli/local/LocalKeys.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/local/LocalKeys.java
@@ -11,18 +11,18 @@
 
 /** The keys of one local deployment. They are kept with its data, since its first ticket holds the caller key's hash. */
 record LocalKeys(String caller, String operator, String backend, String peer) {
-    private static final String FILE = "local-keys.json";
+    private static final String FILE_NAME = "local-keys.json";
     private static final int KEY_BYTES = 16;
 
-    static LocalKeys random() {
-        return new LocalKeys(key("caller"), key("operator"), key("backend"), key("peer"));
+    static LocalKeys generate() {
+        return new LocalKeys(randomKey("caller"), randomKey("operator"), randomKey("backend"), randomKey("peer"));
     }
 
     /** The keys in a data folder, made anew when it has none. */
-    static LocalKeys in(Path folder) throws IOException {
-        Path file = folder.resolve(FILE);
+    static LocalKeys loadOrGenerate(Path folder) throws IOException {
+        Path file = folder.resolve(FILE_NAME);
         if (!Files.exists(file)) {
-            LocalKeys keys = random();
+            LocalKeys keys = generate();
             Files.createDirectories(folder);
             Files.write(file, Codecs.STRICT_JSON.encode(keys));
             return keys;
@@ -34,7 +34,7 @@
         throw new IOException(file + ": " + ((Decoded.Malformed<LocalKeys>) read).why());
     }
 
-    private static String key(String use) {
+    private static String randomKey(String use) {
         byte[] bytes = new byte[KEY_BYTES];
         new SecureRandom().nextBytes(bytes);
         return use + "-" + HexFormat.of().formatHex(bytes);
--- a/elmline-cli/src/main/java/org/elmline/cli/log/JsonLogs.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/log/JsonLogging.java
@@ -11,10 +11,10 @@
 import org.elmline.daemon.settings.LogLevel;
 
 /** Writes log lines as JSON, one object a line. elmline's own lines follow the given level, libraries' only warnings. */
-final class JsonLogs {
-    private static final String OWN = "org.elmline";
+final class JsonLogging {
+    private static final String OWN_LOGGER = "org.elmline";
 
-    private JsonLogs() {}
+    private JsonLogging() {}
 
     /** Sends all lines of the context to the stream, and stops sending them anywhere else. */
     static void install(LoggerContext context, OutputStream out, LogLevel level) {
@@ -31,10 +31,10 @@
         root.detachAndStopAllAppenders();
         root.addAppender(appender);
         root.setLevel(Level.WARN);
-        level(context, level);
+        setLevel(context, level);
     }
 
-    static void level(LoggerContext context, LogLevel level) {
-        context.getLogger(OWN).setLevel(Level.valueOf(level.name()));
+    static void setLevel(LoggerContext context, LogLevel level) {
+        context.getLogger(OWN_LOGGER).setLevel(Level.valueOf(level.name()));
     }
 }
--- a/elmline-cli/src/main/java/org/elmline/cli/log/JsonLogsConfigurator.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/log/JsonLoggingConfigurator.java
@@ -6,10 +6,10 @@
 import org.elmline.daemon.settings.LogLevel;
 
 /** Found by Logback by {@link java.util.ServiceLoader}: JSON lines on the standard error from the first line on. */
-public final class JsonLogsConfigurator extends ContextAwareBase implements Configurator {
+public final class JsonLoggingConfigurator extends ContextAwareBase implements Configurator {
     @Override
     public ExecutionStatus configure(LoggerContext context) {
-        JsonLogs.install(context, System.err, LogLevel.INFO);
+        JsonLogging.install(context, System.err, LogLevel.INFO);
         return ExecutionStatus.DO_NOT_INVOKE_NEXT_IF_ANY;
     }
 }
--- a/elmline-cli/src/main/java/org/elmline/cli/log/Logs.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/log/LogConfiguration.java
@@ -9,19 +9,19 @@
 import org.slf4j.LoggerFactory;
 
 /** Applies a process's settings to its log lines. */
-public final class Logs {
-    private Logs() {}
+public final class LogConfiguration {
+    private LogConfiguration() {}
 
     /** Sets the level, and puts the process's name and role on every line. */
     public static void apply(Settings settings) {
         if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
-            context.putProperty("host", name(settings));
-            context.putProperty("role", settings.role().word());
-            JsonLogs.level(context, settings.log().level());
+            context.putProperty("host", processName(settings));
+            context.putProperty("role", settings.role().settingValue());
+            JsonLogging.setLevel(context, settings.log().level());
         }
     }
 
-    private static String name(Settings settings) {
+    private static String processName(Settings settings) {
         if (settings instanceof EntrySettings entry) {
             return entry.host().value();
         }
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/InForceWait.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/InForcePoller.java
@@ -6,31 +6,31 @@
 import org.elmline.core.common.TicketNumber;
 
 /** Asks again until a ticket is in force everywhere. */
-final class InForceWait {
-    private static final long PAUSE_MILLIS = 200;
+final class InForcePoller {
+    private static final long POLL_INTERVAL_MILLIS = 200;
 
     private final OperatorClient client;
-    private final Duration limit;
+    private final Duration timeout;
 
-    InForceWait(OperatorClient client, Duration limit) {
+    InForcePoller(OperatorClient client, Duration limit) {
         this.client = client;
-        this.limit = limit;
+        this.timeout = limit;
     }
 
     /** The ticket once it is in force; unreachable when the time limit passes first. */
     OperatorAnswer await(TicketNumber number) throws InterruptedException {
-        long end = System.nanoTime() + limit.toNanos();
+        long end = System.nanoTime() + timeout.toNanos();
         OperatorAnswer last;
         do {
             last = client.get(TicketPaths.of(number));
             if (last instanceof OperatorAnswer.Refused || isInForce(last)) {
                 return last;
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         } while (System.nanoTime() < end);
         String seen = last instanceof OperatorAnswer.Done done ? done.body().toString() : last.toString();
         return new OperatorAnswer.Unreachable("ticket " + number + " was taken but is not in force everywhere within "
-                + limit.toSeconds() + " s: " + seen);
+                + timeout.toSeconds() + " s: " + seen);
     }
 
     private static boolean isInForce(OperatorAnswer answer) {
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/Timeline.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/MergedTimeline.java
@@ -10,11 +10,11 @@
  *
  * @param events causes before effects
  * @param pages what each host answered
- * @param missing why a host's events are not among them, one line for each such host
+ * @param missingHosts why a host's events are not among them, one line for each such host
  */
-record Timeline(List<StampedEvent> events, List<EventPage> pages, List<String> missing) {
+record MergedTimeline(List<StampedEvent> events, List<EventPage> pages, List<String> missingHosts) {
     /** Events that hosts had already overwritten. */
-    long dropped() {
+    long droppedEvents() {
         return pages.stream().mapToLong(EventPage::dropped).sum();
     }
 }
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorAnswer.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorAnswer.java
@@ -17,11 +17,11 @@
 
     /** The host answered with an error. */
     record Refused(int status, JsonNode body) implements OperatorAnswer {
-        private static final int NOT_FOUND = 404;
+        private static final int NOT_FOUND_STATUS = 404;
 
         @Override
         public ExitCode exitCode() {
-            return status == NOT_FOUND ? ExitCode.NOT_FOUND : ExitCode.REFUSED;
+            return status == NOT_FOUND_STATUS ? ExitCode.NOT_FOUND : ExitCode.REFUSED;
         }
     }
 
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorClient.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorClient.java
@@ -21,7 +21,7 @@
  */
 final class OperatorClient {
     private static final MediaType JSON = MediaType.get("application/json");
-    private static final int FIRST_SERVER_ERROR = 500;
+    private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
     private final ObjectMapper mapper = Codecs.jsonMapper();
     private final OkHttpClient http;
@@ -43,22 +43,22 @@
     }
 
     OperatorAnswer get(String path) {
-        return first(builder -> builder, path);
+        return sendToFirstAvailable(builder -> builder, path);
     }
 
     OperatorAnswer put(String path, byte[] body) {
-        return first(builder -> builder.put(RequestBody.create(body, JSON)), path);
+        return sendToFirstAvailable(builder -> builder.put(RequestBody.create(body, JSON)), path);
     }
 
     /** Asks one host only. */
-    OperatorAnswer askOne(HttpUrl host, String path) {
-        return ask(host, builder -> builder, path);
+    OperatorAnswer getFrom(HttpUrl host, String path) {
+        return send(host, builder -> builder, path);
     }
 
-    private OperatorAnswer first(Method method, String path) {
+    private OperatorAnswer sendToFirstAvailable(RequestMethod method, String path) {
         List<String> failures = new ArrayList<>();
         for (HttpUrl host : hosts) {
-            OperatorAnswer answer = ask(host, method, path);
+            OperatorAnswer answer = send(host, method, path);
             if (!(answer instanceof OperatorAnswer.Unreachable unreachable)) {
                 return answer;
             }
@@ -67,27 +67,27 @@
         return new OperatorAnswer.Unreachable(String.join("; ", failures));
     }
 
-    private OperatorAnswer ask(HttpUrl host, Method method, String path) {
+    private OperatorAnswer send(HttpUrl host, RequestMethod method, String path) {
         HttpUrl url = host.resolve(path);
         if (url == null) {
             return new OperatorAnswer.Unreachable(host + ": not a path: " + path);
         }
-        Request request = method.on(new Request.Builder().url(url))
+        Request request = method.applyTo(new Request.Builder().url(url))
                 .header("Authorization", "Bearer " + key)
                 .build();
         try (Response response = http.newCall(request).execute()) {
-            return read(host, response);
+            return toAnswer(host, response);
         } catch (IOException e) {
             return new OperatorAnswer.Unreachable(host + ": " + e.getMessage());
         }
     }
 
-    private OperatorAnswer read(HttpUrl host, Response response) throws IOException {
+    private OperatorAnswer toAnswer(HttpUrl host, Response response) throws IOException {
         JsonNode body = parse(response.body().bytes());
         if (response.isSuccessful()) {
             return new OperatorAnswer.Done(body);
         }
-        if (response.code() >= FIRST_SERVER_ERROR) {
+        if (response.code() >= FIRST_SERVER_ERROR_STATUS) {
             return new OperatorAnswer.Unreachable(host + ": " + response.code() + " " + ErrorText.of(body));
         }
         return new OperatorAnswer.Refused(response.code(), body);
@@ -99,7 +99,7 @@
     }
 
     /** Completes a request with its HTTP method and body. */
-    private interface Method {
-        Request.Builder on(Request.Builder builder);
+    private interface RequestMethod {
+        Request.Builder applyTo(Request.Builder builder);
     }
 }
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorOptions.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorOptions.java
@@ -48,12 +48,12 @@
     OperatorClient client() {
         List<HttpUrl> hosts = new ArrayList<>();
         for (String operator : operators) {
-            hosts.add(url(operator));
+            hosts.add(parseUrl(operator));
         }
         return new OperatorClient(hosts, key(), Duration.ofSeconds(timeoutSeconds));
     }
 
-    private HttpUrl url(String operator) {
+    private HttpUrl parseUrl(String operator) {
         HttpUrl url = HttpUrl.parse(operator.contains("://") ? operator : "http://" + operator);
         if (url == null) {
             throw new ParameterException(spec.commandLine(), "not a URL: " + operator);
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TicketApplyCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TicketApplyCommand.java
@@ -45,7 +45,7 @@
         OperatorClient client = operator.client();
         OperatorAnswer answer = client.put(TicketPaths.of(ticket.number()), Codecs.JSON.encode(ticket));
         if (answer instanceof OperatorAnswer.Done && waitSeconds > 0) {
-            answer = new InForceWait(client, Duration.ofSeconds(waitSeconds)).await(ticket.number());
+            answer = new InForcePoller(client, Duration.ofSeconds(waitSeconds)).await(ticket.number());
         }
         return new AnswerPrinter(spec.commandLine()).print(answer);
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineCommand.java
@@ -61,8 +61,8 @@
         EventQuery query = query();
         OperatorClient client = operator.client();
         TimelineReader reader = new TimelineReader(client);
-        Set<HttpUrl> hosts = onlyGiven ? new LinkedHashSet<>(client.hosts()) : reader.knownHosts();
-        Timeline timeline = reader.read(hosts, query);
+        Set<HttpUrl> hosts = onlyGiven ? new LinkedHashSet<>(client.hosts()) : reader.discoverHosts();
+        MergedTimeline timeline = reader.read(hosts, query);
         print(timeline);
         return timeline.pages().isEmpty() ? ExitCode.UNREACHABLE : ExitCode.OK;
     }
@@ -80,17 +80,17 @@
         }
     }
 
-    private void print(Timeline timeline) {
+    private void print(MergedTimeline timeline) {
         PrintWriter out = spec.commandLine().getOut();
         for (StampedEvent event : timeline.events()) {
             out.println(json ? new String(Codecs.JSON.encode(event), StandardCharsets.UTF_8) : EventText.line(event));
         }
         PrintWriter err = spec.commandLine().getErr();
-        for (String each : timeline.missing()) {
+        for (String each : timeline.missingHosts()) {
             err.println("missing: " + each);
         }
-        if (timeline.dropped() > 0) {
-            err.println("hosts had overwritten " + timeline.dropped() + " earlier events");
+        if (timeline.droppedEvents() > 0) {
+            err.println("hosts had overwritten " + timeline.droppedEvents() + " earlier events");
         }
     }
 }
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineReader.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineReader.java
@@ -20,7 +20,7 @@
 /** Asks many hosts for their events at once and merges what they answer. */
 final class TimelineReader {
     private static final String STATUS_PATH = "/v1/status";
-    private static final int MAX_AT_ONCE = 32;
+    private static final int MAX_CONCURRENT_REQUESTS = 32;
 
     private final OperatorClient client;
 
@@ -29,7 +29,7 @@
     }
 
     /** The given hosts, and every entry host that the first of them that answers knows. */
-    Set<HttpUrl> knownHosts() {
+    Set<HttpUrl> discoverHosts() {
         Set<HttpUrl> known = new LinkedHashSet<>(client.hosts());
         if (client.get(STATUS_PATH) instanceof OperatorAnswer.Done done) {
             for (JsonNode host : done.body().path("entryHosts")) {
@@ -42,27 +42,27 @@
         return known;
     }
 
-    Timeline read(Set<HttpUrl> hosts, EventQuery query) throws InterruptedException {
+    MergedTimeline read(Set<HttpUrl> hosts, EventQuery query) throws InterruptedException {
         List<EventPage> pages = new ArrayList<>();
         List<String> missing = new ArrayList<>();
-        ExecutorService asking = Executors.newFixedThreadPool(Math.min(MAX_AT_ONCE, hosts.size()));
+        ExecutorService asking = Executors.newFixedThreadPool(Math.min(MAX_CONCURRENT_REQUESTS, hosts.size()));
         try {
             List<Future<OperatorAnswer>> answers = new ArrayList<>();
             for (HttpUrl host : hosts) {
-                answers.add(asking.submit(() -> client.askOne(host, EventsPath.of(query))));
+                answers.add(asking.submit(() -> client.getFrom(host, EventsPath.of(query))));
             }
             for (Future<OperatorAnswer> answer : answers) {
-                take(answer.get(), pages, missing);
+                addAnswer(answer.get(), pages, missing);
             }
         } catch (ExecutionException e) {
             throw new IllegalStateException("asking a host failed other than by an answer", e);
         } finally {
             asking.shutdownNow();
         }
-        return new Timeline(TimelineMerge.merge(pages, query), pages, missing);
+        return new MergedTimeline(TimelineMerge.merge(pages, query), pages, missing);
     }
 
-    private static void take(OperatorAnswer answer, List<EventPage> pages, List<String> missing) {
+    private static void addAnswer(OperatorAnswer answer, List<EventPage> pages, List<String> missing) {
         if (answer instanceof OperatorAnswer.Unreachable unreachable) {
             missing.add(unreachable.message());
         } else if (answer instanceof OperatorAnswer.Refused refused) {
--- a/elmline-cli/src/main/java/org/elmline/cli/role/ControlBootstrapCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/ControlBootstrapCommand.java
@@ -6,7 +6,7 @@
 
 import org.elmline.cli.ExitCode;
 import org.elmline.cli.ExitingCommand;
-import org.elmline.daemon.control.ControlData;
+import org.elmline.daemon.control.ControlDataFolder;
 import org.elmline.daemon.settings.ControlSettings;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -32,7 +32,7 @@
             return ExitCode.INVALID;
         }
         try {
-            ControlData.bootstrap(settings.get());
+            ControlDataFolder.bootstrap(settings.get());
         } catch (IOException e) {
             spec.commandLine().getErr().println(e.getMessage());
             return ExitCode.REFUSED;
--- a/elmline-cli/src/main/java/org/elmline/cli/role/ControlRunCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/ControlRunCommand.java
@@ -16,7 +16,7 @@
 
     @Override
     RunningRole start(ControlSettings settings) throws IOException {
-        ControlDaemon daemon = ControlDaemon.start(settings, ControlRunCommand::end);
+        ControlDaemon daemon = ControlDaemon.start(settings, ControlRunCommand::haltProcess);
         return new RunningRole() {
             @Override
             public String readyLine() {
@@ -31,7 +31,7 @@
     }
 
     /** A replica that can't keep its promises must not look alive: the process ends, and its supervisor decides. */
-    private static void end() {
+    private static void haltProcess() {
         Runtime.getRuntime().halt(ExitCode.FAILED.code());
     }
 }
--- a/elmline-cli/src/main/java/org/elmline/cli/role/RoleCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/RoleCommand.java
@@ -7,7 +7,7 @@
 
 import org.elmline.cli.ExitCode;
 import org.elmline.cli.ExitingCommand;
-import org.elmline.cli.log.Logs;
+import org.elmline.cli.log.LogConfiguration;
 import org.elmline.daemon.settings.Settings;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -35,7 +35,7 @@
         if (settings.isEmpty()) {
             return ExitCode.INVALID;
         }
-        Logs.apply(settings.get());
+        LogConfiguration.apply(settings.get());
         run(start(settings.get()), spec.commandLine().getOut());
         return ExitCode.OK;
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/role/SettingsFile.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/SettingsFile.java
@@ -4,9 +4,9 @@
 import java.nio.file.Path;
 import java.util.Optional;
 
-import org.elmline.daemon.settings.KeyFiles;
-import org.elmline.daemon.settings.Problem;
+import org.elmline.daemon.settings.KeyFileMode;
 import org.elmline.daemon.settings.Settings;
+import org.elmline.daemon.settings.SettingsProblem;
 import org.elmline.daemon.settings.SettingsReader;
 import org.elmline.daemon.settings.SettingsResult;
 
@@ -15,16 +15,16 @@
     private SettingsFile() {}
 
     static <S extends Settings> Optional<S> read(Path file, Class<S> type, PrintWriter err) {
-        SettingsResult read = new SettingsReader(KeyFiles.READ).read(file);
+        SettingsResult read = new SettingsReader(KeyFileMode.READ).read(file);
         if (read instanceof SettingsResult.Invalid invalid) {
-            for (Problem problem : invalid.problems()) {
+            for (SettingsProblem problem : invalid.problems()) {
                 err.println(file + ": " + problem);
             }
             return Optional.empty();
         }
         Settings settings = ((SettingsResult.Valid) read).settings();
         if (!type.isInstance(settings)) {
-            err.println(file + ": is of role " + settings.role().word() + ", not for this command");
+            err.println(file + ": is of role " + settings.role().settingValue() + ", not for this command");
             return Optional.empty();
         }
         return Optional.of(type.cast(settings));
--- a/elmline-cli/src/main/java/org/elmline/cli/role/StandinEngineCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/StandinEngineCommand.java
@@ -12,7 +12,7 @@
 @Command(name = "engine", description = "Runs a model engine's stand-in, which answers in made-up words.")
 final class StandinEngineCommand extends RoleCommand<StandinEngineSettings> {
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final Duration LEAVE_LIMIT = Duration.ofSeconds(30);
+    private static final Duration DRAIN_TIMEOUT = Duration.ofSeconds(30);
 
     StandinEngineCommand() {
         super(StandinEngineSettings.class);
@@ -47,7 +47,7 @@
 
             @Override
             public void stop() throws InterruptedException {
-                server.leave(LEAVE_LIMIT);
+                server.leave(DRAIN_TIMEOUT);
             }
         };
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/role/StandinServiceCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/StandinServiceCommand.java
@@ -10,7 +10,7 @@
 /** Runs a plain service's stand-in. */
 @Command(name = "service", description = "Runs a booking service's stand-in, which counts what ran.")
 final class StandinServiceCommand extends RoleCommand<StandinServiceSettings> {
-    private static final Duration LEAVE_LIMIT = Duration.ofSeconds(30);
+    private static final Duration DRAIN_TIMEOUT = Duration.ofSeconds(30);
 
     StandinServiceCommand() {
         super(StandinServiceSettings.class);
@@ -38,7 +38,7 @@
 
             @Override
             public void stop() throws InterruptedException {
-                server.leave(LEAVE_LIMIT);
+                server.leave(DRAIN_TIMEOUT);
             }
         };
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/settings/SettingsCheckCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/settings/SettingsCheckCommand.java
@@ -6,8 +6,8 @@
 
 import org.elmline.cli.ExitCode;
 import org.elmline.cli.ExitingCommand;
-import org.elmline.daemon.settings.KeyFiles;
-import org.elmline.daemon.settings.Problem;
+import org.elmline.daemon.settings.KeyFileMode;
+import org.elmline.daemon.settings.SettingsProblem;
 import org.elmline.daemon.settings.SettingsReader;
 import org.elmline.daemon.settings.SettingsResult;
 import picocli.CommandLine.Command;
@@ -30,7 +30,7 @@
 
     @Override
     public ExitCode execute() {
-        SettingsReader reader = new SettingsReader(skipKeyFiles ? KeyFiles.SKIP : KeyFiles.READ);
+        SettingsReader reader = new SettingsReader(skipKeyFiles ? KeyFileMode.SKIP : KeyFileMode.READ);
         ExitCode code = ExitCode.OK;
         for (Path file : files) {
             if (!check(reader, file)) {
@@ -44,10 +44,10 @@
         PrintWriter out = spec.commandLine().getOut();
         SettingsResult result = reader.read(file);
         if (result instanceof SettingsResult.Valid valid) {
-            out.println(file + ": valid, role " + valid.settings().role().word());
+            out.println(file + ": valid, role " + valid.settings().role().settingValue());
             return true;
         }
-        for (Problem problem : ((SettingsResult.Invalid) result).problems()) {
+        for (SettingsProblem problem : ((SettingsResult.Invalid) result).problems()) {
             out.println(file + ": " + problem);
         }
         return false;
--- a/elmline-cli/src/test/java/org/elmline/cli/examples/ExamplesTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/examples/ExamplesTest.java
@@ -22,7 +22,7 @@
 import org.elmline.daemon.settings.ControlHost;
 import org.elmline.daemon.settings.ControlSettings;
 import org.elmline.daemon.settings.EntrySettings;
-import org.elmline.daemon.settings.KeyFiles;
+import org.elmline.daemon.settings.KeyFileMode;
 import org.elmline.daemon.settings.ListenAddress;
 import org.elmline.daemon.settings.Settings;
 import org.elmline.daemon.settings.SettingsReader;
@@ -66,7 +66,7 @@
         Map<String, Integer> hostsByDomain = new HashMap<>();
         for (ControlSettings control : load(deployment, "control", ControlSettings.class)) {
             ListenAddress peers = control.addresses().peers();
-            running.add(new ControlHost(control.host(), peers.bound(peers.port()), control.failureDomain()));
+            running.add(new ControlHost(control.host(), peers.toAddress(peers.port()), control.failureDomain()));
             hostsByDomain.merge(control.failureDomain().value(), 1, Integer::sum);
         }
         List<ControlHost> named =
@@ -135,7 +135,7 @@
 
     private static <S extends Settings> List<S> load(String deployment, String folder, Class<S> type)
             throws IOException {
-        SettingsReader reader = new SettingsReader(KeyFiles.SKIP);
+        SettingsReader reader = new SettingsReader(KeyFileMode.SKIP);
         List<S> loaded = new ArrayList<>();
         for (Path file : files(deployment, folder)) {
             SettingsResult result = reader.read(file);
--- a/elmline-cli/src/test/java/org/elmline/cli/local/EngineOrdersTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/EngineOrdersTest.java
@@ -20,7 +20,7 @@
     void start() throws Exception {
         deployment = LocalDeployment.builder()
                 .engines(2)
-                .carelessEngines(1)
+                .enginesWithoutFencing(1)
                 .timeScale(20)
                 .start();
         Client caller = new Client(deployment.callerKey());
--- a/elmline-cli/src/test/java/org/elmline/cli/log/JsonLogsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/log/JsonLogsTest.java
@@ -24,13 +24,13 @@
     void linesAreJsonObjectsOfTheLevelAsked() throws Exception {
         LoggerContext context = new LoggerContext();
         context.setMDCAdapter(new LogbackMDCAdapter());
-        JsonLogs.install(context, out, LogLevel.INFO);
+        JsonLogging.install(context, out, LogLevel.INFO);
         context.putProperty("host", "e1");
         context.getLogger("org.elmline.daemon").info("serves \"callers\"\nat {}", "127.0.0.1:1");
         context.getLogger("org.elmline.daemon").debug("not a change of state");
         context.getLogger("io.undertow").info("a library's own news");
         context.getLogger("io.undertow").warn("trouble");
-        JsonLogs.level(context, LogLevel.ERROR);
+        JsonLogging.setLevel(context, LogLevel.ERROR);
         context.getLogger("org.elmline.daemon").warn("below the level");
 
         List<String> lines = out.toString(StandardCharsets.UTF_8).lines().toList();
@@ -47,12 +47,12 @@
     @Test
     void jbossLoggingWritesThroughLogback() {
         LoggerContext context = assertInstanceOf(LoggerContext.class, LoggerFactory.getILoggerFactory());
-        JsonLogs.install(context, out, LogLevel.INFO);
+        JsonLogging.install(context, out, LogLevel.INFO);
         try {
             Logger.getLogger("org.elmline.daemon").infof("lease %s", "granted");
             assertTrue(out.toString(StandardCharsets.UTF_8).contains("\"message\":\"lease granted\""), out::toString);
         } finally {
-            JsonLogs.install(context, System.err, LogLevel.INFO);
+            JsonLogging.install(context, System.err, LogLevel.INFO);
         }
     }
 }
--- a/elmline-cli/src/test/java/org/elmline/cli/operator/OperatorCommandsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/operator/OperatorCommandsTest.java
@@ -24,7 +24,7 @@
 import org.elmline.daemon.http.HttpLimits;
 import org.elmline.daemon.http.HttpListener;
 import org.elmline.daemon.operator.EventsHandler;
-import org.elmline.daemon.operator.OperatorKeys;
+import org.elmline.daemon.operator.OperatorKeyHandler;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
@@ -147,7 +147,7 @@
                 "127.0.0.1",
                 0,
                 HttpLimits.DEFAULT,
-                new OperatorKeys(
+                new OperatorKeyHandler(
                         List.of(KEY), Handlers.path(this::answer).addExactPath("/v1/events", new EventsHandler(ring))));
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
@@ -7,19 +7,19 @@
 import org.elmline.core.backend.Announcement;
 import org.elmline.core.common.Refusal;
 import org.elmline.core.common.RefusalReason;
-import org.elmline.daemon.http.Answers;
 import org.elmline.daemon.http.BearerKey;
-import org.elmline.daemon.http.BodyReader;
+import org.elmline.daemon.http.JsonResponses;
+import org.elmline.daemon.http.WorkerBodyReader;
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
 /** {@code POST /v1/backend-servers/announce}: a backend server says what it is, and learns how often and where to. */
 public final class AnnounceHandler implements HttpHandler {
     private final Collection<String> keys;
-    private final BodyReader bodies;
+    private final WorkerBodyReader bodies;
     private final OwnerService owners;
 
-    public AnnounceHandler(Collection<String> keys, BodyReader bodies, OwnerService owners) {
+    public AnnounceHandler(Collection<String> keys, WorkerBodyReader bodies, OwnerService owners) {
         this.keys = keys;
         this.bodies = bodies;
         this.owners = owners;
@@ -27,8 +27,9 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        if (!BearerKey.isOneOf(exchange, keys)) {
-            Answers.refuse(exchange, Refusal.didNotRun(RefusalReason.UNAUTHENTICATED, "not a key of backend servers"));
+        if (!BearerKey.matchesAny(exchange, keys)) {
+            JsonResponses.sendRefusal(
+                    exchange, Refusal.didNotRun(RefusalReason.UNAUTHENTICATED, "not a key of backend servers"));
             return;
         }
         bodies.read(exchange, body -> announce(exchange, body));
@@ -37,11 +38,11 @@
     private void announce(HttpServerExchange exchange, byte[] body) {
         Decoded<Announcement> decoded = Codecs.JSON.decode(body, Announcement.class);
         if (decoded instanceof Decoded.Malformed<Announcement> malformed) {
-            Answers.refuse(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, malformed.why()));
+            JsonResponses.sendRefusal(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, malformed.why()));
             return;
         }
         Announcement announcement = ((Decoded.Value<Announcement>) decoded).value();
         exchange.dispatch(Runnable::run, () -> owners.handleAnnouncement(announcement)
-                .thenAccept(answer -> Answers.json(exchange, answer)));
+                .thenAccept(answer -> JsonResponses.send(exchange, answer)));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/BufferingSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/BufferingSink.java
@@ -9,8 +9,8 @@
 import org.elmline.core.common.MonotonicClock;
 import org.elmline.core.common.Refusal;
 import org.elmline.core.engine.FinishReason;
-import org.elmline.daemon.http.Answers;
-import org.elmline.daemon.http.CallerPresence;
+import org.elmline.daemon.http.CallerDisconnectDetector;
+import org.elmline.daemon.http.JsonResponses;
 import org.elmline.daemon.openai.CompletionWriter;
 
 /** Gathers an answer and sends it whole. Looks now and then whether the caller is still there. */
@@ -20,7 +20,7 @@
     private final HttpServerExchange exchange;
     private final CompletionWriter writer;
     private final MonotonicClock clock;
-    private final CallerPresence callerPresence;
+    private final CallerDisconnectDetector callerPresence;
     private final StringBuilder text = new StringBuilder();
     private long lastCheckNanos;
 
@@ -28,7 +28,7 @@
         this.exchange = exchange;
         this.writer = writer;
         this.clock = clock;
-        this.callerPresence = new CallerPresence(exchange);
+        this.callerPresence = new CallerDisconnectDetector(exchange);
         this.lastCheckNanos = clock.nanos();
     }
 
@@ -46,7 +46,7 @@
 
     @Override
     public void refuse(Refusal refusal) {
-        Answers.refuse(exchange, refusal);
+        JsonResponses.sendRefusal(exchange, refusal);
     }
 
     @Override
@@ -54,7 +54,7 @@
         long now = clock.nanos();
         if (now - lastCheckNanos >= CHECK_INTERVAL_NANOS) {
             lastCheckNanos = now;
-            callerPresence.check();
+            callerPresence.checkConnected();
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionsHandler.java
@@ -10,8 +10,8 @@
 import org.elmline.core.config.Organisation;
 import org.elmline.core.engine.PromptBlocks;
 import org.elmline.daemon.entry.LeasedView;
-import org.elmline.daemon.http.Answers;
-import org.elmline.daemon.http.BodyReader;
+import org.elmline.daemon.http.JsonResponses;
+import org.elmline.daemon.http.WorkerBodyReader;
 import org.elmline.daemon.openai.ApiKind;
 import org.elmline.daemon.openai.CompletionReader;
 import org.elmline.daemon.openai.CompletionRequest;
@@ -24,7 +24,7 @@
     private final ApiKind api;
     private final AdmissionController admission;
     private final LeasedView leasedView;
-    private final BodyReader bodies;
+    private final WorkerBodyReader bodies;
     private final CompletionGateway gateway;
     private final OrganisationLimitService limits;
 
@@ -32,7 +32,7 @@
             ApiKind api,
             AdmissionController gate,
             LeasedView view,
-            BodyReader bodies,
+            WorkerBodyReader bodies,
             CompletionGateway gateway,
             OrganisationLimitService limits) {
         this.api = api;
@@ -47,7 +47,7 @@
     public void handleRequest(HttpServerExchange exchange) {
         AdmissionController.Admission passage = admission.admit(exchange);
         if (passage instanceof AdmissionController.Admission.Refused closed) {
-            Answers.refuse(exchange, closed.refusal());
+            JsonResponses.sendRefusal(exchange, closed.refusal());
             return;
         }
         AdmittedCall call = ((AdmissionController.Admission.Admitted) passage).call();
@@ -58,20 +58,20 @@
     private void serve(HttpServerExchange exchange, AdmittedCall call, byte[] body) {
         CompletionReader.Result read = CompletionReader.read(api, body);
         if (read instanceof CompletionReader.Result.Invalid invalid) {
-            Answers.refuse(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, invalid.why()));
+            JsonResponses.sendRefusal(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, invalid.why()));
             return;
         }
         CompletionRequest request = ((CompletionReader.Result.Valid) read).request();
         Optional<Model> model = leasedView.configuration().model(request.model());
         if (model.isEmpty()) {
-            Answers.refuse(
+            JsonResponses.sendRefusal(
                     exchange, Refusal.didNotRun(RefusalReason.UNKNOWN_MODEL, "no model is named " + request.model()));
             return;
         }
         int promptTokens = PromptBlocks.tokenCount(request.prompt());
         Optional<Refusal> unfit = validate(request, model.get(), promptTokens);
         if (unfit.isPresent()) {
-            Answers.refuse(exchange, unfit.get());
+            JsonResponses.sendRefusal(exchange, unfit.get());
             return;
         }
         int maxOutput = request.maxOutputTokens() == 0
@@ -89,7 +89,7 @@
         Organisation organisation = work.call().organisation();
         Optional<Refusal> over = limits.admit(organisation, (long) work.promptTokens() + work.maxOutputTokens());
         if (over.isPresent()) {
-            Answers.refuse(exchange, over.get());
+            JsonResponses.sendRefusal(exchange, over.get());
             return;
         }
         try {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
@@ -13,7 +13,7 @@
 import org.elmline.core.control.HostRecord;
 import org.elmline.core.route.EntryHostChoice;
 import org.elmline.daemon.entry.LeasedView;
-import org.elmline.daemon.http.Answers;
+import org.elmline.daemon.http.JsonResponses;
 
 /** {@code GET /v1/entry-hosts}: the addresses a caller may use and for how long to keep them. */
 public final class EntryHostsHandler implements HttpHandler {
@@ -38,12 +38,12 @@
             addresses.add(each.callers());
         }
         if (addresses.isEmpty()) {
-            Answers.refuse(
+            JsonResponses.sendRefusal(
                     exchange,
                     Refusal.comeBack(RefusalReason.NO_LEASE, "no entry host is live yet", RETRY_AFTER_MILLIS));
             return;
         }
-        Answers.json(exchange, new EntryHosts(addresses, keepSeconds));
+        JsonResponses.send(exchange, new EntryHosts(addresses, keepSeconds));
     }
 
     record EntryHosts(List<Address> addresses, int keepSeconds) {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/ModelsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/ModelsHandler.java
@@ -7,7 +7,7 @@
 import io.undertow.server.HttpServerExchange;
 import org.elmline.core.config.Model;
 import org.elmline.daemon.entry.LeasedView;
-import org.elmline.daemon.http.Answers;
+import org.elmline.daemon.http.JsonResponses;
 
 /** {@code GET /v1/models}, in the OpenAI API's form: each model, and each of its adapters as {@code model@adapter}. */
 public final class ModelsHandler implements HttpHandler {
@@ -23,7 +23,7 @@
     public void handleRequest(HttpServerExchange exchange) {
         AdmissionController.Admission passage = admission.admit(exchange);
         if (passage instanceof AdmissionController.Admission.Refused closed) {
-            Answers.refuse(exchange, closed.refusal());
+            JsonResponses.sendRefusal(exchange, closed.refusal());
             return;
         }
         admission.release();
@@ -34,7 +34,7 @@
                 entries.add(new Entry(each.name() + "@" + adapter, "model", 0, "elmline"));
             }
         }
-        Answers.json(exchange, new Listing("list", entries));
+        JsonResponses.send(exchange, new Listing("list", entries));
     }
 
     record Listing(String object, List<Entry> data) {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamSink.java
@@ -8,8 +8,8 @@
 import io.undertow.util.Headers;
 import org.elmline.core.common.Refusal;
 import org.elmline.core.engine.FinishReason;
-import org.elmline.daemon.http.Answers;
-import org.elmline.daemon.http.CallerPresence;
+import org.elmline.daemon.http.CallerDisconnectDetector;
+import org.elmline.daemon.http.JsonResponses;
 import org.elmline.daemon.openai.CompletionWriter;
 
 /** Sends an answer piece by piece as server-sent events. The status line goes out with the first piece. */
@@ -41,7 +41,7 @@
     @Override
     public void refuse(Refusal refusal) throws IOException {
         if (out == null) {
-            Answers.refuse(exchange, refusal);
+            JsonResponses.sendRefusal(exchange, refusal);
             return;
         }
         out.write(CompletionWriter.errorEvent(refusal));
@@ -52,7 +52,7 @@
     public void onIdle() throws IOException {
         if (out == null) {
             // The status isn't known yet, so nothing may be written to find out.
-            new CallerPresence(exchange).check();
+            new CallerDisconnectDetector(exchange).checkConnected();
             return;
         }
         write(KEEP_ALIVE_COMMENT);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ClaimService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ClaimService.java
@@ -18,18 +18,19 @@
 
 /** Begins and finishes claims through the log, many in one command while earlier ones are being synced. */
 final class ClaimService {
-    private static final long OVERLOADED_RETRY_MILLIS = 500;
-    private static final int MAX_BATCH = 256;
-    private static final int MAX_WAITING = 4096;
+    private static final long OVERLOADED_RETRY_AFTER_MILLIS = 500;
+    private static final int MAX_BATCH_CLAIMS = 256;
+    private static final int MAX_PENDING_CLAIMS = 4096;
 
     private final CommandLog log;
-    private final LongSupplier stampMillis;
+    private final LongSupplier commandTimeMillis;
     private final Histogram batchSizes;
-    private final ClaimBatcher<CompletableFuture<ClaimAnswer>> batcher = new ClaimBatcher<>(MAX_BATCH, MAX_WAITING);
+    private final ClaimBatcher<CompletableFuture<ClaimAnswer>> batcher =
+            new ClaimBatcher<>(MAX_BATCH_CLAIMS, MAX_PENDING_CLAIMS);
 
     ClaimService(CommandLog log, LongSupplier stampMillis, MetricRegistry metrics) {
         this.log = log;
-        this.stampMillis = stampMillis;
+        this.commandTimeMillis = stampMillis;
         this.batchSizes = metrics.histogram("control.claims.batch");
     }
 
@@ -43,9 +44,9 @@
 
     private <C> CompletionStage<ClaimAnswer> submit(
             C claim, BiFunction<C, CompletableFuture<ClaimAnswer>, Boolean> offer) {
-        Standing standing = log.standing();
-        if (!standing.leads()) {
-            turnAway(standing);
+        LeadershipStatus standing = log.leadershipStatus();
+        if (!standing.isLeader()) {
+            rejectPending(standing);
             return CompletableFuture.completedFuture(new ClaimAnswer.NotLeader(standing.leader()));
         }
         CompletableFuture<ClaimAnswer> waiter = new CompletableFuture<>();
@@ -54,14 +55,14 @@
             taken = offer.apply(claim, waiter);
         }
         if (!taken) {
-            return CompletableFuture.completedFuture(new ClaimAnswer.Overloaded(OVERLOADED_RETRY_MILLIS));
+            return CompletableFuture.completedFuture(new ClaimAnswer.Overloaded(OVERLOADED_RETRY_AFTER_MILLIS));
         }
         proposeNext();
         return waiter;
     }
 
     /** Claims that still wait when this host stops leading are told so, in place of waiting for a batch to come back. */
-    private void turnAway(Standing standing) {
+    private void rejectPending(LeadershipStatus standing) {
         List<CompletableFuture<ClaimAnswer>> waiting;
         synchronized (batcher) {
             waiting = batcher.drain();
@@ -72,44 +73,44 @@
     private void proposeNext() {
         List<ClaimBatch<CompletableFuture<ClaimAnswer>>> ready;
         synchronized (batcher) {
-            ready = batcher.next(stampMillis.getAsLong());
+            ready = batcher.next(commandTimeMillis.getAsLong());
         }
         for (ClaimBatch<CompletableFuture<ClaimAnswer>> each : ready) {
             batchSizes.update(each.waiters().size());
-            log.propose(each.command()).thenAccept(result -> decided(each, result));
+            log.propose(each.command()).thenAccept(result -> onProposalResult(each, result));
         }
     }
 
-    private void decided(ClaimBatch<CompletableFuture<ClaimAnswer>> batch, Proposed result) {
+    private void onProposalResult(ClaimBatch<CompletableFuture<ClaimAnswer>> batch, ProposalOutcome result) {
         synchronized (batcher) {
             batcher.done(batch);
         }
-        List<ClaimAnswer> answers = answers(batch.waiters().size(), result);
+        List<ClaimAnswer> answers = toAnswers(batch.waiters().size(), result);
         for (int i = 0; i < answers.size(); i++) {
             batch.waiters().get(i).complete(answers.get(i));
         }
         proposeNext();
     }
 
-    private static List<ClaimAnswer> answers(int count, Proposed result) {
+    private static List<ClaimAnswer> toAnswers(int count, ProposalOutcome result) {
         List<ClaimAnswer> answers = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            answers.add(answer(i, result));
+            answers.add(toAnswer(i, result));
         }
         return answers;
     }
 
-    private static ClaimAnswer answer(int position, Proposed result) {
-        if (result instanceof Proposed.NotLeader not) {
+    private static ClaimAnswer toAnswer(int position, ProposalOutcome result) {
+        if (result instanceof ProposalOutcome.NotLeader not) {
             return new ClaimAnswer.NotLeader(not.leader());
         }
-        if (result instanceof Proposed.Overloaded) {
-            return new ClaimAnswer.Overloaded(OVERLOADED_RETRY_MILLIS);
+        if (result instanceof ProposalOutcome.Overloaded) {
+            return new ClaimAnswer.Overloaded(OVERLOADED_RETRY_AFTER_MILLIS);
         }
-        if (result instanceof Proposed.Undecided undecided) {
+        if (result instanceof ProposalOutcome.Undecided undecided) {
             return new ClaimAnswer.Undecided(undecided.why());
         }
-        CommandResult applied = ((Proposed.Applied) result).result();
+        CommandResult applied = ((ProposalOutcome.Applied) result).result();
         return new ClaimAnswer.Decided(
                 ((CommandResult.ClaimsDecided) applied).outcomes().get(position));
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDaemon.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDaemon.java
@@ -26,12 +26,12 @@
 import org.elmline.daemon.backend.EngineClients;
 import org.elmline.daemon.component.DaggerProcessComponent;
 import org.elmline.daemon.component.ProcessComponent;
-import org.elmline.daemon.http.Answers;
 import org.elmline.daemon.http.HttpLimits;
 import org.elmline.daemon.http.HttpListener;
-import org.elmline.daemon.operator.OperatorKeys;
+import org.elmline.daemon.http.JsonResponses;
+import org.elmline.daemon.operator.OperatorKeyHandler;
 import org.elmline.daemon.raft.RaftDriver;
-import org.elmline.daemon.runtime.Workers;
+import org.elmline.daemon.runtime.ProcessExecutors;
 import org.elmline.daemon.settings.ControlSettings;
 import org.elmline.daemon.settings.ListenAddress;
 import org.elmline.daemon.settings.Secret;
@@ -46,8 +46,8 @@
 /** One control host: everything it opens, how it is put together, and its graceful stop. */
 public final class ControlDaemon implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(ControlDaemon.class);
-    private static final int MAX_STREAMS = 16;
-    private static final long LEASE_GRACE_MILLIS = 500;
+    private static final int MAX_BLOCKING_TASKS = 16;
+    private static final long LEASE_EXPIRY_GRACE_MILLIS = 500;
 
     private final Closer closer = new Closer();
     private final ControlSettings settings;
@@ -57,7 +57,7 @@
     private final Incarnation incarnation = Incarnation.of(System.currentTimeMillis());
     private final EventRing events;
     private final Runnable onFailure;
-    private TcpPeerServer server;
+    private TcpPeerServer peerServer;
     private HttpListener operators;
     private RaftDriver driver;
     private RaftCommandLog log;
@@ -88,27 +88,27 @@
     }
 
     private void open() throws IOException {
-        OpenResult.Opened opened = ControlData.open(settings.dataFolder(), settings.host());
-        Workers workers = closer.register(new Workers("control", MAX_STREAMS));
+        OpenResult.Opened opened = ControlDataFolder.open(settings.dataFolder(), settings.host());
+        ProcessExecutors workers = closer.register(new ProcessExecutors("control", MAX_BLOCKING_TASKS));
         PeerHandlers channels = new PeerHandlers(workers.handlers());
         PeerKey key = new PeerKey(settings.keys().peerKey().value());
         ListenAddress bind = settings.addresses().peers();
-        server = closer.register(TcpPeerServer.start(
+        peerServer = closer.register(TcpPeerServer.start(
                 new InetSocketAddress(bind.ip(), bind.port()),
                 channels,
                 key,
                 PeerLimits.DEFAULT,
-                workers.connections(),
+                workers.channelGroup(),
                 workers.timer(),
                 process.hybridClock()));
         TcpPeerNetwork network = closer.register(new TcpPeerNetwork(
                 key,
                 PeerLimits.DEFAULT,
-                workers.connections(),
+                workers.channelGroup(),
                 workers.timer(),
                 workers.handlers(),
                 process.hybridClock()));
-        ControlMachine machine = new ControlMachine();
+        ControlStateMachine machine = new ControlStateMachine();
         Map<HostId, Address> peers = new LinkedHashMap<>();
         settings.control().forEach(each -> peers.put(each.host(), each.peers()));
         driver = RaftDriver.builder()
@@ -118,32 +118,34 @@
                 .addresses(peers::get, () -> List.copyOf(peers.values()))
                 .clock(clock)
                 .metrics(metrics)
-                .settings(raft())
+                .settings(raftSettings())
                 .snapshotEntries(settings.raft().snapshotEntries())
-                .onFailure(this::failed)
+                .onFailure(this::onReplicaFailure)
                 .start();
         log = closer.register(new RaftCommandLog(driver, settings.control()));
-        serve(workers, channels, network, machine);
-        operators = closer.register(http());
+        startServices(workers, channels, network, machine);
+        operators = closer.register(startOperatorListener());
         events.record(new HostEvent.Started(settings.host(), incarnation, "control"));
         LOG.infof("control host %s serves peers at %s", settings.host(), peers());
     }
 
-    private RaftSettings raft() {
+    private RaftSettings raftSettings() {
         return RaftSettings.builder()
                 .electionTimeout(Duration.ofMillis(settings.raft().electionMillis()))
                 .heartbeat(Duration.ofMillis(settings.raft().heartbeatMillis()))
                 .build();
     }
 
-    private void serve(Workers workers, HandlerRegistry channels, PeerNetwork network, ControlMachine machine) {
-        LeaseSettings leases = new LeaseSettings(settings.lease().leaseMillis(), LEASE_GRACE_MILLIS);
-        LeaderWatch watch = new LeaderWatch(settings.host(), events, log, machine, clock, leases, limits());
+    private void startServices(
+            ProcessExecutors workers, HandlerRegistry channels, PeerNetwork network, ControlStateMachine machine) {
+        LeaseSettings leases = new LeaseSettings(settings.lease().leaseMillis(), LEASE_EXPIRY_GRACE_MILLIS);
+        LeadershipMonitor watch =
+                new LeadershipMonitor(settings.host(), events, log, machine, clock, leases, controlLimits());
         LeaseService leaseService = new LeaseService(log, watch, clock, metrics);
-        TicketEvents ticketEvents = new TicketEvents(events, machine, watch, clock);
+        TicketEventRecorder ticketEvents = new TicketEventRecorder(events, machine, watch, clock);
         ticketEvents.start(workers.timer());
         TicketService tickets = new TicketService(log, machine, watch, clock, ticketEvents);
-        ClaimService claims = new ClaimService(log, watch::stampMillis, metrics);
+        ClaimService claims = new ClaimService(log, watch::commandTimeMillis, metrics);
         channels.register(ControlChannels.LEASE_RENEW, leaseService::renew);
         channels.register(ControlChannels.TICKET_SUBMIT, tickets::submit);
         channels.register(ControlChannels.TICKET_READ, tickets::read);
@@ -153,10 +155,11 @@
         watch.start(workers.timer());
         EngineClients engines = closer.register(new EngineClients());
         Duration leaderLease = Duration.ofMillis(settings.raft().electionMillis());
-        new OrderService(watch, log, machine, network, engines, clock, leaderLease, metrics).start(workers.timer());
+        new EngineOrderService(watch, log, machine, network, engines, clock, leaderLease, metrics)
+                .start(workers.timer());
     }
 
-    private ControlLimits limits() {
+    private ControlLimits controlLimits() {
         ControlLimits standard = ControlLimits.DEFAULT;
         return new ControlLimits(
                 settings.retention().tickets(),
@@ -167,30 +170,30 @@
                 standard.endedHosts());
     }
 
-    private HttpListener http() {
+    private HttpListener startOperatorListener() {
         RoutingHandler routes = Handlers.routing()
-                .get("/v1/status", exchange -> Answers.json(exchange, status()))
+                .get("/v1/status", exchange -> JsonResponses.send(exchange, status()))
                 .get("/v1/events", process.eventsHandler())
                 .get("/metrics", process.metricsHandler());
         List<String> keys =
                 settings.keys().operatorKeys().stream().map(Secret::value).toList();
         ListenAddress bind = settings.addresses().operators();
-        return HttpListener.start(bind.ip(), bind.port(), HttpLimits.DEFAULT, new OperatorKeys(keys, routes));
+        return HttpListener.start(bind.ip(), bind.port(), HttpLimits.DEFAULT, new OperatorKeyHandler(keys, routes));
     }
 
     /** How this control host stands, for operators. */
     public ControlStatus status() {
-        return ControlStatus.of(settings.host(), driver.status(), log.standing());
+        return ControlStatus.of(settings.host(), driver.status(), log.leadershipStatus());
     }
 
-    private void failed() {
+    private void onReplicaFailure() {
         LOG.errorf("control host %s can't go on", settings.host());
         onFailure.run();
     }
 
     /** Where other elmline processes connect. */
     public Address peers() {
-        return server.address(settings.addresses().peers().ip());
+        return peerServer.address(settings.addresses().peers().ip());
     }
 
     /** Where operators connect. */
@@ -201,7 +204,7 @@
     /** Hands leadership over, then closes. */
     public void stop() {
         events.record(new HostEvent.Stopping(settings.host()));
-        log.handOver();
+        log.transferLeadership();
         close();
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlData.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDataFolder.java
@@ -14,10 +14,10 @@
 import org.elmline.storage.SystemFiles;
 
 /** Opens a control host's data folder, and makes the first one of a new deployment. */
-public final class ControlData {
+public final class ControlDataFolder {
     private static final int SEGMENT_BYTES = 8 * 1024 * 1024;
 
-    private ControlData() {}
+    private ControlDataFolder() {}
 
     /** Fails with the reason in words when the folder can't be used. */
     static OpenResult.Opened open(Path folder, HostId host) throws IOException {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlMachine.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStateMachine.java
@@ -16,7 +16,7 @@
  * Guards the replicated state: one lock for the applying thread and for all readers. The lock is held for short steps
  * only and no other lock is taken under it.
  */
-public final class ControlMachine implements StateMachine {
+public final class ControlStateMachine implements StateMachine {
     private static final Codec CODEC = Codecs.MESSAGE_PACK;
 
     private ControlState state = new ControlState();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStatus.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStatus.java
@@ -25,7 +25,7 @@
         List<ReplicaId> learners,
         long committedIndex,
         long appliedIndex) {
-    static ControlStatus of(HostId host, RaftStatus raft, Standing standing) {
+    static ControlStatus of(HostId host, RaftStatus raft, LeadershipStatus standing) {
         return new ControlStatus(
                 host,
                 raft.self(),
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/OrderService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/EngineOrderService.java
@@ -41,141 +41,147 @@
  * Orders engines while this control host leads: asks each entry what its engines serve, plans, sends inside its own
  * lease, and asks again until the wanted state shows. Runs on one timer thread at a time.
  */
-final class OrderService {
-    private static final Logger LOG = Logger.getLogger(OrderService.class);
-    private static final long ROUND_MILLIS = 1_000;
+final class EngineOrderService {
+    private static final Logger LOG = Logger.getLogger(EngineOrderService.class);
+    private static final long ROUND_INTERVAL_MILLIS = 1_000;
     private static final Duration OBSERVE_TIMEOUT = Duration.ofSeconds(4);
     /** Parts of a leader's lease: an order must be over well inside it, and it is held back where less than this is left. */
-    private static final int LEASE_PARTS = 4;
+    private static final int ORDER_TIMEOUT_LEASE_DIVISOR = 4;
 
-    private final LeaderWatch watch;
+    private final LeadershipMonitor leadership;
     private final CommandLog log;
-    private final ControlMachine machine;
+    private final ControlStateMachine machine;
     private final PeerNetwork network;
     private final EngineClients engines;
     private final MonotonicClock clock;
     private final Duration leaderLease;
-    private final Counter sent;
-    private final Counter stale;
-    private final Map<BackendServerId, Observed> observed = new HashMap<>();
-    private final AtomicReference<List<OrderPlan.Held>> held = new AtomicReference<>(List.of());
-    private FencingNumber fencing;
+    private final Counter sentOrders;
+    private final Counter staleOrders;
+    private final Map<BackendServerId, TimedObservation> observations = new HashMap<>();
+    private final AtomicReference<List<OrderPlan.Held>> heldOrders = new AtomicReference<>(List.of());
+    private FencingNumber plannedFencing;
     private OrderPlanner planner;
 
     /** One engine's last report, with the leader's clock when it asked. */
-    private record Observed(EngineObservation engine, long askedNanos) {}
+    private record TimedObservation(EngineObservation engine, long requestedNanos) {}
 
     /** @param leaderLease whole length of a leader's lease */
-    OrderService(
-            LeaderWatch watch,
+    EngineOrderService(
+            LeadershipMonitor watch,
             CommandLog log,
-            ControlMachine machine,
+            ControlStateMachine machine,
             PeerNetwork network,
             EngineClients engines,
             MonotonicClock clock,
             Duration leaderLease,
             MetricRegistry metrics) {
-        this.watch = watch;
+        this.leadership = watch;
         this.log = log;
         this.machine = machine;
         this.network = network;
         this.engines = engines;
         this.clock = clock;
         this.leaderLease = leaderLease;
-        this.sent = metrics.counter("control.orders.sent");
-        this.stale = metrics.counter("control.orders.stale");
+        this.sentOrders = metrics.counter("control.orders.sent");
+        this.staleOrders = metrics.counter("control.orders.stale");
         for (HoldReason reason : HoldReason.values()) {
             String name = reason.name().toLowerCase(Locale.ROOT).replace('_', '-');
-            metrics.gauge("control.orders.held." + name, () -> () -> held(reason));
+            metrics.gauge("control.orders.held." + name, () -> () -> heldOrders(reason));
         }
     }
 
     void start(ScheduledExecutorService timer) {
-        timer.scheduleWithFixedDelay(this::guardedRound, ROUND_MILLIS, ROUND_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(
+                this::runRoundSafely, ROUND_INTERVAL_MILLIS, ROUND_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    private void guardedRound() {
+    private void runRoundSafely() {
         try {
-            round();
+            runRound();
         } catch (RuntimeException e) {
             LOG.error("a round of engine orders failed; it is tried again", e);
         }
     }
 
-    private void round() {
-        Optional<FencingNumber> current = watch.fencing();
+    private void runRound() {
+        Optional<FencingNumber> current = leadership.fencingNumber();
         Configuration configuration = machine.read(state -> state.configuration());
-        if (current.isEmpty() || !hasRoles(configuration)) {
+        if (current.isEmpty() || !hasBackendRoles(configuration)) {
             return;
         }
         synchronized (this) {
-            if (!current.get().equals(fencing)) {
-                fencing = current.get();
-                planner = new OrderPlanner(settings(), new Leadership(fencing, clock.nanos(), leaderLease.toNanos()));
-                observed.clear();
+            if (!current.get().equals(plannedFencing)) {
+                plannedFencing = current.get();
+                planner = new OrderPlanner(
+                        orderSettings(), new Leadership(plannedFencing, clock.nanos(), leaderLease.toNanos()));
+                observations.clear();
             }
         }
-        observe(current.get());
-        OrderPlan plan = plan(configuration);
-        held.set(plan.held());
-        plan.orders().forEach(this::send);
+        requestObservations(current.get());
+        OrderPlan plan = planOrders(configuration);
+        heldOrders.set(plan.held());
+        plan.orders().forEach(this::sendOrder);
     }
 
-    private OrderSettings settings() {
+    private OrderSettings orderSettings() {
         OrderSettings standard = OrderSettings.DEFAULT;
         return new OrderSettings(
-                Math.max(1, leaderLease.toMillis() / LEASE_PARTS),
+                Math.max(1, leaderLease.toMillis() / ORDER_TIMEOUT_LEASE_DIVISOR),
                 standard.repeatMillis(),
                 standard.freshMillis(),
                 standard.loadsPerMinute(),
                 standard.loadBurst());
     }
 
-    private long held(HoldReason reason) {
-        return held.get().stream().filter(each -> each.reason() == reason).count();
+    private long heldOrders(HoldReason reason) {
+        return heldOrders.get().stream().filter(each -> each.reason() == reason).count();
     }
 
-    private static boolean hasRoles(Configuration configuration) {
+    private static boolean hasBackendRoles(Configuration configuration) {
         return configuration.objects().stream().anyMatch(each -> each.object() instanceof BackendRole);
     }
 
-    private void observe(FencingNumber number) {
+    private void requestObservations(FencingNumber number) {
         List<Member> members = machine.read(state -> List.copyOf(state.members()));
         for (Member each : members) {
             long asked = clock.nanos();
             network.call(each.host().peers(), OrderChannels.OBSERVE, new ObserveRequest(number), OBSERVE_TIMEOUT)
                     .thenAccept(result -> {
                         if (result instanceof CallResult.Answered<ObserveAnswer> answered) {
-                            take(answered.value(), asked);
+                            recordObservations(answered.value(), asked);
                         }
                     });
         }
     }
 
-    private synchronized void take(ObserveAnswer answer, long askedNanos) {
+    private synchronized void recordObservations(ObserveAnswer answer, long askedNanos) {
         for (EngineObservation each : answer.engines()) {
-            observed.merge(
+            observations.merge(
                     each.id(),
-                    new Observed(each, askedNanos),
-                    (a, b) -> b.askedNanos() - a.askedNanos() >= 0 && b.engine().state() != null ? b : a);
+                    new TimedObservation(each, askedNanos),
+                    (a, b) -> b.requestedNanos() - a.requestedNanos() >= 0
+                                    && b.engine().state() != null
+                            ? b
+                            : a);
         }
     }
 
-    private synchronized OrderPlan plan(Configuration configuration) {
+    private synchronized OrderPlan planOrders(Configuration configuration) {
         List<ObservedEngine> seen = new ArrayList<>();
-        for (Observed each : observed.values()) {
+        for (TimedObservation each : observations.values()) {
             EngineObservation engine = each.engine();
             seen.add(new ObservedEngine(
-                    engine.id(), engine.checksFencing(), engine.leaving(), engine.state(), each.askedNanos()));
+                    engine.id(), engine.checksFencing(), engine.leaving(), engine.state(), each.requestedNanos()));
         }
-        return planner.plan(configuration, seen, clock.nanos(), log.standing().leaseUntilNanos());
+        return planner.plan(
+                configuration, seen, clock.nanos(), log.leadershipStatus().leaseUntilNanos());
     }
 
-    private void send(PlannedOrder order) {
-        Observed target;
+    private void sendOrder(PlannedOrder order) {
+        TimedObservation target;
         OrderPlanner by;
         synchronized (this) {
-            target = observed.get(order.server());
+            target = observations.get(order.server());
             by = planner;
         }
         Optional<EngineClient> client =
@@ -185,17 +191,17 @@
         if (client.isEmpty() || limit <= 0) {
             return;
         }
-        sent.inc();
+        sentOrders.inc();
         client.get().order(order.order(), Duration.ofMillis(limit)).thenAccept(result -> {
             if (result instanceof CallResult.Answered<OrderAnswer> answered) {
-                answered(by, order, answered.value());
+                onAnswer(by, order, answered.value());
             }
         });
     }
 
-    private synchronized void answered(OrderPlanner by, PlannedOrder order, OrderAnswer answer) {
+    private synchronized void onAnswer(OrderPlanner by, PlannedOrder order, OrderAnswer answer) {
         if (answer == OrderAnswer.STALE_FENCING_NUMBER) {
-            stale.inc();
+            staleOrders.inc();
         }
         by.answered(order.server(), order.order(), answer);
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeaderWatch.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
@@ -23,31 +23,32 @@
  * Follows whether this control host leads. Each new term first commits a {@link Command.StartLeadership}; only then,
  * with every earlier leader's commands applied, may this host grant leases and answer for tickets.
  */
-final class LeaderWatch {
-    private static final Logger LOG = Logger.getLogger(LeaderWatch.class);
-    private static final long CHECK_MILLIS = 100;
-    private static final long SWEEP_EVERY_CHECKS = 2;
-    private static final long EXPIRE_EVERY_CHECKS = 100;
+final class LeadershipMonitor {
+    private static final Logger LOG = Logger.getLogger(LeadershipMonitor.class);
+    private static final long CHECK_INTERVAL_MILLIS = 100;
+    private static final long HOST_EXPIRY_INTERVAL_CHECKS = 2;
+    private static final long CLAIM_EXPIRY_INTERVAL_CHECKS = 100;
 
     private final HostId host;
     private final EventRing events;
     private final CommandLog log;
-    private final ControlMachine machine;
+    private final ControlStateMachine machine;
     private final MonotonicClock clock;
-    private final LeaseSettings leases;
+    private final LeaseSettings leaseSettings;
     private final ControlLimits limits;
-    private Term term;
-    private long proposedTerm = -1;
-    private long checks;
+    private LeaderTerm leaderTerm;
+    private long lastProposedTerm = -1;
+    private long checkCount;
 
     /** One term of this host as leader. Its keeper is used under the machine's lock only. */
-    private record Term(long number, FencingNumber fencing, LeaseKeeper keeper, CommandClock commandClock) {}
+    private record LeaderTerm(
+            long number, FencingNumber fencingNumber, LeaseKeeper leases, CommandClock commandClock) {}
 
-    LeaderWatch(
+    LeadershipMonitor(
             HostId host,
             EventRing events,
             CommandLog log,
-            ControlMachine machine,
+            ControlStateMachine machine,
             MonotonicClock clock,
             LeaseSettings leases,
             ControlLimits limits) {
@@ -56,106 +57,106 @@
         this.log = log;
         this.machine = machine;
         this.clock = clock;
-        this.leases = leases;
+        this.leaseSettings = leases;
         this.limits = limits;
     }
 
     void start(ScheduledExecutorService timer) {
-        timer.scheduleWithFixedDelay(this::check, 0, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(this::checkLeadership, 0, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** The term's fencing number, while this host leads and its leadership is committed. */
-    Optional<FencingNumber> fencing() {
-        return current().map(Term::fencing);
+    Optional<FencingNumber> fencingNumber() {
+        return currentTerm().map(LeaderTerm::fencingNumber);
     }
 
     /** Milliseconds since 1970 to stamp into a command; see {@link CommandClock}. */
-    long stampMillis() {
-        return current()
+    long commandTimeMillis() {
+        return currentTerm()
                 .map(each -> each.commandClock().stamp(System.currentTimeMillis(), clock.nanos()))
                 .orElseGet(System::currentTimeMillis);
     }
 
     /** Uses the lease keeper under the machine's lock; empty when this host doesn't lead. */
-    <T> Optional<T> withKeeper(Function<LeaseKeeper, T> use) {
-        return current().map(each -> machine.read(state -> use.apply(each.keeper())));
+    <T> Optional<T> withLeases(Function<LeaseKeeper, T> use) {
+        return currentTerm().map(each -> machine.read(state -> use.apply(each.leases())));
     }
 
-    private synchronized Optional<Term> current() {
-        Standing standing = log.standing();
-        boolean valid = term != null && standing.leads() && standing.term() == term.number();
-        return valid ? Optional.of(term) : Optional.empty();
+    private synchronized Optional<LeaderTerm> currentTerm() {
+        LeadershipStatus standing = log.leadershipStatus();
+        boolean valid = leaderTerm != null && standing.isLeader() && standing.term() == leaderTerm.number();
+        return valid ? Optional.of(leaderTerm) : Optional.empty();
     }
 
-    private void check() {
+    private void checkLeadership() {
         try {
-            Standing standing = log.standing();
-            if (!standing.leads()) {
-                lost();
+            LeadershipStatus standing = log.leadershipStatus();
+            if (!standing.isLeader()) {
+                onLeadershipLost();
                 return;
             }
-            if (propose(standing.term())) {
+            if (markTermProposed(standing.term())) {
                 Command command = new Command.StartLeadership(host, standing.term(), limits);
-                log.propose(command).thenAccept(result -> started(standing.term(), result));
+                log.propose(command).thenAccept(result -> onLeadershipStarted(standing.term(), result));
             }
-            sweep();
+            expireHostsAndClaims();
         } catch (RuntimeException e) {
             LOG.error("leader check failed", e);
         }
     }
 
     /** True once for each term. */
-    private synchronized boolean propose(long number) {
-        if (proposedTerm == number) {
+    private synchronized boolean markTermProposed(long number) {
+        if (lastProposedTerm == number) {
             return false;
         }
-        proposedTerm = number;
+        lastProposedTerm = number;
         return true;
     }
 
-    private void started(long number, Proposed result) {
-        if (!(result instanceof Proposed.Applied applied)
+    private void onLeadershipStarted(long number, ProposalOutcome result) {
+        if (!(result instanceof ProposalOutcome.Applied applied)
                 || !(applied.result() instanceof CommandResult.LeadershipStarted started)) {
-            retry(number);
+            clearProposedTerm(number);
             return;
         }
-        LeaseKeeper keeper = machine.read(state -> new LeaseKeeper(state, leases, clock.nanos()));
+        LeaseKeeper keeper = machine.read(state -> new LeaseKeeper(state, leaseSettings, clock.nanos()));
         CommandClock commandClock =
                 machine.read(state -> new CommandClock(state.timeMillis(), System.currentTimeMillis(), clock.nanos()));
         synchronized (this) {
-            if (proposedTerm == number) {
-                term = new Term(number, started.fencing(), keeper, commandClock);
+            if (lastProposedTerm == number) {
+                leaderTerm = new LeaderTerm(number, started.fencing(), keeper, commandClock);
             }
         }
         events.record(new HostEvent.LeaderElected(host, number));
         LOG.infof("leading as of term %d with fencing number %s", number, started.fencing());
     }
 
-    private synchronized void retry(long number) {
-        if (proposedTerm == number) {
-            proposedTerm = -1;
+    private synchronized void clearProposedTerm(long number) {
+        if (lastProposedTerm == number) {
+            lastProposedTerm = -1;
         }
     }
 
-    private synchronized void lost() {
-        if (term != null) {
-            events.record(new HostEvent.LeaderDeposed(host, term.number()));
-            LOG.infof("no longer leading; last term %d", term.number());
+    private synchronized void onLeadershipLost() {
+        if (leaderTerm != null) {
+            events.record(new HostEvent.LeaderDeposed(host, leaderTerm.number()));
+            LOG.infof("no longer leading; last term %d", leaderTerm.number());
         }
-        term = null;
-        proposedTerm = -1;
+        leaderTerm = null;
+        lastProposedTerm = -1;
     }
 
-    private void sweep() {
-        checks++;
-        if (checks % SWEEP_EVERY_CHECKS != 0) {
+    private void expireHostsAndClaims() {
+        checkCount++;
+        if (checkCount % HOST_EXPIRY_INTERVAL_CHECKS != 0) {
             return;
         }
         List<Command.EndHost> ended =
-                withKeeper(keeper -> keeper.ended(clock.nanos())).orElse(List.of());
+                withLeases(keeper -> keeper.ended(clock.nanos())).orElse(List.of());
         ended.forEach(log::propose);
-        if (checks % EXPIRE_EVERY_CHECKS == 0 && current().isPresent()) {
-            log.propose(new Command.ExpireClaims(stampMillis()));
+        if (checkCount % CLAIM_EXPIRY_INTERVAL_CHECKS == 0 && currentTerm().isPresent()) {
+            log.propose(new Command.ExpireClaims(commandTimeMillis()));
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/Standing.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipStatus.java
@@ -11,8 +11,9 @@
  * @param leader peer address of the leader, null when none is known
  * @param controlHosts peer addresses of all control hosts, the leader first when it is known
  */
-public record Standing(boolean leads, long term, long leaseUntilNanos, Address leader, List<Address> controlHosts) {
-    public Standing {
+public record LeadershipStatus(
+        boolean isLeader, long term, long leaseUntilNanos, Address leader, List<Address> controlHosts) {
+    public LeadershipStatus {
         controlHosts = List.copyOf(controlHosts);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeaseService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeaseService.java
@@ -14,58 +14,59 @@
 
 /** Answers entries that renew their leases. */
 final class LeaseService {
-    private static final int MAX_ROUNDS = 2;
+    private static final int MAX_JOIN_ATTEMPTS = 2;
 
     private final CommandLog log;
-    private final LeaderWatch watch;
+    private final LeadershipMonitor leadership;
     private final MonotonicClock clock;
-    private final Counter granted;
-    private final Counter turnedAway;
+    private final Counter grantedLeases;
+    private final Counter rejectedRenewals;
 
-    LeaseService(CommandLog log, LeaderWatch watch, MonotonicClock clock, MetricRegistry metrics) {
+    LeaseService(CommandLog log, LeadershipMonitor watch, MonotonicClock clock, MetricRegistry metrics) {
         this.log = log;
-        this.watch = watch;
+        this.leadership = watch;
         this.clock = clock;
-        this.granted = metrics.counter("control.lease.granted");
-        this.turnedAway = metrics.counter("control.lease.turned-away");
+        this.grantedLeases = metrics.counter("control.lease.granted");
+        this.rejectedRenewals = metrics.counter("control.lease.turned-away");
     }
 
     CompletionStage<LeaseAnswer> renew(LeaseRequest request) {
-        return renew(request, 0).thenApply(this::count);
+        return renew(request, 0).thenApply(this::countAnswer);
     }
 
     private CompletionStage<LeaseAnswer> renew(LeaseRequest request, int round) {
-        Standing standing = log.standing();
-        Optional<LeaseDecision> decision = watch.withKeeper(
+        LeadershipStatus standing = log.leadershipStatus();
+        Optional<LeaseDecision> decision = leadership.withLeases(
                 keeper -> keeper.renew(request, clock.nanos(), standing.leaseUntilNanos(), standing.controlHosts()));
         if (decision.isEmpty()) {
-            return done(new LeaseAnswer.NotLeader(standing.leads() ? null : standing.leader()));
+            return completed(new LeaseAnswer.NotLeader(standing.isLeader() ? null : standing.leader()));
         }
         if (decision.get() instanceof LeaseDecision.Answer answer) {
-            return done(answer.answer());
+            return completed(answer.answer());
         }
-        if (round == MAX_ROUNDS) {
-            return done(new LeaseAnswer.NotLeader(null));
+        if (round == MAX_JOIN_ATTEMPTS) {
+            return completed(new LeaseAnswer.NotLeader(null));
         }
         LeaseDecision.Join join = (LeaseDecision.Join) decision.get();
         return log.propose(join.command()).thenCompose(result -> afterJoin(request, round, result));
     }
 
-    private CompletionStage<LeaseAnswer> afterJoin(LeaseRequest request, int round, Proposed result) {
-        if (result instanceof Proposed.Applied applied) {
+    private CompletionStage<LeaseAnswer> afterJoin(LeaseRequest request, int round, ProposalOutcome result) {
+        if (result instanceof ProposalOutcome.Applied applied) {
             return applied.result() instanceof CommandResult.HostReplaced replaced
-                    ? done(new LeaseAnswer.Replaced(replaced.by()))
+                    ? completed(new LeaseAnswer.Replaced(replaced.by()))
                     : renew(request, round + 1);
         }
-        return done(new LeaseAnswer.NotLeader(result instanceof Proposed.NotLeader not ? not.leader() : null));
+        return completed(
+                new LeaseAnswer.NotLeader(result instanceof ProposalOutcome.NotLeader not ? not.leader() : null));
     }
 
-    private LeaseAnswer count(LeaseAnswer answer) {
-        (answer instanceof LeaseAnswer.Granted ? granted : turnedAway).inc();
+    private LeaseAnswer countAnswer(LeaseAnswer answer) {
+        (answer instanceof LeaseAnswer.Granted ? grantedLeases : rejectedRenewals).inc();
         return answer;
     }
 
-    private static CompletionStage<LeaseAnswer> done(LeaseAnswer answer) {
+    private static CompletionStage<LeaseAnswer> completed(LeaseAnswer answer) {
         return CompletableFuture.completedFuture(answer);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/RaftCommandLog.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/RaftCommandLog.java
@@ -20,63 +20,64 @@
 
 /** The replicated log of this control host: commands in MessagePack over a Raft replica. */
 final class RaftCommandLog implements CommandLog {
-    private static final long TRANSFER_SECONDS = 5;
+    private static final long LEADERSHIP_TRANSFER_TIMEOUT_SECONDS = 5;
 
     private final RaftDriver driver;
-    private final Map<HostId, Address> peers = new LinkedHashMap<>();
+    private final Map<HostId, Address> peerAddresses = new LinkedHashMap<>();
 
     RaftCommandLog(RaftDriver driver, List<ControlHost> hosts) {
         this.driver = driver;
-        hosts.forEach(each -> peers.put(each.host(), each.peers()));
+        hosts.forEach(each -> peerAddresses.put(each.host(), each.peers()));
     }
 
     @Override
-    public CompletableFuture<Proposed> propose(Command command) {
-        return driver.propose(Codecs.MESSAGE_PACK.encode(command)).thenApply(this::proposed);
+    public CompletableFuture<ProposalOutcome> propose(Command command) {
+        return driver.propose(Codecs.MESSAGE_PACK.encode(command)).thenApply(this::toOutcome);
     }
 
     @Override
-    public Standing standing() {
+    public LeadershipStatus leadershipStatus() {
         RaftStatus status = driver.status();
-        Address leader = address(status.leader());
+        Address leader = peerAddress(status.leader());
         List<Address> hosts = new ArrayList<>();
         if (leader != null) {
             hosts.add(leader);
         }
         for (ReplicaId each : status.membership().voters()) {
-            Address address = address(each);
+            Address address = peerAddress(each);
             if (address != null && !hosts.contains(address)) {
                 hosts.add(address);
             }
         }
-        return new Standing(status.leads(), status.term(), status.leaseUntilNanos(), leader, hosts);
+        return new LeadershipStatus(status.leads(), status.term(), status.leaseUntilNanos(), leader, hosts);
     }
 
     /** Hands leadership over, so that a planned stop costs no election timeout. */
-    void handOver() {
+    void transferLeadership() {
         if (driver.isLeader()) {
             driver.transferLeadership()
-                    .completeOnTimeout(false, TRANSFER_SECONDS, java.util.concurrent.TimeUnit.SECONDS)
+                    .completeOnTimeout(
+                            false, LEADERSHIP_TRANSFER_TIMEOUT_SECONDS, java.util.concurrent.TimeUnit.SECONDS)
                     .join();
         }
     }
 
-    private Proposed proposed(ProposeResult result) {
+    private ProposalOutcome toOutcome(ProposeResult result) {
         if (result instanceof ProposeResult.Committed committed) {
             Decoded<CommandResult> decoded = Codecs.MESSAGE_PACK.decode(committed.result(), CommandResult.class);
-            return new Proposed.Applied(((Decoded.Value<CommandResult>) decoded).value());
+            return new ProposalOutcome.Applied(((Decoded.Value<CommandResult>) decoded).value());
         }
         if (result instanceof ProposeResult.NotLeader not) {
-            return new Proposed.NotLeader(address(not.leader()));
+            return new ProposalOutcome.NotLeader(peerAddress(not.leader()));
         }
         if (result instanceof ProposeResult.Refused) {
-            return new Proposed.Overloaded();
+            return new ProposalOutcome.Overloaded();
         }
-        return new Proposed.Undecided(((ProposeResult.Unknown) result).why());
+        return new ProposalOutcome.Undecided(((ProposeResult.Unknown) result).why());
     }
 
-    private Address address(ReplicaId replica) {
-        return replica == null ? null : peers.get(replica.host());
+    private Address peerAddress(ReplicaId replica) {
+        return replica == null ? null : peerAddresses.get(replica.host());
     }
 
     @Override
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEvents.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
@@ -23,63 +23,64 @@
  * Records what the leader decides about tickets, and when each is in force. A ticket whose leader is deposed before it
  * is in force gets no event of that; the next leader doesn't know what was reported.
  */
-final class TicketEvents {
-    private static final Logger LOG = Logger.getLogger(TicketEvents.class);
-    private static final long CHECK_MILLIS = 50;
+final class TicketEventRecorder {
+    private static final Logger LOG = Logger.getLogger(TicketEventRecorder.class);
+    private static final long CHECK_INTERVAL_MILLIS = 50;
 
     private final EventRing events;
-    private final ControlMachine machine;
-    private final LeaderWatch watch;
+    private final ControlStateMachine machine;
+    private final LeadershipMonitor leadership;
     private final MonotonicClock clock;
-    private final Set<String> proposed = ConcurrentHashMap.newKeySet();
-    private final Map<TicketNumber, TicketOutcome.Accepted> notInForce = new ConcurrentHashMap<>();
+    private final Set<String> proposedDigests = ConcurrentHashMap.newKeySet();
+    private final Map<TicketNumber, TicketOutcome.Accepted> acceptedNotInForce = new ConcurrentHashMap<>();
 
-    TicketEvents(EventRing events, ControlMachine machine, LeaderWatch watch, MonotonicClock clock) {
+    TicketEventRecorder(EventRing events, ControlStateMachine machine, LeadershipMonitor watch, MonotonicClock clock) {
         this.events = events;
         this.machine = machine;
-        this.watch = watch;
+        this.leadership = watch;
         this.clock = clock;
-        machine.onApplied(this::applied);
+        machine.onApplied(this::onApplied);
     }
 
     void start(ScheduledExecutorService timer) {
-        timer.scheduleWithFixedDelay(this::check, CHECK_MILLIS, CHECK_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(
+                this::recordTicketsInForce, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** A ticket is about to be proposed here. One that is decided already is a retry, and nothing new happens to it. */
-    void proposing(Command.ApplyTicket command) {
+    void beforeProposal(Command.ApplyTicket command) {
         boolean decided = machine.read(state -> state.ticket(command.ticket().number(), command.digest()))
                 .isPresent();
         if (!decided) {
-            proposed.add(command.digest());
+            proposedDigests.add(command.digest());
         }
     }
 
     /** The proposal has ended, one way or another. */
-    void ended(Command.ApplyTicket command) {
-        proposed.remove(command.digest());
+    void afterProposal(Command.ApplyTicket command) {
+        proposedDigests.remove(command.digest());
     }
 
     /** Only what was proposed here is recorded: every replica applies every ticket, and again after a restart. */
-    private void applied(Command command, CommandResult result) {
+    private void onApplied(Command command, CommandResult result) {
         if (!(command instanceof Command.ApplyTicket apply)
                 || !(result instanceof CommandResult.TicketDecided decided)
-                || !proposed.remove(apply.digest())) {
+                || !proposedDigests.remove(apply.digest())) {
             return;
         }
         TicketNumber number = apply.ticket().number();
         if (decided.outcome() instanceof TicketOutcome.Accepted accepted) {
             events.record(new TicketEvent.Accepted(number, accepted.version()));
-            notInForce.put(number, accepted);
+            acceptedNotInForce.put(number, accepted);
         } else if (decided.outcome() instanceof TicketOutcome.Refused refused) {
             events.record(new TicketEvent.Refused(number, refused.reason()));
         }
     }
 
-    private void check() {
+    private void recordTicketsInForce() {
         try {
             Iterator<Map.Entry<TicketNumber, TicketOutcome.Accepted>> each =
-                    notInForce.entrySet().iterator();
+                    acceptedNotInForce.entrySet().iterator();
             while (each.hasNext()) {
                 Map.Entry<TicketNumber, TicketOutcome.Accepted> ticket = each.next();
                 Optional<TicketStatus> status = status(ticket.getKey());
@@ -98,6 +99,6 @@
     /** Empty when this host no longer leads. */
     private Optional<TicketStatus> status(TicketNumber number) {
         Optional<TicketRecord> record = machine.read(state -> state.ticket(number));
-        return record.flatMap(found -> watch.withKeeper(keeper -> keeper.status(found, clock.nanos())));
+        return record.flatMap(found -> leadership.withLeases(keeper -> keeper.status(found, clock.nanos())));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketService.java
@@ -17,67 +17,73 @@
 /** Decides tickets through the log and tells where they are in force. */
 final class TicketService {
     private final CommandLog log;
-    private final ControlMachine machine;
-    private final LeaderWatch watch;
+    private final ControlStateMachine machine;
+    private final LeadershipMonitor leadership;
     private final MonotonicClock clock;
-    private final TicketEvents events;
+    private final TicketEventRecorder eventRecorder;
 
     TicketService(
-            CommandLog log, ControlMachine machine, LeaderWatch watch, MonotonicClock clock, TicketEvents events) {
+            CommandLog log,
+            ControlStateMachine machine,
+            LeadershipMonitor watch,
+            MonotonicClock clock,
+            TicketEventRecorder events) {
         this.log = log;
         this.machine = machine;
-        this.watch = watch;
+        this.leadership = watch;
         this.clock = clock;
-        this.events = events;
+        this.eventRecorder = events;
     }
 
     CompletionStage<TicketAnswer> submit(Ticket ticket) {
-        if (!log.standing().leads()) {
-            return done(notLeader());
+        if (!log.leadershipStatus().isLeader()) {
+            return completed(notLeader());
         }
         Command.ApplyTicket command = Command.ApplyTicket.of(ticket);
-        events.proposing(command);
+        eventRecorder.beforeProposal(command);
         return log.propose(command).thenApply(result -> {
-            events.ended(command);
-            return answer(ticket, command.digest(), result);
+            eventRecorder.afterProposal(command);
+            return toAnswer(ticket, command.digest(), result);
         });
     }
 
     CompletionStage<TicketAnswer> read(TicketQuery query) {
-        Optional<TicketAnswer> answer = watch.withKeeper(keeper -> machine.read(state -> state.ticket(query.number())
-                .<TicketAnswer>map(found -> new TicketAnswer.Decided(keeper.status(found, clock.nanos())))
-                .orElseGet(() -> new TicketAnswer.Unknown(query.number()))));
-        return done(answer.orElseGet(this::notLeader));
+        Optional<TicketAnswer> answer =
+                leadership.withLeases(keeper -> machine.read(state -> state.ticket(query.number())
+                        .<TicketAnswer>map(found -> new TicketAnswer.Decided(keeper.status(found, clock.nanos())))
+                        .orElseGet(() -> new TicketAnswer.Unknown(query.number()))));
+        return completed(answer.orElseGet(this::notLeader));
     }
 
     CompletionStage<TicketList> list(TicketListQuery query) {
         return CompletableFuture.completedFuture(machine.read(state -> state.tickets(query)));
     }
 
-    private TicketAnswer answer(Ticket ticket, String digest, Proposed result) {
-        if (result instanceof Proposed.NotLeader not) {
+    private TicketAnswer toAnswer(Ticket ticket, String digest, ProposalOutcome result) {
+        if (result instanceof ProposalOutcome.NotLeader not) {
             return new TicketAnswer.NotLeader(not.leader());
         }
-        if (result instanceof Proposed.Overloaded) {
+        if (result instanceof ProposalOutcome.Overloaded) {
             return new TicketAnswer.NotLeader(null);
         }
-        if (result instanceof Proposed.Undecided undecided) {
+        if (result instanceof ProposalOutcome.Undecided undecided) {
             return new TicketAnswer.Undecided(undecided.why());
         }
-        CommandResult applied = ((Proposed.Applied) result).result();
+        CommandResult applied = ((ProposalOutcome.Applied) result).result();
         // Not read back from the state: a ticket older than all that are kept leaves no record there.
         TicketRecord record = TicketRecord.of(ticket, digest, ((CommandResult.TicketDecided) applied).outcome());
-        return watch.withKeeper(keeper -> keeper.status(record, clock.nanos()))
+        return leadership
+                .withLeases(keeper -> keeper.status(record, clock.nanos()))
                 .<TicketAnswer>map(TicketAnswer.Decided::new)
                 .orElseGet(() -> new TicketAnswer.Undecided("this control host stopped leading meanwhile"));
     }
 
     private TicketAnswer notLeader() {
-        Standing standing = log.standing();
-        return new TicketAnswer.NotLeader(standing.leads() ? null : standing.leader());
+        LeadershipStatus standing = log.leadershipStatus();
+        return new TicketAnswer.NotLeader(standing.isLeader() ? null : standing.leader());
     }
 
-    private static CompletionStage<TicketAnswer> done(TicketAnswer answer) {
+    private static CompletionStage<TicketAnswer> completed(TicketAnswer answer) {
         return CompletableFuture.completedFuture(answer);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
@@ -23,12 +23,12 @@
 import org.elmline.core.registry.RegistryChannels.RoutingText;
 import org.elmline.daemon.component.DaggerProcessComponent;
 import org.elmline.daemon.component.ProcessComponent;
-import org.elmline.daemon.control.ControlMachine;
+import org.elmline.daemon.control.ControlStateMachine;
 import org.elmline.daemon.log.DecisionLog;
-import org.elmline.daemon.node.FollowLoop;
 import org.elmline.daemon.node.HttpPorts;
 import org.elmline.daemon.node.NodeSettings;
-import org.elmline.daemon.node.PeerNode;
+import org.elmline.daemon.node.PeerEndpoint;
+import org.elmline.daemon.node.RegistryPoller;
 import org.elmline.daemon.raft.RaftDriver;
 import org.elmline.daemon.raft.RaftStatus;
 import org.elmline.daemon.settings.TimelineSettings;
@@ -68,16 +68,16 @@
     private final ProcessComponent process;
     private final DecisionLog log;
     private final long epoch = System.currentTimeMillis();
-    private final Map<Address, FollowLoop> followLoops = new HashMap<>();
+    private final Map<Address, RegistryPoller> followLoops = new HashMap<>();
     private volatile RaftDriver driver;
-    private PeerNode peers;
+    private PeerEndpoint peers;
     private RegistryService registry;
     private String lastStatus = "";
     private volatile List<Address> configuredControlHosts;
 
     private Coordinator(NodeSettings settings, CoordinatorProtocol protocol, DecisionLog log, Runnable onFailure) {
         this.settings = settings;
-        this.configuredControlHosts = settings.controlPeers();
+        this.configuredControlHosts = settings.controlPeerAddresses();
         this.protocol = protocol;
         this.log = log;
         this.onFailure = onFailure;
@@ -111,7 +111,7 @@
             return thread;
         });
         closer.register(handlers::shutdownNow);
-        peers = closer.register(new PeerNode(settings, "coordinator", handlers, process.hybridClock()));
+        peers = closer.register(new PeerEndpoint(settings, "coordinator", handlers, process.hybridClock()));
         RoutingProvider held = new RoutingProvider(persistedValue("routing", RoutingText.class));
         registry = new RegistryService(
                 epoch,
@@ -129,7 +129,7 @@
         if (held.hasRestored()) {
             Thread.sleep(LOG_OPEN_DELAY_MILLIS);
         }
-        ControlMachine machine = new ControlMachine();
+        ControlStateMachine machine = new ControlStateMachine();
         openLog(machine);
         RoutingStore store = new RoutingStore(driver, machine);
         held.attachStore(store);
@@ -145,13 +145,13 @@
         return closer.register(new PersistedValue<>(name, type, file, log));
     }
 
-    private void openLog(ControlMachine machine) throws IOException, InterruptedException {
+    private void openLog(ControlStateMachine machine) throws IOException, InterruptedException {
         OpenResult.Opened opened = new CoordinatorDataFolder(settings, log).open();
         driver = RaftDriver.builder()
                 .folder(opened.folder(), opened.restored())
                 .machine(machine)
                 .network(peers.network(), peers.handlers())
-                .addresses(settings::peersOf, this::joinAddresses)
+                .addresses(settings::peerAddressOf, this::joinAddresses)
                 .clock(process.clock())
                 .metrics(process.metrics())
                 .settings(RaftSettings.builder()
@@ -172,9 +172,9 @@
         routing.register(peers.handlers());
         peers.timer().scheduleWithFixedDelay(this::checkStatus, 0, STATUS_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         HttpPorts ports = closer.register(new HttpPorts());
-        ports.with(settings.operators(), protocol.operatorHandler(routing, registry));
+        ports.addPort(settings.operators(), protocol.operatorHandler(routing, registry));
         if (settings.metricsPort() > 0) {
-            ports.with(new Address(settings.ip(), settings.metricsPort()), process.metricsHandler());
+            ports.addPort(new Address(settings.ip(), settings.metricsPort()), process.metricsHandler());
         }
         ports.start();
         log.line("started")
@@ -187,7 +187,7 @@
     /** Where the leader is, null when none is known. */
     private Address leaderAddress() {
         ReplicaId leader = driver.status().leader();
-        return leader == null ? null : settings.peersOf(leader.host());
+        return leader == null ? null : settings.peerAddressOf(leader.host());
     }
 
     /** Where a fresh replica asks to become a member. */
@@ -195,9 +195,9 @@
         Set<Address> all = new LinkedHashSet<>(configuredControlHosts);
         RaftDriver running = driver;
         if (running != null) {
-            running.status().membership().all().forEach(each -> all.add(settings.peersOf(each.host())));
+            running.status().membership().all().forEach(each -> all.add(settings.peerAddressOf(each.host())));
         }
-        all.remove(settings.peers());
+        all.remove(settings.peerAddress());
         return List.copyOf(all);
     }
 
@@ -206,10 +206,10 @@
         List<Address> all = new ArrayList<>();
         RaftDriver running = driver;
         if (running == null) {
-            return settings.controlPeers();
+            return settings.controlPeerAddresses();
         }
-        running.status().membership().all().forEach(each -> all.add(settings.peersOf(each.host())));
-        return all.isEmpty() ? settings.controlPeers() : all;
+        running.status().membership().all().forEach(each -> all.add(settings.peerAddressOf(each.host())));
+        return all.isEmpty() ? settings.controlPeerAddresses() : all;
     }
 
     private void checkStatus() {
@@ -235,7 +235,7 @@
     /** Follows every other control host, and stops to follow those that are none any more. */
     private synchronized void followControlHosts() {
         Set<Address> wanted = new LinkedHashSet<>(controlHostAddresses());
-        wanted.remove(settings.peers());
+        wanted.remove(settings.peerAddress());
         followLoops.entrySet().removeIf(each -> {
             boolean over = !wanted.contains(each.getKey());
             if (over) {
@@ -246,7 +246,7 @@
         });
         for (Address each : wanted) {
             if (!followLoops.containsKey(each)) {
-                FollowLoop loop = new FollowLoop(
+                RegistryPoller loop = new RegistryPoller(
                         peers.network(),
                         each,
                         settings.host(),
@@ -263,7 +263,7 @@
 
     /** Takes settings that have changed while this process runs; only the control hosts to join by can change so. */
     public void reload(NodeSettings next) {
-        configuredControlHosts = next.controlPeers();
+        configuredControlHosts = next.controlPeerAddresses();
     }
 
     /** Hands leadership over, then closes. */
@@ -279,7 +279,7 @@
 
     @Override
     public void close() {
-        followLoops.values().forEach(FollowLoop::close);
+        followLoops.values().forEach(RegistryPoller::close);
         closer.close();
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
@@ -13,7 +13,7 @@
 import org.elmline.core.registry.RegistryChannels.RoutingSubmission;
 import org.elmline.core.registry.RegistryChannels.RoutingSubmitResult;
 import org.elmline.core.registry.RegistryChannels.RoutingText;
-import org.elmline.daemon.control.ControlMachine;
+import org.elmline.daemon.control.ControlStateMachine;
 import org.elmline.daemon.raft.ProposeResult;
 import org.elmline.daemon.raft.RaftDriver;
 import org.elmline.daemon.raft.ReadResult;
@@ -25,9 +25,9 @@
     private static final String TICKET_AUTHOR = "operator";
 
     private final RaftDriver driver;
-    private final ControlMachine machine;
+    private final ControlStateMachine machine;
 
-    RoutingStore(RaftDriver driver, ControlMachine machine) {
+    RoutingStore(RaftDriver driver, ControlStateMachine machine) {
         this.driver = driver;
         this.machine = machine;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/EntryDaemon.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/EntryDaemon.java
@@ -46,15 +46,15 @@
 import org.elmline.daemon.caller.Placer;
 import org.elmline.daemon.component.DaggerProcessComponent;
 import org.elmline.daemon.component.ProcessComponent;
-import org.elmline.daemon.http.Answers;
-import org.elmline.daemon.http.BodyReader;
 import org.elmline.daemon.http.HttpLimits;
 import org.elmline.daemon.http.HttpListener;
+import org.elmline.daemon.http.JsonResponses;
+import org.elmline.daemon.http.WorkerBodyReader;
 import org.elmline.daemon.openai.ApiKind;
-import org.elmline.daemon.operator.OperatorKeys;
+import org.elmline.daemon.operator.OperatorKeyHandler;
 import org.elmline.daemon.operator.StatusHandler;
 import org.elmline.daemon.operator.TicketsHandler;
-import org.elmline.daemon.runtime.Workers;
+import org.elmline.daemon.runtime.ProcessExecutors;
 import org.elmline.daemon.service.IdempotencyKeysHandler;
 import org.elmline.daemon.service.ServiceGateway;
 import org.elmline.daemon.service.ServiceHandler;
@@ -121,14 +121,15 @@
     }
 
     private void open() throws IOException {
-        Workers workers = closer.register(new Workers("entry", settings.limits().maxConcurrentRequests()));
+        ProcessExecutors workers =
+                closer.register(new ProcessExecutors("entry", settings.limits().maxConcurrentRequests()));
         PeerKey key = new PeerKey(settings.keys().peerKey().value());
         PeerHandlers channels = new PeerHandlers(workers.handlers());
         bind(workers, key, channels);
         TcpPeerNetwork network = closer.register(new TcpPeerNetwork(
                 key,
                 PeerLimits.DEFAULT,
-                workers.connections(),
+                workers.channelGroup(),
                 workers.timer(),
                 workers.handlers(),
                 process.hybridClock()));
@@ -138,7 +139,7 @@
         ControlClient client = new ControlClient(network, clock, workers.timer(), seeds);
         admission = new AdmissionController(
                 self, view, clock, settings.callers(), settings.limits().maxConcurrentRequests(), metrics);
-        BodyReader bodies = new BodyReader(workers.streams());
+        WorkerBodyReader bodies = new WorkerBodyReader(workers.streams());
         control = new ControlCalls(client);
         openBackends(workers, channels, network, view, bodies);
         openOperators(view, bodies);
@@ -157,25 +158,29 @@
     }
 
     /** Binds all ports first, since this host's record carries them; their routes follow. */
-    private void bind(Workers workers, PeerKey key, PeerHandlers channels) throws IOException {
+    private void bind(ProcessExecutors workers, PeerKey key, PeerHandlers channels) throws IOException {
         ListenAddress bind = settings.addresses().peers();
         peers = closer.register(TcpPeerServer.start(
                 new InetSocketAddress(bind.ip(), bind.port()),
                 channels,
                 key,
                 PeerLimits.DEFAULT,
-                workers.connections(),
+                workers.channelGroup(),
                 workers.timer(),
                 process.hybridClock()));
         callers = closer.register(listen(settings.addresses().callers(), callerRoutes));
         List<String> operatorKeys =
                 settings.keys().operatorKeys().stream().map(Secret::value).toList();
         operators = closer.register(
-                listen(settings.addresses().operators(), new OperatorKeys(operatorKeys, operatorRoutes)));
+                listen(settings.addresses().operators(), new OperatorKeyHandler(operatorKeys, operatorRoutes)));
     }
 
     private void openBackends(
-            Workers workers, HandlerRegistry channels, PeerNetwork network, LeasedView view, BodyReader bodies) {
+            ProcessExecutors workers,
+            HandlerRegistry channels,
+            PeerNetwork network,
+            LeasedView view,
+            WorkerBodyReader bodies) {
         EngineClients engines = closer.register(new EngineClients());
         OwnerSettings ownerSettings = OwnerSettings.builder()
                 .announceIntervalMillis(settings.backend().announceMillis())
@@ -217,7 +222,7 @@
             CompletionGateway gateway,
             ServiceGateway services,
             OrganisationLimitService limits,
-            BodyReader bodies) {
+            WorkerBodyReader bodies) {
         List<String> backendKeys =
                 settings.keys().backendKeys().stream().map(Secret::value).toList();
         int keepSeconds = settings.callers().keepSeconds();
@@ -238,7 +243,7 @@
         }
     }
 
-    private void openOperators(LeasedView view, BodyReader bodies) {
+    private void openOperators(LeasedView view, WorkerBodyReader bodies) {
         TicketsHandler tickets = new TicketsHandler(control, bodies);
         operatorRoutes
                 .put("/v1/tickets/{number}", tickets::put)
@@ -252,8 +257,8 @@
     private static RoutingHandler newRoutes() {
         return Handlers.routing()
                 .setFallbackHandler(exchange ->
-                        Answers.refuse(exchange, Refusal.didNotRun(RefusalReason.NOT_FOUND, "no such path")))
-                .setInvalidMethodHandler(exchange -> Answers.refuse(
+                        JsonResponses.sendRefusal(exchange, Refusal.didNotRun(RefusalReason.NOT_FOUND, "no such path")))
+                .setInvalidMethodHandler(exchange -> JsonResponses.sendRefusal(
                         exchange, Refusal.didNotRun(RefusalReason.METHOD_NOT_ALLOWED, "no such method on this path")));
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
@@ -20,9 +20,9 @@
 import org.elmline.core.registry.Registration;
 import org.elmline.core.routing.CallRoute;
 import org.elmline.core.routing.RouteMatch;
-import org.elmline.daemon.http.CallerPresence;
-import org.elmline.daemon.log.Line;
-import org.elmline.daemon.log.RequestLines;
+import org.elmline.daemon.http.CallerDisconnectDetector;
+import org.elmline.daemon.log.LogLine;
+import org.elmline.daemon.log.SampledRequestLog;
 import org.xnio.IoUtils;
 import org.xnio.XnioExecutor;
 
@@ -60,8 +60,8 @@
     private final byte[] body;
     private final long receivedAtNanos;
     private final long deadlineAtNanos;
-    private final CallerPresence callerPresence;
-    private final RequestLines requestLog;
+    private final CallerDisconnectDetector callerPresence;
+    private final SampledRequestLog requestLog;
     private final List<BackendServerId> triedServers = new ArrayList<>();
     private final XnioExecutor.Key deadlineTimer;
     private DispatchCall pendingPlacement;
@@ -97,8 +97,8 @@
                 ? route.timeoutMillis()
                 : Math.min(head.deadlineMillis(), route.timeoutMillis());
         this.deadlineAtNanos = receivedAt + waits * NANOS_PER_MILLI;
-        this.callerPresence = new CallerPresence(exchange);
-        this.requestLog = new RequestLines(head.requestId());
+        this.callerPresence = new CallerDisconnectDetector(exchange);
+        this.requestLog = new SampledRequestLog(head.requestId());
         this.deadlineTimer =
                 parts.thread().executeAfter(this::onDeadline, Math.max(1, remainingMillis()), TimeUnit.MILLISECONDS);
         parts.openCalls().add(this);
@@ -153,7 +153,7 @@
         return stream;
     }
 
-    Line line(String event) {
+    LogLine line(String event) {
         return context.log()
                 .line(event)
                 .with("request", head.requestId())
@@ -216,7 +216,7 @@
             return;
         }
         DispatchAnswer.Refused refused = (DispatchAnswer.Refused) answer;
-        requestLog.failure(line("not placed")
+        requestLog.logFailure(line("not placed")
                 .with("attempt", asked.attempt())
                 .with("why", refused.why())
                 .with("service", service)
@@ -234,7 +234,7 @@
             retryOrFail(left ? "server left" : "no time left", true);
             return;
         }
-        requestLog.success(line("placed")
+        requestLog.logSuccess(line("placed")
                 .with("attempt", asked.attempt())
                 .with("server", granted.server())
                 .with("helpers", granted.helpers().size())
@@ -261,7 +261,7 @@
             unexecutedAttempts++;
         }
         context.callMetrics().recordAttemptFailure(service, end.name());
-        requestLog.failure(
+        requestLog.logFailure(
                 line("attempt failed").with("end", end).with("why", why).with("server", lastTriedServer()));
         retryOrFail(why, !ran);
     }
@@ -305,7 +305,7 @@
             return;
         }
         if (stream != null) {
-            requestLog.failure(line("stream broken off").with("why", why).with("lastEvent", stream.lastEventId()));
+            requestLog.logFailure(line("stream broken off").with("why", why).with("lastEvent", stream.lastEventId()));
             // Ended first: the end of the caller's channel would else be taken for that of a whole stream.
             finish("broken_off");
             stream.abort();
@@ -318,7 +318,7 @@
         }
         boolean late = remainingMillis() < MIN_SEND_MILLIS;
         int status = mayHaveRun ? (late ? 504 : 502) : 503;
-        requestLog.failure(line("refused")
+        requestLog.logFailure(line("refused")
                 .with("status", status)
                 .with("why", why)
                 .with("mayHaveRun", mayHaveRun)
@@ -342,15 +342,15 @@
             retryOrFail("answered " + status + " in place of the rest of a stream", false);
             return;
         }
-        Line line = line("answered")
+        LogLine line = line("answered")
                 .with("status", status)
                 .with("bytes", bytes.size())
                 .with("server", lastTriedServer())
                 .with("sends", sendCount);
         if (status >= MIN_SERVER_ERROR_STATUS) {
-            requestLog.failure(line);
+            requestLog.logFailure(line);
         } else {
-            requestLog.success(line);
+            requestLog.logSuccess(line);
         }
         exchange.setStatusCode(status);
         HeaderMap own = exchange.getResponseHeaders();
@@ -369,7 +369,7 @@
         if (ended) {
             return;
         }
-        requestLog.success(line("streamed")
+        requestLog.logSuccess(line("streamed")
                 .with("lastEvent", stream.lastEventId())
                 .with("firstMs", stream.firstEventAtMillis() - receivedAtNanos / NANOS_PER_MILLI)
                 .with("longestPauseMs", stream.longestPauseMillis())
@@ -385,7 +385,7 @@
         if (ended) {
             return;
         }
-        requestLog.failure(line("caller left").with("sends", sendCount).with("placing", pendingPlacement != null));
+        requestLog.logFailure(line("caller left").with("sends", sendCount).with("placing", pendingPlacement != null));
         cancelInFlight();
         IoUtils.safeClose(exchange.getConnection());
         finish("caller_left");
@@ -407,7 +407,7 @@
             return;
         }
         try {
-            callerPresence.check();
+            callerPresence.checkConnected();
         } catch (IOException e) {
             onCallerDisconnected();
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
@@ -11,7 +11,7 @@
 import org.elmline.core.common.HostId;
 import org.elmline.core.routing.RouteMatch;
 import org.elmline.core.routing.RoutingTable;
-import org.elmline.daemon.http.WholeBody;
+import org.elmline.daemon.http.IoThreadBodyReader;
 import org.xnio.IoUtils;
 
 /** Takes a caller's request: finds its route, reads its body and begins its call. */
@@ -75,7 +75,7 @@
     }
 
     private void readBody(HttpServerExchange exchange, CallHead head, long receivedAt) {
-        WholeBody.read(
+        IoThreadBodyReader.read(
                 exchange,
                 body -> route(exchange, head, body, receivedAt),
                 failure -> onBodyUnreadable(exchange, head, failure));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
@@ -29,9 +29,9 @@
 import org.elmline.core.routing.RoutingFormat;
 import org.elmline.core.routing.RoutingTable;
 import org.elmline.daemon.log.DecisionLog;
-import org.elmline.daemon.node.FollowLoop;
 import org.elmline.daemon.node.NodeSettings;
-import org.elmline.daemon.node.PeerNode;
+import org.elmline.daemon.node.PeerEndpoint;
+import org.elmline.daemon.node.RegistryPoller;
 import org.xnio.XnioExecutor;
 
 /**
@@ -60,7 +60,7 @@
     private static final int MAX_POLL_FAILURES = 12;
 
     private final NodeSettings settings;
-    private final PeerNode peers;
+    private final PeerEndpoint peers;
     private final RoutingFormat routingFormat;
     private final MonotonicClock clock;
     private final DecisionLog log;
@@ -69,7 +69,7 @@
     private final Runnable onChange;
     private final RegistryView view = new RegistryView(
             controlTimeoutNanos(PendingPoll.HOLD_MILLIS), HEARTBEAT_TIMEOUT_NANOS, ENTRY_DISCOVERY_NANOS);
-    private final Map<Address, FollowLoop> followLoops = new HashMap<>();
+    private final Map<Address, RegistryPoller> followLoops = new HashMap<>();
     private final StaggeredStart<Address> followStarter;
     private final Map<ServiceName, List<BackendServerId>> serversByService = new HashMap<>();
     private List<Registration> groupedServers;
@@ -86,7 +86,7 @@
      */
     DeploymentFollower(
             NodeSettings settings,
-            PeerNode peers,
+            PeerEndpoint peers,
             XnioExecutor thread,
             RoutingFormat format,
             MonotonicClock clock,
@@ -106,7 +106,7 @@
     }
 
     void start() {
-        List<Address> controls = new ArrayList<>(settings.controlPeers());
+        List<Address> controls = new ArrayList<>(settings.controlPeerAddresses());
         // All entries are told of the same few hosts.
         Collections.shuffle(controls);
         followAll(controls);
@@ -119,7 +119,7 @@
 
     private void follow(Address control) {
         ScheduledExecutorService timer = peers.timer();
-        FollowLoop loop = new FollowLoop(
+        RegistryPoller loop = new RegistryPoller(
                 peers.network(),
                 control,
                 settings.host(),
@@ -168,9 +168,9 @@
 
     private void dropLostControlHosts(List<Address> named) {
         followLoops.entrySet().removeIf(each -> {
-            boolean lost = each.getValue().failures() >= MAX_POLL_FAILURES
+            boolean lost = each.getValue().consecutiveFailures() >= MAX_POLL_FAILURES
                     && !named.contains(each.getKey())
-                    && !settings.controlPeers().contains(each.getKey());
+                    && !settings.controlPeerAddresses().contains(each.getKey());
             if (lost) {
                 log.line("control host given up").with("control", each.getKey()).write();
                 each.getValue().close();
@@ -287,6 +287,6 @@
     }
 
     void close() {
-        followLoops.values().forEach(FollowLoop::close);
+        followLoops.values().forEach(RegistryPoller::close);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EntryGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EntryGateway.java
@@ -31,7 +31,7 @@
 import org.elmline.daemon.log.DecisionLog;
 import org.elmline.daemon.node.HttpPorts;
 import org.elmline.daemon.node.NodeSettings;
-import org.elmline.daemon.node.PeerNode;
+import org.elmline.daemon.node.PeerEndpoint;
 import org.elmline.daemon.settings.TimelineSettings;
 import org.xnio.XnioIoThread;
 
@@ -57,7 +57,7 @@
     private final GracefulShutdown stop;
     private final SplittableRandom random = new SplittableRandom();
     private HttpPorts ports;
-    private PeerNode peers;
+    private PeerEndpoint peers;
     private XnioIoThread thread;
     private DeploymentFollower deployment;
     private DispatchService dispatchers;
@@ -104,18 +104,18 @@
     private void open() throws IOException {
         ports = closer.register(new HttpPorts());
         thread = ports.worker().getIoThread();
-        peers = closer.register(new PeerNode(settings, "gateway", thread, process.hybridClock()));
+        peers = closer.register(new PeerEndpoint(settings, "gateway", thread, process.hybridClock()));
         // The control hosts are asked before the ports open: their answers take longer than opening them.
         thread.execute(this::assemble);
-        ports.with(settings.callers(), new HttpContinueReadHandler(this::handleCall))
-                .with(settings.ready(), this::handleReady);
+        ports.addPort(settings.callers(), new HttpContinueReadHandler(this::handleCall))
+                .addPort(settings.ready(), this::handleReady);
         if (settings.directory() != null) {
-            ports.with(
+            ports.addPort(
                     settings.directory(),
                     directory.directoryHandler(this::callerAddresses, settings.directoryKeepSeconds()));
         }
         if (settings.metricsPort() > 0) {
-            ports.with(new Address(settings.ip(), settings.metricsPort()), process.metricsHandler());
+            ports.addPort(new Address(settings.ip(), settings.metricsPort()), process.metricsHandler());
         }
         ports.start();
     }
@@ -133,7 +133,7 @@
                 this::updateDeployment,
                 this::scheduleDeploymentUpdate);
         dispatchers = new DispatchService(
-                settings.host(), settings.retries().limit(), process.clock(), log, this::sendDecision);
+                settings.host(), settings.retries().retryLimit(), process.clock(), log, this::sendDecision);
         dispatchClient = new DispatchClient(
                 settings,
                 incarnation,
@@ -200,7 +200,7 @@
                 settings.host(),
                 incarnation,
                 settings.callers(),
-                settings.peers(),
+                settings.peerAddress(),
                 settings.failureDomain(),
                 settings.region(),
                 isServing());
@@ -219,7 +219,7 @@
         deployment.table().ifPresent(table -> {
             if (!table.limits().sameAs(callerLimits)) {
                 callerLimits = table.limits();
-                ports.apply(callerLimits);
+                ports.applyLimits(callerLimits);
             }
             dispatchers.update(table, deployment.usableServers(), deployment.entries(), deployment.hasAllEntries());
             dispatchClient.onDeploymentChanged();
@@ -235,7 +235,7 @@
         }
         peers.network()
                 .call(
-                        settings.peersOf(host),
+                        settings.peerAddressOf(host),
                         DispatchChannels.DECIDED,
                         new QueuedDecision(settings.host(), answer),
                         ReportQueue.SEND_TIMEOUT)
@@ -254,7 +254,7 @@
 
     /** Takes settings that have changed while this process runs; only the control hosts to follow can change so. */
     public void reload(NodeSettings next) {
-        thread.execute(() -> deployment.followAll(next.controlPeers()));
+        thread.execute(() -> deployment.followAll(next.controlPeerAddresses()));
     }
 
     /** Leaves the directory, finishes what is in flight as far as there is time, then closes. */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ReportQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ReportQueue.java
@@ -53,7 +53,7 @@
     /** Sends at once what is gathered. */
     void flush() {
         pendingReports.forEach((host, byService) -> byService.forEach((service, list) -> network.call(
-                settings.peersOf(host), DispatchChannels.REPORT, new Reports(service, list), SEND_TIMEOUT)));
+                settings.peerAddressOf(host), DispatchChannels.REPORT, new Reports(service, list), SEND_TIMEOUT)));
         pendingReports.clear();
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/BearerKey.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/BearerKey.java
@@ -25,7 +25,7 @@
     }
 
     /** Whether the call carries one of the keys; compared in constant time, so that timing tells nothing of them. */
-    public static boolean isOneOf(HttpServerExchange exchange, Collection<String> keys) {
+    public static boolean matchesAny(HttpServerExchange exchange, Collection<String> keys) {
         byte[] given = of(exchange).orElse("").getBytes(StandardCharsets.UTF_8);
         boolean found = false;
         for (String key : keys) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/CallerPresence.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/CallerDisconnectDetector.java
@@ -11,15 +11,15 @@
  * request is being served, so the end of its input would go unseen until the answer is written: an engine would work on
  * for nobody. Used by the one worker that serves the request.
  */
-public final class CallerPresence {
+public final class CallerDisconnectDetector {
     private final HttpServerExchange exchange;
 
-    public CallerPresence(HttpServerExchange exchange) {
+    public CallerDisconnectDetector(HttpServerExchange exchange) {
         this.exchange = exchange;
     }
 
     /** Fails when the caller's side of the connection is closed. */
-    public void check() throws IOException {
+    public void checkConnected() throws IOException {
         if (!(exchange.getConnection() instanceof HttpServerConnection connection)) {
             return;
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/HttpListener.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/HttpListener.java
@@ -10,7 +10,7 @@
 /** One bound HTTP port with its limits. */
 public final class HttpListener implements AutoCloseable {
     private static final int IO_THREADS = 2;
-    private static final int SPARE_WORKERS = 2;
+    private static final int WORKER_THREADS = 2;
 
     private final Undertow server;
     private final String ip;
@@ -25,13 +25,13 @@
         Undertow server = Undertow.builder()
                 .addHttpListener(port, ip)
                 .setIoThreads(IO_THREADS)
-                .setWorkerThreads(SPARE_WORKERS)
+                .setWorkerThreads(WORKER_THREADS)
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, limits.maxBodyBytes())
                 .setServerOption(UndertowOptions.MAX_HEADER_SIZE, limits.maxHeaderBytes())
-                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleMillis())
-                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, limits.bodyMillis())
+                .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleTimeoutMillis())
+                .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, limits.readTimeoutMillis())
                 .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
-                .setSocketOption(org.xnio.Options.READ_TIMEOUT, limits.bodyMillis())
+                .setSocketOption(org.xnio.Options.READ_TIMEOUT, limits.readTimeoutMillis())
                 .setSocketOption(org.xnio.Options.CONNECTION_HIGH_WATER, limits.maxConnections())
                 .setSocketOption(org.xnio.Options.CONNECTION_LOW_WATER, limits.maxConnections())
                 .setHandler(handler)
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/WholeBody.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/IoThreadBodyReader.java
@@ -11,14 +11,14 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /** Reads a request's body to its end on the I/O thread without waiting on it; the exchange must be dispatched. */
-public final class WholeBody {
+public final class IoThreadBodyReader {
     private final HttpServerExchange exchange;
     private final Consumer<byte[]> onBody;
     private final Consumer<IOException> onFailure;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream();
     private StreamSourceChannel source;
 
-    private WholeBody(HttpServerExchange exchange, Consumer<byte[]> onBody, Consumer<IOException> onFailure) {
+    private IoThreadBodyReader(HttpServerExchange exchange, Consumer<byte[]> onBody, Consumer<IOException> onFailure) {
         this.exchange = exchange;
         this.onBody = onBody;
         this.onFailure = onFailure;
@@ -30,7 +30,7 @@
      * @param onFailure gets a {@link io.undertow.server.RequestTooBigException} when the body is over the limit
      */
     public static void read(HttpServerExchange exchange, Consumer<byte[]> onBody, Consumer<IOException> onFailure) {
-        new WholeBody(exchange, onBody, onFailure).start();
+        new IoThreadBodyReader(exchange, onBody, onFailure).start();
     }
 
     private void start() {
@@ -39,11 +39,11 @@
             onBody.accept(body.toByteArray());
             return;
         }
-        source.getReadSetter().set((ChannelListener<StreamSourceChannel>) each -> more());
-        more();
+        source.getReadSetter().set((ChannelListener<StreamSourceChannel>) each -> readAvailable());
+        readAvailable();
     }
 
-    private void more() {
+    private void readAvailable() {
         try (PooledByteBuffer pooled =
                 exchange.getConnection().getByteBufferPool().allocate()) {
             ByteBuffer buffer = pooled.getBuffer();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/Answers.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/JsonResponses.java
@@ -9,28 +9,28 @@
 import org.elmline.wire.codec.Codecs;
 
 /** Writes whole JSON answers. */
-public final class Answers {
+public final class JsonResponses {
     private static final String JSON = "application/json";
     private static final long MILLIS_PER_SECOND = 1000;
 
-    private Answers() {}
+    private JsonResponses() {}
 
-    public static void json(HttpServerExchange exchange, Object body) {
-        json(exchange, StatusCodes.OK, body);
+    public static void send(HttpServerExchange exchange, Object body) {
+        send(exchange, StatusCodes.OK, body);
     }
 
-    public static void json(HttpServerExchange exchange, int status, Object body) {
+    public static void send(HttpServerExchange exchange, int status, Object body) {
         exchange.setStatusCode(status);
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, JSON);
         exchange.getResponseSender().send(ByteBuffer.wrap(Codecs.JSON.encode(body)));
     }
 
     /** The refusal's status, its body, and {@code Retry-After} in whole seconds when a retry may help. */
-    public static void refuse(HttpServerExchange exchange, Refusal refusal) {
+    public static void sendRefusal(HttpServerExchange exchange, Refusal refusal) {
         if (refusal.retryAfterMillis() > 0) {
             long seconds = (refusal.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, seconds);
         }
-        json(exchange, refusal.reason().status(), ErrorBody.of(refusal));
+        send(exchange, refusal.reason().status(), ErrorBody.of(refusal));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/BodyReader.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/WorkerBodyReader.java
@@ -12,12 +12,12 @@
  * Reads a whole body without holding a thread, then hands it to a worker. A body over the listener's limit, one that is
  * cut off and a process without a free worker each end in a refusal.
  */
-public final class BodyReader {
-    private static final long BUSY_RETRY_MILLIS = 500;
+public final class WorkerBodyReader {
+    private static final long BUSY_RETRY_AFTER_MILLIS = 500;
 
     private final Executor workers;
 
-    public BodyReader(Executor workers) {
+    public WorkerBodyReader(Executor workers) {
         this.workers = workers;
     }
 
@@ -27,35 +27,35 @@
         if (limit > 0 && declared > limit) {
             // The body is not read: closing spares both sides the transfer.
             exchange.setPersistent(false);
-            Answers.refuse(exchange, tooLarge(limit));
+            JsonResponses.sendRefusal(exchange, tooLarge(limit));
             return;
         }
         exchange.getRequestReceiver()
-                .receiveFullBytes((ready, body) -> dispatch(ready, () -> then.accept(body)), (failed, error) -> {
+                .receiveFullBytes((ready, body) -> runOnWorker(ready, () -> then.accept(body)), (failed, error) -> {
                     failed.setPersistent(false);
-                    Answers.refuse(failed, fault(limit, error));
+                    JsonResponses.sendRefusal(failed, toRefusal(limit, error));
                 });
     }
 
     /** Runs a task on a worker, with a refusal when none is free. */
-    public void dispatch(HttpServerExchange exchange, Runnable task) {
+    public void runOnWorker(HttpServerExchange exchange, Runnable task) {
         exchange.dispatch(
                 command -> {
                     try {
                         workers.execute(command);
                     } catch (RejectedExecutionException e) {
-                        Answers.refuse(
+                        JsonResponses.sendRefusal(
                                 exchange,
                                 Refusal.comeBack(
                                         RefusalReason.OVERLOADED,
                                         "all workers of this host are busy",
-                                        BUSY_RETRY_MILLIS));
+                                        BUSY_RETRY_AFTER_MILLIS));
                     }
                 },
                 task);
     }
 
-    private static Refusal fault(long limit, java.io.IOException error) {
+    private static Refusal toRefusal(long limit, java.io.IOException error) {
         if (error instanceof io.undertow.server.RequestTooBigException) {
             return tooLarge(limit);
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/DecisionLog.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/DecisionLog.java
@@ -19,37 +19,37 @@
  */
 public final class DecisionLog implements AutoCloseable {
     /** Lines that may wait for a slow output. */
-    private static final int QUEUE_LINES = 4_096;
+    private static final int MAX_QUEUED_LINES = 4_096;
 
     /** Lines of one kind a second; failures come in bursts, and past this they repeat each other. */
-    private static final int LINES_PER_SECOND = 500;
+    private static final int MAX_LINES_PER_SECOND = 500;
 
     /** Lines on successes of one kind a second, from which on only some requests' are written. */
-    private static final int SUCCESSES_PER_SECOND = 50;
+    private static final int SAMPLING_THRESHOLD_LINES_PER_SECOND = 50;
 
     /** Of this many requests one is written once successes are sampled. */
-    private static final int ONE_OF = 10;
+    private static final int SAMPLING_INTERVAL_REQUESTS = 10;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final long CLOSE_MILLIS = 300;
+    private static final long CLOSE_TIMEOUT_MILLIS = 300;
 
-    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(QUEUE_LINES);
-    private final Map<String, Rate> rates = new ConcurrentHashMap<>();
-    private final AtomicLong dropped = new AtomicLong();
-    private final AtomicLong sampledOut = new AtomicLong();
+    private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAX_QUEUED_LINES);
+    private final Map<String, LineRate> lineRates = new ConcurrentHashMap<>();
+    private final AtomicLong droppedLines = new AtomicLong();
+    private final AtomicLong sampledOutLines = new AtomicLong();
     private final MonotonicClock clock;
-    private final String head;
+    private final String linePrefix;
     private final OutputStream out;
     private final Thread writer;
     private volatile boolean closed;
 
-    private static final class Rate {
-        private long second;
+    private static final class LineRate {
+        private long currentSecond;
         private int lines;
 
-        void roll(long now) {
-            if (second != now) {
-                second = now;
+        void resetOnNewSecond(long now) {
+            if (currentSecond != now) {
+                currentSecond = now;
                 lines = 0;
             }
         }
@@ -62,31 +62,31 @@
     public DecisionLog(String host, String role, MonotonicClock clock, OutputStream out) {
         this.clock = clock;
         this.out = out;
-        this.head = ",\"host\":\"" + host + "\",\"role\":\"" + role + "\",\"event\":\"";
-        this.writer = new Thread(this::run, "log");
+        this.linePrefix = ",\"host\":\"" + host + "\",\"role\":\"" + role + "\",\"event\":\"";
+        this.writer = new Thread(this::writeLines, "log");
         writer.setDaemon(true);
         writer.start();
     }
 
-    /** Begins a line of a kind; nothing is written before {@link Line#write()}. */
-    public Line line(String event) {
+    /** Begins a line of a kind; nothing is written before {@link LogLine#write()}. */
+    public LogLine line(String event) {
         StringBuilder text = new StringBuilder(192);
         text.append("{\"at\":").append(System.currentTimeMillis());
         text.append(",\"mono\":").append(clock.millis());
-        text.append(head).append(event).append('"');
-        return new Line(this, event, text);
+        text.append(linePrefix).append(event).append('"');
+        return new LogLine(this, event, text);
     }
 
     void submit(String event, String text) {
-        if (linesThisSecond(event, 1) > LINES_PER_SECOND || !queue.offer(text)) {
-            dropped.incrementAndGet();
+        if (countLinesThisSecond(event, 1) > MAX_LINES_PER_SECOND || !queue.offer(text)) {
+            droppedLines.incrementAndGet();
         }
     }
 
     /** Writes a line on a success unless it is one of too many. Returns whether it was taken. */
     boolean submitSampled(String event, String text, String request) {
-        if (linesThisSecond(event, 0) >= SUCCESSES_PER_SECOND && !sampled(request)) {
-            sampledOut.incrementAndGet();
+        if (countLinesThisSecond(event, 0) >= SAMPLING_THRESHOLD_LINES_PER_SECOND && !isSampled(request)) {
+            sampledOutLines.incrementAndGet();
             return false;
         }
         submit(event, text);
@@ -94,31 +94,31 @@
     }
 
     /** The same for all lines of a request, so that of those that are written the whole story is. */
-    private static boolean sampled(String request) {
-        return Math.floorMod(request.hashCode(), ONE_OF) == 0;
+    private static boolean isSampled(String request) {
+        return Math.floorMod(request.hashCode(), SAMPLING_INTERVAL_REQUESTS) == 0;
     }
 
     /** Counts so many more lines of a kind. Returns the lines of the kind in this second, those included. */
-    private int linesThisSecond(String event, int more) {
-        Rate rate = rates.computeIfAbsent(event, each -> new Rate());
+    private int countLinesThisSecond(String event, int more) {
+        LineRate rate = lineRates.computeIfAbsent(event, each -> new LineRate());
         synchronized (rate) {
-            rate.roll(clock.nanos() / NANOS_PER_SECOND);
+            rate.resetOnNewSecond(clock.nanos() / NANOS_PER_SECOND);
             rate.lines += more;
             return rate.lines;
         }
     }
 
     /** Lines that were dropped so far. */
-    public long dropped() {
-        return dropped.get();
+    public long droppedLines() {
+        return droppedLines.get();
     }
 
     /** Lines on successes that were left out so far as there were many. */
-    public long sampledOut() {
-        return sampledOut.get();
+    public long sampledOutLines() {
+        return sampledOutLines.get();
     }
 
-    private void run() {
+    private void writeLines() {
         long told = 0;
         StringBuilder batch = new StringBuilder();
         while (!closed || !queue.isEmpty()) {
@@ -128,10 +128,10 @@
                 for (String next = first; next != null; next = queue.poll()) {
                     batch.append(next);
                 }
-                long now = dropped.get() + sampledOut.get();
+                long now = droppedLines.get() + sampledOutLines.get();
                 if (now != told) {
                     told = now;
-                    batch.append(leftOut());
+                    batch.append(droppedLinesSummary());
                 }
                 if (batch.length() > 0) {
                     out.write(batch.toString().getBytes(StandardCharsets.UTF_8));
@@ -141,14 +141,14 @@
                 return;
             } catch (IOException e) {
                 // Nobody reads the log any more; deciding goes on, and the count tells of it.
-                dropped.incrementAndGet();
+                droppedLines.incrementAndGet();
             }
         }
     }
 
-    private String leftOut() {
-        return "{\"at\":" + System.currentTimeMillis() + head + "lines dropped\",\"total\":" + dropped.get()
-                + ",\"successesLeftOut\":" + sampledOut.get() + "}\n";
+    private String droppedLinesSummary() {
+        return "{\"at\":" + System.currentTimeMillis() + linePrefix + "lines dropped\",\"total\":" + droppedLines.get()
+                + ",\"successesLeftOut\":" + sampledOutLines.get() + "}\n";
     }
 
     /** Writes what waits, for a short while. */
@@ -156,7 +156,7 @@
     public void close() {
         closed = true;
         try {
-            writer.join(CLOSE_MILLIS);
+            writer.join(CLOSE_TIMEOUT_MILLIS);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/LibraryLines.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/LibraryLogHandler.java
@@ -6,8 +6,8 @@
 import java.util.logging.Logger;
 
 /** Writes what libraries log as lines of the decision log, so that a process has one form of log and one bound. */
-public final class LibraryLines extends Handler {
-    private static final String CONFIGURED_BY = "java.util.logging.config.class";
+public final class LibraryLogHandler extends Handler {
+    private static final String CONFIG_CLASS_PROPERTY = "java.util.logging.config.class";
 
     private final DecisionLog log;
 
@@ -17,20 +17,20 @@
      */
     public static final class NoConfiguration {}
 
-    private LibraryLines(DecisionLog log) {
+    private LibraryLogHandler(DecisionLog log) {
         this.log = log;
     }
 
     /** Replaces the runtime's own handlers; libraries' lines below warnings are left out. */
     public static void install(DecisionLog log) {
-        System.setProperty(CONFIGURED_BY, NoConfiguration.class.getName());
+        System.setProperty(CONFIG_CLASS_PROPERTY, NoConfiguration.class.getName());
         Logger root = Logger.getLogger("");
         for (Handler each : root.getHandlers()) {
             root.removeHandler(each);
         }
         root.setLevel(Level.WARNING);
         Logger.getLogger("org.elmline").setLevel(Level.INFO);
-        root.addHandler(new LibraryLines(log));
+        root.addHandler(new LibraryLogHandler(log));
     }
 
     @Override
--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/Line.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/LogLine.java
@@ -1,50 +1,50 @@
 package org.elmline.daemon.log;
 
 /** One log line while it is put together. */
-public final class Line {
-    private static final char FIRST_PRINTABLE = 0x20;
+public final class LogLine {
+    private static final char FIRST_PRINTABLE_CHAR = 0x20;
 
     private final DecisionLog log;
     private final String event;
     private final StringBuilder text;
 
-    Line(DecisionLog log, String event, StringBuilder text) {
+    LogLine(DecisionLog log, String event, StringBuilder text) {
         this.log = log;
         this.event = event;
         this.text = text;
     }
 
     /** Adds a field; a null value is left out. */
-    public Line with(String field, Object value) {
+    public LogLine with(String field, Object value) {
         if (value == null) {
             return this;
         }
-        name(field).append('"');
-        escape(value.toString());
+        appendName(field).append('"');
+        appendEscaped(value.toString());
         text.append('"');
         return this;
     }
 
-    public Line with(String field, long value) {
-        name(field).append(value);
+    public LogLine with(String field, long value) {
+        appendName(field).append(value);
         return this;
     }
 
-    public Line with(String field, boolean value) {
-        name(field).append(value);
+    public LogLine with(String field, boolean value) {
+        appendName(field).append(value);
         return this;
     }
 
-    private StringBuilder name(String field) {
+    private StringBuilder appendName(String field) {
         return text.append(",\"").append(field).append("\":");
     }
 
-    private void escape(String value) {
+    private void appendEscaped(String value) {
         for (int i = 0; i < value.length(); i++) {
             char each = value.charAt(i);
             if (each == '"' || each == '\\') {
                 text.append('\\').append(each);
-            } else if (each < FIRST_PRINTABLE) {
+            } else if (each < FIRST_PRINTABLE_CHAR) {
                 text.append(String.format("\\u%04x", (int) each));
             } else {
                 text.append(each);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/RequestLines.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/SampledRequestLog.java
@@ -7,26 +7,26 @@
  * The log lines of one request. Lines on its successes may be left out while there are many; should the request fail
  * later, they are written after all, since they hold the inputs that explain it. Not safe for concurrent use.
  */
-public final class RequestLines {
-    private final String request;
-    private final List<Line> leftOut = new ArrayList<>();
+public final class SampledRequestLog {
+    private final String requestId;
+    private final List<LogLine> sampledOutLines = new ArrayList<>();
 
     /** @param request id by which lines are chosen, null for a request without one */
-    public RequestLines(String request) {
-        this.request = request == null ? "" : request;
+    public SampledRequestLog(String request) {
+        this.requestId = request == null ? "" : request;
     }
 
     /** Writes a line on a step that went well, or keeps it in case the request fails. */
-    public void success(Line line) {
-        if (!line.writeSampled(request)) {
-            leftOut.add(line);
+    public void logSuccess(LogLine line) {
+        if (!line.writeSampled(requestId)) {
+            sampledOutLines.add(line);
         }
     }
 
     /** Writes a line on a failure, and before it what was left out of the request so far. */
-    public void failure(Line line) {
-        leftOut.forEach(Line::write);
-        leftOut.clear();
+    public void logFailure(LogLine line) {
+        sampledOutLines.forEach(LogLine::write);
+        sampledOutLines.clear();
         line.write();
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/HttpPorts.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/HttpPorts.java
@@ -23,7 +23,7 @@
      * or a request that crosses the close is lost. */
     private static final int IDLE_GRACE_MILLIS = 5_000;
 
-    private static final int BACKLOG = 1_024;
+    private static final int ACCEPT_BACKLOG_CONNECTIONS = 1_024;
 
     private static final int BUFFER_BYTES = 8 * 1024;
 
@@ -47,12 +47,12 @@
                 .setServerOption(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
                 .setServerOption(UndertowOptions.ENABLE_HTTP2, false)
                 .setServerOption(UndertowOptions.ALWAYS_SET_DATE, false)
-                .setSocketOption(Options.BACKLOG, BACKLOG)
+                .setSocketOption(Options.BACKLOG, ACCEPT_BACKLOG_CONNECTIONS)
                 .setSocketOption(Options.TCP_NODELAY, true);
-        limits(CallerLimits.DEFAULT);
+        setInitialLimits(CallerLimits.DEFAULT);
     }
 
-    private void limits(CallerLimits limits) {
+    private void setInitialLimits(CallerLimits limits) {
         builder.setServerOption(UndertowOptions.MAX_HEADER_SIZE, limits.maxHeaderBytes())
                 .setServerOption(UndertowOptions.MAX_ENTITY_SIZE, limits.maxBodyBytes())
                 .setServerOption(UndertowOptions.NO_REQUEST_TIMEOUT, limits.idleTimeoutMillis() + IDLE_GRACE_MILLIS)
@@ -60,7 +60,7 @@
     }
 
     /** Adds a port with its handler; before {@link #start()} only. */
-    public HttpPorts with(Address address, HttpHandler handler) {
+    public HttpPorts addPort(Address address, HttpHandler handler) {
         builder.addListener(new Undertow.ListenerBuilder()
                 .setType(Undertow.ListenerType.HTTP)
                 .setHost(address.ip())
@@ -87,7 +87,7 @@
     }
 
     /** Puts limits in force for new connections; a caller's open ones keep theirs. */
-    public void apply(CallerLimits limits) {
+    public void applyLimits(CallerLimits limits) {
         OptionMap options = OptionMap.builder()
                 .set(UndertowOptions.DECODE_URL, false)
                 .set(UndertowOptions.ALLOW_UNESCAPED_CHARACTERS_IN_URL, true)
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/NodeSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/NodeSettings.java
@@ -52,7 +52,7 @@
         RetrySettings retries) {
     private static final double DEFAULT_DRAIN_SECONDS = 8.0;
     private static final int DEFAULT_HEARTBEAT_MILLIS = 1_200;
-    private static final int DEFAULT_KEEP_SECONDS = 3;
+    private static final int DEFAULT_DIRECTORY_KEEP_SECONDS = 3;
     private static final int MILLIS_PER_SECOND = 1_000;
 
     public NodeSettings {
@@ -60,40 +60,40 @@
         metricsPort = metricsPort == null ? 0 : metricsPort;
         drainSeconds = drainSeconds == null ? DEFAULT_DRAIN_SECONDS : drainSeconds;
         heartbeatMillis = heartbeatMillis == null ? DEFAULT_HEARTBEAT_MILLIS : heartbeatMillis;
-        directoryKeepSeconds = directoryKeepSeconds == null ? DEFAULT_KEEP_SECONDS : directoryKeepSeconds;
+        directoryKeepSeconds = directoryKeepSeconds == null ? DEFAULT_DIRECTORY_KEEP_SECONDS : directoryKeepSeconds;
         retries = retries == null ? RetrySettings.DEFAULT : retries;
     }
 
     /** Outcome of reading a settings file. */
-    public sealed interface Read {
+    public sealed interface ParseResult {
         /** The file holds complete settings. */
-        record Valid(NodeSettings settings) implements Read {}
+        record Valid(NodeSettings settings) implements ParseResult {}
 
         /** It doesn't; all problems found. */
-        record Invalid(List<String> problems) implements Read {}
+        record Invalid(List<String> problems) implements ParseResult {}
     }
 
     /** Reads a settings file. */
-    public static Read read(Path file) {
+    public static ParseResult read(Path file) {
         try {
             return read(Files.readAllBytes(file));
         } catch (IOException e) {
-            return new Read.Invalid(List.of("cannot be read: " + e));
+            return new ParseResult.Invalid(List.of("cannot be read: " + e));
         }
     }
 
     /** Reads the bytes of a settings file. */
-    public static Read read(byte[] json) {
+    public static ParseResult read(byte[] json) {
         Decoded<NodeSettings> decoded = Codecs.STRICT_JSON.decode(json, NodeSettings.class);
         if (decoded instanceof Decoded.Malformed<NodeSettings> malformed) {
-            return new Read.Invalid(List.of(malformed.why()));
+            return new ParseResult.Invalid(List.of(malformed.why()));
         }
         NodeSettings settings = ((Decoded.Value<NodeSettings>) decoded).value();
-        List<String> problems = settings.problems();
-        return problems.isEmpty() ? new Read.Valid(settings) : new Read.Invalid(problems);
+        List<String> problems = settings.findProblems();
+        return problems.isEmpty() ? new ParseResult.Valid(settings) : new ParseResult.Invalid(problems);
     }
 
-    private List<String> problems() {
+    private List<String> findProblems() {
         List<String> problems = new ArrayList<>();
         require(ip != null, "/ip is missing", problems);
         require(region != null, "/region is missing", problems);
@@ -127,17 +127,17 @@
     }
 
     /** Where other elmline processes reach this host. */
-    public Address peers() {
-        return peersOf(host());
+    public Address peerAddress() {
+        return peerAddressOf(host());
     }
 
     /** Where elmline processes reach a host: hosts are known by their address, and the port is the same on all. */
-    public Address peersOf(HostId host) {
+    public Address peerAddressOf(HostId host) {
         return new Address(host.value(), peerPort);
     }
 
     /** Where elmline processes reach the control hosts that the settings name. */
-    public List<Address> controlPeers() {
+    public List<Address> controlPeerAddresses() {
         return controlHosts.stream()
                 .map(each -> new Address(each.ip(), peerPort))
                 .toList();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/PeerNode.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/PeerEndpoint.java
@@ -8,7 +8,7 @@
 import org.elmline.core.common.Closer;
 import org.elmline.core.peer.HandlerRegistry;
 import org.elmline.core.timeline.HybridClock;
-import org.elmline.daemon.runtime.Workers;
+import org.elmline.daemon.runtime.ProcessExecutors;
 import org.elmline.wire.tcp.PeerHandlers;
 import org.elmline.wire.tcp.PeerKey;
 import org.elmline.wire.tcp.PeerLimits;
@@ -16,9 +16,9 @@
 import org.elmline.wire.tcp.TcpPeerServer;
 
 /** The part of a process that talks to other elmline processes. */
-public final class PeerNode implements AutoCloseable {
+public final class PeerEndpoint implements AutoCloseable {
     private final Closer closer = new Closer();
-    private final Workers workers;
+    private final ProcessExecutors workers;
     private final PeerHandlers handlers;
     private final TcpPeerNetwork network;
 
@@ -27,20 +27,20 @@
      *
      * @param executor runs the handlers, and the completions of calls
      */
-    public PeerNode(NodeSettings settings, String role, Executor executor, HybridClock clock) throws IOException {
-        workers = closer.register(new Workers(role, 1));
+    public PeerEndpoint(NodeSettings settings, String role, Executor executor, HybridClock clock) throws IOException {
+        workers = closer.register(new ProcessExecutors(role, 1));
         handlers = new PeerHandlers(executor);
         PeerKey key = new PeerKey(settings.peerKey());
         InetSocketAddress bind = new InetSocketAddress(settings.ip(), settings.peerPort());
         try {
             closer.register(TcpPeerServer.start(
-                    bind, handlers, key, PeerLimits.DEFAULT, workers.connections(), workers.timer(), clock));
+                    bind, handlers, key, PeerLimits.DEFAULT, workers.channelGroup(), workers.timer(), clock));
         } catch (IOException e) {
             closer.close();
             throw e;
         }
         network = closer.register(
-                new TcpPeerNetwork(key, PeerLimits.DEFAULT, workers.connections(), workers.timer(), executor, clock));
+                new TcpPeerNetwork(key, PeerLimits.DEFAULT, workers.channelGroup(), workers.timer(), executor, clock));
     }
 
     public HandlerRegistry handlers() {
