--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/FollowLoop.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/RegistryPoller.java
@@ -22,38 +22,38 @@
  * Polls one control host for news, again as soon as it has answered. The next poll tells how much of the news has
  * arrived, so that the control host knows when a change has reached everybody.
  */
-public final class FollowLoop implements AutoCloseable {
+public final class RegistryPoller implements AutoCloseable {
     /** Time beyond the hold: twice as long as a running host takes for an answer at worst. */
-    private static final long ANSWER_MILLIS = 600;
+    private static final long ANSWER_MARGIN_MILLIS = 600;
 
     /**
      * For the first poll after one that failed. A control host that has just started takes its time for first answers
      * to everybody; given up sooner, each entry would open its connection anew and keep the host busy with handshakes.
      */
-    private static final Duration PATIENT_TIMEOUT = Duration.ofMillis(2_500);
+    private static final Duration TIMEOUT_AFTER_FAILURE = Duration.ofMillis(2_500);
 
-    private static final long FIRST_PAUSE_MILLIS = 50;
-    private static final long LONGEST_PAUSE_MILLIS = 400;
+    private static final long INITIAL_BACKOFF_MILLIS = 50;
+    private static final long MAX_BACKOFF_MILLIS = 400;
 
     /**
      * The same for an entry that has no routing table and so can serve nobody. After a loss of all power entries are up
      * before the first control host, which they should find at once.
      */
-    private static final long LONGEST_EAGER_PAUSE_MILLIS = 120;
+    private static final long MAX_BACKOFF_WITHOUT_ROUTING_MILLIS = 120;
 
     private final PeerNetwork network;
-    private final Address control;
+    private final Address controlHost;
     private final HostId host;
-    private final Supplier<EntryRecord> entry;
-    private final LongSupplier routingKnown;
-    private final LongSupplier hold;
-    private final Consumer<FollowAnswer> answers;
+    private final Supplier<EntryRecord> entryRecord;
+    private final LongSupplier newestRoutingVersion;
+    private final LongSupplier pollHoldMillis;
+    private final Consumer<FollowAnswer> answerListener;
     private final ScheduledExecutorService timer;
     private long epoch;
     private long serversSeen;
     private long entriesSeen;
-    private long pauseMillis = FIRST_PAUSE_MILLIS;
-    private int failures;
+    private long backoffMillis = INITIAL_BACKOFF_MILLIS;
+    private int consecutiveFailures;
     private volatile boolean closed;
 
     /**
@@ -62,7 +62,7 @@
      * @param hold milliseconds for which a poll without news is to be held
      * @param answers takes each answer, on the thread on which calls complete
      */
-    public FollowLoop(
+    public RegistryPoller(
             PeerNetwork network,
             Address control,
             HostId host,
@@ -72,23 +72,23 @@
             Consumer<FollowAnswer> answers,
             ScheduledExecutorService timer) {
         this.network = network;
-        this.control = control;
+        this.controlHost = control;
         this.host = host;
-        this.entry = entry;
-        this.routingKnown = routingKnown;
-        this.hold = hold;
-        this.answers = answers;
+        this.entryRecord = entry;
+        this.newestRoutingVersion = routingKnown;
+        this.pollHoldMillis = hold;
+        this.answerListener = answers;
         this.timer = timer;
     }
 
     /** The control host that is followed. */
-    public Address control() {
-        return control;
+    public Address controlHost() {
+        return controlHost;
     }
 
     /** Polls that failed since the last answer. */
-    public synchronized int failures() {
-        return failures;
+    public synchronized int consecutiveFailures() {
+        return consecutiveFailures;
     }
 
     /** Begins to poll. */
@@ -102,28 +102,30 @@
         }
         FollowRequest request;
         Duration timeout;
-        long holdMillis = hold.getAsLong();
+        long holdMillis = pollHoldMillis.getAsLong();
         synchronized (this) {
             request = new FollowRequest(
                     host,
-                    entry.get(),
+                    entryRecord.get(),
                     epoch,
                     serversSeen,
                     entriesSeen,
-                    routingKnown.getAsLong(),
+                    newestRoutingVersion.getAsLong(),
                     FollowRequest.FORM_PACKED_UPDATES,
                     holdMillis);
-            timeout = failures == 0 ? Duration.ofMillis(holdMillis + ANSWER_MILLIS) : PATIENT_TIMEOUT;
+            timeout = consecutiveFailures == 0
+                    ? Duration.ofMillis(holdMillis + ANSWER_MARGIN_MILLIS)
+                    : TIMEOUT_AFTER_FAILURE;
         }
-        network.call(control, RegistryChannels.FOLLOW, request, timeout).thenAccept(this::take);
+        network.call(controlHost, RegistryChannels.FOLLOW, request, timeout).thenAccept(this::onResult);
     }
 
-    private void take(CallResult<FollowAnswer> result) {
+    private void onResult(CallResult<FollowAnswer> result) {
         if (closed) {
             return;
         }
         if (!(result instanceof CallResult.Answered<FollowAnswer> answered)) {
-            again(pause());
+            schedulePoll(nextBackoffMillis());
             return;
         }
         FollowAnswer answer = answered.value();
@@ -131,23 +133,23 @@
             epoch = answer.epoch();
             serversSeen = answer.serversNow();
             entriesSeen = answer.entriesNow();
-            pauseMillis = FIRST_PAUSE_MILLIS;
-            failures = 0;
+            backoffMillis = INITIAL_BACKOFF_MILLIS;
+            consecutiveFailures = 0;
         }
-        answers.accept(answer);
+        answerListener.accept(answer);
         poll();
     }
 
     /** A growing pause with a random part, so that all entries do not come back to a restarted host at once. */
-    private synchronized long pause() {
-        failures++;
-        long base = pauseMillis;
-        boolean eager = routingKnown.getAsLong() < 0;
-        pauseMillis = Math.min(eager ? LONGEST_EAGER_PAUSE_MILLIS : LONGEST_PAUSE_MILLIS, 2 * pauseMillis);
+    private synchronized long nextBackoffMillis() {
+        consecutiveFailures++;
+        long base = backoffMillis;
+        boolean eager = newestRoutingVersion.getAsLong() < 0;
+        backoffMillis = Math.min(eager ? MAX_BACKOFF_WITHOUT_ROUTING_MILLIS : MAX_BACKOFF_MILLIS, 2 * backoffMillis);
         return base / 2 + ThreadLocalRandom.current().nextLong(base);
     }
 
-    private void again(long millis) {
+    private void schedulePoll(long millis) {
         try {
             timer.schedule(this::poll, millis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/RetrySettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/RetrySettings.java
@@ -18,12 +18,12 @@
      * Part of the slack that one dispatcher gives out: while the entries disagree for a moment on who dispatches, two may
      * give out theirs.
      */
-    private static final double OWN_PART = 0.4;
+    private static final double DISPATCHER_SLACK_SHARE = 0.4;
 
-    public RetryLimit limit() {
+    public RetryLimit retryLimit() {
         return new RetryLimit(
                 ratio,
-                (long) (slack * OWN_PART),
+                (long) (slack * DISPATCHER_SLACK_SHARE),
                 Duration.ofSeconds(windowSeconds).toNanos());
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/SettingsWatch.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/SettingsFileWatcher.java
@@ -12,32 +12,33 @@
 import org.elmline.daemon.log.DecisionLog;
 
 /** Reads the settings file again when a signal says so, and now and then without one; tells when it has changed. */
-public final class SettingsWatch implements AutoCloseable {
+public final class SettingsFileWatcher implements AutoCloseable {
     /** Pause between two looks: a change without a signal is in force within about this. */
-    private static final long LOOK_MILLIS = 2_000;
+    private static final long POLL_INTERVAL_MILLIS = 2_000;
 
     private final Path file;
     private final DecisionLog log;
     private final Consumer<NodeSettings> onChange;
     private final ScheduledExecutorService timer;
-    private byte[] seen;
+    private byte[] lastContent;
 
     /** @param onChange gets valid settings that differ from the last ones */
-    public SettingsWatch(Path file, DecisionLog log, Consumer<NodeSettings> onChange) throws IOException {
+    public SettingsFileWatcher(Path file, DecisionLog log, Consumer<NodeSettings> onChange) throws IOException {
         this.file = file;
         this.log = log;
         this.onChange = onChange;
-        this.seen = Files.readAllBytes(file);
+        this.lastContent = Files.readAllBytes(file);
         this.timer = Executors.newSingleThreadScheduledExecutor(task -> {
             Thread thread = new Thread(task, "settings");
             thread.setDaemon(true);
             return thread;
         });
-        timer.scheduleWithFixedDelay(this::look, LOOK_MILLIS, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+        timer.scheduleWithFixedDelay(
+                this::reloadIfChanged, POLL_INTERVAL_MILLIS, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
     /** Looks at the file now. */
-    public synchronized void look() {
+    public synchronized void reloadIfChanged() {
         byte[] now;
         try {
             now = Files.readAllBytes(file);
@@ -45,19 +46,19 @@
             log.line("settings not read").with("why", e).write();
             return;
         }
-        if (Arrays.equals(now, seen)) {
+        if (Arrays.equals(now, lastContent)) {
             return;
         }
-        seen = now;
-        NodeSettings.Read read = NodeSettings.read(now);
-        if (read instanceof NodeSettings.Read.Valid valid) {
+        lastContent = now;
+        NodeSettings.ParseResult read = NodeSettings.read(now);
+        if (read instanceof NodeSettings.ParseResult.Valid valid) {
             log.line("settings reloaded")
                     .with("controlHosts", valid.settings().controlHosts())
                     .write();
             onChange.accept(valid.settings());
         } else {
             log.line("settings refused")
-                    .with("why", ((NodeSettings.Read.Invalid) read).problems())
+                    .with("why", ((NodeSettings.ParseResult.Invalid) read).problems())
                     .write();
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/EventsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/EventsHandler.java
@@ -12,7 +12,7 @@
 import org.elmline.core.common.TicketNumber;
 import org.elmline.core.timeline.EventQuery;
 import org.elmline.core.timeline.EventRing;
-import org.elmline.daemon.http.Answers;
+import org.elmline.daemon.http.JsonResponses;
 
 /** {@code GET /v1/events?request=&ticket=&host=&limit=}: this process's own events, oldest first. */
 public final class EventsHandler implements HttpHandler {
@@ -26,24 +26,27 @@
     public void handleRequest(HttpServerExchange exchange) {
         EventQuery query;
         try {
-            query = query(exchange);
+            query = parseQuery(exchange);
         } catch (IllegalArgumentException e) {
-            Answers.refuse(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, e.getMessage()));
+            JsonResponses.sendRefusal(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, e.getMessage()));
             return;
         }
-        Answers.json(exchange, ring.page(query));
+        JsonResponses.send(exchange, ring.page(query));
     }
 
-    private static EventQuery query(HttpServerExchange exchange) {
+    private static EventQuery parseQuery(HttpServerExchange exchange) {
         EventQuery.Builder query = EventQuery.builder();
-        value(exchange, "request").map(RequestId::of).ifPresent(query::request);
-        value(exchange, "ticket").map(Long::valueOf).map(TicketNumber::of).ifPresent(query::ticket);
-        value(exchange, "host").map(HostId::of).ifPresent(query::host);
-        value(exchange, "limit").map(Integer::valueOf).ifPresent(query::limit);
+        queryParameter(exchange, "request").map(RequestId::of).ifPresent(query::request);
+        queryParameter(exchange, "ticket")
+                .map(Long::valueOf)
+                .map(TicketNumber::of)
+                .ifPresent(query::ticket);
+        queryParameter(exchange, "host").map(HostId::of).ifPresent(query::host);
+        queryParameter(exchange, "limit").map(Integer::valueOf).ifPresent(query::limit);
         return query.build();
     }
 
-    private static Optional<String> value(HttpServerExchange exchange, String name) {
+    private static Optional<String> queryParameter(HttpServerExchange exchange, String name) {
         Deque<String> values = exchange.getQueryParameters().get(name);
         return values == null ? Optional.empty() : Optional.ofNullable(values.peekFirst());
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricSamples.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricSamples.java
@@ -32,28 +32,28 @@
     static List<MetricSample> of(MetricRegistry registry) {
         MetricSamples taken = new MetricSamples();
         for (Map.Entry<String, Metric> each : new TreeMap<>(registry.getMetrics()).entrySet()) {
-            taken.add(PREFIX + each.getKey().replaceAll("[^A-Za-z0-9_:]", "_"), each.getValue());
+            taken.addSamples(PREFIX + each.getKey().replaceAll("[^A-Za-z0-9_:]", "_"), each.getValue());
         }
         return taken.samples;
     }
 
-    private void add(String name, Metric metric) {
+    private void addSamples(String name, Metric metric) {
         if (metric instanceof Counter || metric instanceof Meter) {
-            counter(name.endsWith("_total") ? name : name + "_total", (Counting) metric);
+            addCounter(name.endsWith("_total") ? name : name + "_total", (Counting) metric);
         } else if (metric instanceof Histogram histogram) {
-            summary(name, histogram, histogram.getSnapshot(), 1);
+            addSummary(name, histogram, histogram.getSnapshot(), 1);
         } else if (metric instanceof Timer timer) {
-            summary(name + "_seconds", timer, timer.getSnapshot(), NANOS_PER_SECOND);
+            addSummary(name + "_seconds", timer, timer.getSnapshot(), NANOS_PER_SECOND);
         } else if (metric instanceof Gauge<?> gauge && gauge.getValue() instanceof Number number) {
             samples.add(new MetricSample(name, name, MetricSample.Kind.GAUGE, null, number.doubleValue()));
         }
     }
 
-    private void counter(String name, Counting counting) {
+    private void addCounter(String name, Counting counting) {
         samples.add(new MetricSample(name, name, MetricSample.Kind.COUNTER, null, counting.getCount()));
     }
 
-    private void summary(String name, Counting counting, Snapshot snapshot, double unit) {
+    private void addSummary(String name, Counting counting, Snapshot snapshot, double unit) {
         for (double quantile : QUANTILES) {
             double value = snapshot.getValue(quantile) / unit;
             samples.add(new MetricSample(name, name, MetricSample.Kind.SUMMARY, Double.toString(quantile), value));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricsHandler.java
@@ -6,7 +6,7 @@
 import io.undertow.server.HttpHandler;
 import io.undertow.server.HttpServerExchange;
 import io.undertow.util.Headers;
-import org.elmline.daemon.http.Answers;
+import org.elmline.daemon.http.JsonResponses;
 
 /** {@code GET /metrics}: Prometheus text; JSON when the caller accepts only that. */
 public final class MetricsHandler implements HttpHandler {
@@ -23,7 +23,7 @@
         List<MetricSample> samples = MetricSamples.of(registry);
         String accept = exchange.getRequestHeaders().getFirst(Headers.ACCEPT);
         if (accept != null && accept.startsWith(JSON)) {
-            Answers.json(exchange, samples);
+            JsonResponses.send(exchange, samples);
             return;
         }
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, PrometheusText.CONTENT_TYPE);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/OperatorKeys.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/OperatorKeyHandler.java
@@ -6,23 +6,24 @@
 import io.undertow.server.HttpServerExchange;
 import org.elmline.core.common.Refusal;
 import org.elmline.core.common.RefusalReason;
-import org.elmline.daemon.http.Answers;
 import org.elmline.daemon.http.BearerKey;
+import org.elmline.daemon.http.JsonResponses;
 
 /** Lets only holders of an operator key through. */
-public final class OperatorKeys implements HttpHandler {
+public final class OperatorKeyHandler implements HttpHandler {
     private final List<String> keys;
     private final HttpHandler next;
 
-    public OperatorKeys(List<String> keys, HttpHandler next) {
+    public OperatorKeyHandler(List<String> keys, HttpHandler next) {
         this.keys = List.copyOf(keys);
         this.next = next;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) throws Exception {
-        if (!BearerKey.isOneOf(exchange, keys)) {
-            Answers.refuse(exchange, Refusal.didNotRun(RefusalReason.UNAUTHENTICATED, "not an operator key"));
+        if (!BearerKey.matchesAny(exchange, keys)) {
+            JsonResponses.sendRefusal(
+                    exchange, Refusal.didNotRun(RefusalReason.UNAUTHENTICATED, "not an operator key"));
             return;
         }
         next.handleRequest(exchange);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/ProcessMetrics.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/ProcessMetrics.java
@@ -14,30 +14,30 @@
 
     /** The runtime's beans are made when somebody asks for the figures, as a start would be longer with them. */
     public static void register(MetricRegistry registry) {
-        gauge(registry, "process.heap.used.bytes", () -> ManagementFactory.getMemoryMXBean()
+        registerGauge(registry, "process.heap.used.bytes", () -> ManagementFactory.getMemoryMXBean()
                 .getHeapMemoryUsage()
                 .getUsed());
-        gauge(registry, "process.heap.committed.bytes", () -> ManagementFactory.getMemoryMXBean()
+        registerGauge(registry, "process.heap.committed.bytes", () -> ManagementFactory.getMemoryMXBean()
                 .getHeapMemoryUsage()
                 .getCommitted());
-        gauge(registry, "process.threads", () -> ManagementFactory.getThreadMXBean()
+        registerGauge(registry, "process.threads", () -> ManagementFactory.getThreadMXBean()
                 .getThreadCount());
-        gauge(registry, "process.uptime.millis", () -> ManagementFactory.getRuntimeMXBean()
+        registerGauge(registry, "process.uptime.millis", () -> ManagementFactory.getRuntimeMXBean()
                 .getUptime());
-        gauge(registry, "process.collection.millis", ProcessMetrics::collectionMillis);
+        registerGauge(registry, "process.collection.millis", ProcessMetrics::garbageCollectionMillis);
     }
 
     public static void register(MetricRegistry registry, EventRing ring, HybridClock clock) {
-        gauge(registry, "timeline.recorded.events", ring::recorded);
-        gauge(registry, "timeline.dropped.events", ring::dropped);
-        gauge(registry, "timeline.refused.stamps", clock::refused);
+        registerGauge(registry, "timeline.recorded.events", ring::recorded);
+        registerGauge(registry, "timeline.dropped.events", ring::dropped);
+        registerGauge(registry, "timeline.refused.stamps", clock::refused);
     }
 
-    private static void gauge(MetricRegistry registry, String name, Gauge<Number> gauge) {
+    private static void registerGauge(MetricRegistry registry, String name, Gauge<Number> gauge) {
         registry.register(name, gauge);
     }
 
-    private static long collectionMillis() {
+    private static long garbageCollectionMillis() {
         long sum = 0;
         for (GarbageCollectorMXBean collector : ManagementFactory.getGarbageCollectorMXBeans()) {
             sum += Math.max(0, collector.getCollectionTime());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/PrometheusText.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/PrometheusText.java
@@ -22,12 +22,12 @@
             if (sample.quantile() != null) {
                 text.append("{quantile=\"").append(sample.quantile()).append("\"}");
             }
-            text.append(' ').append(number(sample.value())).append('\n');
+            text.append(' ').append(formatNumber(sample.value())).append('\n');
         }
         return text.toString();
     }
 
-    private static String number(double value) {
+    private static String formatNumber(double value) {
         if (Double.isInfinite(value)) {
             return value > 0 ? "+Inf" : "-Inf";
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/StatusHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/StatusHandler.java
@@ -9,7 +9,7 @@
 import org.elmline.daemon.caller.AdmissionController;
 import org.elmline.daemon.entry.HostIdentity;
 import org.elmline.daemon.entry.LeasedView;
-import org.elmline.daemon.http.Answers;
+import org.elmline.daemon.http.JsonResponses;
 
 /** {@code GET /v1/status}: this host and all that it knows of the others. */
 public final class StatusHandler implements HttpHandler {
@@ -25,7 +25,7 @@
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        Answers.json(
+        JsonResponses.send(
                 exchange,
                 new Status(
                         self,
--- a/elmline-daemon/src/main/java/org/elmline/daemon/runtime/Workers.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/runtime/ProcessExecutors.java
@@ -17,25 +17,30 @@
  * The executors of one process. Three pools, so that a slow reader of one kind can't keep another kind from running:
  * short handlers, blocking streams, and the connections' completions.
  */
-public final class Workers implements AutoCloseable {
+public final class ProcessExecutors implements AutoCloseable {
     private static final int HANDLER_THREADS = Math.max(4, Runtime.getRuntime().availableProcessors());
     private static final int TIMER_THREADS = 2;
     private static final int CONNECTION_THREADS = 2;
-    private static final long IDLE_SECONDS = 30;
+    private static final long THREAD_IDLE_SECONDS = 30;
 
     private final ExecutorService handlers;
     private final ThreadPoolExecutor streams;
     private final ScheduledThreadPoolExecutor timer;
-    private final AsynchronousChannelGroup connections;
+    private final AsynchronousChannelGroup channelGroup;
 
     /** @param maxStreams blocking streams that may run at once; one more is refused, never queued */
-    public Workers(String name, int maxStreams) {
-        handlers = Executors.newFixedThreadPool(HANDLER_THREADS, named(name + "-handler"));
+    public ProcessExecutors(String name, int maxStreams) {
+        handlers = Executors.newFixedThreadPool(HANDLER_THREADS, namedThreadFactory(name + "-handler"));
         streams = new ThreadPoolExecutor(
-                0, maxStreams, IDLE_SECONDS, TimeUnit.SECONDS, new SynchronousQueue<>(), named(name + "-stream"));
-        timer = new ScheduledThreadPoolExecutor(TIMER_THREADS, named(name + "-timer"));
+                0,
+                maxStreams,
+                THREAD_IDLE_SECONDS,
+                TimeUnit.SECONDS,
+                new SynchronousQueue<>(),
+                namedThreadFactory(name + "-stream"));
+        timer = new ScheduledThreadPoolExecutor(TIMER_THREADS, namedThreadFactory(name + "-timer"));
         timer.setRemoveOnCancelPolicy(true);
-        connections = group(name);
+        channelGroup = openChannelGroup(name);
     }
 
     /** Runs short tasks that never wait for another process. */
@@ -56,8 +61,8 @@
         return timer;
     }
 
-    public AsynchronousChannelGroup connections() {
-        return connections;
+    public AsynchronousChannelGroup channelGroup() {
+        return channelGroup;
     }
 
     @Override
@@ -66,21 +71,22 @@
         streams.shutdownNow();
         handlers.shutdownNow();
         try {
-            connections.shutdownNow();
+            channelGroup.shutdownNow();
         } catch (IOException e) {
             // The process is ending; the sockets go with it.
         }
     }
 
-    private static AsynchronousChannelGroup group(String name) {
+    private static AsynchronousChannelGroup openChannelGroup(String name) {
         try {
-            return AsynchronousChannelGroup.withFixedThreadPool(CONNECTION_THREADS, named(name + "-connection"));
+            return AsynchronousChannelGroup.withFixedThreadPool(
+                    CONNECTION_THREADS, namedThreadFactory(name + "-connection"));
         } catch (IOException e) {
             throw new UncheckedIOException("no channel group can be opened", e);
         }
     }
 
-    private static ThreadFactory named(String name) {
+    private static ThreadFactory namedThreadFactory(String name) {
         AtomicInteger next = new AtomicInteger();
         return task -> {
             Thread thread = new Thread(task, name + "-" + next.incrementAndGet());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/IdempotencyKeysHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/IdempotencyKeysHandler.java
@@ -6,7 +6,7 @@
 import io.undertow.server.HttpServerExchange;
 import org.elmline.core.control.IdempotencyKey;
 import org.elmline.daemon.caller.AdmissionController;
-import org.elmline.daemon.http.Answers;
+import org.elmline.daemon.http.JsonResponses;
 
 /** {@code POST /v1/idempotency-keys}: a fresh key for the caller's organisation. */
 public final class IdempotencyKeysHandler implements HttpHandler {
@@ -21,13 +21,13 @@
     public void handleRequest(HttpServerExchange exchange) {
         AdmissionController.Admission passage = admission.admit(exchange);
         if (passage instanceof AdmissionController.Admission.Refused closed) {
-            Answers.refuse(exchange, closed.refusal());
+            JsonResponses.sendRefusal(exchange, closed.refusal());
             return;
         }
         admission.release();
         AdmissionController.Admission.Admitted open = (AdmissionController.Admission.Admitted) passage;
         IdempotencyKey key = IdempotencyKey.issue(open.call().organisation().id(), System.currentTimeMillis(), random);
-        Answers.json(exchange, new Issued(key.value()));
+        JsonResponses.send(exchange, new Issued(key.value()));
     }
 
     record Issued(String key) {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
@@ -34,8 +34,8 @@
 import org.elmline.daemon.caller.AdmittedCall;
 import org.elmline.daemon.entry.HostIdentity;
 import org.elmline.daemon.entry.LeasedView;
-import org.elmline.daemon.http.Answers;
-import org.elmline.daemon.http.BodyReader;
+import org.elmline.daemon.http.JsonResponses;
+import org.elmline.daemon.http.WorkerBodyReader;
 
 /**
  * {@code * /v1/services/{service}/{path}}: passes a call on. A call is repeatable when the service's ticket lists its
@@ -53,7 +53,7 @@
     private final HostIdentity self;
     private final AdmissionController admission;
     private final LeasedView leasedView;
-    private final BodyReader bodies;
+    private final WorkerBodyReader bodies;
     private final ServiceGateway gateway;
     private final EventRing events;
     private final AtomicLong lastSession = new AtomicLong();
@@ -62,7 +62,7 @@
             HostIdentity self,
             AdmissionController gate,
             LeasedView view,
-            BodyReader bodies,
+            WorkerBodyReader bodies,
             ServiceGateway gateway,
             EventRing events) {
         this.self = self;
@@ -77,7 +77,7 @@
     public void handleRequest(HttpServerExchange exchange) {
         AdmissionController.Admission passage = admission.admit(exchange);
         if (passage instanceof AdmissionController.Admission.Refused closed) {
-            Answers.refuse(exchange, withUnknownRan(exchange, closed.refusal()));
+            JsonResponses.sendRefusal(exchange, withUnknownRan(exchange, closed.refusal()));
             return;
         }
         AdmittedCall call = ((AdmissionController.Admission.Admitted) passage).call();
@@ -179,7 +179,7 @@
         if (reply instanceof ClaimReply.Refused refused) {
             events.record(new RequestEvent.Refused(
                     admitted.id(), refused.refusal().reason(), refused.refusal().ran()));
-            Answers.refuse(exchange, refused.refusal());
+            JsonResponses.sendRefusal(exchange, refused.refusal());
             return;
         }
         events.record(new RequestEvent.Finished(admitted.id(), 0));
@@ -197,7 +197,7 @@
     }
 
     private static void refuse(HttpServerExchange exchange, RefusalReason reason, String why) {
-        Answers.refuse(exchange, Refusal.didNotRun(reason, why));
+        JsonResponses.sendRefusal(exchange, Refusal.didNotRun(reason, why));
     }
 
     private static String digest(Service service, ServiceCall call) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/AddressCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/AddressCheck.java
@@ -9,56 +9,58 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** Each address is used once, and its numbers are in range. */
-final class AddressCheck implements CombinationCheck {
+final class AddressCheck implements CrossFieldCheck {
     private static final int MAX_PORT = 65_535;
     private static final int MAX_OCTET = 255;
-    private static final Pattern FOUR_NUMBERS = Pattern.compile("[0-9]+(\\.[0-9]+){3}");
+    private static final Pattern DOTTED_QUAD = Pattern.compile("[0-9]+(\\.[0-9]+){3}");
 
     @Override
-    public void check(ObjectNode settings, Consumer<Problem> problems) {
+    public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
         Map<String, String> pathsByAddress = new HashMap<>();
         for (Map.Entry<String, JsonNode> each : settings.path("addresses").properties()) {
-            checkOne(each.getValue(), "/addresses/" + each.getKey(), true, pathsByAddress, problems);
+            checkAddress(each.getValue(), "/addresses/" + each.getKey(), true, pathsByAddress, problems);
         }
-        checkOne(settings.path("address"), "/address", true, pathsByAddress, problems);
+        checkAddress(settings.path("address"), "/address", true, pathsByAddress, problems);
         Map<String, String> controlPaths = new HashMap<>();
         JsonNode control = settings.path("control");
         for (int i = 0; i < control.size(); i++) {
-            checkOne(control.path(i).path("peers"), "/control/" + i + "/peers", false, controlPaths, problems);
+            checkAddress(control.path(i).path("peers"), "/control/" + i + "/peers", false, controlPaths, problems);
         }
         Map<String, String> entryPaths = new HashMap<>();
         JsonNode entries = settings.path("entries");
         for (int i = 0; i < entries.size(); i++) {
-            checkOne(entries.path(i), "/entries/" + i, false, entryPaths, problems);
+            checkAddress(entries.path(i), "/entries/" + i, false, entryPaths, problems);
         }
     }
 
-    private static void checkOne(
-            JsonNode node, String path, boolean listens, Map<String, String> seen, Consumer<Problem> problems) {
+    private static void checkAddress(
+            JsonNode node, String path, boolean listens, Map<String, String> seen, Consumer<SettingsProblem> problems) {
         int colon = node.asText().lastIndexOf(':');
         if (!node.isTextual() || colon < 1) {
             return;
         }
-        int port = port(node.asText().substring(colon + 1));
+        int port = parseNumber(node.asText().substring(colon + 1));
         if (port > MAX_PORT || !octetsInRange(node.asText().substring(0, colon))) {
-            problems.accept(new Problem(path, node.asText() + " is out of range: octets go to 255, ports to 65535"));
+            problems.accept(
+                    new SettingsProblem(path, node.asText() + " is out of range: octets go to 255, ports to 65535"));
             return;
         }
         if (port == 0 && listens) {
             return;
         }
         if (port == 0) {
-            problems.accept(new Problem(path, "port 0 can't be connected to; give the port that the host listens on"));
+            problems.accept(
+                    new SettingsProblem(path, "port 0 can't be connected to; give the port that the host listens on"));
             return;
         }
         String earlier = seen.putIfAbsent(node.asText(), path);
         if (earlier != null) {
-            problems.accept(new Problem(
+            problems.accept(new SettingsProblem(
                     path, node.asText() + " is also used by " + earlier + "; each address may be used once"));
         }
     }
 
-    private static int port(String digits) {
+    private static int parseNumber(String digits) {
         try {
             return Integer.parseInt(digits);
         } catch (NumberFormatException e) {
@@ -67,11 +69,11 @@
     }
 
     private static boolean octetsInRange(String ip) {
-        if (!FOUR_NUMBERS.matcher(ip).matches()) {
+        if (!DOTTED_QUAD.matcher(ip).matches()) {
             return true; // the schema tells what is wrong with any other form
         }
         for (String octet : ip.split("\\.", -1)) {
-            if (port(octet) > MAX_OCTET) {
+            if (parseNumber(octet) > MAX_OCTET) {
                 return false;
             }
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/NotLongerCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/AtMostCheck.java
@@ -6,14 +6,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** One value must not be greater than its bound. */
-record NotLongerCheck(String value, String bound) implements CombinationCheck {
+record AtMostCheck(String value, String maximum) implements CrossFieldCheck {
     @Override
-    public void check(ObjectNode settings, Consumer<Problem> problems) {
+    public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
         JsonNode given = settings.at(value);
-        JsonNode most = settings.at(bound);
+        JsonNode most = settings.at(maximum);
         if (given.isNumber() && most.isNumber() && given.asLong() > most.asLong()) {
-            problems.accept(new Problem(
-                    value, given.asLong() + " must not be more than " + bound + ", which is " + most.asLong()));
+            problems.accept(new SettingsProblem(
+                    value, given.asLong() + " must not be more than " + maximum + ", which is " + most.asLong()));
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlAddresses.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlAddresses.java
@@ -8,7 +8,7 @@
  */
 public record ControlAddresses(ListenAddress operators, ListenAddress peers) {
     /** Free ports of the loopback address. */
-    public static ControlAddresses anyLoopback() {
-        return new ControlAddresses(ListenAddress.anyLoopback(), ListenAddress.anyLoopback());
+    public static ControlAddresses anyLoopbackPorts() {
+        return new ControlAddresses(ListenAddress.anyLoopbackPort(), ListenAddress.anyLoopbackPort());
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlHostsCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlHostsCheck.java
@@ -13,18 +13,18 @@
  * The control hosts are an odd number of different hosts, and the loss of any one failure domain leaves a quorum. A
  * single control host is allowed: it is for one machine and promises nothing when it is lost.
  */
-final class ControlHostsCheck implements CombinationCheck {
+final class ControlHostsCheck implements CrossFieldCheck {
     private static final String PATH = "/control";
 
     @Override
-    public void check(ObjectNode settings, Consumer<Problem> problems) {
+    public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
         JsonNode hosts = settings.path("control");
         if (!hosts.isArray() || hosts.isEmpty()) {
             return;
         }
         checkHostsDiffer(hosts, problems);
         if (hosts.size() % 2 == 0) {
-            problems.accept(new Problem(
+            problems.accept(new SettingsProblem(
                     PATH,
                     hosts.size() + " control hosts survive no more losses than " + (hosts.size() - 1)
                             + "; name an odd number"));
@@ -34,17 +34,18 @@
         }
     }
 
-    private static void checkHostsDiffer(JsonNode hosts, Consumer<Problem> problems) {
+    private static void checkHostsDiffer(JsonNode hosts, Consumer<SettingsProblem> problems) {
         Set<String> seen = new HashSet<>();
         for (int i = 0; i < hosts.size(); i++) {
             String host = hosts.path(i).path("host").asText();
             if (!seen.add(host)) {
-                problems.accept(new Problem(PATH + "/" + i + "/host", host + " is named twice; each host votes once"));
+                problems.accept(
+                        new SettingsProblem(PATH + "/" + i + "/host", host + " is named twice; each host votes once"));
             }
         }
     }
 
-    private static void checkFailureDomains(JsonNode hosts, Consumer<Problem> problems) {
+    private static void checkFailureDomains(JsonNode hosts, Consumer<SettingsProblem> problems) {
         Map<String, Integer> hostsByDomain = new HashMap<>();
         for (JsonNode host : hosts) {
             if (!host.path("failureDomain").isTextual()) {
@@ -55,7 +56,7 @@
         int quorum = hosts.size() / 2 + 1;
         for (Map.Entry<String, Integer> domain : hostsByDomain.entrySet()) {
             if (hosts.size() - domain.getValue() < quorum) {
-                problems.accept(new Problem(
+                problems.accept(new SettingsProblem(
                         PATH,
                         "losing failure domain " + domain.getKey() + " would leave "
                                 + (hosts.size() - domain.getValue()) + " of " + hosts.size()
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/RaftSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlRaftSettings.java
@@ -7,6 +7,6 @@
  * @param heartbeatMillis time between a leader's heartbeats, in milliseconds
  * @param snapshotEntries entries after which the log is compacted into a snapshot
  */
-public record RaftSettings(long electionMillis, long heartbeatMillis, int snapshotEntries) {
-    public static final RaftSettings DEFAULT = new RaftSettings(1_000, 150, 4_096);
+public record ControlRaftSettings(long electionMillis, long heartbeatMillis, int snapshotEntries) {
+    public static final ControlRaftSettings DEFAULT = new ControlRaftSettings(1_000, 150, 4_096);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlSettings.java
@@ -21,8 +21,8 @@
         ControlAddresses addresses,
         List<ControlHost> control,
         ControlKeys keys,
-        LeaseSettings lease,
-        RaftSettings raft,
+        EntryLeaseSettings lease,
+        ControlRaftSettings raft,
         RetentionSettings retention,
         TimelineSettings timeline,
         LogSettings log)
@@ -32,8 +32,8 @@
     }
 
     @Override
-    public Role role() {
-        return Role.CONTROL;
+    public ProcessRole role() {
+        return ProcessRole.CONTROL;
     }
 
     public static Builder builder() {
@@ -59,11 +59,11 @@
     }
 
     /** Gathers the settings. */
-    public static final class Builder extends HostBuilder<Builder> {
+    public static final class Builder extends HostSettingsBuilder<Builder> {
         private Path dataFolder;
         private ControlAddresses addresses;
         private ControlKeys keys;
-        private RaftSettings raft = RaftSettings.DEFAULT;
+        private ControlRaftSettings raft = ControlRaftSettings.DEFAULT;
         private RetentionSettings retention = RetentionSettings.DEFAULT;
 
         private Builder() {}
@@ -88,7 +88,7 @@
             return this;
         }
 
-        public Builder raft(RaftSettings value) {
+        public Builder raft(ControlRaftSettings value) {
             this.raft = value;
             return this;
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/CombinationCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/CrossFieldCheck.java
@@ -9,6 +9,6 @@
  * missing or of a wrong type, so that its problems come together with the schema's.
  */
 @FunctionalInterface
-interface CombinationCheck {
-    void check(ObjectNode settings, Consumer<Problem> problems);
+interface CrossFieldCheck {
+    void check(ObjectNode settings, Consumer<SettingsProblem> problems);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntryAddresses.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntryAddresses.java
@@ -9,8 +9,8 @@
  */
 public record EntryAddresses(ListenAddress callers, ListenAddress operators, ListenAddress peers) {
     /** Free ports of the loopback address. */
-    public static EntryAddresses anyLoopback() {
+    public static EntryAddresses anyLoopbackPorts() {
         return new EntryAddresses(
-                ListenAddress.anyLoopback(), ListenAddress.anyLoopback(), ListenAddress.anyLoopback());
+                ListenAddress.anyLoopbackPort(), ListenAddress.anyLoopbackPort(), ListenAddress.anyLoopbackPort());
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/LeaseSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntryLeaseSettings.java
@@ -6,6 +6,6 @@
  * @param leaseMillis how long a lease runs from the moment the entry asked, in milliseconds
  * @param renewMillis how often an entry renews it, in milliseconds; well under {@code leaseMillis}
  */
-public record LeaseSettings(long leaseMillis, long renewMillis) {
-    public static final LeaseSettings DEFAULT = new LeaseSettings(3_000, 1_000);
+public record EntryLeaseSettings(long leaseMillis, long renewMillis) {
+    public static final EntryLeaseSettings DEFAULT = new EntryLeaseSettings(3_000, 1_000);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntrySettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntrySettings.java
@@ -18,11 +18,11 @@
         EntryAddresses addresses,
         List<ControlHost> control,
         EntryKeys keys,
-        LeaseSettings lease,
+        EntryLeaseSettings lease,
         BackendSettings backend,
         CallerSettings callers,
         LimitSettings limits,
-        PlacementSettings placement,
+        PlacementPolicySettings placement,
         TimelineSettings timeline,
         LogSettings log)
         implements Settings {
@@ -31,8 +31,8 @@
     }
 
     @Override
-    public Role role() {
-        return Role.ENTRY;
+    public ProcessRole role() {
+        return ProcessRole.ENTRY;
     }
 
     public static Builder builder() {
@@ -40,13 +40,13 @@
     }
 
     /** Gathers the settings. */
-    public static final class Builder extends HostBuilder<Builder> {
+    public static final class Builder extends HostSettingsBuilder<Builder> {
         private EntryAddresses addresses;
         private EntryKeys keys;
         private BackendSettings backend = BackendSettings.DEFAULT;
         private CallerSettings callers = CallerSettings.DEFAULT;
         private LimitSettings limits = LimitSettings.DEFAULT;
-        private PlacementSettings placement = PlacementSettings.DEFAULT;
+        private PlacementPolicySettings placement = PlacementPolicySettings.DEFAULT;
 
         private Builder() {}
 
@@ -80,7 +80,7 @@
             return this;
         }
 
-        public Builder placement(PlacementSettings value) {
+        public Builder placement(PlacementPolicySettings value) {
             this.placement = value;
             return this;
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/HostBuilder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/HostSettingsBuilder.java
@@ -9,10 +9,10 @@
  *
  * @param <B> the builder itself, which each method returns
  */
-abstract class HostBuilder<B extends HostBuilder<B>> extends SettingsBuilder<B> {
+abstract class HostSettingsBuilder<B extends HostSettingsBuilder<B>> extends SettingsBuilder<B> {
     HostId host;
     List<ControlHost> control;
-    LeaseSettings lease = LeaseSettings.DEFAULT;
+    EntryLeaseSettings lease = EntryLeaseSettings.DEFAULT;
     TimelineSettings timeline = TimelineSettings.DEFAULT;
 
     public B host(HostId value) {
@@ -25,7 +25,7 @@
         return self();
     }
 
-    public B lease(LeaseSettings value) {
+    public B lease(EntryLeaseSettings value) {
         this.lease = value;
         return self();
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/JsonProblems.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/JsonErrorText.java
@@ -5,8 +5,8 @@
 import com.fasterxml.jackson.databind.JsonMappingException;
 
 /** Puts Jackson's exceptions into words. */
-final class JsonProblems {
-    private JsonProblems() {}
+final class JsonErrorText {
+    private JsonErrorText() {}
 
     static String describe(JsonProcessingException problem) {
         JsonLocation at = problem.getLocation();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyResolver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyFileResolver.java
@@ -11,19 +11,19 @@
 import com.fasterxml.jackson.databind.node.TextNode;
 
 /** Puts the text of a key file in place of each {@code {"file": path}}. */
-final class KeyResolver {
-    private static final String FILE = "file";
-    private static final int MIN_LENGTH = 16;
+final class KeyFileResolver {
+    private static final String FILE_FIELD = "file";
+    private static final int MIN_KEY_CHARS = 16;
 
     private final Path folder;
-    private final KeyFiles keyFiles;
+    private final KeyFileMode keyFileMode;
 
-    KeyResolver(Path folder, KeyFiles keyFiles) {
+    KeyFileResolver(Path folder, KeyFileMode keyFiles) {
         this.folder = folder;
-        this.keyFiles = keyFiles;
+        this.keyFileMode = keyFiles;
     }
 
-    void resolve(ObjectNode settings, Consumer<Problem> problems) {
+    void resolve(ObjectNode settings, Consumer<SettingsProblem> problems) {
         resolveField(settings, "backendKey", "/backendKey", problems);
         if (!(settings.get("keys") instanceof ObjectNode keys)) {
             return;
@@ -33,41 +33,42 @@
         resolveList(keys.get("backendKeys"), "/keys/backendKeys", problems);
     }
 
-    private void resolveField(ObjectNode owner, String field, String path, Consumer<Problem> problems) {
+    private void resolveField(ObjectNode owner, String field, String path, Consumer<SettingsProblem> problems) {
         JsonNode key = owner.get(field);
-        if (isFile(key)) {
-            owner.set(field, read(key, path, problems));
+        if (isFileReference(key)) {
+            owner.set(field, readKeyFile(key, path, problems));
         }
     }
 
-    private void resolveList(JsonNode list, String path, Consumer<Problem> problems) {
+    private void resolveList(JsonNode list, String path, Consumer<SettingsProblem> problems) {
         if (!(list instanceof ArrayNode keys)) {
             return;
         }
         for (int i = 0; i < keys.size(); i++) {
-            if (isFile(keys.get(i))) {
-                keys.set(i, read(keys.get(i), path + "/" + i, problems));
+            if (isFileReference(keys.get(i))) {
+                keys.set(i, readKeyFile(keys.get(i), path + "/" + i, problems));
             }
         }
     }
 
-    private static boolean isFile(JsonNode key) {
-        return key != null && key.path(FILE).isTextual();
+    private static boolean isFileReference(JsonNode key) {
+        return key != null && key.path(FILE_FIELD).isTextual();
     }
 
-    private JsonNode read(JsonNode key, String path, Consumer<Problem> problems) {
-        if (keyFiles == KeyFiles.SKIP) {
+    private JsonNode readKeyFile(JsonNode key, String path, Consumer<SettingsProblem> problems) {
+        if (keyFileMode == KeyFileMode.SKIP) {
             return TextNode.valueOf(Secret.NOT_READ);
         }
-        Path file = folder.resolve(key.path(FILE).asText());
+        Path file = folder.resolve(key.path(FILE_FIELD).asText());
         try {
             String value = Files.readString(file).strip();
-            if (value.length() < MIN_LENGTH) {
-                problems.accept(new Problem(path, "the key in " + file + " is shorter than 16 characters"));
+            if (value.length() < MIN_KEY_CHARS) {
+                problems.accept(new SettingsProblem(path, "the key in " + file + " is shorter than 16 characters"));
             }
             return TextNode.valueOf(value);
         } catch (IOException e) {
-            problems.accept(new Problem(path, "the key file " + file + " cannot be read; it must hold the key alone"));
+            problems.accept(
+                    new SettingsProblem(path, "the key file " + file + " cannot be read; it must hold the key alone"));
             return TextNode.valueOf(Secret.NOT_READ);
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ListenAddress.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ListenAddress.java
@@ -16,7 +16,7 @@
     }
 
     /** Any free port of the loopback address. */
-    public static ListenAddress anyLoopback() {
+    public static ListenAddress anyLoopbackPort() {
         return loopback(0);
     }
 
@@ -34,7 +34,7 @@
     }
 
     /** The address others connect to, once the port is known. */
-    public Address bound(int boundPort) {
+    public Address toAddress(int boundPort) {
         return new Address(ip, boundPort);
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/OwnControlHostCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/OwnControlHostCheck.java
@@ -10,29 +10,29 @@
  * A control host that stands in the list of initial control hosts stands there as it is: same address, same failure
  * domain. One that is not in the list joins later, as a replacement.
  */
-final class OwnControlHostCheck implements CombinationCheck {
+final class OwnControlHostCheck implements CrossFieldCheck {
     @Override
-    public void check(ObjectNode settings, Consumer<Problem> problems) {
-        if (!settings.path("role").asText().equals(Role.CONTROL.word())) {
+    public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
+        if (!settings.path("role").asText().equals(ProcessRole.CONTROL.settingValue())) {
             return;
         }
         JsonNode hosts = settings.path("control");
         for (int i = 0; i < hosts.size(); i++) {
             if (hosts.path(i).path("host").asText().equals(settings.path("host").asText())) {
-                compare(hosts.path(i), "/control/" + i, settings).ifPresent(problems);
+                findMismatch(hosts.path(i), "/control/" + i, settings).ifPresent(problems);
             }
         }
     }
 
-    private static Optional<Problem> compare(JsonNode listed, String path, ObjectNode settings) {
+    private static Optional<SettingsProblem> findMismatch(JsonNode listed, String path, ObjectNode settings) {
         String domain = settings.path("failureDomain").asText();
         if (!listed.path("failureDomain").asText().equals(domain)) {
-            return Optional.of(new Problem(
+            return Optional.of(new SettingsProblem(
                     path + "/failureDomain", "must be " + domain + " as in /failureDomain: this is the same host"));
         }
         String peers = settings.at("/addresses/peers").asText();
         if (!peers.endsWith(":0") && !listed.path("peers").asText().equals(peers)) {
-            return Optional.of(new Problem(
+            return Optional.of(new SettingsProblem(
                     path + "/peers", "must be " + peers + " as in /addresses/peers: this is the same host"));
         }
         return Optional.empty();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/PolicyCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/PlacementPolicyCheck.java
@@ -8,13 +8,13 @@
 import org.elmline.core.placement.PlacementPolicies;
 
 /** The placement policy named is one that is registered in this program. */
-final class PolicyCheck implements CombinationCheck {
+final class PlacementPolicyCheck implements CrossFieldCheck {
     @Override
-    public void check(ObjectNode settings, Consumer<Problem> problems) {
+    public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
         JsonNode policy = settings.at("/placement/policy");
         List<String> known = PlacementPolicies.names();
         if (policy.isTextual() && !known.contains(policy.asText())) {
-            problems.accept(new Problem(
+            problems.accept(new SettingsProblem(
                     "/placement/policy",
                     "no policy " + policy.asText() + " is registered; there are " + String.join(", ", known)));
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/PlacementSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/PlacementPolicySettings.java
@@ -8,6 +8,6 @@
  *     the same, more protects short requests
  * @param maxLongShare greatest share of a model's replicas that long prompts may take under {@code two-ended}, 0 to 1
  */
-public record PlacementSettings(String policy, double shortSlowdownWeight, double maxLongShare) {
-    public static final PlacementSettings DEFAULT = new PlacementSettings("shortest-wait", 1.0, 0.95);
+public record PlacementPolicySettings(String policy, double shortSlowdownWeight, double maxLongShare) {
+    public static final PlacementPolicySettings DEFAULT = new PlacementPolicySettings("shortest-wait", 1.0, 0.95);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/Role.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ProcessRole.java
@@ -5,33 +5,33 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /** What a process does; its settings file names it in the field {@code role}. */
-public enum Role {
+public enum ProcessRole {
     ENTRY("entry", EntrySettings.class),
     CONTROL("control", ControlSettings.class),
     STANDIN_ENGINE("standin-engine", StandinEngineSettings.class),
     STANDIN_SERVICE("standin-service", StandinServiceSettings.class);
 
-    private final String word;
-    private final Class<? extends Settings> type;
+    private final String settingValue;
+    private final Class<? extends Settings> settingsType;
 
-    Role(String word, Class<? extends Settings> type) {
-        this.word = word;
-        this.type = type;
+    ProcessRole(String word, Class<? extends Settings> type) {
+        this.settingValue = word;
+        this.settingsType = type;
     }
 
     /** The value of the field {@code role}, and the name of the role's schema. */
     @JsonValue
-    public String word() {
-        return word;
+    public String settingValue() {
+        return settingValue;
     }
 
-    Class<? extends Settings> type() {
-        return type;
+    Class<? extends Settings> settingsType() {
+        return settingsType;
     }
 
-    static Optional<Role> of(String word) {
-        for (Role role : values()) {
-            if (role.word.equals(word)) {
+    static Optional<ProcessRole> of(String word) {
+        for (ProcessRole role : values()) {
+            if (role.settingValue.equals(word)) {
                 return Optional.of(role);
             }
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/Settings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/Settings.java
@@ -2,7 +2,7 @@
 
 /** The settings of one process, complete and checked. */
 public sealed interface Settings permits EntrySettings, ControlSettings, StandinEngineSettings, StandinServiceSettings {
-    Role role();
+    ProcessRole role();
 
     LogSettings log();
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/Defaults.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsDefaults.java
@@ -7,18 +7,18 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /** Completes what a settings file leaves out, from the builders' defaults, so that each default stands in one place. */
-final class Defaults {
-    private Defaults() {}
+final class SettingsDefaults {
+    private SettingsDefaults() {}
 
     /** A copy of {@code given} on top of the role's defaults. */
-    static ObjectNode complete(ObjectMapper mapper, ObjectNode given, Role role) {
-        ObjectNode full = mapper.valueToTree(builtFromNothing(role));
+    static ObjectNode complete(ObjectMapper mapper, ObjectNode given, ProcessRole role) {
+        ObjectNode full = mapper.valueToTree(defaultSettings(role));
         removeNulls(full);
         merge(full, given);
         return full;
     }
 
-    private static Settings builtFromNothing(Role role) {
+    private static Settings defaultSettings(ProcessRole role) {
         return switch (role) {
             case ENTRY -> EntrySettings.builder().build();
             case CONTROL -> ControlSettings.builder().build();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/Problem.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsProblem.java
@@ -6,7 +6,7 @@
  * @param path where, as a JSON Pointer, for example {@code /lease/renewMillis}; empty for the whole file
  * @param message what is wrong and what would be right
  */
-public record Problem(String path, String message) {
+public record SettingsProblem(String path, String message) {
     @Override
     public String toString() {
         return (path.isEmpty() ? "(file)" : path) + ": " + message;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReader.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReader.java
@@ -25,11 +25,11 @@
             .build();
 
     private final SettingsSchema schema = new SettingsSchema(MAPPER);
-    private final CombinationChecks combinations = new CombinationChecks();
-    private final KeyFiles keyFiles;
+    private final CrossFieldChecks crossFieldChecks = new CrossFieldChecks();
+    private final KeyFileMode keyFileMode;
 
-    public SettingsReader(KeyFiles keyFiles) {
-        this.keyFiles = keyFiles;
+    public SettingsReader(KeyFileMode keyFiles) {
+        this.keyFileMode = keyFiles;
     }
 
     /** Reads a file; paths in it are relative to its folder. */
@@ -37,7 +37,7 @@
         try {
             return read(Files.readString(file), file.toAbsolutePath().getParent());
         } catch (IOException e) {
-            return invalid(new Problem("", "cannot be read: " + e));
+            return invalid(new SettingsProblem("", "cannot be read: " + e));
         }
     }
 
@@ -47,41 +47,41 @@
         try {
             parsed = MAPPER.readTree(json);
         } catch (JsonProcessingException e) {
-            return invalid(new Problem("", "not JSON: " + JsonProblems.describe(e)));
+            return invalid(new SettingsProblem("", "not JSON: " + JsonErrorText.describe(e)));
         }
         if (!(parsed instanceof ObjectNode given)) {
-            return invalid(new Problem("", "must be one JSON object"));
+            return invalid(new SettingsProblem("", "must be one JSON object"));
         }
-        Optional<Role> role = Role.of(given.path("role").asText());
+        Optional<ProcessRole> role = ProcessRole.of(given.path("role").asText());
         if (role.isEmpty()) {
-            return invalid(new Problem("/role", "must be one of " + roleWords()));
+            return invalid(new SettingsProblem("/role", "must be one of " + roleNames()));
         }
         return check(given, role.get(), folder);
     }
 
-    private SettingsResult check(ObjectNode given, Role role, Path folder) {
-        List<Problem> problems = new ArrayList<>(schema.check(given, role));
-        ObjectNode full = Defaults.complete(MAPPER, given, role);
-        new KeyResolver(folder, keyFiles).resolve(full, problems::add);
-        combinations.check(full, problems::add);
+    private SettingsResult check(ObjectNode given, ProcessRole role, Path folder) {
+        List<SettingsProblem> problems = new ArrayList<>(schema.check(given, role));
+        ObjectNode full = SettingsDefaults.complete(MAPPER, given, role);
+        new KeyFileResolver(folder, keyFileMode).resolve(full, problems::add);
+        crossFieldChecks.check(full, problems::add);
         if (!problems.isEmpty()) {
-            problems.sort(Comparator.comparing(Problem::path).thenComparing(Problem::message));
+            problems.sort(Comparator.comparing(SettingsProblem::path).thenComparing(SettingsProblem::message));
             return new SettingsResult.Invalid(problems.stream().distinct().toList());
         }
-        return bind(full, role, folder);
+        return toSettings(full, role, folder);
     }
 
-    private static SettingsResult bind(ObjectNode full, Role role, Path folder) {
+    private static SettingsResult toSettings(ObjectNode full, ProcessRole role, Path folder) {
         full.remove("role");
         try {
-            Settings settings = MAPPER.treeToValue(full, role.type());
-            return new SettingsResult.Valid(inFolder(settings, folder));
+            Settings settings = MAPPER.treeToValue(full, role.settingsType());
+            return new SettingsResult.Valid(resolvePaths(settings, folder));
         } catch (JsonProcessingException e) {
-            return invalid(new Problem(JsonProblems.path(e), JsonProblems.describe(e)));
+            return invalid(new SettingsProblem(JsonErrorText.path(e), JsonErrorText.describe(e)));
         }
     }
 
-    private static Settings inFolder(Settings settings, Path folder) {
+    private static Settings resolvePaths(Settings settings, Path folder) {
         if (settings instanceof ControlSettings control) {
             return control.toBuilder()
                     .dataFolder(folder.resolve(control.dataFolder()).normalize())
@@ -90,14 +90,14 @@
         return settings;
     }
 
-    private static SettingsResult invalid(Problem problem) {
+    private static SettingsResult invalid(SettingsProblem problem) {
         return new SettingsResult.Invalid(List.of(problem));
     }
 
-    private static String roleWords() {
+    private static String roleNames() {
         List<String> words = new ArrayList<>();
-        for (Role role : Role.values()) {
-            words.add(role.word());
+        for (ProcessRole role : ProcessRole.values()) {
+            words.add(role.settingValue());
         }
         return String.join(", ", words);
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReference.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReference.java
@@ -19,36 +19,36 @@
     /** The whole reference, one table for each role. */
     public String markdown() {
         StringBuilder text = new StringBuilder("# Settings\n\nWritten by `elmline settings reference`.\n");
-        for (Role role : Role.values()) {
-            JsonNode schema = definitions.path(role.word());
-            text.append("\n## ").append(role.word()).append("\n\nSettings of ");
+        for (ProcessRole role : ProcessRole.values()) {
+            JsonNode schema = definitions.path(role.settingValue());
+            text.append("\n## ").append(role.settingValue()).append("\n\nSettings of ");
             text.append(schema.path("description").asText()).append(".\n\n");
             text.append("| path | values | default | meaning |\n|---|---|---|---|\n");
-            JsonNode defaults = Defaults.complete(mapper, mapper.createObjectNode(), role);
-            for (Row row : rows(schema, "")) {
-                text.append(row.line(defaults));
+            JsonNode defaults = SettingsDefaults.complete(mapper, mapper.createObjectNode(), role);
+            for (Row row : collectRows(schema, "")) {
+                text.append(row.toMarkdown(defaults));
             }
         }
         return text.toString();
     }
 
-    private List<Row> rows(JsonNode schema, String path) {
+    private List<Row> collectRows(JsonNode schema, String path) {
         List<Row> rows = new ArrayList<>();
         Set<String> required = new HashSet<>();
         schema.path("required").forEach(each -> required.add(each.asText()));
         for (Map.Entry<String, JsonNode> property : schema.path("properties").properties()) {
             JsonNode target = resolve(property.getValue());
             String below = path + "/" + property.getKey();
-            if (isGroup(target)) {
-                rows.addAll(rows(target, below));
+            if (isObject(target)) {
+                rows.addAll(collectRows(target, below));
                 continue;
             }
             String meaning = property.getValue().path("description").asText();
             String described = meaning.isEmpty() ? target.path("description").asText() : meaning;
-            rows.add(new Row(below, values(target), required.contains(property.getKey()), described));
+            rows.add(new Row(below, describeValues(target), required.contains(property.getKey()), described));
             JsonNode items = resolve(target.path("items"));
-            if (isGroup(items)) {
-                rows.addAll(rows(items, below + "/*"));
+            if (isObject(items)) {
+                rows.addAll(collectRows(items, below + "/*"));
             }
         }
         return rows;
@@ -59,11 +59,11 @@
         return reference.isEmpty() ? schema : definitions.path(reference.substring(DEFINITIONS.length()));
     }
 
-    private static boolean isGroup(JsonNode schema) {
+    private static boolean isObject(JsonNode schema) {
         return schema.path("type").asText().equals("object");
     }
 
-    private static String values(JsonNode schema) {
+    private static String describeValues(JsonNode schema) {
         if (schema.has("const")) {
             return "`" + schema.path("const").asText() + "`";
         }
@@ -82,7 +82,7 @@
     }
 
     private record Row(String path, String values, boolean required, String meaning) {
-        String line(JsonNode defaults) {
+        String toMarkdown(JsonNode defaults) {
             JsonNode value = defaults.at(path);
             String text = value.isArray() ? value.toString() : value.asText();
             String otherwise = required ? "required" : value.isMissingNode() ? "" : "`" + text + "`";
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsResult.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsResult.java
@@ -12,7 +12,7 @@
      *
      * @param problems everything that is wrong, in the order of their paths
      */
-    record Invalid(List<Problem> problems) implements SettingsResult {
+    record Invalid(List<SettingsProblem> problems) implements SettingsResult {
         public Invalid {
             problems = List.copyOf(problems);
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsSchema.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsSchema.java
@@ -25,7 +25,7 @@
     private static final String ID = "https://elmline.org/" + RESOURCE;
 
     private final JsonNode document;
-    private final Map<Role, Schema> schemas = new EnumMap<>(Role.class);
+    private final Map<ProcessRole, Schema> schemas = new EnumMap<>(ProcessRole.class);
 
     SettingsSchema(ObjectMapper mapper) {
         try (InputStream in = SettingsSchema.class.getResourceAsStream(RESOURCE)) {
@@ -35,8 +35,8 @@
         }
         SchemaRegistry registry = SchemaRegistry.withDefaultDialect(
                 SpecificationVersion.DRAFT_2020_12, builder -> builder.schemas(Map.of(ID, document.toString())));
-        for (Role role : Role.values()) {
-            schemas.put(role, registry.getSchema(SchemaLocation.of(ID + "#/$defs/" + role.word())));
+        for (ProcessRole role : ProcessRole.values()) {
+            schemas.put(role, registry.getSchema(SchemaLocation.of(ID + "#/$defs/" + role.settingValue())));
         }
     }
 
@@ -44,43 +44,44 @@
         return document;
     }
 
-    List<Problem> check(JsonNode settings, Role role) {
-        List<Problem> problems = new ArrayList<>();
+    List<SettingsProblem> check(JsonNode settings, ProcessRole role) {
+        List<SettingsProblem> problems = new ArrayList<>();
         for (Error error : schemas.get(role).validate(settings)) {
-            problems.add(problem(error));
+            problems.add(toProblem(error));
         }
         return problems;
     }
 
-    private Problem problem(Error error) {
+    private SettingsProblem toProblem(Error error) {
         String path = pointer(error.getInstanceLocation());
         return switch (error.getKeyword()) {
-            case "additionalProperties" -> new Problem(
-                    path + "/" + error.getProperty(), UnknownKey.describe(error.getProperty(), knownKeys(error)));
-            case "required" -> new Problem(path + "/" + error.getProperty(), "missing, but this role needs it");
-            case "pattern" -> new Problem(path, error.getInstanceNode() + " does not fit: " + description(error));
-            case "type" -> new Problem(path, error.getMessage() + described(error));
-            default -> new Problem(path, error.getMessage() + described(error));
+            case "additionalProperties" -> new SettingsProblem(
+                    path + "/" + error.getProperty(), UnknownKeyHint.describe(error.getProperty(), allowedKeys(error)));
+            case "required" -> new SettingsProblem(path + "/" + error.getProperty(), "missing, but this role needs it");
+            case "pattern" -> new SettingsProblem(
+                    path, error.getInstanceNode() + " does not fit: " + description(error));
+            case "type" -> new SettingsProblem(path, error.getMessage() + descriptionSuffix(error));
+            default -> new SettingsProblem(path, error.getMessage() + descriptionSuffix(error));
         };
     }
 
-    private String described(Error error) {
+    private String descriptionSuffix(Error error) {
         String description = description(error);
         return description.isEmpty() ? "" : "; it is " + description;
     }
 
     private String description(Error error) {
-        return owner(error).path("description").asText();
+        return owningSchema(error).path("description").asText();
     }
 
-    private Set<String> knownKeys(Error error) {
+    private Set<String> allowedKeys(Error error) {
         Set<String> keys = new LinkedHashSet<>();
-        owner(error).path("properties").fieldNames().forEachRemaining(keys::add);
+        owningSchema(error).path("properties").fieldNames().forEachRemaining(keys::add);
         return keys;
     }
 
     /** The schema object that holds the keyword an error is about. */
-    private JsonNode owner(Error error) {
+    private JsonNode owningSchema(Error error) {
         NodePath keyword = error.getSchemaLocation().getFragment();
         return document.at(pointer(keyword.getParent()));
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinEngineSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinEngineSettings.java
@@ -37,8 +37,8 @@
     }
 
     @Override
-    public Role role() {
-        return Role.STANDIN_ENGINE;
+    public ProcessRole role() {
+        return ProcessRole.STANDIN_ENGINE;
     }
 
     public static Builder builder() {
@@ -46,7 +46,7 @@
     }
 
     /** Gathers the settings. */
-    public static final class Builder extends StandinBuilder<Builder> {
+    public static final class Builder extends StandinSettingsBuilder<Builder> {
         private ModelName model;
         private String version = "1";
         private List<String> adapters = List.of();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinServiceSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinServiceSettings.java
@@ -28,8 +28,8 @@
     }
 
     @Override
-    public Role role() {
-        return Role.STANDIN_SERVICE;
+    public ProcessRole role() {
+        return ProcessRole.STANDIN_SERVICE;
     }
 
     public static Builder builder() {
@@ -37,7 +37,7 @@
     }
 
     /** Gathers the settings. */
-    public static final class Builder extends StandinBuilder<Builder> {
+    public static final class Builder extends StandinSettingsBuilder<Builder> {
         private ServiceName service;
 
         private Builder() {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinBuilder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinSettingsBuilder.java
@@ -10,7 +10,7 @@
  *
  * @param <B> the builder itself, which each method returns
  */
-abstract class StandinBuilder<B extends StandinBuilder<B>> extends SettingsBuilder<B> {
+abstract class StandinSettingsBuilder<B extends StandinSettingsBuilder<B>> extends SettingsBuilder<B> {
     BackendServerId id;
     ListenAddress address;
     List<Address> entries;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/UnknownKey.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/UnknownKeyHint.java
@@ -5,8 +5,8 @@
 import java.util.Locale;
 
 /** Says what an unknown key should have been: the same quantity in its right unit, or the nearest known key. */
-final class UnknownKey {
-    private static final int MAX_TYPING_ERRORS = 2;
+final class UnknownKeyHint {
+    private static final int MAX_EDIT_DISTANCE = 2;
     private static final List<String> UNITS = List.of(
             "Milliseconds",
             "Microseconds",
@@ -33,7 +33,7 @@
             "Ms",
             "S");
 
-    private UnknownKey() {}
+    private UnknownKeyHint() {}
 
     static String describe(String key, Collection<String> known) {
         for (String each : known) {
@@ -42,12 +42,13 @@
             }
         }
         for (String each : known) {
-            if (hasUnit(each) && quantity(each).equalsIgnoreCase(quantity(key))) {
-                return "wrong unit; give it as '" + each + "', in " + unit(each).toLowerCase(Locale.ROOT);
+            if (hasUnit(each) && withoutUnit(each).equalsIgnoreCase(withoutUnit(key))) {
+                return "wrong unit; give it as '" + each + "', in "
+                        + unitName(each).toLowerCase(Locale.ROOT);
             }
         }
         for (String each : known) {
-            if (distance(each, key) <= MAX_TYPING_ERRORS) {
+            if (editDistance(each, key) <= MAX_EDIT_DISTANCE) {
                 return "unknown key; did you mean '" + each + "'?";
             }
         }
@@ -55,10 +56,10 @@
     }
 
     private static boolean hasUnit(String key) {
-        return !quantity(key).equals(key);
+        return !withoutUnit(key).equals(key);
     }
 
-    private static String quantity(String key) {
+    private static String withoutUnit(String key) {
         for (String unit : UNITS) {
             int stem = key.length() - unit.length();
             if (stem > 0 && key.regionMatches(true, stem, unit, 0, unit.length()) && startsWord(key, stem)) {
@@ -72,13 +73,13 @@
         return Character.isUpperCase(key.charAt(at)) || key.charAt(at - 1) == '_';
     }
 
-    private static String unit(String key) {
-        String unit = key.substring(quantity(key).length());
+    private static String unitName(String key) {
+        String unit = key.substring(withoutUnit(key).length());
         return unit.equals("Millis") ? "milliseconds" : unit;
     }
 
     /** Levenshtein distance: single letters added, dropped or replaced. */
-    private static int distance(String a, String b) {
+    private static int editDistance(String a, String b) {
         int[] previous = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
             previous[j] = j;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/backend/PoliciesTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/backend/PoliciesTest.java
@@ -1,7 +1,7 @@
 package org.elmline.daemon.backend;
 
 import org.elmline.core.placement.PlacementPolicies;
-import org.elmline.daemon.settings.PlacementSettings;
+import org.elmline.daemon.settings.PlacementPolicySettings;
 import org.junit.jupiter.api.Test;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -14,10 +14,11 @@
         for (String name : PlacementPolicies.names()) {
             assertEquals(
                     name,
-                    PlacementFactory.policy(new PlacementSettings(name, 1, 0.5)).name());
+                    PlacementFactory.policy(new PlacementPolicySettings(name, 1, 0.5))
+                            .name());
         }
-        assertEquals(PlacementPolicies.DEFAULT, PlacementSettings.DEFAULT.policy());
-        var weights = PlacementFactory.ledgerSettings(new PlacementSettings("two-ended", 2, 0.5))
+        assertEquals(PlacementPolicies.DEFAULT, PlacementPolicySettings.DEFAULT.policy());
+        var weights = PlacementFactory.ledgerSettings(new PlacementPolicySettings("two-ended", 2, 0.5))
                 .placement();
         var measured = org.elmline.core.placement.PlacementSettings.defaults();
         assertEquals(0.5, weights.maxLongShare());
@@ -27,7 +28,7 @@
 
     @Test
     void anUnknownPolicyIsNamedWithWhatThereIs() {
-        PlacementSettings misspelt = new PlacementSettings("two-eneded", 1, 0.5);
+        PlacementPolicySettings misspelt = new PlacementPolicySettings("two-eneded", 1, 0.5);
         Exception failure = assertThrows(IllegalArgumentException.class, () -> PlacementFactory.policy(misspelt));
         assertTrue(failure.getMessage().contains("two-eneded"));
         assertTrue(failure.getMessage().contains("shortest-wait"));
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
@@ -75,8 +75,8 @@
         String json = "{\"name\":\"e\",\"ip\":\"" + SELF + "\",\"region\":\"r\",\"failureDomain\":\"a\",\"callers\":\""
                 + SELF + ":80\",\"ready\":\"" + SELF + ":81\",\"peerPort\":7000,\"peerKey\":\"sixteen-characters\","
                 + "\"controlHosts\":[\"10.0.0.9:82\"]}";
-        NodeSettings.Read read = NodeSettings.read(json.getBytes(StandardCharsets.UTF_8));
-        return ((NodeSettings.Read.Valid) read).settings();
+        NodeSettings.ParseResult read = NodeSettings.read(json.getBytes(StandardCharsets.UTF_8));
+        return ((NodeSettings.ParseResult.Valid) read).settings();
     }
 
     /** Answers requests for a place as the test says, and keeps what was sent. */
--- a/elmline-daemon/src/test/java/org/elmline/daemon/http/HttpListenerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/http/HttpListenerTest.java
@@ -30,7 +30,7 @@
         HttpLimits limits = new HttpLimits(1 << 20, 1 << 14, MAX_CONNECTIONS, PATIENCE_MILLIS, PATIENCE_MILLIS);
         List<Socket> open = new ArrayList<>();
         try (HttpListener listener =
-                HttpListener.start("127.0.0.1", 0, limits, exchange -> Answers.json(exchange, List.of()))) {
+                HttpListener.start("127.0.0.1", 0, limits, exchange -> JsonResponses.send(exchange, List.of()))) {
             for (int i = 0; i < MAX_CONNECTIONS; i++) {
                 open.add(connect(listener.address()));
                 assertEquals('H', firstByte(open.get(i), PATIENCE_MILLIS));
--- a/elmline-daemon/src/test/java/org/elmline/daemon/log/DecisionLogTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/log/DecisionLogTest.java
@@ -46,7 +46,7 @@
                 log.line("refused").write();
             }
             log.line("started").write();
-            assertEquals(900, log.dropped());
+            assertEquals(900, log.droppedLines());
         }
         String text = out.toString();
         assertTrue(text.contains("\"event\":\"started\""));
@@ -63,13 +63,13 @@
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (DecisionLog log = new DecisionLog("h", "entry", new ManualClock(), out)) {
             for (int i = 0; i < 400; i++) {
-                RequestLines lines = new RequestLines("r" + i);
-                lines.success(log.line("placed").with("request", "r" + i));
-                lines.success(log.line("streamed").with("request", "r" + i));
-                new RequestLines("f" + i).failure(log.line("refused").with("request", "f" + i));
+                SampledRequestLog lines = new SampledRequestLog("r" + i);
+                lines.logSuccess(log.line("placed").with("request", "r" + i));
+                lines.logSuccess(log.line("streamed").with("request", "r" + i));
+                new SampledRequestLog("f" + i).logFailure(log.line("refused").with("request", "f" + i));
             }
-            assertEquals(0, log.dropped());
-            assertTrue(log.sampledOut() > 500, log.sampledOut() + " left out");
+            assertEquals(0, log.droppedLines());
+            assertTrue(log.sampledOutLines() > 500, log.sampledOutLines() + " left out");
         }
         String text = out.toString();
         assertEquals(400, count(text, "\"event\":\"refused\""));
@@ -87,12 +87,12 @@
         ManualClock clock = new ManualClock();
         try (DecisionLog log = new DecisionLog("h", "entry", clock, out)) {
             for (int i = 0; i < 400; i++) {
-                new RequestLines("r" + i).success(log.line("placed"));
+                new SampledRequestLog("r" + i).logSuccess(log.line("placed"));
             }
-            RequestLines lines = new RequestLines("broken");
-            lines.success(log.line("placed").with("server", "s7"));
+            SampledRequestLog lines = new SampledRequestLog("broken");
+            lines.logSuccess(log.line("placed").with("server", "s7"));
             clock.advance(Duration.ofMillis(300));
-            lines.failure(log.line("stream broken off").with("request", "broken"));
+            lines.logFailure(log.line("stream broken off").with("request", "broken"));
         }
         String text = out.toString();
         int placed = text.indexOf("\"server\":\"s7\"");
@@ -125,7 +125,7 @@
             for (int i = 0; i < 10_000; i++) {
                 log.line("kind " + i % 200).write();
             }
-            assertTrue(log.dropped() > 5_000);
+            assertTrue(log.droppedLines() > 5_000);
             release.countDown();
         }
     }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowLoopTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowLoopTest.java
@@ -58,7 +58,7 @@
 
     /** The pause before each poll after the first, as it has grown by the last of many that failed. */
     private long lastPause(long routingVersion) {
-        FollowLoop loop = new FollowLoop(
+        RegistryPoller loop = new RegistryPoller(
                 new DeadNetwork(),
                 new Address("10.0.0.9", 7000),
                 HostId.of("10.0.0.1"),
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/SettingsWatchTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/SettingsWatchTest.java
@@ -34,26 +34,28 @@
         List<NodeSettings> taken = new ArrayList<>();
         DecisionLog log = new DecisionLog("n", "entry", new SystemClock(), OutputStream.nullOutputStream());
         try (log;
-                SettingsWatch watch = new SettingsWatch(file, log, taken::add)) {
-            watch.look();
+                SettingsFileWatcher watch = new SettingsFileWatcher(file, log, taken::add)) {
+            watch.reloadIfChanged();
             assertEquals(0, taken.size(), "nothing has changed");
             Files.writeString(file, settings("10.0.0.3:90"));
-            watch.look();
+            watch.reloadIfChanged();
             Files.writeString(file, "{");
-            watch.look();
+            watch.reloadIfChanged();
             assertEquals(1, taken.size());
-            assertEquals("10.0.0.3:7000", taken.get(0).controlPeers().get(0).toString());
+            assertEquals(
+                    "10.0.0.3:7000", taken.get(0).controlPeerAddresses().get(0).toString());
         }
     }
 
     @Test
     void allProblemsAreNamedTogether() {
-        NodeSettings.Read read = NodeSettings.read("{\"name\":\"n\",\"peerKey\":\"short\",\"peerPort\":1}".getBytes());
+        NodeSettings.ParseResult read =
+                NodeSettings.read("{\"name\":\"n\",\"peerKey\":\"short\",\"peerPort\":1}".getBytes());
         List<String> problems =
-                assertInstanceOf(NodeSettings.Read.Invalid.class, read).problems();
+                assertInstanceOf(NodeSettings.ParseResult.Invalid.class, read).problems();
         for (String each : List.of("/ip", "/region", "/failureDomain", "/peerKey", "/controlHosts", "/callers")) {
             assertTrue(problems.stream().anyMatch(problem -> problem.contains(each)), each + " in " + problems);
         }
-        assertInstanceOf(NodeSettings.Read.Invalid.class, NodeSettings.read("{\"unknown\":1}".getBytes()));
+        assertInstanceOf(NodeSettings.ParseResult.Invalid.class, NodeSettings.read("{\"unknown\":1}".getBytes()));
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/settings/SettingsProblemsTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/settings/SettingsProblemsTest.java
@@ -210,7 +210,7 @@
     @Test
     void rightSettingsAreRead() throws JsonProcessingException {
         EntrySettings entry = assertInstanceOf(EntrySettings.class, valid(ENTRY));
-        assertEquals(LeaseSettings.DEFAULT, entry.lease());
+        assertEquals(EntryLeaseSettings.DEFAULT, entry.lease());
         assertEquals(3, entry.control().size());
         assertEquals("10.0.0.9:8081", entry.addresses().operators().toString());
         ControlSettings control = assertInstanceOf(ControlSettings.class, valid(CONTROL));
@@ -225,13 +225,13 @@
     }
 
     private static Settings valid(String json) throws JsonProcessingException {
-        SettingsResult result = new SettingsReader(KeyFiles.READ).read(json.replace('\'', '"'), FOLDER);
+        SettingsResult result = new SettingsReader(KeyFileMode.READ).read(json.replace('\'', '"'), FOLDER);
         return assertInstanceOf(SettingsResult.Valid.class, result, result::toString)
                 .settings();
     }
 
-    private static List<Problem> problems(String json) {
-        SettingsResult result = new SettingsReader(KeyFiles.READ).read(json, FOLDER);
+    private static List<SettingsProblem> problems(String json) {
+        SettingsResult result = new SettingsReader(KeyFileMode.READ).read(json, FOLDER);
         return assertInstanceOf(SettingsResult.Invalid.class, result).problems();
     }
 
@@ -259,7 +259,7 @@
     private static final class Case {
         private final String name;
         private final JsonNode settings;
-        private final List<Problem> expected = new ArrayList<>();
+        private final List<SettingsProblem> expected = new ArrayList<>();
 
         Case(String name, String base) throws JsonProcessingException {
             this.name = name;
@@ -283,13 +283,13 @@
         }
 
         Case expect(String path, String fragment) {
-            expected.add(new Problem(path, fragment));
+            expected.add(new SettingsProblem(path, fragment));
             return this;
         }
 
         DynamicTest test() {
             return DynamicTest.dynamicTest(name, () -> {
-                List<Problem> found = problems(settings.toString());
+                List<SettingsProblem> found = problems(settings.toString());
                 assertEquals(expected.size(), found.size(), found::toString);
                 for (int i = 0; i < expected.size(); i++) {
                     assertEquals(expected.get(i).path(), found.get(i).path(), found::toString);
