--- a/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
@@ -9,7 +9,7 @@
 import org.elmline.core.control.ControlState;
 import org.elmline.core.control.LeaseAnswer;
 import org.elmline.core.control.LeaseDecision;
-import org.elmline.core.control.LeaseKeeper;
+import org.elmline.core.control.LeaseManager;
 import org.elmline.core.control.LeaseRequest;
 import org.elmline.core.control.LeaseSettings;
 import org.elmline.wire.codec.Codecs;
@@ -35,7 +35,7 @@
         for (int i = 0; i < entries; i++) {
             state.apply(state.index() + 1, new Command.JoinHost(samples.host(i)));
         }
-        LeaseKeeper keeper = new LeaseKeeper(state, LeaseSettings.DEFAULT, 0);
+        LeaseManager keeper = new LeaseManager(state, LeaseSettings.DEFAULT, 0);
         ConfigVersion version = state.configuration().version();
         long members = state.membersVersion();
         LeaseRequest idle = new LeaseRequest(samples.host(entries - 1), version, members);
@@ -53,7 +53,7 @@
                 entries, requestBytes, idleBytes, objectBytes, answerBytes(keeper, behind), joinBytes, micros);
     }
 
-    private double renewalMicros(LeaseKeeper keeper, int entries, ConfigVersion version, long members) {
+    private double renewalMicros(LeaseManager keeper, int entries, ConfigVersion version, long members) {
         byte[][] requests = new byte[entries][];
         for (int i = 0; i < entries; i++) {
             requests[i] = Codecs.MESSAGE_PACK.encode(new LeaseRequest(samples.host(i), version, members));
@@ -69,7 +69,7 @@
         return (System.nanoTime() - begin) / 1e3;
     }
 
-    private int answerBytes(LeaseKeeper keeper, LeaseRequest request) {
+    private int answerBytes(LeaseManager keeper, LeaseRequest request) {
         LeaseDecision decision = keeper.renew(request, 0, LEADER_UNTIL_NANOS, controlHosts);
         LeaseAnswer answer = ((LeaseDecision.Answer) decision).answer();
         return Codecs.MESSAGE_PACK.encode((LeaseAnswer.Granted) answer).length;
--- a/elmline-cli/src/main/java/org/elmline/cli/local/LocalKeys.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/local/LocalKeys.java
@@ -31,7 +31,7 @@
         if (read instanceof Decoded.Value<LocalKeys> value) {
             return value.value();
         }
-        throw new IOException(file + ": " + ((Decoded.Malformed<LocalKeys>) read).why());
+        throw new IOException(file + ": " + ((Decoded.Malformed<LocalKeys>) read).reason());
     }
 
     private static String randomKey(String use) {
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TicketApplyCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TicketApplyCommand.java
@@ -38,7 +38,7 @@
     public ExitCode execute() throws InterruptedException {
         Decoded<Ticket> decoded = new TicketFile(file).read();
         if (!(decoded instanceof Decoded.Value<Ticket> read)) {
-            spec.commandLine().getErr().println(file + ": " + ((Decoded.Malformed<Ticket>) decoded).why());
+            spec.commandLine().getErr().println(file + ": " + ((Decoded.Malformed<Ticket>) decoded).reason());
             return ExitCode.INVALID;
         }
         Ticket ticket = read.value();
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineCommand.java
@@ -83,7 +83,7 @@
     private void print(MergedTimeline timeline) {
         PrintWriter out = spec.commandLine().getOut();
         for (StampedEvent event : timeline.events()) {
-            out.println(json ? new String(Codecs.JSON.encode(event), StandardCharsets.UTF_8) : EventText.line(event));
+            out.println(json ? new String(Codecs.JSON.encode(event), StandardCharsets.UTF_8) : EventText.format(event));
         }
         PrintWriter err = spec.commandLine().getErr();
         for (String each : timeline.missingHosts()) {
--- a/elmline-core/src/main/java/org/elmline/core/common/AttemptId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/AttemptId.java
@@ -6,7 +6,7 @@
 /** Identity of one try of a request on one backend server; pieces carry it so that a late piece of another attempt is dropped. */
 public record AttemptId(@JsonValue String value) implements Comparable<AttemptId> {
     public AttemptId {
-        Names.requireName("attempt id", value);
+        IdFormat.requireValid("attempt id", value);
     }
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/elmline-core/src/main/java/org/elmline/core/common/BackendServerId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/BackendServerId.java
@@ -6,7 +6,7 @@
 /** Name a backend server announces itself under; a restart keeps it, see its incarnation. */
 public record BackendServerId(@JsonValue String value) implements Comparable<BackendServerId> {
     public BackendServerId {
-        Names.requireName("backend server id", value);
+        IdFormat.requireValid("backend server id", value);
     }
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/elmline-core/src/main/java/org/elmline/core/common/CallResult.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/CallResult.java
@@ -6,10 +6,10 @@
     record Answered<R>(R value) implements CallResult<R> {}
 
     /** No byte of the call left this process, or the other process refused it unread. */
-    record NotSent<R>(String why) implements CallResult<R> {}
+    record NotSent<R>(String reason) implements CallResult<R> {}
 
     /** The call was sent and no answer came in time. */
-    record Unknown<R>(String why) implements CallResult<R> {}
+    record Unknown<R>(String reason) implements CallResult<R> {}
 
     /** Whether the other process handled the call. */
     default Ran ran() {
--- a/elmline-core/src/main/java/org/elmline/core/common/FailureDomain.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/FailureDomain.java
@@ -6,7 +6,7 @@
 /** Name of a set of hosts that can be lost together (power, switch, building). */
 public record FailureDomain(@JsonValue String value) implements Comparable<FailureDomain> {
     public FailureDomain {
-        Names.requireName("failure domain", value);
+        IdFormat.requireValid("failure domain", value);
     }
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/elmline-core/src/main/java/org/elmline/core/common/HostId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/HostId.java
@@ -6,7 +6,7 @@
 /** Name of one host that runs an elmline process; unique in a deployment, taken from its settings. */
 public record HostId(@JsonValue String value) implements Comparable<HostId> {
     public HostId {
-        Names.requireName("host id", value);
+        IdFormat.requireValid("host id", value);
     }
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/elmline-core/src/main/java/org/elmline/core/common/Names.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/IdFormat.java
@@ -1,22 +1,23 @@
 package org.elmline.core.common;
 
 /** Checks the form that all ids share: 1 to 128 letters, digits, dot, dash, underscore, colon or slash. */
-final class Names {
+final class IdFormat {
     private static final int MAX_LENGTH = 128;
-    private static final int MAX_SHOWN = 160;
-    private static final String MARKS = ".-_:/";
+    private static final int MAX_LENGTH_IN_MESSAGE = 160;
+    private static final String ALLOWED_PUNCTUATION = ".-_:/";
 
-    private Names() {}
+    private IdFormat() {}
 
-    static void requireName(String what, String value) {
-        if (!isName(value)) {
+    static void requireValid(String what, String value) {
+        if (!isValid(value)) {
             throw new IllegalArgumentException(what + " must be 1 to 128 of letters, digits and . - _ : / but is '"
-                    + (value == null ? null : value.substring(0, Math.min(value.length(), MAX_SHOWN))) + "'");
+                    + (value == null ? null : value.substring(0, Math.min(value.length(), MAX_LENGTH_IN_MESSAGE)))
+                    + "'");
         }
     }
 
     /** By hand, not by a pattern: each message brings dozens of ids. */
-    private static boolean isName(String value) {
+    private static boolean isValid(String value) {
         if (value == null || value.isEmpty() || value.length() > MAX_LENGTH) {
             return false;
         }
@@ -29,6 +30,9 @@
     }
 
     private static boolean isAllowed(char c) {
-        return c >= 'a' && c <= 'z' || c >= 'A' && c <= 'Z' || c >= '0' && c <= '9' || MARKS.indexOf(c) >= 0;
+        return c >= 'a' && c <= 'z'
+                || c >= 'A' && c <= 'Z'
+                || c >= '0' && c <= '9'
+                || ALLOWED_PUNCTUATION.indexOf(c) >= 0;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/common/ModelName.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/ModelName.java
@@ -6,7 +6,7 @@
 /** Name under which callers ask for a served model. */
 public record ModelName(@JsonValue String value) implements Comparable<ModelName> {
     public ModelName {
-        Names.requireName("model name", value);
+        IdFormat.requireValid("model name", value);
     }
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/elmline-core/src/main/java/org/elmline/core/common/OrganisationId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/OrganisationId.java
@@ -6,7 +6,7 @@
 /** Name of an organisation whose members call elmline with its keys. */
 public record OrganisationId(@JsonValue String value) implements Comparable<OrganisationId> {
     public OrganisationId {
-        Names.requireName("organisation id", value);
+        IdFormat.requireValid("organisation id", value);
     }
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/elmline-core/src/main/java/org/elmline/core/common/Ran.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/Ran.java
@@ -15,7 +15,7 @@
     UNKNOWN;
 
     /** The spelling in answers to callers. */
-    public String text() {
+    public String wireName() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/common/Refusal.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/Refusal.java
@@ -12,7 +12,7 @@
     }
 
     /** A refusal of something that never ran, with the time to come back. */
-    public static Refusal comeBack(RefusalReason reason, String message, long retryAfterMillis) {
+    public static Refusal retryLater(RefusalReason reason, String message, long retryAfterMillis) {
         return new Refusal(reason, message, Ran.NO, retryAfterMillis);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/common/RefusalReason.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/RefusalReason.java
@@ -23,25 +23,25 @@
     DEADLINE(504, "deadline_exceeded"),
     BACKEND_FAILED(502, "backend_failed");
 
-    private final int status;
-    private final String type;
+    private final int httpStatus;
+    private final String errorType;
 
     RefusalReason(int status, String type) {
-        this.status = status;
-        this.type = type;
+        this.httpStatus = status;
+        this.errorType = type;
     }
 
-    public int status() {
-        return status;
+    public int httpStatus() {
+        return httpStatus;
     }
 
     /** The machine-readable word in the caller's error body. */
-    public String type() {
-        return type;
+    public String errorType() {
+        return errorType;
     }
 
     /** Whether the same request may do better later, so that an answer must say when to come back. */
-    public boolean passing() {
-        return status == 429 || status == 503 || status == 504 || status == 502;
+    public boolean retryable() {
+        return httpStatus == 429 || httpStatus == 503 || httpStatus == 504 || httpStatus == 502;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/common/Region.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/Region.java
@@ -6,7 +6,7 @@
 /** Name of a group of failure domains that are near each other. */
 public record Region(@JsonValue String value) implements Comparable<Region> {
     public Region {
-        Names.requireName("region", value);
+        IdFormat.requireValid("region", value);
     }
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/elmline-core/src/main/java/org/elmline/core/common/RequestId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/RequestId.java
@@ -6,7 +6,7 @@
 /** Identity of one caller's request over all processes that touch it. */
 public record RequestId(@JsonValue String value) implements Comparable<RequestId> {
     public RequestId {
-        Names.requireName("request id", value);
+        IdFormat.requireValid("request id", value);
     }
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/elmline-core/src/main/java/org/elmline/core/common/ServiceName.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/ServiceName.java
@@ -6,7 +6,7 @@
 /** Name of a plain service that elmline passes calls on to. */
 public record ServiceName(@JsonValue String value) implements Comparable<ServiceName> {
     public ServiceName {
-        Names.requireName("service name", value);
+        IdFormat.requireValid("service name", value);
     }
 
     @JsonCreator(mode = JsonCreator.Mode.DELEGATING)
--- a/elmline-core/src/main/java/org/elmline/core/config/Configuration.java
+++ b/elmline-core/src/main/java/org/elmline/core/config/Configuration.java
@@ -75,11 +75,11 @@
         for (VersionedObject each : delta.changed()) {
             next.merge(each.object().key(), each, Configuration::newer);
         }
-        return new Configuration(delta.to(), Map.copyOf(next), indexKeys(next));
+        return new Configuration(delta.to(), Map.copyOf(next), indexByKeyHash(next));
     }
 
     /** The change that brings a holder of {@code from} to this version. */
-    public ConfigDelta since(ConfigVersion from) {
+    public ConfigDelta changesSince(ConfigVersion from) {
         List<VersionedObject> changed = new ArrayList<>();
         for (VersionedObject each : objects.values()) {
             if (each.version().compareTo(from) > 0) {
@@ -98,7 +98,7 @@
         return a.version().compareTo(b.version()) >= 0 ? a : b;
     }
 
-    private static Map<String, Organisation> indexKeys(Map<String, VersionedObject> objects) {
+    private static Map<String, Organisation> indexByKeyHash(Map<String, VersionedObject> objects) {
         Map<String, Organisation> index = new HashMap<>();
         for (VersionedObject each : objects.values()) {
             if (each.object() instanceof Organisation organisation && !organisation.removed()) {
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimBatcher.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimBatcher.java
@@ -16,8 +16,8 @@
 public final class ClaimBatcher<T> {
     private final int maxBatch;
     private final int maxWaiting;
-    private final Lane<ClaimBegin> begins = new Lane<>(Command.BeginClaims::new);
-    private final Lane<ClaimFinish> finishes = new Lane<>(Command.FinishClaims::new);
+    private final PendingClaims<ClaimBegin> begins = new PendingClaims<>(Command.BeginClaims::new);
+    private final PendingClaims<ClaimFinish> finishes = new PendingClaims<>(Command.FinishClaims::new);
 
     /**
      * @param maxBatch most claims in one command
@@ -38,35 +38,35 @@
         return finishes.offer(claim, waiter);
     }
 
-    /** The batches to propose now. Each must be given back to {@link #done} when it is applied or lost. */
-    public List<ClaimBatch<T>> next(long wallMillis) {
+    /** The batches to propose now. Each must be given back to {@link #complete} when it is applied or lost. */
+    public List<ClaimBatch<T>> nextBatches(long wallMillis) {
         List<ClaimBatch<T>> ready = new ArrayList<>(2);
-        finishes.take(wallMillis, ready);
-        begins.take(wallMillis, ready);
+        finishes.addNextBatch(wallMillis, ready);
+        begins.addNextBatch(wallMillis, ready);
         return ready;
     }
 
     /** Lets the next batch of this kind go. */
-    public void done(ClaimBatch<T> batch) {
-        begins.done(batch);
-        finishes.done(batch);
+    public void complete(ClaimBatch<T> batch) {
+        begins.complete(batch);
+        finishes.complete(batch);
     }
 
     /** Everyone whose claim was never proposed, removed from here; for a leader that is deposed. */
-    public List<T> drain() {
+    public List<T> drainWaiters() {
         List<T> waiters = new ArrayList<>();
-        begins.drain(waiters);
-        finishes.drain(waiters);
+        begins.drainWaiters(waiters);
+        finishes.drainWaiters(waiters);
         return waiters;
     }
 
-    private final class Lane<C> {
+    private final class PendingClaims<C> {
         private final BiFunction<Long, List<C>, Command> toCommand;
         private final Deque<C> claims = new ArrayDeque<>();
         private final Deque<T> waiters = new ArrayDeque<>();
-        private ClaimBatch<T> underWay;
+        private ClaimBatch<T> batchInFlight;
 
-        private Lane(BiFunction<Long, List<C>, Command> toCommand) {
+        private PendingClaims(BiFunction<Long, List<C>, Command> toCommand) {
             this.toCommand = toCommand;
         }
 
@@ -79,8 +79,8 @@
             return true;
         }
 
-        private void take(long wallMillis, List<ClaimBatch<T>> ready) {
-            if (underWay != null || claims.isEmpty()) {
+        private void addNextBatch(long wallMillis, List<ClaimBatch<T>> ready) {
+            if (batchInFlight != null || claims.isEmpty()) {
                 return;
             }
             List<C> batch = new ArrayList<>();
@@ -89,17 +89,17 @@
                 batch.add(claims.remove());
                 waiting.add(waiters.remove());
             }
-            underWay = new ClaimBatch<>(toCommand.apply(wallMillis, batch), waiting);
-            ready.add(underWay);
+            batchInFlight = new ClaimBatch<>(toCommand.apply(wallMillis, batch), waiting);
+            ready.add(batchInFlight);
         }
 
-        private void done(ClaimBatch<T> batch) {
-            if (underWay == batch) {
-                underWay = null;
+        private void complete(ClaimBatch<T> batch) {
+            if (batchInFlight == batch) {
+                batchInFlight = null;
             }
         }
 
-        private void drain(List<T> into) {
+        private void drainWaiters(List<T> into) {
             into.addAll(waiters);
             claims.clear();
             waiters.clear();
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimSession.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimSession.java
@@ -16,7 +16,7 @@
  * same key is safe in every case.
  */
 public final class ClaimSession {
-    private static final long COME_BACK_MILLIS = 1_000;
+    private static final long RETRY_DELAY_MILLIS = 1_000;
 
     private enum Phase {
         NEW,
@@ -24,14 +24,14 @@
         SENT,
         FINISHING,
         /** The caller has its reply, nothing was sent; a begin may still be on its way to being committed. */
-        GIVEN_UP,
-        OVER
+        ABANDONED,
+        ENDED
     }
 
     private final ClaimBegin begin;
     private final HostLease lease;
     private final long deadlineNanos;
-    private int finishTries;
+    private int finishAttemptsLeft;
     private Phase phase = Phase.NEW;
     private boolean replied;
     private ClaimFinish finish;
@@ -44,7 +44,7 @@
         this.begin = begin;
         this.lease = lease;
         this.deadlineNanos = deadlineNanos;
-        this.finishTries = finishTries;
+        this.finishAttemptsLeft = finishTries;
     }
 
     public synchronized ClaimStep start() {
@@ -56,41 +56,41 @@
     }
 
     /** What came of a begin. */
-    public synchronized ClaimStep begun(CallResult<ClaimAnswer> result, long nowNanos) {
-        ClaimOutcome outcome = decided(result);
-        if (phase == Phase.GIVEN_UP && outcome instanceof ClaimOutcome.Granted) {
+    public synchronized ClaimStep onBeginResult(CallResult<ClaimAnswer> result, long nowNanos) {
+        ClaimOutcome outcome = committedOutcome(result);
+        if (phase == Phase.ABANDONED && outcome instanceof ClaimOutcome.Granted) {
             return release(null);
         }
         if (phase != Phase.BEGINNING) {
             return new ClaimStep.Nothing();
         }
         if (outcome == null) {
-            return nowNanos - deadlineNanos >= 0 ? expire() : new ClaimStep.Begin(begin, leader(result));
+            return nowNanos - deadlineNanos >= 0 ? onDeadline() : new ClaimStep.Begin(begin, leaderHint(result));
         }
         if (outcome instanceof ClaimOutcome.Granted) {
-            return granted(nowNanos);
+            return onGranted(nowNanos);
         }
-        phase = Phase.OVER;
-        return reply(notGranted(outcome));
+        phase = Phase.ENDED;
+        return replyOnce(replyWhenNotGranted(outcome));
     }
 
     /**
      * A freeze may have passed between the commit and now. A session that finds its lease or its deadline gone hasn't
      * sent and never will, so it may say so and let a later try run.
      */
-    private ClaimStep granted(long nowNanos) {
-        if (!lease.check(nowNanos)) {
-            return release(refused(RefusalReason.NO_LEASE, "this entry lost its lease", Ran.NO));
+    private ClaimStep onGranted(long nowNanos) {
+        if (!lease.isValid(nowNanos)) {
+            return release(refusal(RefusalReason.NO_LEASE, "this entry lost its lease", Ran.NO));
         }
         if (nowNanos - deadlineNanos >= 0) {
-            return release(refused(RefusalReason.DEADLINE, "the deadline passed before the call was sent", Ran.NO));
+            return release(refusal(RefusalReason.DEADLINE, "the deadline passed before the call was sent", Ran.NO));
         }
         phase = Phase.SENT;
         return new ClaimStep.Send();
     }
 
     /** What came of the call to the service. */
-    public synchronized ClaimStep called(CallResult<RecordedAnswer> result) {
+    public synchronized ClaimStep onCallResult(CallResult<RecordedAnswer> result) {
         if (phase != Phase.SENT) {
             return new ClaimStep.Nothing();
         }
@@ -100,32 +100,32 @@
             return finishStep(new ClaimReply.Answered(answered.value(), false), null);
         }
         if (result instanceof CallResult.NotSent<RecordedAnswer> notSent) {
-            return release(refused(RefusalReason.BACKEND_FAILED, notSent.why(), Ran.NO));
+            return release(refusal(RefusalReason.BACKEND_FAILED, notSent.reason(), Ran.NO));
         }
-        phase = Phase.OVER;
-        return reply(refused(RefusalReason.BACKEND_FAILED, "the service's answer was lost", Ran.UNKNOWN));
+        phase = Phase.ENDED;
+        return replyOnce(refusal(RefusalReason.BACKEND_FAILED, "the service's answer was lost", Ran.UNKNOWN));
     }
 
     /** What came of a finish. */
-    public synchronized ClaimStep finished(CallResult<ClaimAnswer> result) {
+    public synchronized ClaimStep onFinishResult(CallResult<ClaimAnswer> result) {
         if (phase != Phase.FINISHING) {
             return new ClaimStep.Nothing();
         }
-        if (decided(result) == null && finishTries > 0) {
-            return finishStep(null, leader(result));
+        if (committedOutcome(result) == null && finishAttemptsLeft > 0) {
+            return finishStep(null, leaderHint(result));
         }
-        phase = Phase.OVER;
+        phase = Phase.ENDED;
         return new ClaimStep.Nothing();
     }
 
     /** The caller's deadline has passed: the caller gets its reply now, whatever is still on its way. */
-    public synchronized ClaimStep expire() {
+    public synchronized ClaimStep onDeadline() {
         if (phase == Phase.SENT) {
-            return reply(refused(RefusalReason.DEADLINE, "the service hasn't answered in time", Ran.UNKNOWN));
+            return replyOnce(refusal(RefusalReason.DEADLINE, "the service hasn't answered in time", Ran.UNKNOWN));
         }
         if (phase == Phase.NEW || phase == Phase.BEGINNING) {
-            phase = Phase.GIVEN_UP;
-            return reply(refused(RefusalReason.DEADLINE, "the claim wasn't decided in time", Ran.UNKNOWN));
+            phase = Phase.ABANDONED;
+            return replyOnce(refusal(RefusalReason.DEADLINE, "the claim wasn't decided in time", Ran.UNKNOWN));
         }
         return new ClaimStep.Nothing();
     }
@@ -137,13 +137,13 @@
     }
 
     private ClaimStep finishStep(ClaimReply reply, Address leader) {
-        finishTries--;
+        finishAttemptsLeft--;
         ClaimReply first = replied ? null : reply;
         replied |= first != null;
         return new ClaimStep.Finish(finish, first, leader);
     }
 
-    private ClaimStep reply(ClaimReply reply) {
+    private ClaimStep replyOnce(ClaimReply reply) {
         if (replied) {
             return new ClaimStep.Nothing();
         }
@@ -151,29 +151,29 @@
         return new ClaimStep.Reply(reply);
     }
 
-    private static ClaimReply notGranted(ClaimOutcome outcome) {
+    private static ClaimReply replyWhenNotGranted(ClaimOutcome outcome) {
         if (outcome instanceof ClaimOutcome.Recorded recorded) {
             return new ClaimReply.Answered(recorded.answer(), true);
         }
         if (outcome instanceof ClaimOutcome.Refused refused) {
             Ran ran = refused.reason() == RefusalReason.KEY_EXPIRED ? Ran.UNKNOWN : Ran.NO;
-            return refused(refused.reason(), refused.message(), ran);
+            return refusal(refused.reason(), refused.message(), ran);
         }
-        return refused(RefusalReason.IDEMPOTENCY_CONFLICT, "an earlier try under this key may have run", Ran.UNKNOWN);
+        return refusal(RefusalReason.IDEMPOTENCY_CONFLICT, "an earlier try under this key may have run", Ran.UNKNOWN);
     }
 
-    private static ClaimReply refused(RefusalReason reason, String message, Ran ran) {
-        return new ClaimReply.Refused(new Refusal(reason, message, ran, reason.passing() ? COME_BACK_MILLIS : 0));
+    private static ClaimReply refusal(RefusalReason reason, String message, Ran ran) {
+        return new ClaimReply.Refused(new Refusal(reason, message, ran, reason.retryable() ? RETRY_DELAY_MILLIS : 0));
     }
 
     /** The committed outcome; null when there is none to rely on. */
-    private static ClaimOutcome decided(CallResult<ClaimAnswer> result) {
+    private static ClaimOutcome committedOutcome(CallResult<ClaimAnswer> result) {
         boolean decided = result instanceof CallResult.Answered<ClaimAnswer> answered
                 && answered.value() instanceof ClaimAnswer.Decided;
         return decided ? ((ClaimAnswer.Decided) ((CallResult.Answered<ClaimAnswer>) result).value()).outcome() : null;
     }
 
-    private static Address leader(CallResult<ClaimAnswer> result) {
+    private static Address leaderHint(CallResult<ClaimAnswer> result) {
         boolean hint = result instanceof CallResult.Answered<ClaimAnswer> answered
                 && answered.value() instanceof ClaimAnswer.NotLeader;
         return hint ? ((ClaimAnswer.NotLeader) ((CallResult.Answered<ClaimAnswer>) result).value()).leader() : null;
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimRegister.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimStore.java
@@ -18,17 +18,17 @@
  * greatest wall clock that any command brought, so that a leader whose clock is behind its predecessor's can't bring an
  * expired key back; were the floor computed from the retention alone, a longer retention set later could.
  */
-final class ClaimRegister {
+final class ClaimStore {
     private final TreeMap<ClaimKey, Claim> claims = new TreeMap<>();
-    private final Map<OrganisationId, Integer> counts = new HashMap<>();
+    private final Map<OrganisationId, Integer> claimCounts = new HashMap<>();
     private long timeMillis;
-    private long floorMillis;
+    private long expiryFloorMillis;
 
-    ClaimRegister() {}
+    ClaimStore() {}
 
-    ClaimRegister(ControlSnapshot from) {
+    ClaimStore(ControlSnapshot from) {
         timeMillis = from.timeMillis();
-        floorMillis = from.claimFloorMillis();
+        expiryFloorMillis = from.claimFloorMillis();
         from.claims().forEach(this::add);
     }
 
@@ -36,8 +36,8 @@
         return timeMillis;
     }
 
-    long floorMillis() {
-        return floorMillis;
+    long expiryFloorMillis() {
+        return expiryFloorMillis;
     }
 
     Collection<Claim> claims() {
@@ -49,7 +49,7 @@
     }
 
     List<ClaimOutcome> begin(Command.BeginClaims command, ControlLimits limits) {
-        advance(command.wallMillis(), limits);
+        advanceTime(command.wallMillis(), limits);
         List<ClaimOutcome> outcomes = new ArrayList<>(command.claims().size());
         for (ClaimBegin each : command.claims()) {
             outcomes.add(begin(each, limits));
@@ -58,7 +58,7 @@
     }
 
     List<ClaimOutcome> finish(Command.FinishClaims command, ControlLimits limits) {
-        advance(command.wallMillis(), limits);
+        advanceTime(command.wallMillis(), limits);
         List<ClaimOutcome> outcomes = new ArrayList<>(command.claims().size());
         for (ClaimFinish each : command.claims()) {
             outcomes.add(finish(each, limits));
@@ -67,23 +67,23 @@
     }
 
     int expire(long wallMillis, ControlLimits limits) {
-        advance(wallMillis, limits);
+        advanceTime(wallMillis, limits);
         int dropped = 0;
-        while (!claims.isEmpty() && expired(claims.firstKey().key())) {
+        while (!claims.isEmpty() && isExpired(claims.firstKey().key())) {
             Claim oldest = claims.pollFirstEntry().getValue();
-            counts.merge(oldest.key().organisation(), -1, ClaimRegister::sumOrNone);
+            claimCounts.merge(oldest.key().organisation(), -1, ClaimStore::sumOrNull);
             dropped++;
         }
         return dropped;
     }
 
-    private void advance(long wallMillis, ControlLimits limits) {
+    private void advanceTime(long wallMillis, ControlLimits limits) {
         timeMillis = Math.max(timeMillis, wallMillis);
-        floorMillis = Math.max(floorMillis, timeMillis - limits.claimRetentionMillis());
+        expiryFloorMillis = Math.max(expiryFloorMillis, timeMillis - limits.claimRetentionMillis());
     }
 
-    private boolean expired(IdempotencyKey key) {
-        return key.issuedMillis() < floorMillis;
+    private boolean isExpired(IdempotencyKey key) {
+        return key.issuedMillis() < expiryFloorMillis;
     }
 
     private ClaimOutcome begin(ClaimBegin begin, ControlLimits limits) {
@@ -92,14 +92,14 @@
             return new ClaimOutcome.Refused(
                     RefusalReason.BAD_REQUEST, "the idempotency key was mistyped or made for another organisation");
         }
-        if (expired(key.key())) {
+        if (isExpired(key.key())) {
             return new ClaimOutcome.Refused(
                     RefusalReason.KEY_EXPIRED,
                     "the idempotency key was issued too long ago; whether its call ran is no longer known");
         }
         Claim held = claims.get(key);
         if (held != null) {
-            return beginAgain(held, begin);
+            return beginExisting(held, begin);
         }
         Optional<ClaimOutcome> refusal = newClaimRefusal(key, limits);
         if (refusal.isPresent()) {
@@ -114,7 +114,7 @@
             return Optional.of(new ClaimOutcome.Refused(
                     RefusalReason.BAD_REQUEST, "the idempotency key's issue time lies too far in the future"));
         }
-        if (counts.getOrDefault(key.organisation(), 0) >= limits.claimsPerOrganisation()) {
+        if (claimCounts.getOrDefault(key.organisation(), 0) >= limits.claimsPerOrganisation()) {
             return Optional.of(new ClaimOutcome.Refused(
                     RefusalReason.OVER_LIMIT, "the organisation has too many idempotency keys in use"));
         }
@@ -125,7 +125,7 @@
         return Optional.empty();
     }
 
-    private ClaimOutcome beginAgain(Claim held, ClaimBegin begin) {
+    private ClaimOutcome beginExisting(Claim held, ClaimBegin begin) {
         if (!held.requestDigest().equals(begin.requestDigest())) {
             return new ClaimOutcome.Refused(
                     RefusalReason.IDEMPOTENCY_CONFLICT, "the idempotency key was used for another request");
@@ -139,7 +139,7 @@
                         ? new ClaimOutcome.Granted()
                         : new ClaimOutcome.MayHaveRun(held.owner().host());
             case RELEASED:
-                return same ? new ClaimOutcome.NotOwner() : takeOver(begin);
+                return same ? new ClaimOutcome.NotOwner() : reassignReleased(begin);
             default:
                 throw new IllegalStateException("unknown claim state " + held.state());
         }
@@ -149,7 +149,7 @@
      * A released claim never goes back to the session that released it: a begin of that session which arrives late would
      * leave the claim begun with nobody to finish it.
      */
-    private ClaimOutcome takeOver(ClaimBegin begin) {
+    private ClaimOutcome reassignReleased(ClaimBegin begin) {
         claims.put(begin.key(), new Claim(begin.key(), begin.requestDigest(), begin.owner(), ClaimState.BEGUN, null));
         return new ClaimOutcome.Granted();
     }
@@ -166,17 +166,18 @@
         if (held.state() != ClaimState.BEGUN) {
             return new ClaimOutcome.NotOwner();
         }
-        RecordedAnswer answer = finish.answer() == null ? null : finish.answer().within(limits.recordedBodyBytes());
+        RecordedAnswer answer =
+                finish.answer() == null ? null : finish.answer().truncatedTo(limits.recordedBodyBytes());
         claims.put(finish.key(), new Claim(finish.key(), held.requestDigest(), held.owner(), wanted, answer));
         return new ClaimOutcome.Finished();
     }
 
     private void add(Claim claim) {
         claims.put(claim.key(), claim);
-        counts.merge(claim.key().organisation(), 1, Integer::sum);
+        claimCounts.merge(claim.key().organisation(), 1, Integer::sum);
     }
 
-    private static Integer sumOrNone(int count, int change) {
+    private static Integer sumOrNull(int count, int change) {
         return count + change == 0 ? null : count + change;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/ControlState.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ControlState.java
@@ -22,25 +22,25 @@
  * paper), reads no clock and draws no random number. Not safe for concurrent use: whoever applies commands guards it.
  */
 public final class ControlState {
-    private final TicketRegister tickets;
-    private final MemberRegister members;
-    private final ClaimRegister claims;
+    private final TicketStore tickets;
+    private final MemberStore members;
+    private final ClaimStore claims;
     private ControlLimits limits;
     private FencingNumber fencing;
     private long index;
 
     public ControlState() {
-        tickets = new TicketRegister();
-        members = new MemberRegister();
-        claims = new ClaimRegister();
+        tickets = new TicketStore();
+        members = new MemberStore();
+        claims = new ClaimStore();
         limits = ControlLimits.DEFAULT;
         fencing = FencingNumber.of(0);
     }
 
     private ControlState(ControlSnapshot from) {
-        tickets = new TicketRegister(from);
-        members = new MemberRegister(from);
-        claims = new ClaimRegister(from);
+        tickets = new TicketStore(from);
+        members = new MemberStore(from);
+        claims = new ClaimStore(from);
         limits = from.limits();
         fencing = from.fencing();
         index = from.index();
@@ -119,7 +119,7 @@
         if (from.compareTo(current.version()) >= 0) {
             return new ConfigDelta(from, current.version(), List.of());
         }
-        return current.since(from);
+        return current.changesSince(from);
     }
 
     /** Number of the newest change of the members. */
@@ -136,7 +136,7 @@
     }
 
     public MembersDelta membersSince(long from) {
-        return members.since(from);
+        return members.changesSince(from);
     }
 
     /** The accepted ticket of a number, or else the first one refused under it, while retained. */
@@ -176,7 +176,7 @@
                 new ArrayList<>(members.members()),
                 new ArrayList<>(members.ended()),
                 claims.timeMillis(),
-                claims.floorMillis(),
+                claims.expiryFloorMillis(),
                 new ArrayList<>(claims.claims()));
     }
 
@@ -187,11 +187,11 @@
         return objects;
     }
 
-    Optional<Incarnation> replacement(HostRecord host) {
-        return members.replacement(host);
+    Optional<Incarnation> replacingIncarnation(HostRecord host) {
+        return members.replacingIncarnation(host);
     }
 
-    HostRecord merged(HostRecord host) {
-        return members.merged(host);
+    HostRecord mergeLeaving(HostRecord host) {
+        return members.mergeLeaving(host);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/HostLease.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/HostLease.java
@@ -7,11 +7,11 @@
  * leader, which counts from when the request arrived, always takes it to last longer than the entry does.
  *
  * <p>A process that was frozen wakes with its lease long over and the world changed: its host replaced, tickets in
- * force that it never saw. It must call {@link #check} with a clock read after it woke, on every admission and again
+ * force that it never saw. It must call {@link #isValid} with a clock read after it woke, on every admission and again
  * right before every claimed call, and then acts only on a lease that is still good. The clock must be monotonic and
  * run on while the process is stopped, as Linux's CLOCK_MONOTONIC does.
  *
- * <p>Take in a grant's configuration before {@link #granted}, so that no request is admitted under an older one.
+ * <p>Take in a grant's configuration before {@link #recordGrant}, so that no request is admitted under an older one.
  */
 public final class HostLease {
     private long untilNanos;
@@ -23,7 +23,7 @@
      *
      * @param askedNanos this process's clock when it sent the request that was granted
      */
-    public synchronized void granted(long askedNanos, long leaseMillis) {
+    public synchronized void recordGrant(long askedNanos, long leaseMillis) {
         long until = askedNanos + TimeUnit.MILLISECONDS.toNanos(leaseMillis);
         untilNanos = held && untilNanos - until > 0 ? untilNanos : until;
         held = true;
@@ -35,7 +35,7 @@
     }
 
     /** Whether this process may admit work or send a claimed call now. */
-    public boolean check(long nowNanos) {
+    public boolean isValid(long nowNanos) {
         return remainingNanos(nowNanos) > 0;
     }
 
--- a/elmline-core/src/main/java/org/elmline/core/control/IdempotencyKey.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/IdempotencyKey.java
@@ -20,10 +20,10 @@
  * made for another organisation; it is no secret.
  */
 public final class IdempotencyKey implements Comparable<IdempotencyKey> {
-    private static final Pattern FORM = Pattern.compile("([0-9a-z]{1,11})-([0-9a-z]{8,32})-([0-9a-f]{10})");
+    private static final Pattern FORMAT = Pattern.compile("([0-9a-z]{1,11})-([0-9a-z]{8,32})-([0-9a-f]{10})");
     private static final int RADIX = 36;
     private static final int RANDOM_LENGTH = 16;
-    private static final int CHECK_LENGTH = 10;
+    private static final int CHECKSUM_LENGTH = 10;
 
     private final String value;
     private final long issuedMillis;
@@ -39,12 +39,12 @@
         for (int i = 0; i < RANDOM_LENGTH; i++) {
             body.append(Character.forDigit(random.nextInt(RADIX), RADIX));
         }
-        return new IdempotencyKey(body + "-" + check(organisation, body.toString()), wallMillis);
+        return new IdempotencyKey(body + "-" + checksum(organisation, body.toString()), wallMillis);
     }
 
     /** The key that a text spells, empty when it isn't in the form of one. */
     public static Optional<IdempotencyKey> parse(String text) {
-        Matcher matcher = FORM.matcher(text == null ? "" : text);
+        Matcher matcher = FORMAT.matcher(text == null ? "" : text);
         if (!matcher.matches()) {
             return Optional.empty();
         }
@@ -58,8 +58,8 @@
 
     /** Whether the check at the end was made for this organisation. */
     public boolean belongsTo(OrganisationId organisation) {
-        int end = value.length() - CHECK_LENGTH;
-        return value.substring(end).equals(check(organisation, value.substring(0, end - 1)));
+        int end = value.length() - CHECKSUM_LENGTH;
+        return value.substring(end).equals(checksum(organisation, value.substring(0, end - 1)));
     }
 
     @JsonValue
@@ -93,8 +93,8 @@
         return value;
     }
 
-    private static String check(OrganisationId organisation, String body) {
+    private static String checksum(OrganisationId organisation, String body) {
         String bound = organisation + "/" + body;
-        return Sha256.hex(bound.getBytes(StandardCharsets.UTF_8)).substring(0, CHECK_LENGTH);
+        return Sha256.hex(bound.getBytes(StandardCharsets.UTF_8)).substring(0, CHECKSUM_LENGTH);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseKeeper.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseManager.java
@@ -19,27 +19,27 @@
  * commands a second to sync, for a fact that is void seconds later. What a new leader can't know for that is covered by
  * its taking every member to hold a lease for one whole length from its start.
  */
-public final class LeaseKeeper {
+public final class LeaseManager {
     private final ControlState state;
     private final LeaseSettings settings;
     private final long settledNanos;
-    private final Map<Process, Holder> holders = new HashMap<>();
+    private final Map<HostProcess, LeaseState> leases = new HashMap<>();
 
     /** One start of a host. A replaced process may hold its lease for a while beside the one that replaced it. */
-    private record Process(HostId host, Incarnation incarnation) {
-        static Process of(HostRecord host) {
-            return new Process(host.id(), host.incarnation());
+    private record HostProcess(HostId host, Incarnation incarnation) {
+        static HostProcess of(HostRecord host) {
+            return new HostProcess(host.id(), host.incarnation());
         }
     }
 
-    private final class Holder {
+    private final class LeaseState {
         private long untilNanos = settledNanos;
         private ConfigVersion inForce = ConfigVersion.of(0);
-        private long endingAt = -1;
+        private long endProposedVersion = -1;
 
         /** A process that is about to join gets this too, or its membership would end before its first grant. */
         private void extend(long askedNanos) {
-            long until = askedNanos + settings.leaderNanos();
+            long until = askedNanos + settings.leaderLeaseNanos();
             untilNanos = untilNanos - until >= 0 ? untilNanos : until;
         }
     }
@@ -48,10 +48,10 @@
      * @param state the leader's state with its own {@link Command.StartLeadership} applied, so that it knows every
      *     member that an earlier leader granted a lease
      */
-    public LeaseKeeper(ControlState state, LeaseSettings settings, long startedNanos) {
+    public LeaseManager(ControlState state, LeaseSettings settings, long startedNanos) {
         this.state = state;
         this.settings = settings;
-        this.settledNanos = startedNanos + settings.leaderNanos();
+        this.settledNanos = startedNanos + settings.leaderLeaseNanos();
     }
 
     /**
@@ -65,20 +65,20 @@
             return new LeaseDecision.Answer(new LeaseAnswer.NotLeader(null));
         }
         HostRecord host = request.host();
-        Optional<Incarnation> replacement = state.replacement(host);
+        Optional<Incarnation> replacement = state.replacingIncarnation(host);
         if (replacement.isPresent()) {
             return new LeaseDecision.Answer(new LeaseAnswer.Replaced(replacement.get()));
         }
         Optional<Member> member = state.member(host.id());
-        if (member.isEmpty() || !member.get().host().equals(state.merged(host)) || ending(member.get())) {
-            holder(Process.of(host)).extend(nowNanos);
+        if (member.isEmpty() || !member.get().host().equals(state.mergeLeaving(host)) || isEndProposed(member.get())) {
+            leaseOf(HostProcess.of(host)).extend(nowNanos);
             return new LeaseDecision.Join(new Command.JoinHost(host));
         }
         return new LeaseDecision.Answer(grant(request, nowNanos, controlHosts));
     }
 
     private LeaseAnswer grant(LeaseRequest request, long nowNanos, List<Address> controlHosts) {
-        Holder holder = holder(Process.of(request.host()));
+        LeaseState holder = leaseOf(HostProcess.of(request.host()));
         holder.extend(nowNanos);
         holder.inForce = request.inForce().compareTo(holder.inForce) > 0 ? request.inForce() : holder.inForce;
         return new LeaseAnswer.Granted(
@@ -92,49 +92,49 @@
      * Whether this membership's end is proposed. It is granted nothing more: the end may be committed already, and a
      * lease granted after it would belong to a host that no longer counts for "in force".
      */
-    private boolean ending(Member member) {
-        Holder holder = holders.get(Process.of(member.host()));
-        return holder != null && holder.endingAt == member.version();
+    private boolean isEndProposed(Member member) {
+        LeaseState holder = leases.get(HostProcess.of(member.host()));
+        return holder != null && holder.endProposedVersion == member.version();
     }
 
     /** The memberships whose leases are over. Proposed again at each call until applied. */
-    public List<Command.EndHost> ended(long nowNanos) {
+    public List<Command.EndHost> endExpired(long nowNanos) {
         List<Command.EndHost> over = new ArrayList<>();
         for (Member each : state.members()) {
             if (nowNanos - untilNanos(each) < 0) {
                 continue;
             }
-            Process process = Process.of(each.host());
-            holder(process).endingAt = each.version();
+            HostProcess process = HostProcess.of(each.host());
+            leaseOf(process).endProposedVersion = each.version();
             over.add(new Command.EndHost(process.host(), process.incarnation(), each.version()));
         }
-        forgetPast(nowNanos);
+        evictExpired(nowNanos);
         return over;
     }
 
-    private void forgetPast(long nowNanos) {
-        Iterator<Map.Entry<Process, Holder>> each = holders.entrySet().iterator();
+    private void evictExpired(long nowNanos) {
+        Iterator<Map.Entry<HostProcess, LeaseState>> each = leases.entrySet().iterator();
         while (each.hasNext()) {
-            Map.Entry<Process, Holder> next = each.next();
+            Map.Entry<HostProcess, LeaseState> next = each.next();
             if (nowNanos - next.getValue().untilNanos >= 0 && !isMember(next.getKey())) {
                 each.remove();
             }
         }
     }
 
-    private boolean isMember(Process process) {
+    private boolean isMember(HostProcess process) {
         return state.member(process.host())
                 .filter(m -> m.host().incarnation().equals(process.incarnation()))
                 .isPresent();
     }
 
     private long untilNanos(Member member) {
-        Holder holder = holders.get(Process.of(member.host()));
+        LeaseState holder = leases.get(HostProcess.of(member.host()));
         return holder == null ? settledNanos : holder.untilNanos;
     }
 
     /** Whether leases may still run that an earlier leader granted to processes replaced since. */
-    public boolean settling(long nowNanos) {
+    public boolean isSettling(long nowNanos) {
         return nowNanos - settledNanos < 0;
     }
 
@@ -143,7 +143,7 @@
         List<HostId> outstanding = ticket.outcome() instanceof TicketOutcome.Accepted accepted
                 ? outstanding(accepted.version(), nowNanos)
                 : List.of();
-        boolean inForce = ticket.accepted() && outstanding.isEmpty() && !settling(nowNanos);
+        boolean inForce = ticket.accepted() && outstanding.isEmpty() && !isSettling(nowNanos);
         return new TicketStatus(
                 ticket.number(),
                 ticket.author(),
@@ -151,27 +151,27 @@
                 ticket.outcome(),
                 inForce,
                 outstanding,
-                settling(nowNanos));
+                isSettling(nowNanos));
     }
 
     /** Hosts that may hold a lease and haven't acknowledged this version, in order of their ids. */
     public List<HostId> outstanding(ConfigVersion version, long nowNanos) {
         TreeSet<HostId> found = new TreeSet<>();
-        for (Map.Entry<Process, Holder> each : holders.entrySet()) {
-            Holder holder = each.getValue();
+        for (Map.Entry<HostProcess, LeaseState> each : leases.entrySet()) {
+            LeaseState holder = each.getValue();
             if (nowNanos - holder.untilNanos < 0 && holder.inForce.compareTo(version) < 0) {
                 found.add(each.getKey().host());
             }
         }
         for (Member each : state.members()) {
-            if (settling(nowNanos) && !holders.containsKey(Process.of(each.host()))) {
+            if (isSettling(nowNanos) && !leases.containsKey(HostProcess.of(each.host()))) {
                 found.add(each.host().id());
             }
         }
         return List.copyOf(found);
     }
 
-    private Holder holder(Process process) {
-        return holders.computeIfAbsent(process, p -> new Holder());
+    private LeaseState leaseOf(HostProcess process) {
+        return leases.computeIfAbsent(process, p -> new LeaseState());
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseSettings.java
@@ -19,7 +19,7 @@
     }
 
     /** Nanoseconds after a request until the leader takes the lease to be over. */
-    long leaderNanos() {
+    long leaderLeaseNanos() {
         return TimeUnit.MILLISECONDS.toNanos(leaseMillis + graceMillis);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/MemberRegister.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/MemberStore.java
@@ -11,15 +11,15 @@
 import org.elmline.core.common.Incarnation;
 
 /** The live hosts. Only their comings, goings and changes are replicated; renewals stay in the leader's memory. */
-final class MemberRegister {
+final class MemberStore {
     private final TreeMap<HostId, Member> members = new TreeMap<>();
     private final TreeMap<HostId, EndedHost> ended = new TreeMap<>();
     private long version;
     private long floor;
 
-    MemberRegister() {}
+    MemberStore() {}
 
-    MemberRegister(ControlSnapshot from) {
+    MemberStore(ControlSnapshot from) {
         from.members().forEach(m -> members.put(m.host().id(), m));
         from.ended().forEach(e -> ended.put(e.id(), e));
         version = from.membersVersion();
@@ -47,7 +47,7 @@
     }
 
     /** The incarnation that keeps this process from joining, if one does. */
-    Optional<Incarnation> replacement(HostRecord host) {
+    Optional<Incarnation> replacingIncarnation(HostRecord host) {
         Member live = members.get(host.id());
         if (live == null) {
             EndedHost over = ended.get(host.id());
@@ -63,7 +63,7 @@
      * The record that a join would leave. A process that was leaving stays so: an older renewal that arrives late would
      * otherwise offer a stopping host to callers again.
      */
-    HostRecord merged(HostRecord host) {
+    HostRecord mergeLeaving(HostRecord host) {
         Member live = members.get(host.id());
         boolean wasLeaving = live != null
                 && live.host().leaving()
@@ -83,11 +83,11 @@
     }
 
     CommandResult join(HostRecord host) {
-        Optional<Incarnation> by = replacement(host);
+        Optional<Incarnation> by = replacingIncarnation(host);
         if (by.isPresent()) {
             return new CommandResult.HostReplaced(by.get());
         }
-        HostRecord merged = merged(host);
+        HostRecord merged = mergeLeaving(host);
         version++;
         members.put(host.id(), new Member(merged, version));
         ended.remove(host.id());
@@ -105,11 +105,11 @@
         members.remove(end.host());
         version++;
         ended.put(end.host(), new EndedHost(end.host(), end.incarnation(), version));
-        dropOver(limit);
+        evictExcess(limit);
         return new CommandResult.HostEnded(true);
     }
 
-    MembersDelta since(long from) {
+    MembersDelta changesSince(long from) {
         boolean full = from <= 0 || from < floor || from > version;
         List<HostRecord> changed = new ArrayList<>();
         for (Member each : members.values()) {
@@ -126,7 +126,7 @@
         return new MembersDelta(from, version, full, changed, removed);
     }
 
-    private void dropOver(int limit) {
+    private void evictExcess(int limit) {
         while (ended.size() > limit) {
             EndedHost oldest = ended.values().stream()
                     .min(Comparator.comparingLong(EndedHost::version))
--- a/elmline-core/src/main/java/org/elmline/core/control/ObservedEngine.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ObservedEngine.java
@@ -8,7 +8,7 @@
  *
  * @param checksFencing whether it says that it refuses old fencing numbers
  * @param state null when it was never read
- * @param readNanos the leader's monotonic clock when it asked for {@code state}
+ * @param observedNanos the leader's monotonic clock when it asked for {@code state}
  */
 public record ObservedEngine(
-        BackendServerId id, boolean checksFencing, boolean leaving, EngineState state, long readNanos) {}
+        BackendServerId id, boolean checksFencing, boolean leaving, EngineState state, long observedNanos) {}
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
@@ -25,22 +25,23 @@
  */
 public final class OrderPlanner {
     /** An order gets up to half of what remains of the lease, and isn't sent for less than this part of its timeout. */
-    private static final int LEAST_PART_OF_TIMEOUT = 10;
+    private static final int MIN_TIMEOUT_DIVISOR = 10;
 
     private final OrderSettings settings;
     private final Leadership leadership;
-    private final TokenBucket loads;
-    private final Map<BackendServerId, Sent> sent = new HashMap<>();
+    private final TokenBucket loadRateLimit;
+    private final Map<BackendServerId, SentOrder> lastOrders = new HashMap<>();
     private final Map<BackendServerId, EngineOrder> rejected = new HashMap<>();
     private boolean deposed;
 
     /** The last order to an engine; {@code shown} once its state was read back with it. */
-    private record Sent(EngineOrder order, long atNanos, boolean shown) {}
+    private record SentOrder(EngineOrder order, long sentAtNanos, boolean observed) {}
 
     public OrderPlanner(OrderSettings settings, Leadership leadership) {
         this.settings = settings;
         this.leadership = leadership;
-        this.loads = new TokenBucket(settings.loadsPerMinute(), settings.loadBurst(), leadership.startedNanos());
+        this.loadRateLimit =
+                new TokenBucket(settings.loadsPerMinute(), settings.loadBurst(), leadership.startedNanos());
     }
 
     /**
@@ -53,38 +54,39 @@
             Configuration configuration, Collection<ObservedEngine> engines, long nowNanos, long leaderUntilNanos) {
         Map<BackendServerId, ObservedEngine> byId = new TreeMap<>();
         engines.forEach(e -> byId.put(e.id(), e));
-        sent.keySet().retainAll(byId.keySet());
+        lastOrders.keySet().retainAll(byId.keySet());
         rejected.keySet().retainAll(byId.keySet());
-        byId.values().forEach(this::markShown);
-        Round round = new Round(configuration, nowNanos, leaderUntilNanos, readyReplicas(byId.values(), nowNanos));
+        byId.values().forEach(this::markObserved);
+        PlanningPass round =
+                new PlanningPass(configuration, nowNanos, leaderUntilNanos, readyReplicas(byId.values(), nowNanos));
         for (ObservedEngine each : byId.values()) {
-            round.consider(each);
+            round.planEngine(each);
         }
         return new OrderPlan(round.orders, round.held);
     }
 
     /** Takes an engine's answer to an order. */
-    public void answered(BackendServerId server, EngineOrder order, OrderAnswer answer) {
+    public void onAnswer(BackendServerId server, EngineOrder order, OrderAnswer answer) {
         if (answer == OrderAnswer.STALE_FENCING_NUMBER) {
             deposed = true;
         }
         if (answer == OrderAnswer.INVALID) {
             rejected.put(server, order);
-            sent.remove(server);
+            lastOrders.remove(server);
         }
     }
 
-    private void markShown(ObservedEngine engine) {
-        Sent last = sent.get(engine.id());
-        boolean readSince = last != null && engine.state() != null && engine.readNanos() - last.atNanos() > 0;
-        if (readSince && shows(engine.state(), last.order())) {
-            sent.put(engine.id(), new Sent(last.order(), last.atNanos(), true));
+    private void markObserved(ObservedEngine engine) {
+        SentOrder last = lastOrders.get(engine.id());
+        boolean readSince = last != null && engine.state() != null && engine.observedNanos() - last.sentAtNanos() > 0;
+        if (readSince && matches(engine.state(), last.order())) {
+            lastOrders.put(engine.id(), new SentOrder(last.order(), last.sentAtNanos(), true));
         }
     }
 
-    private boolean isAwaited(BackendServerId server) {
-        Sent last = sent.get(server);
-        return last != null && !last.shown();
+    private boolean isAwaitingEffect(BackendServerId server) {
+        SentOrder last = lastOrders.get(server);
+        return last != null && !last.observed();
     }
 
     /**
@@ -94,7 +96,7 @@
     private Map<ModelName, Integer> readyReplicas(Collection<ObservedEngine> engines, long nowNanos) {
         Map<ModelName, Integer> ready = new HashMap<>();
         for (ObservedEngine each : engines) {
-            boolean counts = isFresh(each, nowNanos) && !each.leaving() && !isAwaited(each.id());
+            boolean counts = isFresh(each, nowNanos) && !each.leaving() && !isAwaitingEffect(each.id());
             if (counts && each.state().ready()) {
                 ready.merge(each.state().model(), 1, Integer::sum);
             }
@@ -103,10 +105,10 @@
     }
 
     private boolean isFresh(ObservedEngine engine, long nowNanos) {
-        return engine.state() != null && nowNanos - engine.readNanos() < settings.freshNanos();
+        return engine.state() != null && nowNanos - engine.observedNanos() < settings.maxStateAgeNanos();
     }
 
-    private static boolean shows(EngineState state, EngineOrder order) {
+    private static boolean matches(EngineState state, EngineOrder order) {
         return state.model().equals(order.model())
                 && state.version().equals(order.version())
                 && new HashSet<>(state.adapters()).equals(new HashSet<>(order.adapters()))
@@ -114,26 +116,26 @@
     }
 
     /** One pass over the engines; what is ordered early in it counts for the floor and the rate of the later ones. */
-    private final class Round {
+    private final class PlanningPass {
         private final Configuration configuration;
         private final long nowNanos;
-        private final long untilNanos;
-        private final boolean leaseLasts;
-        private final Map<ModelName, Integer> ready;
+        private final long sendDeadlineNanos;
+        private final boolean leaseLongEnough;
+        private final Map<ModelName, Integer> readyReplicas;
         private final List<PlannedOrder> orders = new ArrayList<>();
         private final List<OrderPlan.Held> held = new ArrayList<>();
 
-        private Round(
+        private PlanningPass(
                 Configuration configuration, long nowNanos, long leaderUntilNanos, Map<ModelName, Integer> ready) {
             this.configuration = configuration;
             this.nowNanos = nowNanos;
             long limit = Math.min(settings.timeoutNanos(), (leaderUntilNanos - nowNanos) / 2);
-            this.untilNanos = nowNanos + limit;
-            this.leaseLasts = limit >= settings.timeoutNanos() / LEAST_PART_OF_TIMEOUT;
-            this.ready = ready;
+            this.sendDeadlineNanos = nowNanos + limit;
+            this.leaseLongEnough = limit >= settings.timeoutNanos() / MIN_TIMEOUT_DIVISOR;
+            this.readyReplicas = ready;
         }
 
-        private void consider(ObservedEngine engine) {
+        private void planEngine(ObservedEngine engine) {
             VersionedObject found =
                     configuration.object("backend-role/" + engine.id()).orElse(null);
             if (found == null || engine.leaving()) {
@@ -150,7 +152,7 @@
                     role.version(),
                     role.adapters(),
                     role.role().isEmpty() ? engine.state().role() : role.role());
-            if (shows(engine.state(), wanted) && !isAwaited(engine.id())) {
+            if (matches(engine.state(), wanted) && !isAwaitingEffect(engine.id())) {
                 return;
             }
             HoldReason reason = holdReason(engine, role, wanted);
@@ -158,7 +160,7 @@
                 hold(engine, reason);
                 return;
             }
-            send(engine, wanted);
+            addOrder(engine, wanted);
         }
 
         private void hold(ObservedEngine engine, HoldReason reason) {
@@ -166,7 +168,7 @@
         }
 
         private HoldReason holdReason(ObservedEngine engine, BackendRole role, EngineOrder wanted) {
-            if (deposed || !leaseLasts) {
+            if (deposed || !leaseLongEnough) {
                 return HoldReason.LEADER_LEASE;
             }
             if (configuration.model(role.model()).isEmpty()) {
@@ -176,37 +178,41 @@
                 return HoldReason.REJECTED;
             }
             boolean checksFencing = engine.checksFencing() && role.checksFencing();
-            if (!settledFor(engine) && (!checksFencing || isDisruptive(engine))) {
+            if (!isSettledFor(engine) && (!checksFencing || isDisruptive(engine))) {
                 return HoldReason.LEADER_SETTLING;
             }
-            Sent last = sent.get(engine.id());
-            if (isEarlierOnItsWay(last, wanted)) {
+            SentOrder last = lastOrders.get(engine.id());
+            if (isEarlierOrderInFlight(last, wanted)) {
                 return HoldReason.EARLIER_ORDER;
             }
-            boolean awaited = isAwaited(engine.id());
+            boolean awaited = isAwaitingEffect(engine.id());
             if (awaited && last.order().equals(wanted)) {
-                return nowNanos - last.atNanos() < settings.repeatNanos() ? HoldReason.AWAITING_EFFECT : null;
+                return nowNanos - last.sentAtNanos() < settings.repeatNanos() ? HoldReason.AWAITING_EFFECT : null;
             }
-            if (!awaited && isDisruptive(engine) && !aboveFloor(engine.state().model())) {
+            if (!awaited
+                    && isDisruptive(engine)
+                    && !staysAboveFloor(engine.state().model())) {
                 return HoldReason.READY_FLOOR;
             }
-            return needsLoad(engine.state(), wanted) && !loads.take(nowNanos) ? HoldReason.LOAD_RATE : null;
+            return needsLoad(engine.state(), wanted) && !loadRateLimit.tryTake(nowNanos) ? HoldReason.LOAD_RATE : null;
         }
 
         /**
          * An engine that is slow to act on an order, or on a repeat of one, would go back to it after the next one was
          * in effect: both carry the same fencing number. The replica would stop being ready with nobody expecting it.
          */
-        private boolean isEarlierOnItsWay(Sent last, EngineOrder wanted) {
-            return last != null && !last.order().equals(wanted) && nowNanos - last.atNanos() < leadership.leaseNanos();
+        private boolean isEarlierOrderInFlight(SentOrder last, EngineOrder wanted) {
+            return last != null
+                    && !last.order().equals(wanted)
+                    && nowNanos - last.sentAtNanos() < leadership.leaseNanos();
         }
 
         /**
          * A state read before the earlier leader's lease was over may miss the effect of its last orders, and an order
          * of ours could meet one of its own on the way.
          */
-        private boolean settledFor(ObservedEngine engine) {
-            return engine.readNanos() - leadership.settledNanos() >= 0;
+        private boolean isSettledFor(ObservedEngine engine) {
+            return engine.observedNanos() - leadership.settledNanos() >= 0;
         }
 
         /** Whether the engine serves a model now that an order takes out of service for a while. */
@@ -215,9 +221,9 @@
             return state.ready() && configuration.model(state.model()).isPresent();
         }
 
-        private boolean aboveFloor(ModelName model) {
+        private boolean staysAboveFloor(ModelName model) {
             int floor = configuration.model(model).orElseThrow().minReadyReplicas();
-            return ready.getOrDefault(model, 0) - 1 >= floor;
+            return readyReplicas.getOrDefault(model, 0) - 1 >= floor;
         }
 
         private boolean needsLoad(EngineState state, EngineOrder wanted) {
@@ -226,12 +232,12 @@
                     || !state.adapters().containsAll(wanted.adapters());
         }
 
-        private void send(ObservedEngine engine, EngineOrder wanted) {
-            if (!isAwaited(engine.id()) && engine.state().ready()) {
-                ready.merge(engine.state().model(), -1, Integer::sum);
+        private void addOrder(ObservedEngine engine, EngineOrder wanted) {
+            if (!isAwaitingEffect(engine.id()) && engine.state().ready()) {
+                readyReplicas.merge(engine.state().model(), -1, Integer::sum);
             }
-            sent.put(engine.id(), new Sent(wanted, nowNanos, false));
-            orders.add(new PlannedOrder(engine.id(), wanted, untilNanos));
+            lastOrders.put(engine.id(), new SentOrder(wanted, nowNanos, false));
+            orders.add(new PlannedOrder(engine.id(), wanted, sendDeadlineNanos));
         }
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderSettings.java
@@ -7,16 +7,16 @@
  *
  * @param timeoutMillis longest that sending one order may take
  * @param repeatMillis time after which an order that hasn't shown in the engine's state is sent again
- * @param freshMillis age at which a state read from an engine says nothing any more
+ * @param maxStateAgeMillis age at which a state read from an engine says nothing any more
  * @param loadsPerMinute weight loads that the weight store allows a minute, over all engines
  * @param loadBurst weight loads that may start at once after a quiet time
  */
 public record OrderSettings(
-        long timeoutMillis, long repeatMillis, long freshMillis, double loadsPerMinute, double loadBurst) {
+        long timeoutMillis, long repeatMillis, long maxStateAgeMillis, double loadsPerMinute, double loadBurst) {
     public static final OrderSettings DEFAULT = new OrderSettings(1_000, 3_000, 5_000, 12, 4);
 
     public OrderSettings {
-        if (timeoutMillis < 1 || repeatMillis < timeoutMillis || freshMillis < 1) {
+        if (timeoutMillis < 1 || repeatMillis < timeoutMillis || maxStateAgeMillis < 1) {
             throw new IllegalArgumentException("timeoutMillis must be at least 1 and at most repeatMillis");
         }
         if (loadsPerMinute <= 0 || loadBurst < 1) {
@@ -32,7 +32,7 @@
         return TimeUnit.MILLISECONDS.toNanos(repeatMillis);
     }
 
-    long freshNanos() {
-        return TimeUnit.MILLISECONDS.toNanos(freshMillis);
+    long maxStateAgeNanos() {
+        return TimeUnit.MILLISECONDS.toNanos(maxStateAgeMillis);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/RecordedAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/RecordedAnswer.java
@@ -24,7 +24,7 @@
     public record Header(String name, String value) {}
 
     /** This answer within a limit: a body over it is left out, and headers that don't fit besides it are too. */
-    RecordedAnswer within(int bodyBytes) {
+    RecordedAnswer truncatedTo(int bodyBytes) {
         boolean fits = body == null || body.length <= bodyBytes;
         int headerBytes = 0;
         for (Header each : headers) {
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketDigest.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketDigest.java
@@ -43,7 +43,7 @@
         writeText(out, object.key());
         for (RecordComponent each : object.getClass().getRecordComponents()) {
             writeText(out, each.getName());
-            writeValue(out, read(each, object));
+            writeValue(out, componentValue(each, object));
         }
     }
 
@@ -70,7 +70,7 @@
         out.write(bytes);
     }
 
-    private static Object read(RecordComponent component, Object of) {
+    private static Object componentValue(RecordComponent component, Object of) {
         try {
             return component.getAccessor().invoke(of);
         } catch (ReflectiveOperationException e) {
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketRegister.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketStore.java
@@ -22,15 +22,15 @@
  * bounded number of tickets: the decision, for a resend to find. A number at or below the highest one dropped is
  * refused, so a ticket whose record is gone is never applied a second time.
  */
-final class TicketRegister {
+final class TicketStore {
     private final TreeMap<TicketNumber, List<TicketRecord>> records = new TreeMap<>();
     private Configuration configuration = Configuration.EMPTY;
     private TicketNumber floor;
-    private int size;
+    private int recordCount;
 
-    TicketRegister() {}
+    TicketStore() {}
 
-    TicketRegister(ControlSnapshot from) {
+    TicketStore(ControlSnapshot from) {
         configuration = Configuration.EMPTY.with(new ConfigDelta(ConfigVersion.of(0), from.version(), from.objects()));
         floor = from.ticketFloor();
         for (TicketRecord each : from.tickets()) {
@@ -56,7 +56,7 @@
         TicketOutcome outcome = refusal.isPresent() ? refusal.get() : accept(ticket);
         if (floor == null || ticket.number().compareTo(floor) > 0) {
             put(TicketRecord.of(ticket, digest, outcome));
-            dropOver(limit);
+            evictExcess(limit);
         }
         return outcome;
     }
@@ -83,7 +83,7 @@
     }
 
     List<TicketRecord> records() {
-        List<TicketRecord> all = new ArrayList<>(size);
+        List<TicketRecord> all = new ArrayList<>(recordCount);
         records.values().forEach(all::addAll);
         return all;
     }
@@ -104,7 +104,7 @@
     private Optional<TicketOutcome> refusal(Ticket ticket) {
         Optional<TicketRecord> winner = record(ticket.number()).filter(TicketRecord::accepted);
         if (winner.isPresent()) {
-            return refuse(RefusalReason.TICKET_NUMBER_TAKEN, taken(winner.get()));
+            return refuse(RefusalReason.TICKET_NUMBER_TAKEN, numberTakenMessage(winner.get()));
         }
         if (floor != null && ticket.number().compareTo(floor) <= 0) {
             return refuse(
@@ -121,12 +121,12 @@
                                 + held.get().ticket());
             }
         }
-        return new TicketCheck(configuration, ticket.objects())
-                .fault(ticket.objects())
+        return new TicketValidator(configuration, ticket.objects())
+                .findError(ticket.objects())
                 .flatMap(fault -> refuse(RefusalReason.BAD_REQUEST, fault));
     }
 
-    private static String taken(TicketRecord winner) {
+    private static String numberTakenMessage(TicketRecord winner) {
         return "number " + winner.number() + " belongs to the ticket of " + winner.author() + " with digest "
                 + winner.digest() + " on " + String.join(", ", winner.keys());
     }
@@ -148,14 +148,14 @@
 
     private void put(TicketRecord each) {
         records.computeIfAbsent(each.number(), n -> new ArrayList<>(1)).add(each);
-        size++;
+        recordCount++;
     }
 
-    private void dropOver(int limit) {
-        while (size > limit) {
+    private void evictExcess(int limit) {
+        while (recordCount > limit) {
             Map.Entry<TicketNumber, List<TicketRecord>> lowest = records.pollFirstEntry();
             floor = lowest.getKey();
-            size -= lowest.getValue().size();
+            recordCount -= lowest.getValue().size();
         }
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketCheck.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketValidator.java
@@ -15,25 +15,25 @@
 import org.elmline.core.config.Organisation;
 
 /** Finds what a ticket names that doesn't exist, or claims twice, in the configuration it would leave. */
-final class TicketCheck {
+final class TicketValidator {
     private final Configuration before;
-    private final Map<String, ConfigObject> touched = new HashMap<>();
+    private final Map<String, ConfigObject> changedObjects = new HashMap<>();
 
-    TicketCheck(Configuration before, List<ConfigObject> objects) {
+    TicketValidator(Configuration before, List<ConfigObject> objects) {
         this.before = before;
         for (ConfigObject each : objects) {
-            touched.put(each.key(), each);
+            changedObjects.put(each.key(), each);
         }
     }
 
     /** What is wrong, in words for the operator; empty when nothing is. */
-    Optional<String> fault(List<ConfigObject> objects) {
+    Optional<String> findError(List<ConfigObject> objects) {
         for (ConfigObject each : objects) {
             Optional<String> fault = Optional.empty();
             if (each instanceof BackendRole role) {
-                fault = roleFault(role);
+                fault = findRoleError(role);
             } else if (each instanceof Organisation organisation) {
-                fault = keyFault(organisation);
+                fault = findApiKeyError(organisation);
             }
             if (fault.isPresent()) {
                 return fault;
@@ -42,8 +42,8 @@
         return Optional.empty();
     }
 
-    private Optional<String> roleFault(BackendRole role) {
-        Optional<Model> model = modelAfter(role);
+    private Optional<String> findRoleError(BackendRole role) {
+        Optional<Model> model = modelAfterTicket(role);
         if (model.isEmpty()) {
             return Optional.of(role.key() + " names the model " + role.model() + ", which doesn't exist");
         }
@@ -57,8 +57,8 @@
         return Optional.empty();
     }
 
-    private Optional<Model> modelAfter(BackendRole role) {
-        ConfigObject set = touched.get("model/" + role.model());
+    private Optional<Model> modelAfterTicket(BackendRole role) {
+        ConfigObject set = changedObjects.get("model/" + role.model());
         if (set instanceof Model model) {
             return model.removed() ? Optional.empty() : Optional.of(model);
         }
@@ -66,12 +66,12 @@
     }
 
     /** Two organisations under one key hash could read each other's answers and claims. */
-    private Optional<String> keyFault(Organisation organisation) {
+    private Optional<String> findApiKeyError(Organisation organisation) {
         if (organisation.removed()) {
             return Optional.empty();
         }
         for (String hash : organisation.keyHashes()) {
-            Optional<OrganisationId> holder = otherHolder(organisation.id(), hash);
+            Optional<OrganisationId> holder = otherOrganisationWithKey(organisation.id(), hash);
             if (holder.isPresent()) {
                 return Optional.of(organisation.key() + " has an API key that organisation/" + holder.get() + " has");
             }
@@ -79,20 +79,20 @@
         return Optional.empty();
     }
 
-    private Optional<OrganisationId> otherHolder(OrganisationId id, String hash) {
-        for (ConfigObject each : touched.values()) {
+    private Optional<OrganisationId> otherOrganisationWithKey(OrganisationId id, String hash) {
+        for (ConfigObject each : changedObjects.values()) {
             if (each instanceof Organisation other
-                    && holds(other, hash)
+                    && hasKeyHash(other, hash)
                     && !other.id().equals(id)) {
                 return Optional.of(other.id());
             }
         }
         return before.organisationByKeyHash(hash)
-                .filter(o -> !o.id().equals(id) && !touched.containsKey(o.key()))
+                .filter(o -> !o.id().equals(id) && !changedObjects.containsKey(o.key()))
                 .map(Organisation::id);
     }
 
-    private static boolean holds(Organisation organisation, String hash) {
+    private static boolean hasKeyHash(Organisation organisation, String hash) {
         return !organisation.removed() && organisation.keyHashes().contains(hash);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/TokenBucket.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TokenBucket.java
@@ -9,20 +9,20 @@
 final class TokenBucket {
     private static final double NANOS_PER_MINUTE = TimeUnit.MINUTES.toNanos(1);
 
-    private final double perMinute;
-    private final double most;
+    private final double tokensPerMinute;
+    private final double capacity;
     private double tokens;
-    private long atNanos;
+    private long refilledAtNanos;
 
     TokenBucket(double perMinute, double most, long nowNanos) {
-        this.perMinute = perMinute;
-        this.most = most;
-        this.atNanos = nowNanos;
+        this.tokensPerMinute = perMinute;
+        this.capacity = most;
+        this.refilledAtNanos = nowNanos;
     }
 
-    boolean take(long nowNanos) {
-        tokens = Math.min(most, tokens + perMinute * (nowNanos - atNanos) / NANOS_PER_MINUTE);
-        atNanos = nowNanos;
+    boolean tryTake(long nowNanos) {
+        tokens = Math.min(capacity, tokens + tokensPerMinute * (nowNanos - refilledAtNanos) / NANOS_PER_MINUTE);
+        refilledAtNanos = nowNanos;
         if (tokens < 1) {
             return false;
         }
--- a/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
@@ -287,7 +287,7 @@
         }
         long retryMillis = rest == Long.MAX_VALUE ? NO_ENGINE_RETRY_MILLIS : rest;
         String why = "no engine takes work for " + model;
-        return Optional.of(Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, why, retryMillis));
+        return Optional.of(Refusal.retryLater(RefusalReason.NO_BACKEND_SERVER, why, retryMillis));
     }
 
     private static boolean canServe(EngineLedger engine, Demand demand) {
@@ -344,11 +344,11 @@
     private Refusal overloadedRefusal(QueuedRequest waiting, String why, long now) {
         long predicted = predictedMillis(waiting, queue.costTokensAhead(waiting), now);
         long late = predicted - Math.max(0, waiting.remainingMillis(now));
-        return Refusal.comeBack(RefusalReason.OVERLOADED, why, Math.max(MIN_RETRY_MILLIS, late));
+        return Refusal.retryLater(RefusalReason.OVERLOADED, why, Math.max(MIN_RETRY_MILLIS, late));
     }
 
     private static Refusal deadlineRefusal() {
-        return Refusal.comeBack(RefusalReason.DEADLINE, "not placed before its deadline", MIN_RETRY_MILLIS);
+        return Refusal.retryLater(RefusalReason.DEADLINE, "not placed before its deadline", MIN_RETRY_MILLIS);
     }
 
     private void refuse(QueuedRequest waiting, Refusal refusal, long now) {
--- a/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
@@ -127,7 +127,7 @@
     /** Refuses new work from now on; open grants go on. */
     public synchronized void leave(long now) {
         leaving = true;
-        Refusal refusal = Refusal.comeBack(RefusalReason.LEAVING, "this entry is stopping", NO_LEASE_RETRY_MILLIS);
+        Refusal refusal = Refusal.retryLater(RefusalReason.LEAVING, "this entry is stopping", NO_LEASE_RETRY_MILLIS);
         placers.values().forEach(each -> each.refuseAll(refusal, now));
         placers.forEach((model, placer) -> collectDecisions(placer));
     }
@@ -319,16 +319,16 @@
         // A host cut off from the control hosts may be the second owner of an engine; it must not fill it.
         if (!leaseHeld || now - leaseUntil >= 0) {
             String why = "this entry holds no lease";
-            return refused(Refusal.comeBack(RefusalReason.NO_LEASE, why, NO_LEASE_RETRY_MILLIS), request, now);
+            return refused(Refusal.retryLater(RefusalReason.NO_LEASE, why, NO_LEASE_RETRY_MILLIS), request, now);
         }
         if (leaving) {
             String why = "this entry is stopping";
-            return refused(Refusal.comeBack(RefusalReason.LEAVING, why, NO_LEASE_RETRY_MILLIS), request, now);
+            return refused(Refusal.retryLater(RefusalReason.LEAVING, why, NO_LEASE_RETRY_MILLIS), request, now);
         }
         if (!placers.containsKey(request.demand().model())) {
             String why = "no engine here serves " + request.demand().model();
             return refused(
-                    Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, why, NO_ENGINE_RETRY_MILLIS), request, now);
+                    Refusal.retryLater(RefusalReason.NO_BACKEND_SERVER, why, NO_ENGINE_RETRY_MILLIS), request, now);
         }
         return removeDecision(attempt);
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Elector.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Elector.java
@@ -9,8 +9,8 @@
 final class Elector {
     private final NodeState state;
     private final RandomGenerator random;
-    private Ballot ballot;
-    private long standAt;
+    private VoteTally tally;
+    private long electionDeadlineNanos;
 
     Elector(NodeState state, RandomGenerator random) {
         this.state = state;
@@ -21,12 +21,12 @@
     /** Puts the next standing off by a random time between one and two election timeouts, so that votes rarely split. */
     void restartTimeout() {
         long timeout = state.settings().electionTimeoutNanos();
-        standAt = state.now() + timeout + random.nextLong(timeout);
+        electionDeadlineNanos = state.nowNanos() + timeout + random.nextLong(timeout);
     }
 
     /** Stands when no leader was heard for long. Returns whether the election is won already, as with one voter. */
     boolean tick() {
-        if (state.role() == Role.LEADER || state.now() < standAt) {
+        if (state.role() == Role.LEADER || state.nowNanos() < electionDeadlineNanos) {
             return false;
         }
         restartTimeout();
@@ -34,19 +34,19 @@
         if (!state.isVoter()) {
             return false;
         }
-        return preStand();
+        return startPreVote();
     }
 
     /**
      * Asks first whether the election could be won. A replica that was cut off would otherwise raise its term again and
      * again and depose a healthy leader when it comes back.
      */
-    private boolean preStand() {
+    private boolean startPreVote() {
         state.becomePreCandidate();
-        ballot = new Ballot(state.log().membership());
-        ballot.grant(state.self());
-        if (ballot.won()) {
-            return stand(false);
+        tally = new VoteTally(state.log().membership());
+        tally.addVote(state.self());
+        if (tally.hasMajority()) {
+            return startElection(false);
         }
         RaftLog log = state.log();
         for (ReplicaId each : log.membership().voters()) {
@@ -58,10 +58,10 @@
         return false;
     }
 
-    private boolean stand(boolean transfer) {
+    private boolean startElection(boolean transfer) {
         state.becomeCandidate();
-        ballot = new Ballot(state.log().membership());
-        ballot.grant(state.self());
+        tally = new VoteTally(state.log().membership());
+        tally.addVote(state.self());
         RaftLog log = state.log();
         for (ReplicaId each : log.membership().voters()) {
             if (!each.equals(state.self())) {
@@ -69,24 +69,24 @@
                         state.self(), each, state.term(), log.lastIndex(), log.lastTerm(), transfer));
             }
         }
-        return ballot.won();
+        return tally.hasMajority();
     }
 
     /** The leader hands over to this replica. Returns whether it leads now. */
-    boolean standNow() {
+    boolean onTimeoutNow() {
         if (!state.isVoter() || state.role() == Role.LEADER) {
             return false;
         }
         restartTimeout();
-        return stand(true);
+        return startElection(true);
     }
 
     void onPreVoteRequest(Message.PreVoteRequest request) {
         if (state.leaderMayHoldLease()) {
             return;
         }
-        boolean granted =
-                request.term() > state.term() && state.log().isCoveredBy(request.lastIndex(), request.lastTerm());
+        boolean granted = request.term() > state.term()
+                && state.log().isCandidateUpToDate(request.lastIndex(), request.lastTerm());
         boolean yields =
                 granted && state.role() == Role.PRE_CANDIDATE && request.from().compareTo(state.self()) > 0;
         if (yields) {
@@ -105,8 +105,8 @@
         if (!counts) {
             return false;
         }
-        ballot.grant(response.from());
-        return ballot.won() && stand(false);
+        tally.addVote(response.from());
+        return tally.hasMajority() && startElection(false);
     }
 
     /**
@@ -124,7 +124,7 @@
         }
         boolean granted = request.term() == state.term()
                 && state.role() == Role.FOLLOWER
-                && state.log().isCoveredBy(request.lastIndex(), request.lastTerm())
+                && state.log().isCandidateUpToDate(request.lastIndex(), request.lastTerm())
                 && state.voteFor(request.from());
         if (granted) {
             restartTimeout();
@@ -137,7 +137,7 @@
         if (state.role() != Role.CANDIDATE || !response.granted()) {
             return false;
         }
-        ballot.grant(response.from());
-        return ballot.won();
+        tally.addVote(response.from());
+        return tally.hasMajority();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Entry.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Entry.java
@@ -7,17 +7,17 @@
     /** Bytes that an entry counts for beyond its data, in every bound on bytes. */
     public static final int OVERHEAD_BYTES = 32;
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_DATA = new byte[0];
 
     public Entry {
         if (index < 1 || term < 1 || kind == null) {
             throw new IllegalArgumentException("entry without index, term or kind: " + index + "/" + term);
         }
-        data = data == null ? NOTHING : data;
+        data = data == null ? EMPTY_DATA : data;
     }
 
     static Entry startOfTerm(long index, long term) {
-        return new Entry(index, term, EntryKind.START_OF_TERM, NOTHING);
+        return new Entry(index, term, EntryKind.START_OF_TERM, EMPTY_DATA);
     }
 
     static Entry membership(long index, long term, Membership membership) {
@@ -25,7 +25,7 @@
     }
 
     /** What the entry counts for in bounds. */
-    public int weight() {
+    public int sizeBytes() {
         return data.length + OVERHEAD_BYTES;
     }
 
--- a/elmline-core/src/main/java/org/elmline/core/raft/Follower.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Follower.java
@@ -3,32 +3,32 @@
 /** Takes what the leader of the term sends: entries, heartbeats and snapshots. */
 final class Follower {
     private final NodeState state;
-    private final SnapshotReceiver receiver = new SnapshotReceiver();
+    private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
 
     Follower(NodeState state) {
         this.state = state;
     }
 
-    void onAppend(Message.AppendRequest request) {
+    void onAppendRequest(Message.AppendRequest request) {
         RaftLog log = state.log();
         long prev = request.prevIndex();
-        if (prev < log.committed() && !log.knows(prev)) {
+        if (prev < log.committedIndex() && !log.hasTermAt(prev)) {
             // Everything up to the commit is the leader's as well; it may go on from there.
-            answer(request, true, log.committed());
+            respond(request, true, log.committedIndex());
             return;
         }
-        if (!log.knows(prev) || log.termAt(prev) != request.prevTerm()) {
-            answer(request, false, log.hintBefore(prev));
+        if (!log.hasTermAt(prev) || log.termAt(prev) != request.prevTerm()) {
+            respond(request, false, log.conflictHint(prev));
             return;
         }
         log.merge(request.entries());
         // Only what this request covers is known to be the leader's; entries behind it may be left from another term.
         long match = prev + request.entries().size();
         log.commitTo(Math.min(request.commit(), match));
-        answer(request, true, match);
+        respond(request, true, match);
     }
 
-    private void answer(Message.AppendRequest request, boolean accepted, long match) {
+    private void respond(Message.AppendRequest request, boolean accepted, long match) {
         state.send(new Message.AppendResponse(
                 state.self(), request.from(), state.term(), accepted, request.prevIndex(), match, request.sentNanos()));
     }
@@ -42,26 +42,31 @@
 
     void onSnapshotChunk(Message.SnapshotChunk chunk) {
         RaftLog log = state.log();
-        if (chunk.index() <= log.committed()) {
-            installed(chunk, log.committed());
+        if (chunk.index() <= log.committedIndex()) {
+            respondInstalled(chunk, log.committedIndex());
             return;
         }
-        Snapshot whole = receiver.accept(chunk);
+        Snapshot whole = snapshotReceiver.accept(chunk);
         if (whole == null) {
             state.send(new Message.SnapshotResponse(
-                    state.self(), chunk.from(), state.term(), chunk.index(), receiver.held(), chunk.sentNanos()));
+                    state.self(),
+                    chunk.from(),
+                    state.term(),
+                    chunk.index(),
+                    snapshotReceiver.receivedBytes(),
+                    chunk.sentNanos()));
             return;
         }
-        if (log.knows(whole.index()) && log.termAt(whole.index()) == whole.term()) {
+        if (log.hasTermAt(whole.index()) && log.termAt(whole.index()) == whole.term()) {
             // The log holds all that the snapshot does, so its entries stay (Raft paper, figure 13, step 6).
             log.commitTo(whole.index());
         } else {
             log.install(whole);
         }
-        installed(chunk, whole.index());
+        respondInstalled(chunk, whole.index());
     }
 
-    private void installed(Message.SnapshotChunk chunk, long match) {
+    private void respondInstalled(Message.SnapshotChunk chunk, long match) {
         state.send(new Message.AppendResponse(
                 state.self(), chunk.from(), state.term(), true, chunk.index(), match, chunk.sentNanos()));
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/JoinPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/JoinPlanner.java
@@ -9,12 +9,12 @@
  * <p>The new one first catches up as a learner; only then the old one goes and the new one is promoted. In any other
  * order the log would stand longer with a voter that is lost or empty, and the loss of a second host would stop it.
  */
-public final class JoinPlan {
-    private JoinPlan() {}
+public final class JoinPlanner {
+    private JoinPlanner() {}
 
     /** Empty when nothing is to be done now; voters of other hosts stay. */
-    public static Optional<MembershipChange> next(Membership now, ReplicaId joining, boolean caughtUp) {
-        return next(now, joining, caughtUp, each -> false);
+    public static Optional<MembershipChange> nextChange(Membership now, ReplicaId joining, boolean caughtUp) {
+        return nextChange(now, joining, caughtUp, each -> false);
     }
 
     /**
@@ -22,7 +22,7 @@
      *
      * @param lost whether a voter of another host is taken for lost for good; such a one makes room for the new one
      */
-    public static Optional<MembershipChange> next(
+    public static Optional<MembershipChange> nextChange(
             Membership now, ReplicaId joining, boolean caughtUp, Predicate<ReplicaId> lost) {
         if (now.isVoter(joining)) {
             return Optional.empty();
@@ -47,7 +47,7 @@
      * Takes a voter that is lost out of an even number of voters: one fewer has the same majority less one, so the next
      * loss is borne that was not before.
      */
-    public static Optional<MembershipChange> prune(Membership now, Predicate<ReplicaId> lost) {
+    public static Optional<MembershipChange> removeLostVoter(Membership now, Predicate<ReplicaId> lost) {
         if (now.voters().size() % 2 != 0) {
             return Optional.empty();
         }
--- a/elmline-core/src/main/java/org/elmline/core/raft/JoinQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/JoinQueue.java
@@ -11,17 +11,17 @@
  * replica is not replaced, the next loss counts on top of it.
  */
 public final class JoinQueue {
-    private final long keptNanos;
-    private final Map<ReplicaId, Long> askedAt = new LinkedHashMap<>();
+    private final long requestTtlNanos;
+    private final Map<ReplicaId, Long> requestedAtNanos = new LinkedHashMap<>();
 
     /** @param keptNanos time after its last question for which a replica is taken to want to join */
     public JoinQueue(long keptNanos) {
-        this.keptNanos = keptNanos;
+        this.requestTtlNanos = keptNanos;
     }
 
     /** Takes a question. */
-    public void ask(ReplicaId joining, long nowNanos) {
-        askedAt.put(joining, nowNanos);
+    public void addRequest(ReplicaId joining, long nowNanos) {
+        requestedAtNanos.put(joining, nowNanos);
     }
 
     /**
@@ -30,17 +30,17 @@
      * @param ready whether a replica holds all that is committed and is heard
      * @param lost whether a voter is taken for lost for good
      */
-    public Optional<MembershipChange> next(
+    public Optional<MembershipChange> nextChange(
             Membership now, Predicate<ReplicaId> ready, Predicate<ReplicaId> lost, long nowNanos) {
-        Iterator<Map.Entry<ReplicaId, Long>> each = askedAt.entrySet().iterator();
+        Iterator<Map.Entry<ReplicaId, Long>> each = requestedAtNanos.entrySet().iterator();
         while (each.hasNext()) {
             Map.Entry<ReplicaId, Long> asked = each.next();
             ReplicaId joining = asked.getKey();
-            if (now.isVoter(joining) || nowNanos - asked.getValue() > keptNanos) {
+            if (now.isVoter(joining) || nowNanos - asked.getValue() > requestTtlNanos) {
                 each.remove();
                 continue;
             }
-            Optional<MembershipChange> step = JoinPlan.next(now, joining, ready.test(joining), lost);
+            Optional<MembershipChange> step = JoinPlanner.nextChange(now, joining, ready.test(joining), lost);
             if (step.isPresent()) {
                 return step;
             }
@@ -50,6 +50,6 @@
 
     /** Forgets all; another replica leads. */
     public void clear() {
-        askedAt.clear();
+        requestedAtNanos.clear();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Leader.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Leader.java
@@ -7,32 +7,32 @@
     private final NodeState state;
     private final Replicator replicator;
     private final Lease lease;
-    private final ReadQueue reads = new ReadQueue();
-    private final long electedAt;
-    private final long firstOwnIndex;
-    private Transfer transfer;
-    private long heartbeatAt;
-    private long askedAt = Progress.NEVER;
+    private final ReadQueue readQueue = new ReadQueue();
+    private final long electedAtNanos;
+    private final long termStartIndex;
+    private LeadershipTransfer transfer;
+    private long nextHeartbeatNanos;
+    private long lastHeartbeatNanos = Progress.NEVER;
     private long uncommittedBytes;
 
     Leader(NodeState state) {
         this.state = state;
         this.lease = new Lease(state.settings());
-        this.electedAt = state.now();
-        this.firstOwnIndex = state.log().lastIndex() + 1;
+        this.electedAtNanos = state.nowNanos();
+        this.termStartIndex = state.log().lastIndex() + 1;
         RaftLog log = state.log();
-        for (long i = log.committed() + 1; i <= log.lastIndex(); i++) {
-            uncommittedBytes += log.at(i).weight();
+        for (long i = log.committedIndex() + 1; i <= log.lastIndex(); i++) {
+            uncommittedBytes += log.entryAt(i).sizeBytes();
         }
-        append(Entry.startOfTerm(firstOwnIndex, state.term()));
+        append(Entry.startOfTerm(termStartIndex, state.term()));
         this.replicator = new Replicator(state);
-        beat();
+        sendHeartbeats();
         replicator.sendToAll();
     }
 
     private void append(Entry entry) {
-        state.log().add(entry);
-        uncommittedBytes += entry.weight();
+        state.log().append(entry);
+        uncommittedBytes += entry.sizeBytes();
     }
 
     void tick() {
@@ -42,29 +42,30 @@
             return;
         }
         advanceTransfer();
-        if (state.role() == Role.LEADER && state.now() >= heartbeatAt) {
-            beat();
+        if (state.role() == Role.LEADER && state.nowNanos() >= nextHeartbeatNanos) {
+            sendHeartbeats();
         }
     }
 
-    private void beat() {
-        heartbeatAt = state.now() + state.settings().heartbeatNanos();
-        askedAt = state.now();
-        replicator.heartbeatToAll();
-        quorumAnswered();
+    private void sendHeartbeats() {
+        nextHeartbeatNanos = state.nowNanos() + state.settings().heartbeatNanos();
+        lastHeartbeatNanos = state.nowNanos();
+        replicator.sendHeartbeats();
+        updateQuorumContact();
     }
 
     private boolean hasQuorum() {
         // Counted from the coming of answers, not from the sending as the lease is: a leader whose disk stalled for a
         // moment would step down without need, though a majority still answers it.
-        long heard = Quorum.reached(state.log().membership(), replicator::heard);
-        return state.now() - Math.max(heard, electedAt) < state.settings().electionTimeoutNanos();
+        long heard = Quorum.highestReached(state.log().membership(), replicator::lastContactNanos);
+        return state.nowNanos() - Math.max(heard, electedAtNanos)
+                < state.settings().electionTimeoutNanos();
     }
 
-    private void quorumAnswered() {
-        long answered = Quorum.reached(state.log().membership(), replicator::ackedSent);
-        lease.answered(answered);
-        reads.answered(answered);
+    private void updateQuorumContact() {
+        long answered = Quorum.highestReached(state.log().membership(), replicator::ackedSentNanos);
+        lease.extend(answered);
+        readQueue.confirmUpTo(answered);
     }
 
     ProposeOutcome propose(List<byte[]> commands) {
@@ -81,7 +82,7 @@
     }
 
     private ProposeRefusal refusal(List<byte[]> commands) {
-        if (transfer != null && transfer.closing()) {
+        if (transfer != null && transfer.refusesProposals()) {
             return ProposeRefusal.TRANSFERRING;
         }
         long bytes = 0;
@@ -100,36 +101,37 @@
             return new ProposeOutcome.Refused(ProposeRefusal.TRANSFERRING);
         }
         RaftLog log = state.log();
-        ProposeRefusal refusal = MembershipRules.refusal(log, state.term(), change, replicator.match(change.replica()));
+        ProposeRefusal refusal =
+                MembershipRules.refusal(log, state.term(), change, replicator.matchIndex(change.replica()));
         if (refusal != null) {
             return new ProposeOutcome.Refused(refusal);
         }
         long index = log.lastIndex() + 1;
         append(Entry.membership(index, state.term(), change.applyTo(log.membership())));
-        replicator.membershipChanged();
+        replicator.onMembershipChange();
         replicator.sendToAll();
         return new ProposeOutcome.Appended(index, index, state.term());
     }
 
-    ReadOutcome read(long number) {
-        if (!committedInTerm()) {
-            return new ReadOutcome.TooEarly();
+    ReadOutcome readIndex(long number) {
+        if (!hasCommittedInTerm()) {
+            return new ReadOutcome.StartOfTermPending();
         }
-        reads.add(number, state.log().committed(), state.now());
-        if (askedAt != state.now()) {
-            beat();
+        readQueue.add(number, state.log().committedIndex(), state.nowNanos());
+        if (lastHeartbeatNanos != state.nowNanos()) {
+            sendHeartbeats();
         }
-        quorumAnswered();
-        return new ReadOutcome.Waiting(number);
+        updateQuorumContact();
+        return new ReadOutcome.AwaitingQuorum(number);
     }
 
-    private boolean committedInTerm() {
-        return state.log().committed() >= firstOwnIndex;
+    private boolean hasCommittedInTerm() {
+        return state.log().committedIndex() >= termStartIndex;
     }
 
     /** No lease before the own term has a commit: until then the state may lack what earlier leaders committed. */
-    long leaseUntil() {
-        return committedInTerm() ? lease.until() : RaftNode.NO_LEASE;
+    long leaseUntilNanos() {
+        return hasCommittedInTerm() ? lease.leaseUntilNanos() : RaftNode.NO_LEASE;
     }
 
     boolean startTransfer(ReplicaId target) {
@@ -137,7 +139,7 @@
                 && !target.equals(state.self())
                 && state.log().membership().isVoter(target);
         if (possible) {
-            transfer = new Transfer(target);
+            transfer = new LeadershipTransfer(target);
             lease.freeze();
             advanceTransfer();
         }
@@ -145,10 +147,10 @@
     }
 
     /** The voter that holds most of the log, null when there is no other. */
-    ReplicaId furthestVoter() {
+    ReplicaId mostUpToDateVoter() {
         ReplicaId best = null;
         for (ReplicaId each : state.log().membership().voters()) {
-            boolean better = best == null || replicator.match(each) > replicator.match(best);
+            boolean better = best == null || replicator.matchIndex(each) > replicator.matchIndex(best);
             if (!each.equals(state.self()) && better) {
                 best = each;
             }
@@ -157,51 +159,53 @@
     }
 
     private void advanceTransfer() {
-        if (transfer == null || !lease.ended(state.now())) {
+        if (transfer == null || !lease.hasEnded(state.nowNanos())) {
             return;
         }
-        if (!transfer.closing()) {
-            transfer.close(state.now(), state.settings().electionTimeoutNanos());
+        if (!transfer.refusesProposals()) {
+            transfer.refuseProposals(state.nowNanos(), state.settings().electionTimeoutNanos());
         }
-        if (transfer.failed(state.now())) {
+        if (transfer.hasTimedOut(state.nowNanos())) {
             // The lease can't start again in this term, so this leader is of little use; let any voter be elected.
             state.becomeFollower(state.term());
             return;
         }
-        boolean holdsAll = replicator.match(transfer.target()) == state.log().lastIndex();
-        if (holdsAll && transfer.standDue(state.now(), state.settings().heartbeatNanos())) {
-            transfer.standSent(state.now());
+        boolean holdsAll =
+                replicator.matchIndex(transfer.target()) == state.log().lastIndex();
+        if (holdsAll
+                && transfer.isTimeoutNowDue(state.nowNanos(), state.settings().heartbeatNanos())) {
+            transfer.onTimeoutNowSent(state.nowNanos());
             state.send(new Message.TimeoutNow(state.self(), transfer.target(), state.term()));
         }
     }
 
     void onHeartbeatResponse(Message.HeartbeatResponse answer) {
-        if (acked(answer.from(), answer.sentNanos())) {
-            replicator.onHeartbeatAnswer(answer.from());
+        if (recordAck(answer.from(), answer.sentNanos())) {
+            replicator.onHeartbeatResponse(answer.from());
         }
     }
 
     void onAppendResponse(Message.AppendResponse answer) {
-        if (acked(answer.from(), answer.sentNanos()) && replicator.onAppendAnswer(answer)) {
+        if (recordAck(answer.from(), answer.sentNanos()) && replicator.onAppendResponse(answer)) {
             commit();
             advanceTransfer();
         }
     }
 
     void onSnapshotResponse(Message.SnapshotResponse answer) {
-        if (acked(answer.from(), answer.sentNanos())) {
-            replicator.onSnapshotAnswer(answer);
+        if (recordAck(answer.from(), answer.sentNanos())) {
+            replicator.onSnapshotResponse(answer);
         }
     }
 
     /** Returns whether the answer is from a member. */
-    private boolean acked(ReplicaId from, long sentNanos) {
-        Progress progress = replicator.of(from);
+    private boolean recordAck(ReplicaId from, long sentNanos) {
+        Progress progress = replicator.progressOf(from);
         if (progress == null) {
             return false;
         }
-        progress.acked(sentNanos, state.now());
-        quorumAnswered();
+        progress.recordAck(sentNanos, state.nowNanos());
+        updateQuorumContact();
         return true;
     }
 
@@ -211,31 +215,31 @@
      */
     void commit() {
         RaftLog log = state.log();
-        long reached = Quorum.reached(log.membership(), replicator::match);
-        if (reached <= log.committed() || log.termAt(reached) != state.term()) {
+        long reached = Quorum.highestReached(log.membership(), replicator::matchIndex);
+        if (reached <= log.committedIndex() || log.termAt(reached) != state.term()) {
             return;
         }
-        for (long i = log.committed() + 1; i <= reached; i++) {
-            uncommittedBytes -= log.at(i).weight();
+        for (long i = log.committedIndex() + 1; i <= reached; i++) {
+            uncommittedBytes -= log.entryAt(i).sizeBytes();
         }
         log.commitTo(reached);
-        boolean removed = !state.isVoter() && log.committed() >= log.membershipIndex();
+        boolean removed = !state.isVoter() && log.committedIndex() >= log.membershipIndex();
         if (removed) {
-            replicator.heartbeatToAll();
+            replicator.sendHeartbeats();
             state.becomeFollower(state.term());
         }
     }
 
     boolean isCaughtUp(ReplicaId id) {
-        return committedInTerm() && replicator.match(id) >= state.log().committed();
+        return hasCommittedInTerm() && replicator.matchIndex(id) >= state.log().committedIndex();
     }
 
-    ReadQueue reads() {
-        return reads;
+    ReadQueue readQueue() {
+        return readQueue;
     }
 
     /** Nanoseconds since the last sign of life of a member, counted from the election at the earliest. */
-    long silentNanos(ReplicaId id) {
-        return state.now() - Math.max(replicator.heard(id), electedAt);
+    long nanosSinceContact(ReplicaId id) {
+        return state.nowNanos() - Math.max(replicator.lastContactNanos(id), electedAtNanos);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Lease.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Lease.java
@@ -14,7 +14,7 @@
  */
 final class Lease {
     private final long leaseNanos;
-    private long longest = RaftNode.NO_LEASE;
+    private long untilNanos = RaftNode.NO_LEASE;
     private boolean frozen;
 
     Lease(RaftSettings settings) {
@@ -22,9 +22,9 @@
     }
 
     /** Takes the newest sending that a majority has answered. */
-    void answered(long quorumSentNanos) {
+    void extend(long quorumSentNanos) {
         if (!frozen && quorumSentNanos != Progress.NEVER) {
-            longest = Math.max(longest, quorumSentNanos + leaseNanos);
+            untilNanos = Math.max(untilNanos, quorumSentNanos + leaseNanos);
         }
     }
 
@@ -37,11 +37,11 @@
         return frozen;
     }
 
-    boolean ended(long now) {
-        return now >= longest;
+    boolean hasEnded(long now) {
+        return now >= untilNanos;
     }
 
-    long until() {
-        return longest;
+    long leaseUntilNanos() {
+        return untilNanos;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/NodeState.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/NodeState.java
@@ -8,23 +8,23 @@
     private final Outbox outbox = new Outbox();
     private long term;
     private ReplicaId vote;
-    private HardState synced;
+    private HardState syncedHardState;
     private Role role = Role.FOLLOWER;
     private ReplicaId leader;
-    private long now;
-    private long leaderContact;
+    private long nowNanos;
+    private long leaderContactNanos;
 
-    NodeState(ReplicaId self, RaftSettings settings, Restored restored, long nowNanos) {
+    NodeState(ReplicaId self, RaftSettings settings, RestoredState restored, long nowNanos) {
         this.self = self;
         this.settings = settings;
         this.log = new RaftLog(restored);
         this.term = restored.hardState().term();
         this.vote = restored.hardState().vote();
-        this.synced = restored.hardState();
-        this.now = nowNanos;
+        this.syncedHardState = restored.hardState();
+        this.nowNanos = nowNanos;
         // A restarted replica has forgotten that it acknowledged a heartbeat just before, and that the leader's lease
         // rests on it. Counting the start as a contact makes it refuse votes until any such lease has ended.
-        this.leaderContact = nowNanos;
+        this.leaderContactNanos = nowNanos;
     }
 
     ReplicaId self() {
@@ -56,13 +56,13 @@
         return leader;
     }
 
-    long now() {
-        return now;
+    long nowNanos() {
+        return nowNanos;
     }
 
     /** Moves the time on; a time that steps back is not taken. */
-    void moveTo(long nanos) {
-        now = Math.max(now, nanos);
+    void advanceTime(long nanos) {
+        nowNanos = Math.max(nowNanos, nanos);
     }
 
     boolean isVoter() {
@@ -73,27 +73,27 @@
         return new HardState(term, vote);
     }
 
-    boolean hardStateChanged() {
-        return !hardState().equals(synced);
+    boolean hasUnsyncedHardState() {
+        return !hardState().equals(syncedHardState);
     }
 
-    void hardStateSynced(HardState written) {
-        synced = written;
+    void markHardStateSynced(HardState written) {
+        syncedHardState = written;
     }
 
     /** Whether a leader was heard so lately that its lease may still run. */
     boolean leaderMayHoldLease() {
-        return role == Role.LEADER || now - leaderContact < settings.electionTimeoutNanos();
+        return role == Role.LEADER || nowNanos - leaderContactNanos < settings.electionTimeoutNanos();
     }
 
     /** Notes a sign of life of the term's leader. */
-    void heardLeader(ReplicaId from) {
+    void onLeaderContact(ReplicaId from) {
         if (role == Role.LEADER) {
             throw new IllegalStateException("two leaders in term " + term + ": " + self + " and " + from);
         }
         role = Role.FOLLOWER;
         leader = from;
-        leaderContact = now;
+        leaderContactNanos = nowNanos;
     }
 
     void becomeFollower(long newTerm) {
@@ -103,7 +103,7 @@
         if (role == Role.LEADER) {
             // A leader that is deposed by a higher term may have handed out a lease that rests on itself and one more;
             // it is bound by it as much as the followers that acknowledged it.
-            leaderContact = now;
+            leaderContactNanos = nowNanos;
         }
         if (newTerm > term) {
             term = newTerm;
--- a/elmline-core/src/main/java/org/elmline/core/raft/Progress.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Progress.java
@@ -10,21 +10,21 @@
 
     private record Inflight(long lastIndex, long bytes) {}
 
-    private final Deque<Inflight> inflight = new ArrayDeque<>();
+    private final Deque<Inflight> inflightAppends = new ArrayDeque<>();
     private ProgressState state = ProgressState.PROBE;
-    private long match;
-    private long next;
+    private long matchIndex;
+    private long nextIndex;
     private long inflightBytes;
     private boolean probeSent;
-    private long lastMove;
-    private long ackedSent = NEVER;
-    private long heard = NEVER;
+    private long lastProgressNanos;
+    private long ackedSentNanos = NEVER;
+    private long lastContactNanos = NEVER;
     private Snapshot snapshot;
     private long snapshotOffset;
 
     Progress(long next, long now) {
-        this.next = next;
-        this.lastMove = now;
+        this.nextIndex = next;
+        this.lastProgressNanos = now;
     }
 
     ProgressState state() {
@@ -32,30 +32,30 @@
     }
 
     /** Up to where the replica's log is synced and the leader's. */
-    long match() {
-        return match;
+    long matchIndex() {
+        return matchIndex;
     }
 
-    long next() {
-        return next;
+    long nextIndex() {
+        return nextIndex;
     }
 
     /** When the newest request that the replica has answered was sent, on the leader's clock. */
-    long ackedSent() {
-        return ackedSent;
+    long ackedSentNanos() {
+        return ackedSentNanos;
     }
 
     /** When the replica's last answer of this term came. */
-    long heard() {
-        return heard;
+    long lastContactNanos() {
+        return lastContactNanos;
     }
 
-    void acked(long sentNanos, long now) {
-        ackedSent = Math.max(ackedSent, sentNanos);
-        heard = now;
+    void recordAck(long sentNanos, long now) {
+        ackedSentNanos = Math.max(ackedSentNanos, sentNanos);
+        lastContactNanos = now;
     }
 
-    boolean maySend(int maxInflightBytes) {
+    boolean canSend(int maxInflightBytes) {
         return switch (state) {
             case PROBE -> !probeSent;
             case REPLICATE -> inflightBytes < maxInflightBytes;
@@ -63,34 +63,34 @@
         };
     }
 
-    void sent(long lastIndex, long bytes, long now) {
+    void recordSent(long lastIndex, long bytes, long now) {
         if (state == ProgressState.PROBE) {
             probeSent = true;
-            lastMove = now;
+            lastProgressNanos = now;
             return;
         }
-        if (inflight.isEmpty()) {
-            lastMove = now;
+        if (inflightAppends.isEmpty()) {
+            lastProgressNanos = now;
         }
-        inflight.add(new Inflight(lastIndex, bytes));
+        inflightAppends.add(new Inflight(lastIndex, bytes));
         inflightBytes += bytes;
-        next = lastIndex + 1;
+        nextIndex = lastIndex + 1;
     }
 
     /** The logs agree up to an index. Returns whether that is news. */
-    boolean matched(long index, long now) {
-        while (!inflight.isEmpty() && inflight.peek().lastIndex() <= index) {
-            inflightBytes -= inflight.poll().bytes();
+    boolean recordMatch(long index, long now) {
+        while (!inflightAppends.isEmpty() && inflightAppends.peek().lastIndex() <= index) {
+            inflightBytes -= inflightAppends.poll().bytes();
         }
-        boolean news = index > match;
+        boolean news = index > matchIndex;
         if (news || state == ProgressState.PROBE) {
-            lastMove = now;
+            lastProgressNanos = now;
         }
-        match = Math.max(match, index);
-        next = Math.max(next, match + 1);
+        matchIndex = Math.max(matchIndex, index);
+        nextIndex = Math.max(nextIndex, matchIndex + 1);
         boolean snapshotDone = state == ProgressState.SNAPSHOT && index >= snapshot.index();
         if (state == ProgressState.PROBE || snapshotDone) {
-            next = match + 1;
+            nextIndex = matchIndex + 1;
             state = ProgressState.REPLICATE;
             snapshot = null;
             probeSent = false;
@@ -99,37 +99,37 @@
     }
 
     /** The replica's log does not agree at the request's previous entry. Returns whether that is news. */
-    boolean rejected(long prevIndex, long hint, long now) {
-        boolean stale = prevIndex <= match
+    boolean recordReject(long prevIndex, long hint, long now) {
+        boolean stale = prevIndex <= matchIndex
                 || state == ProgressState.SNAPSHOT
-                || (state == ProgressState.PROBE && prevIndex != next - 1);
+                || (state == ProgressState.PROBE && prevIndex != nextIndex - 1);
         if (stale) {
             return false;
         }
-        probeFrom(Math.max(match, Math.min(hint, prevIndex - 1)) + 1, now);
+        probeFrom(Math.max(matchIndex, Math.min(hint, prevIndex - 1)) + 1, now);
         return true;
     }
 
     private void probeFrom(long index, long now) {
         state = ProgressState.PROBE;
-        next = index;
+        nextIndex = index;
         probeSent = false;
-        inflight.clear();
+        inflightAppends.clear();
         inflightBytes = 0;
-        lastMove = now;
+        lastProgressNanos = now;
     }
 
     /** Nothing has moved for a while although something was sent: it was lost, or its answer was. */
-    void sendAgain(long now) {
+    void prepareResend(long now) {
         if (state == ProgressState.SNAPSHOT) {
-            lastMove = now;
+            lastProgressNanos = now;
             return;
         }
-        probeFrom(match + 1, now);
+        probeFrom(matchIndex + 1, now);
     }
 
-    boolean stalled(long now, long after) {
-        return now - lastMove >= after;
+    boolean isStalled(long now, long after) {
+        return now - lastProgressNanos >= after;
     }
 
     void startSnapshot(Snapshot newest, long now) {
@@ -148,11 +148,11 @@
     }
 
     /** The replica holds the snapshot up to an offset. Returns whether the next piece is due. */
-    boolean snapshotHeld(long index, long offset, long now) {
+    boolean recordSnapshotProgress(long index, long offset, long now) {
         boolean counts = state == ProgressState.SNAPSHOT && snapshot.index() == index && offset != snapshotOffset;
         if (counts) {
             snapshotOffset = Math.min(offset, snapshot.data().length);
-            lastMove = now;
+            lastProgressNanos = now;
         }
         return counts;
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/ProposeOutcome.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/ProposeOutcome.java
@@ -9,5 +9,5 @@
     record NotLeader(ReplicaId leader) implements ProposeOutcome {}
 
     /** Not taken. */
-    record Refused(ProposeRefusal why) implements ProposeOutcome {}
+    record Refused(ProposeRefusal reason) implements ProposeOutcome {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/ProposeRefusal.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/ProposeRefusal.java
@@ -23,14 +23,14 @@
     LAST_VOTER(false),
     CLOSED(false);
 
-    private final boolean passing;
+    private final boolean retryable;
 
     ProposeRefusal(boolean passing) {
-        this.passing = passing;
+        this.retryable = passing;
     }
 
     /** Whether the same proposal may be taken a little later. */
-    public boolean passing() {
-        return passing;
+    public boolean retryable() {
+        return retryable;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Quorum.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Quorum.java
@@ -8,7 +8,7 @@
 final class Quorum {
     private Quorum() {}
 
-    static long reached(Membership membership, ToLongFunction<ReplicaId> value) {
+    static long highestReached(Membership membership, ToLongFunction<ReplicaId> value) {
         List<ReplicaId> voters = membership.voters();
         long[] values = new long[voters.size()];
         for (int i = 0; i < values.length; i++) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftLog.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftLog.java
@@ -12,67 +12,69 @@
 final class RaftLog {
     private final List<Entry> entries = new ArrayList<>();
     private final TreeMap<Long, Membership> memberships = new TreeMap<>();
-    private long base;
-    private long baseTerm;
+    private long compactedIndex;
+    private long compactedTerm;
     private Snapshot snapshot;
-    private Snapshot toInstall;
-    private long synced;
-    private long committed;
-    private long applied;
+    private Snapshot snapshotToInstall;
+    private long syncedIndex;
+    private long committedIndex;
+    private long appliedIndex;
 
-    RaftLog(Restored restored) {
+    RaftLog(RestoredState restored) {
         memberships.put(0L, Membership.EMPTY);
         if (restored.snapshot() != null) {
             reset(restored.snapshot());
         }
         for (Entry each : restored.entries()) {
-            if (each.index() > base) {
-                add(each);
+            if (each.index() > compactedIndex) {
+                append(each);
             }
         }
-        synced = lastIndex();
-        committed = Math.max(committed, Math.min(restored.committed(), lastIndex()));
+        syncedIndex = lastIndex();
+        committedIndex = Math.max(committedIndex, Math.min(restored.committedIndex(), lastIndex()));
     }
 
     long firstIndex() {
-        return base + 1;
+        return compactedIndex + 1;
     }
 
     long lastIndex() {
-        return base + entries.size();
+        return compactedIndex + entries.size();
     }
 
     long lastTerm() {
-        return entries.isEmpty() ? baseTerm : entries.get(entries.size() - 1).term();
+        return entries.isEmpty()
+                ? compactedTerm
+                : entries.get(entries.size() - 1).term();
     }
 
     /** Whether {@link #termAt} knows the position. */
-    boolean knows(long index) {
-        return index >= base && index <= lastIndex();
+    boolean hasTermAt(long index) {
+        return index >= compactedIndex && index <= lastIndex();
     }
 
     long termAt(long index) {
-        return index == base ? baseTerm : at(index).term();
+        return index == compactedIndex ? compactedTerm : entryAt(index).term();
     }
 
-    Entry at(long index) {
-        return entries.get((int) (index - base - 1));
+    Entry entryAt(long index) {
+        return entries.get((int) (index - compactedIndex - 1));
     }
 
     Snapshot snapshot() {
         return snapshot;
     }
 
-    long synced() {
-        return synced;
+    long syncedIndex() {
+        return syncedIndex;
     }
 
-    long committed() {
-        return committed;
+    long committedIndex() {
+        return committedIndex;
     }
 
-    long applied() {
-        return applied;
+    long appliedIndex() {
+        return appliedIndex;
     }
 
     Membership membership() {
@@ -85,7 +87,7 @@
     }
 
     /** Whether a log that ends there holds everything that this one may have committed (Raft paper, section 5.4.1). */
-    boolean isCoveredBy(long otherLastIndex, long otherLastTerm) {
+    boolean isCandidateUpToDate(long otherLastIndex, long otherLastTerm) {
         if (otherLastTerm != lastTerm()) {
             return otherLastTerm > lastTerm();
         }
@@ -93,7 +95,7 @@
     }
 
     /** Adds the next entry. */
-    void add(Entry entry) {
+    void append(Entry entry) {
         if (entry.index() != lastIndex() + 1) {
             throw new IllegalStateException("entry " + entry + " does not follow " + lastIndex());
         }
@@ -106,7 +108,7 @@
     /** Takes entries from the leader: what is held already stays, what conflicts is cut off with all behind it. */
     void merge(List<Entry> offered) {
         for (Entry each : offered) {
-            if (each.index() <= base) {
+            if (each.index() <= compactedIndex) {
                 continue;
             }
             if (each.index() <= lastIndex()) {
@@ -115,33 +117,33 @@
                 }
                 truncate(each.index());
             }
-            add(each);
+            append(each);
         }
     }
 
     private void truncate(long from) {
-        if (from <= committed) {
-            throw new IllegalStateException("a committed entry would be lost: " + from + " of " + committed);
+        if (from <= committedIndex) {
+            throw new IllegalStateException("a committed entry would be lost: " + from + " of " + committedIndex);
         }
-        entries.subList((int) (from - base - 1), entries.size()).clear();
+        entries.subList((int) (from - compactedIndex - 1), entries.size()).clear();
         memberships.tailMap(from, true).clear();
-        synced = Math.min(synced, from - 1);
+        syncedIndex = Math.min(syncedIndex, from - 1);
     }
 
     void commitTo(long index) {
         if (index > lastIndex()) {
             throw new IllegalStateException("commit " + index + " beyond the log's end " + lastIndex());
         }
-        committed = Math.max(committed, index);
+        committedIndex = Math.max(committedIndex, index);
     }
 
     /** The entries from an index on, as many as fit in the bytes but at least one if there is one. */
-    List<Entry> from(long index, int maxBytes) {
+    List<Entry> entriesFrom(long index, int maxBytes) {
         List<Entry> result = new ArrayList<>();
         long bytes = 0;
         for (long i = index; i <= lastIndex(); i++) {
-            Entry each = at(i);
-            bytes += each.weight();
+            Entry each = entryAt(i);
+            bytes += each.sizeBytes();
             if (!result.isEmpty() && bytes > maxBytes) {
                 break;
             }
@@ -150,39 +152,42 @@
         return result;
     }
 
-    List<Entry> unsynced() {
-        return List.copyOf(entries.subList((int) (synced - base), entries.size()));
+    List<Entry> unsyncedEntries() {
+        return List.copyOf(entries.subList((int) (syncedIndex - compactedIndex), entries.size()));
     }
 
-    Snapshot toInstall() {
-        return toInstall;
+    Snapshot snapshotToInstall() {
+        return snapshotToInstall;
     }
 
-    boolean hasCommittedToApply() {
-        return committed > applied;
+    boolean hasEntriesToApply() {
+        return committedIndex > appliedIndex;
     }
 
-    List<Entry> committedToApply() {
-        return List.copyOf(entries.subList((int) (applied - base), (int) (committed - base)));
+    List<Entry> entriesToApply() {
+        return List.copyOf(
+                entries.subList((int) (appliedIndex - compactedIndex), (int) (committedIndex - compactedIndex)));
     }
 
     /** The driver has synced and applied everything that was handed out. */
     void advance(Ready ready) {
-        if (ready.install() != null) {
-            toInstall = null;
+        if (ready.snapshotToInstall() != null) {
+            snapshotToInstall = null;
         }
         if (!ready.entries().isEmpty()) {
-            synced = ready.entries().get(ready.entries().size() - 1).index();
+            syncedIndex = ready.entries().get(ready.entries().size() - 1).index();
         }
-        if (!ready.committed().isEmpty()) {
-            applied = ready.committed().get(ready.committed().size() - 1).index();
+        if (!ready.committedEntries().isEmpty()) {
+            appliedIndex = ready.committedEntries()
+                    .get(ready.committedEntries().size() - 1)
+                    .index();
         }
     }
 
     /** Replaces the whole log by a snapshot of the leader. */
     void install(Snapshot newer) {
         reset(newer);
-        toInstall = newer;
+        snapshotToInstall = newer;
     }
 
     private void reset(Snapshot newer) {
@@ -190,11 +195,11 @@
         memberships.clear();
         memberships.put(newer.index(), newer.membership());
         snapshot = newer;
-        base = newer.index();
-        baseTerm = newer.term();
-        synced = base;
-        committed = base;
-        applied = base;
+        compactedIndex = newer.index();
+        compactedTerm = newer.term();
+        syncedIndex = compactedIndex;
+        committedIndex = compactedIndex;
+        appliedIndex = compactedIndex;
     }
 
     /**
@@ -202,40 +207,40 @@
      * retained} of at most {@code retainedBytes}.
      */
     Snapshot compact(long index, byte[] state, int retained, long retainedBytes) {
-        if (index > applied || (snapshot != null && index <= snapshot.index())) {
-            throw new IllegalStateException("snapshot at " + index + " of " + applied + " applied");
+        if (index > appliedIndex || (snapshot != null && index <= snapshot.index())) {
+            throw new IllegalStateException("snapshot at " + index + " of " + appliedIndex + " applied");
         }
         Membership asOf = memberships.floorEntry(index).getValue();
         snapshot = new Snapshot(index, termAt(index), asOf, state);
         long newBase = index;
         long bytes = 0;
-        while (newBase > base
+        while (newBase > compactedIndex
                 && index - newBase < retained
-                && bytes + at(newBase).weight() <= retainedBytes) {
-            bytes += at(newBase).weight();
+                && bytes + entryAt(newBase).sizeBytes() <= retainedBytes) {
+            bytes += entryAt(newBase).sizeBytes();
             newBase--;
         }
         long newBaseTerm = termAt(newBase);
-        entries.subList(0, (int) (newBase - base)).clear();
-        base = newBase;
-        baseTerm = newBaseTerm;
+        entries.subList(0, (int) (newBase - compactedIndex)).clear();
+        compactedIndex = newBase;
+        compactedTerm = newBaseTerm;
         Map.Entry<Long, Membership> oldest = memberships.floorEntry(index);
         memberships.headMap(oldest.getKey(), false).clear();
         return snapshot;
     }
 
     /** Where a leader should look next when its entry at {@code prevIndex} is not ours. */
-    long hintBefore(long prevIndex) {
+    long conflictHint(long prevIndex) {
         if (prevIndex > lastIndex()) {
             return lastIndex();
         }
-        if (prevIndex <= base) {
-            return Math.max(committed, base);
+        if (prevIndex <= compactedIndex) {
+            return Math.max(committedIndex, compactedIndex);
         }
         // All entries of the conflicting term are skipped at once: one round trip a term, not one an entry.
         long term = termAt(prevIndex);
         long index = prevIndex - 1;
-        while (index > committed && index > base && termAt(index) == term) {
+        while (index > committedIndex && index > compactedIndex && termAt(index) == term) {
             index--;
         }
         return index;
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftNode.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftNode.java
@@ -18,10 +18,11 @@
     private final Elector elector;
     private final Follower follower;
     private Leader leader;
-    private long readNumber;
-    private boolean handedOut;
+    private long lastReadNumber;
+    private boolean readyPending;
 
-    public RaftNode(ReplicaId self, RaftSettings settings, Restored restored, RandomGenerator random, long nowNanos) {
+    public RaftNode(
+            ReplicaId self, RaftSettings settings, RestoredState restored, RandomGenerator random, long nowNanos) {
         this.state = new NodeState(self, settings, restored, nowNanos);
         this.elector = new Elector(state, random);
         this.follower = new Follower(state);
@@ -29,22 +30,22 @@
 
     /** Lets time pass; to be called several times a heartbeat. */
     public void tick(long nowNanos) {
-        begin(nowNanos);
+        beginInput(nowNanos);
         if (leader != null) {
             leader.tick();
         } else if (elector.tick()) {
-            lead();
+            becomeLeader();
         }
-        end();
+        endInput();
     }
 
     /** Takes a message. One for another incarnation of this host's data folder is dropped. */
     public void step(long nowNanos, Message message) {
-        begin(nowNanos);
+        beginInput(nowNanos);
         if (message.to().equals(state.self())) {
             dispatch(message);
         }
-        end();
+        endInput();
     }
 
     private void dispatch(Message message) {
@@ -54,31 +55,31 @@
             elector.onVoteRequest(request);
         } else if (message instanceof Message.PreVoteResponse response && response.granted()) {
             if (elector.onPreVoteResponse(response)) {
-                lead();
+                becomeLeader();
             }
         } else if (message.term() < state.term()) {
-            answerStale(message);
+            rejectStale(message);
         } else {
             if (message.term() > state.term()) {
                 state.becomeFollower(message.term());
-                end();
+                endInput();
             }
-            dispatchOfTerm(message);
+            dispatchCurrentTerm(message);
         }
     }
 
-    private void dispatchOfTerm(Message message) {
+    private void dispatchCurrentTerm(Message message) {
         if (message.fromLeader()) {
-            state.heardLeader(message.from());
+            state.onLeaderContact(message.from());
             elector.restartTimeout();
             dispatchFromLeader(message);
         } else if (message instanceof Message.VoteResponse response) {
             if (elector.onVoteResponse(response)) {
-                lead();
+                becomeLeader();
             }
         } else if (message instanceof Message.TimeoutNow) {
-            if (elector.standNow()) {
-                lead();
+            if (elector.onTimeoutNow()) {
+                becomeLeader();
             }
         } else if (leader != null) {
             dispatchToLeader(message);
@@ -87,7 +88,7 @@
 
     private void dispatchFromLeader(Message message) {
         if (message instanceof Message.AppendRequest request) {
-            follower.onAppend(request);
+            follower.onAppendRequest(request);
         } else if (message instanceof Message.Heartbeat heartbeat) {
             follower.onHeartbeat(heartbeat);
         } else if (message instanceof Message.SnapshotChunk chunk) {
@@ -106,98 +107,99 @@
     }
 
     /** Tells a deposed leader the newer term, so that it stops at once. */
-    private void answerStale(Message message) {
+    private void rejectStale(Message message) {
         if (message.fromLeader()) {
             state.send(new Message.HeartbeatResponse(state.self(), message.from(), state.term(), 0));
         }
     }
 
-    private void lead() {
+    private void becomeLeader() {
         state.becomeLeader();
         leader = new Leader(state);
     }
 
     /** Appends commands in one batch, all or none. */
     public ProposeOutcome propose(long nowNanos, List<byte[]> commands) {
-        begin(nowNanos);
+        beginInput(nowNanos);
         ProposeOutcome outcome = isLeader() ? leader.propose(commands) : new ProposeOutcome.NotLeader(state.leader());
-        end();
+        endInput();
         return outcome;
     }
 
     /** Starts one change of membership. */
     public ProposeOutcome propose(long nowNanos, MembershipChange change) {
-        begin(nowNanos);
+        beginInput(nowNanos);
         ProposeOutcome outcome = isLeader() ? leader.propose(change) : new ProposeOutcome.NotLeader(state.leader());
-        end();
+        endInput();
         return outcome;
     }
 
     /** Asks for a position from which the latest committed state can be read. */
     public ReadOutcome readIndex(long nowNanos) {
-        begin(nowNanos);
-        ReadOutcome outcome = isLeader() ? leader.read(++readNumber) : new ReadOutcome.NotLeader(state.leader());
-        end();
+        beginInput(nowNanos);
+        ReadOutcome outcome =
+                isLeader() ? leader.readIndex(++lastReadNumber) : new ReadOutcome.NotLeader(state.leader());
+        endInput();
         return outcome;
     }
 
     /** Starts to hand leadership to a voter. Returns whether that is possible. */
     public boolean transferLeadership(long nowNanos, ReplicaId target) {
-        begin(nowNanos);
+        beginInput(nowNanos);
         boolean started = isLeader() && leader.startTransfer(target);
-        end();
+        endInput();
         return started;
     }
 
     /** Starts to hand leadership to the voter that holds most of the log. */
     public boolean transferLeadership(long nowNanos) {
-        ReplicaId target = isLeader() ? leader.furthestVoter() : null;
+        ReplicaId target = isLeader() ? leader.mostUpToDateVoter() : null;
         return target != null && transferLeadership(nowNanos, target);
     }
 
     public boolean hasReady() {
         RaftLog log = state.log();
         return !state.outbox().isEmpty()
-                || state.hardStateChanged()
-                || log.toInstall() != null
-                || log.synced() < log.lastIndex()
-                || log.hasCommittedToApply()
-                || (leader != null && leader.reads().hasConfirmed());
+                || state.hasUnsyncedHardState()
+                || log.snapshotToInstall() != null
+                || log.syncedIndex() < log.lastIndex()
+                || log.hasEntriesToApply()
+                || (leader != null && leader.readQueue().hasConfirmed());
     }
 
     /** What is to be done now. {@link #advance} must follow before any other input. */
     public Ready ready() {
-        if (handedOut) {
+        if (readyPending) {
             throw new IllegalStateException("the last ready is not done");
         }
-        handedOut = true;
+        readyPending = true;
         RaftLog log = state.log();
-        HardState hardState = state.hardStateChanged() ? state.hardState() : null;
+        HardState hardState = state.hasUnsyncedHardState() ? state.hardState() : null;
         // A leader whose own term is not synced yet could lead the same term twice if it crashed now.
         boolean early = hardState == null && leader != null;
         List<Message> before = early ? state.outbox().drain(true) : List.of();
         return new Ready(
                 hardState,
-                log.toInstall(),
-                log.unsynced(),
+                log.snapshotToInstall(),
+                log.unsyncedEntries(),
                 before,
                 state.outbox().drainAll(),
-                log.committedToApply(),
-                leader == null ? List.of() : leader.reads().drainConfirmed());
+                log.entriesToApply(),
+                leader == null ? List.of() : leader.readQueue().drainConfirmed());
     }
 
     /** Everything of the last ready is synced, sent and applied. */
     public void advance(long nowNanos, Ready done) {
-        handedOut = false;
-        begin(nowNanos);
+        readyPending = false;
+        beginInput(nowNanos);
         if (done.hardState() != null) {
-            state.hardStateSynced(done.hardState());
+            state.markHardStateSynced(done.hardState());
         }
         state.log().advance(done);
         if (leader != null) {
             leader.commit();
         }
-        end();
+        endInput();
     }
 
     /** Puts the applied state in place of the log up to {@code index}. Returns the snapshot to be written. */
@@ -206,14 +208,14 @@
         return state.log().compact(index, appliedState, bounds.retainedEntries(), bounds.maxInflightBytes());
     }
 
-    private void begin(long nowNanos) {
-        if (handedOut) {
+    private void beginInput(long nowNanos) {
+        if (readyPending) {
             throw new IllegalStateException("the last ready is not done");
         }
-        state.moveTo(nowNanos);
+        state.advanceTime(nowNanos);
     }
 
-    private void end() {
+    private void endInput() {
         if (leader != null && state.role() != Role.LEADER) {
             leader = null;
             elector.restartTimeout();
@@ -225,7 +227,7 @@
      * compares it with the clock just before it acts. {@link Lease} states why.
      */
     public long leaseUntilNanos() {
-        return leader == null ? NO_LEASE : leader.leaseUntil();
+        return leader == null ? NO_LEASE : leader.leaseUntilNanos();
     }
 
     public boolean isLeader() {
@@ -243,8 +245,8 @@
     }
 
     /** Nanoseconds without a sign of life of a member, as far as this leader knows; 0 where another leads. */
-    public long silentNanos(ReplicaId id) {
-        return leader == null ? 0 : leader.silentNanos(id);
+    public long nanosSinceContact(ReplicaId id) {
+        return leader == null ? 0 : leader.nanosSinceContact(id);
     }
 
     public ReplicaId self() {
@@ -264,11 +266,11 @@
     }
 
     public long committedIndex() {
-        return state.log().committed();
+        return state.log().committedIndex();
     }
 
     public long appliedIndex() {
-        return state.log().applied();
+        return state.log().appliedIndex();
     }
 
     public long lastIndex() {
--- a/elmline-core/src/main/java/org/elmline/core/raft/ReadQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/ReadQueue.java
@@ -10,29 +10,29 @@
  * deposed leader that was frozen would otherwise answer from a state that others have changed.
  */
 final class ReadQueue {
-    private record Waiting(long number, long index, long askedNanos) {}
+    private record PendingRead(long number, long index, long requestedAtNanos) {}
 
-    private final Deque<Waiting> waiting = new ArrayDeque<>();
-    private final List<ConfirmedRead> confirmed = new ArrayList<>();
+    private final Deque<PendingRead> pendingReads = new ArrayDeque<>();
+    private final List<ConfirmedRead> confirmedReads = new ArrayList<>();
 
     void add(long number, long index, long askedNanos) {
-        waiting.add(new Waiting(number, index, askedNanos));
+        pendingReads.add(new PendingRead(number, index, askedNanos));
     }
 
-    void answered(long quorumSentNanos) {
-        while (!waiting.isEmpty() && waiting.peek().askedNanos() <= quorumSentNanos) {
-            Waiting next = waiting.poll();
-            confirmed.add(new ConfirmedRead(next.number(), next.index()));
+    void confirmUpTo(long quorumSentNanos) {
+        while (!pendingReads.isEmpty() && pendingReads.peek().requestedAtNanos() <= quorumSentNanos) {
+            PendingRead next = pendingReads.poll();
+            confirmedReads.add(new ConfirmedRead(next.number(), next.index()));
         }
     }
 
     boolean hasConfirmed() {
-        return !confirmed.isEmpty();
+        return !confirmedReads.isEmpty();
     }
 
     List<ConfirmedRead> drainConfirmed() {
-        List<ConfirmedRead> result = List.copyOf(confirmed);
-        confirmed.clear();
+        List<ConfirmedRead> result = List.copyOf(confirmedReads);
+        confirmedReads.clear();
         return result;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Ready.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Ready.java
@@ -8,22 +8,22 @@
  * {@link RaftNode#advance(long, Ready)}.
  *
  * @param hardState null when unchanged
- * @param install a snapshot from the leader that replaces the whole log, null when none
+ * @param snapshotToInstall a snapshot from the leader that replaces the whole log, null when none
  * @param entries to append; the first may stand on an index that is written already, which cuts the log off there
- * @param before messages that rest on nothing unsynced (a leader's requests; Raft thesis, section 10.2.1)
- * @param after messages that must not leave before the sync
+ * @param messagesBeforeSync messages that rest on nothing unsynced (a leader's requests; Raft thesis, section 10.2.1)
+ * @param messagesAfterSync messages that must not leave before the sync
  */
 public record Ready(
         HardState hardState,
-        Snapshot install,
+        Snapshot snapshotToInstall,
         List<Entry> entries,
-        List<Message> before,
-        List<Message> after,
-        List<Entry> committed,
-        List<ConfirmedRead> reads) {
+        List<Message> messagesBeforeSync,
+        List<Message> messagesAfterSync,
+        List<Entry> committedEntries,
+        List<ConfirmedRead> confirmedReads) {
 
     /** Whether anything has to be synced. */
-    public boolean writes() {
-        return hardState != null || install != null || !entries.isEmpty();
+    public boolean needsSync() {
+        return hardState != null || snapshotToInstall != null || !entries.isEmpty();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/ReplicaId.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/ReplicaId.java
@@ -13,7 +13,7 @@
  */
 public record ReplicaId(HostId host, long incarnation) implements Comparable<ReplicaId> {
     private static final char SEPARATOR = '@';
-    private static final int HEX = 16;
+    private static final int HEX_RADIX = 16;
 
     public ReplicaId {
         if (host == null) {
@@ -27,7 +27,7 @@
         if (at < 1) {
             throw new IllegalArgumentException("not HOST@HEX: '" + text + "'");
         }
-        long incarnation = Long.parseUnsignedLong(text.substring(at + 1), HEX);
+        long incarnation = Long.parseUnsignedLong(text.substring(at + 1), HEX_RADIX);
         return new ReplicaId(HostId.of(text.substring(0, at)), incarnation);
     }
 
--- a/elmline-core/src/main/java/org/elmline/core/raft/Replicator.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Replicator.java
@@ -7,53 +7,54 @@
 /** Sends a leader's log to the other replicas and keeps count of what each holds. */
 final class Replicator {
     private final NodeState state;
-    private final Map<ReplicaId, Progress> progress = new HashMap<>();
+    private final Map<ReplicaId, Progress> progressByReplica = new HashMap<>();
 
     Replicator(NodeState state) {
         this.state = state;
-        membershipChanged();
+        onMembershipChange();
     }
 
     /** Starts to count replicas that are new and forgets those that are gone. */
-    void membershipChanged() {
+    void onMembershipChange() {
         Membership membership = state.log().membership();
-        progress.keySet().removeIf(each -> !membership.contains(each));
+        progressByReplica.keySet().removeIf(each -> !membership.contains(each));
         for (ReplicaId each : membership.all()) {
             if (!each.equals(state.self())) {
-                progress.computeIfAbsent(each, id -> new Progress(state.log().lastIndex() + 1, state.now()));
+                progressByReplica.computeIfAbsent(
+                        each, id -> new Progress(state.log().lastIndex() + 1, state.nowNanos()));
             }
         }
     }
 
     /** Null for a replica that is not a member, and for the leader itself. */
-    Progress of(ReplicaId id) {
-        return progress.get(id);
+    Progress progressOf(ReplicaId id) {
+        return progressByReplica.get(id);
     }
 
     /** Up to where a replica's synced log is the leader's. */
-    long match(ReplicaId id) {
+    long matchIndex(ReplicaId id) {
         if (id.equals(state.self())) {
-            return state.log().synced();
+            return state.log().syncedIndex();
         }
-        Progress known = progress.get(id);
-        return known == null ? 0 : known.match();
+        Progress known = progressByReplica.get(id);
+        return known == null ? 0 : known.matchIndex();
     }
 
-    long ackedSent(ReplicaId id) {
+    long ackedSentNanos(ReplicaId id) {
         if (id.equals(state.self())) {
-            return state.now();
+            return state.nowNanos();
         }
-        Progress known = progress.get(id);
-        return known == null ? Progress.NEVER : known.ackedSent();
+        Progress known = progressByReplica.get(id);
+        return known == null ? Progress.NEVER : known.ackedSentNanos();
     }
 
     /** When the last answer of a replica came. */
-    long heard(ReplicaId id) {
+    long lastContactNanos(ReplicaId id) {
         if (id.equals(state.self())) {
-            return state.now();
+            return state.nowNanos();
         }
-        Progress known = progress.get(id);
-        return known == null ? Progress.NEVER : known.heard();
+        Progress known = progressByReplica.get(id);
+        return known == null ? Progress.NEVER : known.lastContactNanos();
     }
 
     void sendToAll() {
@@ -64,17 +65,17 @@
 
     /** Sends what the replica lacks, as far as the bounds allow. */
     void sendTo(ReplicaId id) {
-        Progress to = progress.get(id);
+        Progress to = progressByReplica.get(id);
         if (to == null) {
             return;
         }
-        while (to.maySend(state.settings().maxInflightBytes())) {
-            boolean nothingNew = to.next() > state.log().lastIndex();
+        while (to.canSend(state.settings().maxInflightBytes())) {
+            boolean nothingNew = to.nextIndex() > state.log().lastIndex();
             if (nothingNew && to.state() == ProgressState.REPLICATE) {
                 return;
             }
-            if (!state.log().knows(to.next() - 1)) {
-                to.startSnapshot(state.log().snapshot(), state.now());
+            if (!state.log().hasTermAt(to.nextIndex() - 1)) {
+                to.startSnapshot(state.log().snapshot(), state.nowNanos());
                 sendChunk(id, to);
                 return;
             }
@@ -84,12 +85,19 @@
 
     private void sendEntries(ReplicaId id, Progress to) {
         RaftLog log = state.log();
-        long prev = to.next() - 1;
-        List<Entry> entries = log.from(to.next(), state.settings().maxAppendBytes());
+        long prev = to.nextIndex() - 1;
+        List<Entry> entries = log.entriesFrom(to.nextIndex(), state.settings().maxAppendBytes());
         state.send(new Message.AppendRequest(
-                state.self(), id, state.term(), prev, log.termAt(prev), entries, log.committed(), state.now()));
-        long bytes = entries.stream().mapToLong(Entry::weight).sum();
-        to.sent(prev + entries.size(), bytes, state.now());
+                state.self(),
+                id,
+                state.term(),
+                prev,
+                log.termAt(prev),
+                entries,
+                log.committedIndex(),
+                state.nowNanos()));
+        long bytes = entries.stream().mapToLong(Entry::sizeBytes).sum();
+        to.recordSent(prev + entries.size(), bytes, state.nowNanos());
     }
 
     private void sendChunk(ReplicaId id, Progress to) {
@@ -107,26 +115,26 @@
                 from,
                 data.length,
                 java.util.Arrays.copyOfRange(data, from, until),
-                state.now()));
+                state.nowNanos()));
     }
 
-    void heartbeatToAll() {
+    void sendHeartbeats() {
         for (ReplicaId each : state.log().membership().all()) {
-            Progress to = progress.get(each);
+            Progress to = progressByReplica.get(each);
             if (to != null) {
-                long commit = Math.min(to.match(), state.log().committed());
-                state.send(new Message.Heartbeat(state.self(), each, state.term(), commit, state.now()));
+                long commit = Math.min(to.matchIndex(), state.log().committedIndex());
+                state.send(new Message.Heartbeat(state.self(), each, state.term(), commit, state.nowNanos()));
             }
         }
     }
 
-    void onHeartbeatAnswer(ReplicaId id) {
-        Progress from = progress.get(id);
-        boolean behind = from.match() < state.log().lastIndex();
-        if (!behind || !from.stalled(state.now(), 2 * state.settings().heartbeatNanos())) {
+    void onHeartbeatResponse(ReplicaId id) {
+        Progress from = progressByReplica.get(id);
+        boolean behind = from.matchIndex() < state.log().lastIndex();
+        if (!behind || !from.isStalled(state.nowNanos(), 2 * state.settings().heartbeatNanos())) {
             return;
         }
-        from.sendAgain(state.now());
+        from.prepareResend(state.nowNanos());
         if (from.state() == ProgressState.SNAPSHOT) {
             sendChunk(id, from);
         } else {
@@ -135,21 +143,21 @@
     }
 
     /** Returns whether the replica's known position moved. */
-    boolean onAppendAnswer(Message.AppendResponse answer) {
-        Progress from = progress.get(answer.from());
+    boolean onAppendResponse(Message.AppendResponse answer) {
+        Progress from = progressByReplica.get(answer.from());
         boolean news;
         if (answer.accepted()) {
-            news = from.matched(Math.min(answer.matchIndex(), state.log().lastIndex()), state.now());
+            news = from.recordMatch(Math.min(answer.matchIndex(), state.log().lastIndex()), state.nowNanos());
         } else {
-            news = from.rejected(answer.prevIndex(), answer.matchIndex(), state.now());
+            news = from.recordReject(answer.prevIndex(), answer.matchIndex(), state.nowNanos());
         }
         sendTo(answer.from());
         return news && answer.accepted();
     }
 
-    void onSnapshotAnswer(Message.SnapshotResponse answer) {
-        Progress from = progress.get(answer.from());
-        if (from.snapshotHeld(answer.index(), answer.nextOffset(), state.now())) {
+    void onSnapshotResponse(Message.SnapshotResponse answer) {
+        Progress from = progressByReplica.get(answer.from());
+        if (from.recordSnapshotProgress(answer.index(), answer.nextOffset(), state.nowNanos())) {
             sendChunk(answer.from(), from);
         }
     }
--- /dev/null
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RestoredState.java
@@ -0,0 +1,37 @@
+package org.elmline.core.raft;
+
+import java.util.List;
+
+/**
+ * What a replica finds in its data folder when it starts.
+ *
+ * @param snapshot null when there is none
+ * @param entries those after the snapshot
+ * @param committedIndex an index up to which they are known to be committed, 0 when none is known. It need not be the newest:
+ *     it only lets a restarted replica show what it knew before a leader is elected
+ */
+public record RestoredState(HardState hardState, Snapshot snapshot, List<Entry> entries, long committedIndex) {
+    /** An empty folder: a replica that waits to be added as a learner and never stands for election. */
+    public static final RestoredState EMPTY = new RestoredState(HardState.NONE, null, List.of());
+
+    private static final long FIRST_INDEX_AND_TERM = 1;
+
+    public RestoredState {
+        entries = List.copyOf(entries);
+    }
+
+    public RestoredState(HardState hardState, Snapshot snapshot, List<Entry> entries) {
+        this(hardState, snapshot, entries, 0);
+    }
+
+    /** The first state of a new cluster, the same on each of its first voters. Only an explicit bootstrap writes it. */
+    public static RestoredState bootstrap(Membership first) {
+        if (first.voters().isEmpty()) {
+            throw new IllegalArgumentException("a cluster needs a voter");
+        }
+        return new RestoredState(
+                new HardState(FIRST_INDEX_AND_TERM, null),
+                null,
+                List.of(Entry.membership(FIRST_INDEX_AND_TERM, FIRST_INDEX_AND_TERM, first)));
+    }
+}
--- a/elmline-core/src/main/java/org/elmline/core/raft/Ballot.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/VoteTally.java
@@ -4,21 +4,21 @@
 import java.util.Set;
 
 /** Counts the votes of one election; votes of replicas that are not voters don't count. */
-final class Ballot {
+final class VoteTally {
     private final Membership membership;
-    private final Set<ReplicaId> granted = new HashSet<>();
+    private final Set<ReplicaId> grantedBy = new HashSet<>();
 
-    Ballot(Membership membership) {
+    VoteTally(Membership membership) {
         this.membership = membership;
     }
 
-    void grant(ReplicaId by) {
+    void addVote(ReplicaId by) {
         if (membership.isVoter(by)) {
-            granted.add(by);
+            grantedBy.add(by);
         }
     }
 
-    boolean won() {
-        return granted.size() >= membership.quorum();
+    boolean hasMajority() {
+        return grantedBy.size() >= membership.quorum();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/timeline/EventText.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/EventText.java
@@ -11,7 +11,7 @@
 
     private EventText() {}
 
-    public static String line(StampedEvent stamped) {
+    public static String format(StampedEvent stamped) {
         return TIME.format(Instant.ofEpochMilli(stamped.wallMillis()))
                 + "  " + stamped.time()
                 + "  " + stamped.host()
--- a/elmline-core/src/main/java/org/elmline/core/timeline/HybridClock.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/HybridClock.java
@@ -17,7 +17,7 @@
     private final WallClock wallClock;
     private final long maxAheadMillis;
     private final AtomicLong last = new AtomicLong();
-    private final AtomicLong refused = new AtomicLong();
+    private final AtomicLong rejectedCount = new AtomicLong();
 
     public HybridClock(WallClock wallClock) {
         this(wallClock, DEFAULT_MAX_AHEAD_MILLIS);
@@ -31,7 +31,7 @@
 
     /** A time for an event in this process, or for a message it sends. */
     public HybridTime now() {
-        return after(0);
+        return advancePast(0);
     }
 
     /**
@@ -46,19 +46,19 @@
     public long merge(HybridTime remote) {
         long ahead = remote.millis() - wallClock.millis();
         if (ahead > maxAheadMillis) {
-            refused.incrementAndGet();
+            rejectedCount.incrementAndGet();
             return ahead;
         }
-        after(remote.value());
+        advancePast(remote.value());
         return 0;
     }
 
     /** Remote times that were not taken over. */
-    public long refused() {
-        return refused.get();
+    public long rejectedCount() {
+        return rejectedCount.get();
     }
 
-    private HybridTime after(long remote) {
+    private HybridTime advancePast(long remote) {
         long wall = wallClock.millis() << HybridTime.COUNTER_BITS;
         while (true) {
             long previous = last.get();
--- a/elmline-core/src/test/java/org/elmline/core/control/ClaimBatcherTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ClaimBatcherTest.java
@@ -18,23 +18,25 @@
     @Test
     void claimsThatArriveDuringOneSyncShareTheNext() {
         batcher.begin(begin(0), 0);
-        ClaimBatch<Integer> first = batcher.next(ISSUED).get(0);
+        ClaimBatch<Integer> first = batcher.nextBatches(ISSUED).get(0);
         int commands = 1;
         int claims = 1;
         for (int i = 1; i <= 150; i++) {
             assertTrue(batcher.begin(begin(i), i));
         }
         assertFalse(batcher.begin(begin(151), 151));
-        assertTrue(batcher.next(ISSUED).isEmpty());
+        assertTrue(batcher.nextBatches(ISSUED).isEmpty());
 
-        batcher.done(first);
-        for (List<ClaimBatch<Integer>> next = batcher.next(ISSUED); !next.isEmpty(); next = batcher.next(ISSUED)) {
+        batcher.complete(first);
+        for (List<ClaimBatch<Integer>> next = batcher.nextBatches(ISSUED);
+                !next.isEmpty();
+                next = batcher.nextBatches(ISSUED)) {
             CommandResult.ClaimsDecided decided =
                     (CommandResult.ClaimsDecided) control.apply(next.get(0).command());
             assertEquals(next.get(0).waiters().size(), decided.outcomes().size());
             claims += decided.outcomes().size();
             commands++;
-            batcher.done(next.get(0));
+            batcher.complete(next.get(0));
         }
 
         assertEquals(151, claims);
@@ -46,11 +48,11 @@
         ClaimBegin begin = begin(1);
         batcher.finish(new ClaimFinish(begin.key(), begin.owner(), null), 1);
         batcher.begin(begin, 2);
-        assertEquals(2, batcher.next(ISSUED).size());
+        assertEquals(2, batcher.nextBatches(ISSUED).size());
         batcher.begin(begin(3), 3);
 
-        assertEquals(List.of(3), batcher.drain());
-        assertTrue(batcher.next(ISSUED).isEmpty());
+        assertEquals(List.of(3), batcher.drainWaiters());
+        assertTrue(batcher.nextBatches(ISSUED).isEmpty());
     }
 
     private ClaimBegin begin(long session) {
--- a/elmline-core/src/test/java/org/elmline/core/control/ClaimPropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ClaimPropertiesTest.java
@@ -70,7 +70,7 @@
                 case 2, 3, 4, 5 -> commit(choice);
                 case 6, 7, 8, 9 -> hear(choice);
                 case 10, 11 -> serve(choice);
-                case 12 -> leases.get(choice % 2).granted(now, 4_000);
+                case 12 -> leases.get(choice % 2).recordGrant(now, 4_000);
                 case 13 -> now += MILLISECONDS.toNanos(choice % 5_000);
                 case 14 -> breakOff(choice);
                 default -> tend(choice);
@@ -116,7 +116,11 @@
             Try to = reply.to().from();
             if (!to.dead) {
                 boolean begin = reply.to().begin() != null;
-                perform(to, begin ? to.session.begun(reply.result(), now) : to.session.finished(reply.result()));
+                perform(
+                        to,
+                        begin
+                                ? to.session.onBeginResult(reply.result(), now)
+                                : to.session.onFinishResult(reply.result()));
             }
         }
 
@@ -137,7 +141,7 @@
 
         private void called(Try call, CallResult<RecordedAnswer> result) {
             if (!call.dead) {
-                perform(call, call.session.called(result));
+                perform(call, call.session.onCallResult(result));
             }
         }
 
@@ -149,7 +153,7 @@
             if (choice / 3 % 2 == 0) {
                 each.dead = true;
             } else if (!each.dead) {
-                perform(each, each.session.expire());
+                perform(each, each.session.onDeadline());
             }
         }
 
@@ -166,7 +170,7 @@
             if (step instanceof ClaimStep.Begin begin) {
                 messages.add(new Message(by, begin.begin(), null));
             } else if (step instanceof ClaimStep.Send) {
-                assertTrue(!by.sent && by.lease.check(now), "sent twice or without a lease");
+                assertTrue(!by.sent && by.lease.isValid(now), "sent twice or without a lease");
                 by.sent = true;
                 calls.add(by);
             } else if (step instanceof ClaimStep.Finish finish) {
--- a/elmline-core/src/test/java/org/elmline/core/control/HostLeaseTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/HostLeaseTest.java
@@ -11,7 +11,7 @@
 
     @Test
     void noLeaseBeforeTheFirstGrant() {
-        assertFalse(lease.check(0));
+        assertFalse(lease.isValid(0));
     }
 
     // A caller would be served under a configuration that tickets have replaced, by an entry that the others take for
@@ -22,36 +22,36 @@
         long asked = MILLISECONDS.toNanos(1_000);
         long woken = MILLISECONDS.toNanos(61_000);
 
-        lease.granted(asked, 4_000);
+        lease.recordGrant(asked, 4_000);
 
-        assertTrue(lease.check(MILLISECONDS.toNanos(4_999)));
-        assertFalse(lease.check(MILLISECONDS.toNanos(5_000)));
-        assertFalse(lease.check(woken));
+        assertTrue(lease.isValid(MILLISECONDS.toNanos(4_999)));
+        assertFalse(lease.isValid(MILLISECONDS.toNanos(5_000)));
+        assertFalse(lease.isValid(woken));
     }
 
     @Test
     void olderGrantDoesNotShortenALease() {
-        lease.granted(MILLISECONDS.toNanos(2_000), 4_000);
-        lease.granted(MILLISECONDS.toNanos(1_000), 4_000);
+        lease.recordGrant(MILLISECONDS.toNanos(2_000), 4_000);
+        lease.recordGrant(MILLISECONDS.toNanos(1_000), 4_000);
 
-        assertTrue(lease.check(MILLISECONDS.toNanos(5_500)));
+        assertTrue(lease.isValid(MILLISECONDS.toNanos(5_500)));
     }
 
     @Test
     void clockNearItsWrapAroundStillWorks() {
         long asked = Long.MAX_VALUE - 10;
 
-        lease.granted(asked, 4_000);
+        lease.recordGrant(asked, 4_000);
 
-        assertTrue(lease.check(asked + MILLISECONDS.toNanos(3_999)));
-        assertFalse(lease.check(asked + MILLISECONDS.toNanos(4_000)));
+        assertTrue(lease.isValid(asked + MILLISECONDS.toNanos(3_999)));
+        assertFalse(lease.isValid(asked + MILLISECONDS.toNanos(4_000)));
     }
 
     @Test
     void replacedIsFinal() {
         lease.replaced();
-        lease.granted(0, 4_000);
+        lease.recordGrant(0, 4_000);
 
-        assertFalse(lease.check(1));
+        assertFalse(lease.isValid(1));
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/control/LeaseKeeperTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/LeaseKeeperTest.java
@@ -23,11 +23,11 @@
     private static final long FOR_LONG = Long.MAX_VALUE / 2;
 
     private final ControlFixture control = new ControlFixture();
-    private LeaseKeeper keeper;
+    private LeaseManager keeper;
 
     @BeforeEach
     void lead() {
-        keeper = new LeaseKeeper(control.state, SETTINGS, 0);
+        keeper = new LeaseManager(control.state, SETTINGS, 0);
     }
 
     @Test
@@ -91,10 +91,10 @@
         join("a", 1, 0);
         control.submit(1, model("elm-desk", "v1"));
 
-        keeper = new LeaseKeeper(control.state, SETTINGS, at(1_000));
+        keeper = new LeaseManager(control.state, SETTINGS, at(1_000));
 
         assertEquals(List.of(HostId.of("a")), status(5_499).outstanding());
-        assertTrue(keeper.ended(at(5_499)).isEmpty());
+        assertTrue(keeper.endExpired(at(5_499)).isEmpty());
         granted("a", 1, 1, 2_000);
         assertFalse(status(5_499).inForce());
         assertTrue(status(5_499).settling());
@@ -109,7 +109,7 @@
         control.submit(1, model("elm-desk", "v1"));
         join("a", 2, 11_000);
         granted("a", 2, 1, 12_000);
-        keeper.ended(at(12_000));
+        keeper.endExpired(at(12_000));
 
         assertEquals(List.of(HostId.of("a")), status(14_499).outstanding());
         assertTrue(status(14_500).inForce());
@@ -130,7 +130,7 @@
 
         assertEquals(new CommandResult.HostEnded(false), control.apply(end));
         granted("a", 1, 0, 60_100);
-        assertTrue(keeper.ended(at(60_200)).isEmpty());
+        assertTrue(keeper.endExpired(at(60_200)).isEmpty());
     }
 
     // A stopping entry says leaving. An older renewal, delayed on the way, arrives afterwards: taken at its word, the
@@ -153,8 +153,8 @@
         keeper.renew(request("a", 1, 0), at(60_000), FOR_LONG, List.of());
         control.apply(new Command.JoinHost(host("a", 1)));
 
-        assertTrue(keeper.ended(at(64_499)).isEmpty());
-        assertEquals(1, keeper.ended(at(64_500)).size());
+        assertTrue(keeper.endExpired(at(64_499)).isEmpty());
+        assertEquals(1, keeper.endExpired(at(64_500)).size());
     }
 
     @Test
@@ -207,7 +207,7 @@
     }
 
     private Command.EndHost end(String id, long millis) {
-        return keeper.ended(at(millis)).stream()
+        return keeper.endExpired(at(millis)).stream()
                 .filter(e -> e.host().equals(HostId.of(id)))
                 .findFirst()
                 .orElseThrow();
--- a/elmline-core/src/test/java/org/elmline/core/control/LeasePropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/LeasePropertiesTest.java
@@ -49,7 +49,7 @@
         private final List<Told> told = new ArrayList<>();
         private final Deque<Command> proposed = new ArrayDeque<>();
         private final TreeSet<ConfigVersion> reported = new TreeSet<>();
-        private LeaseKeeper keeper = new LeaseKeeper(control.state, SETTINGS, 0);
+        private LeaseManager keeper = new LeaseManager(control.state, SETTINGS, 0);
         private long leaderUntil = MILLISECONDS.toNanos(LEADER_LEASE_MILLIS);
         private long now;
 
@@ -65,7 +65,7 @@
                 case 5, 6, 7 -> decide(take(asked, choice));
                 case 8, 9, 10 -> grant(take(told, choice));
                 case 11, 12 -> applyNext();
-                case 13 -> proposed.addAll(keeper.ended(now));
+                case 13 -> proposed.addAll(keeper.endExpired(now));
                 case 14 -> restartOrSubmit(choice);
                 default -> leadOn(choice);
             }
@@ -97,7 +97,7 @@
             }
             ConfigVersion to = answer.grant().config().to();
             answer.to().inForce = to.compareTo(answer.to().inForce) > 0 ? to : answer.to().inForce;
-            answer.to().lease.granted(answer.askedNanos(), answer.grant().leaseMillis());
+            answer.to().lease.recordGrant(answer.askedNanos(), answer.grant().leaseMillis());
         }
 
         private void applyNext() {
@@ -127,7 +127,7 @@
                 applyNext();
             }
             proposed.clear();
-            keeper = new LeaseKeeper(control.state, SETTINGS, now);
+            keeper = new LeaseManager(control.state, SETTINGS, now);
             leaderUntil = now + MILLISECONDS.toNanos(LEADER_LEASE_MILLIS);
         }
 
@@ -139,7 +139,7 @@
                 }
             }
             for (Process each : processes) {
-                boolean admits = each.lease.check(now);
+                boolean admits = each.lease.isValid(now);
                 boolean old = !reported.isEmpty() && each.inForce.compareTo(reported.last()) < 0;
                 assertTrue(!admits || !old, () -> each.record.id() + " admits under an old configuration");
                 assertTrue(!admits || isKnown(each), () -> each.record.id() + " admits and is no member");
@@ -149,7 +149,7 @@
         private boolean isKnown(Process process) {
             HostId id = process.record.id();
             boolean member = control.state.member(id).isPresent();
-            return member || control.state.replacement(process.record).isPresent();
+            return member || control.state.replacingIncarnation(process.record).isPresent();
         }
 
         private static <T> T pick(List<T> from, int choice) {
--- a/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
@@ -151,12 +151,12 @@
         observe("e1", "v1", true, 10_000);
         EngineOrder order = ordered(10_100).get(0);
 
-        planner.answered(BackendServerId.of("e1"), order, OrderAnswer.INVALID);
+        planner.onAnswer(BackendServerId.of("e1"), order, OrderAnswer.INVALID);
         assertEquals(0, ordered(12_000).size());
         assertHeld(REJECTED);
         control.submit(2, role("e1", "m", "v3"));
         assertEquals(1, ordered(12_100).size());
-        planner.answered(BackendServerId.of("e1"), order, OrderAnswer.STALE_FENCING_NUMBER);
+        planner.onAnswer(BackendServerId.of("e1"), order, OrderAnswer.STALE_FENCING_NUMBER);
         assertEquals(0, ordered(14_000).size());
         assertHeld(LEADER_LEASE);
     }
--- a/elmline-core/src/test/java/org/elmline/core/control/OrderPropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/OrderPropertiesTest.java
@@ -171,7 +171,7 @@
             PlannedOrder order = next.sent().order();
             for (Engine each : engines) {
                 if (each.id.equals(order.server().value())) {
-                    next.sent().by().planner.answered(order.server(), order.order(), each.order(order.order()));
+                    next.sent().by().planner.onAnswer(order.server(), order.order(), each.order(order.order()));
                 }
             }
         }
--- a/elmline-core/src/test/java/org/elmline/core/raft/Disk.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/Disk.java
@@ -9,14 +9,14 @@
     private Snapshot snapshot;
     private final List<Entry> entries = new ArrayList<>();
 
-    Disk(Restored first) {
+    Disk(RestoredState first) {
         hardState = first.hardState();
         entries.addAll(first.entries());
     }
 
     void write(Ready ready) {
-        if (ready.install() != null) {
-            snapshot = ready.install();
+        if (ready.snapshotToInstall() != null) {
+            snapshot = ready.snapshotToInstall();
             entries.clear();
         }
         if (ready.hardState() != null) {
@@ -34,7 +34,7 @@
         entries.removeIf(each -> each.index() <= compacted.index());
     }
 
-    Restored read() {
-        return new Restored(hardState, snapshot, entries);
+    RestoredState read() {
+        return new RestoredState(hardState, snapshot, entries);
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/raft/JoinPlanTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/JoinPlanTest.java
@@ -29,30 +29,32 @@
     void aLostVoterMakesRoomForACaughtUpHost() {
         assertEquals(
                 Optional.of(new MembershipChange.AddLearner(NEW)),
-                JoinPlan.next(THREE, NEW, false, each -> each.equals(C)));
+                JoinPlanner.nextChange(THREE, NEW, false, each -> each.equals(C)));
         Membership learning = THREE.with(NEW, false);
-        assertTrue(JoinPlan.next(learning, NEW, false, each -> each.equals(C)).isEmpty());
+        assertTrue(JoinPlanner.nextChange(learning, NEW, false, each -> each.equals(C))
+                .isEmpty());
         assertEquals(
                 Optional.of(new MembershipChange.Remove(C)),
-                JoinPlan.next(learning, NEW, true, each -> each.equals(C)));
+                JoinPlanner.nextChange(learning, NEW, true, each -> each.equals(C)));
         assertEquals(
                 Optional.of(new MembershipChange.Promote(NEW)),
-                JoinPlan.next(learning.without(C), NEW, true, each -> each.equals(C)));
+                JoinPlanner.nextChange(learning.without(C), NEW, true, each -> each.equals(C)));
     }
 
     @Test
     void aHostThatOnlyJoinsReplacesNobody() {
         assertEquals(
                 Optional.of(new MembershipChange.Promote(NEW)),
-                JoinPlan.next(THREE.with(NEW, false), NEW, true, each -> false));
+                JoinPlanner.nextChange(THREE.with(NEW, false), NEW, true, each -> false));
     }
 
     /** A lost voter among an even number costs a majority of one more; among an odd number it may come back. */
     @Test
     void onlyAnEvenNumberIsPruned() {
         Membership four = THREE.with(NEW, true);
-        assertEquals(Optional.of(new MembershipChange.Remove(B)), JoinPlan.prune(four, each -> each.equals(B)));
-        assertTrue(JoinPlan.prune(four, each -> false).isEmpty());
-        assertTrue(JoinPlan.prune(THREE, each -> each.equals(B)).isEmpty());
+        assertEquals(
+                Optional.of(new MembershipChange.Remove(B)), JoinPlanner.removeLostVoter(four, each -> each.equals(B)));
+        assertTrue(JoinPlanner.removeLostVoter(four, each -> false).isEmpty());
+        assertTrue(JoinPlanner.removeLostVoter(THREE, each -> each.equals(B)).isEmpty());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/raft/JoinQueueTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/JoinQueueTest.java
@@ -29,15 +29,15 @@
     @Test
     void twoLostReplicasAreReplacedStepByStep() {
         JoinQueue queue = new JoinQueue(KEPT);
-        queue.ask(NEW_B, 0);
-        queue.ask(NEW_C, 1);
+        queue.addRequest(NEW_B, 0);
+        queue.addRequest(NEW_C, 1);
         Membership now = Membership.ofVoters(List.of(A, LOST_B, LOST_C));
         List<Integer> voters = new ArrayList<>();
-        Optional<MembershipChange> step = queue.next(now, ALL, NONE, 10);
+        Optional<MembershipChange> step = queue.nextChange(now, ALL, NONE, 10);
         while (step.isPresent()) {
             now = step.get().applyTo(now);
             voters.add(now.voters().size());
-            step = queue.next(now, ALL, NONE, 10);
+            step = queue.nextChange(now, ALL, NONE, 10);
         }
         assertEquals(List.of(3, 2, 3, 3, 2, 3), voters);
         assertEquals(Membership.ofVoters(List.of(A, NEW_B, NEW_C)), now);
@@ -47,19 +47,19 @@
     @Test
     void oneThatIsNotReadyHoldsUpNobody() {
         JoinQueue queue = new JoinQueue(KEPT);
-        queue.ask(NEW_B, 0);
-        queue.ask(NEW_C, 0);
+        queue.addRequest(NEW_B, 0);
+        queue.addRequest(NEW_C, 0);
         Membership learning = Membership.ofVoters(List.of(A, LOST_B, LOST_C)).with(NEW_B, false);
-        assertEquals(Optional.of(new MembershipChange.AddLearner(NEW_C)), queue.next(learning, NONE, NONE, 0));
+        assertEquals(Optional.of(new MembershipChange.AddLearner(NEW_C)), queue.nextChange(learning, NONE, NONE, 0));
     }
 
     /** Guards against a voter that is gone again before its first vote. */
     @Test
     void oneThatAsksNoMoreIsForgotten() {
         JoinQueue queue = new JoinQueue(KEPT);
-        queue.ask(NEW_B, 0);
+        queue.addRequest(NEW_B, 0);
         Membership now = Membership.ofVoters(List.of(A, LOST_B, LOST_C));
-        assertTrue(queue.next(now, ALL, NONE, KEPT).isPresent());
-        assertTrue(queue.next(now, ALL, NONE, KEPT + 1).isEmpty());
+        assertTrue(queue.nextChange(now, ALL, NONE, KEPT).isPresent());
+        assertTrue(queue.nextChange(now, ALL, NONE, KEPT + 1).isEmpty());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/raft/RaftNodeTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/RaftNodeTest.java
@@ -65,7 +65,7 @@
         assertTrue(cluster.leader() != frozen);
         assertTrue(frozen.node.isLeader());
         assertTrue(frozen.node.leaseUntilNanos() <= frozen.clock());
-        assertInstanceOf(ReadOutcome.Waiting.class, frozen.node.readIndex(frozen.clock()));
+        assertInstanceOf(ReadOutcome.AwaitingQuorum.class, frozen.node.readIndex(frozen.clock()));
         frozen.frozen = false;
         cluster.run(2 * T);
         assertFalse(frozen.node.isLeader());
@@ -148,7 +148,7 @@
         ReplicaId fresh = new ReplicaId(HostId.of("h0"), 2);
         ReplicaId other = new ReplicaId(HostId.of("h1"), 1);
         RaftNode node = new RaftNode(
-                fresh, RaftSettings.builder().build(), Restored.NOTHING, new java.util.SplittableRandom(1), 0);
+                fresh, RaftSettings.builder().build(), RestoredState.EMPTY, new java.util.SplittableRandom(1), 0);
         long later = 100_000_000_000L;
         node.tick(later);
         node.step(later, new Message.VoteRequest(other, old, 5, 9, 4, false));
@@ -191,7 +191,7 @@
     private static ProposeRefusal refusal(SimHost leader, MembershipChange change) {
         ProposeOutcome outcome = leader.node.propose(leader.clock(), change);
         leader.work();
-        return outcome instanceof ProposeOutcome.Refused refused ? refused.why() : null;
+        return outcome instanceof ProposeOutcome.Refused refused ? refused.reason() : null;
     }
 
     /** Large entries retained by count alone would fill the memory. */
--- a/elmline-core/src/test/java/org/elmline/core/raft/SafeguardTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SafeguardTest.java
@@ -19,7 +19,7 @@
     private static final RaftSettings SETTINGS = RaftSettings.builder().build();
     private static final long T = SETTINGS.electionTimeoutNanos();
 
-    private final Disk disk = new Disk(Restored.bootstrap(Membership.ofVoters(List.of(A, B, C))));
+    private final Disk disk = new Disk(RestoredState.bootstrap(Membership.ofVoters(List.of(A, B, C))));
     private RaftNode node = start(0);
 
     private RaftNode start(long now) {
@@ -32,8 +32,8 @@
         while (node.hasReady()) {
             Ready ready = node.ready();
             disk.write(ready);
-            sent.addAll(ready.before());
-            sent.addAll(ready.after());
+            sent.addAll(ready.messagesBeforeSync());
+            sent.addAll(ready.messagesAfterSync());
             node.advance(now, ready);
         }
         return sent;
@@ -123,12 +123,12 @@
     @Test
     void nothingOfANewTermLeavesBeforeTheTermIsSynced() {
         Membership one = new Membership(List.of(A), List.of(B));
-        node = new RaftNode(A, SETTINGS, Restored.bootstrap(one), new SplittableRandom(1), 0);
+        node = new RaftNode(A, SETTINGS, RestoredState.bootstrap(one), new SplittableRandom(1), 0);
         node.tick(3 * T);
         Ready first = node.ready();
         assertTrue(node.isLeader());
-        assertEquals(List.of(), first.before());
-        assertFalse(first.after().isEmpty());
+        assertEquals(List.of(), first.messagesBeforeSync());
+        assertFalse(first.messagesAfterSync().isEmpty());
     }
 
     /** Removed before the newcomer holds the log, the old voter would leave a majority of one less for longer. */
@@ -137,8 +137,10 @@
         ReplicaId fresh = new ReplicaId(C.host(), 2);
         Membership now = Membership.ofVoters(List.of(A, B, C));
         List<MembershipChange> done = new ArrayList<>();
-        assertTrue(JoinPlan.next(now.with(fresh, false), fresh, false).isEmpty());
-        for (var next = JoinPlan.next(now, fresh, true); next.isPresent(); next = JoinPlan.next(now, fresh, true)) {
+        assertTrue(JoinPlanner.nextChange(now.with(fresh, false), fresh, false).isEmpty());
+        for (var next = JoinPlanner.nextChange(now, fresh, true);
+                next.isPresent();
+                next = JoinPlanner.nextChange(now, fresh, true)) {
             done.add(next.get());
             now = next.get().applyTo(now);
         }
--- a/elmline-core/src/test/java/org/elmline/core/raft/SimCluster.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SimCluster.java
@@ -56,7 +56,7 @@
         committedMembership = Membership.ofVoters(ids);
         everVoters.addAll(ids);
         for (ReplicaId each : ids) {
-            hosts.add(new SimHost(this, each, Restored.bootstrap(committedMembership), random.split()));
+            hosts.add(new SimHost(this, each, RestoredState.bootstrap(committedMembership), random.split()));
         }
         hosts.forEach(SimHost::start);
     }
@@ -121,7 +121,7 @@
             if (leader == null) {
                 return;
             }
-            JoinPlan.next(leader.node.membership(), each.id, leader.node.isCaughtUp(each.id))
+            JoinPlanner.nextChange(leader.node.membership(), each.id, leader.node.isCaughtUp(each.id))
                     .filter(change -> each.runs())
                     .ifPresent(change -> {
                         leader.node.propose(leader.clock(), change);
--- a/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
@@ -29,7 +29,7 @@
     long appliedIndex;
     long appliedHash;
 
-    SimHost(SimCluster cluster, ReplicaId id, Restored first, RandomGenerator random) {
+    SimHost(SimCluster cluster, ReplicaId id, RestoredState first, RandomGenerator random) {
         this.cluster = cluster;
         this.id = id;
         this.disk = new Disk(first);
@@ -51,7 +51,7 @@
         if (node != null) {
             return;
         }
-        Restored restored = disk.read();
+        RestoredState restored = disk.read();
         node = new RaftNode(id, cluster.settings(), restored, random, clock());
         frozen = false;
         crashPoint = CrashPoint.NONE;
@@ -78,7 +78,7 @@
     void loseDisk() {
         crash();
         id = new ReplicaId(id.host(), id.incarnation() + 1);
-        disk = new Disk(Restored.NOTHING);
+        disk = new Disk(RestoredState.EMPTY);
         start();
     }
 
@@ -99,7 +99,7 @@
 
     void read() {
         long floor = cluster.committedIndex();
-        if (node.readIndex(clock()) instanceof ReadOutcome.Waiting waiting) {
+        if (node.readIndex(clock()) instanceof ReadOutcome.AwaitingQuorum waiting) {
             readFloors.put(waiting.number(), floor);
         }
         work();
@@ -115,22 +115,22 @@
     void work() {
         while (node != null && node.hasReady()) {
             Ready ready = node.ready();
-            ready.before().forEach(cluster::send);
-            if (ready.writes() && crashPoint == CrashPoint.BEFORE_SYNC) {
+            ready.messagesBeforeSync().forEach(cluster::send);
+            if (ready.needsSync() && crashPoint == CrashPoint.BEFORE_SYNC) {
                 crash();
                 return;
             }
             disk.write(ready);
-            if (ready.writes() && crashPoint == CrashPoint.AFTER_SYNC) {
+            if (ready.needsSync() && crashPoint == CrashPoint.AFTER_SYNC) {
                 crash();
                 return;
             }
-            ready.after().forEach(cluster::send);
-            if (ready.install() != null) {
-                restore(ready.install());
+            ready.messagesAfterSync().forEach(cluster::send);
+            if (ready.snapshotToInstall() != null) {
+                restore(ready.snapshotToInstall());
             }
-            ready.committed().forEach(this::apply);
-            for (ConfirmedRead each : ready.reads()) {
+            ready.committedEntries().forEach(this::apply);
+            for (ConfirmedRead each : ready.confirmedReads()) {
                 cluster.require(each.index() >= readFloors.remove(each.number()), "a read misses a commit");
             }
             node.advance(clock(), ready);
--- a/elmline-core/src/test/java/org/elmline/core/timeline/EventRingTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/timeline/EventRingTest.java
@@ -98,8 +98,8 @@
         List<StampedEvent> last = TimelineMerge.merge(List.of(entryPage, controlPage), ofHost);
         assertTrue(last.get(0).event() instanceof TicketEvent.Followed, last::toString);
         assertTrue(
-                EventText.line(last.get(0)).startsWith("2027-01-15 08:00:00.000  1800000000040."),
-                EventText.line(last.get(0)));
+                EventText.format(last.get(0)).startsWith("2027-01-15 08:00:00.000  1800000000040."),
+                EventText.format(last.get(0)));
     }
 
     private static EventRing ring(String host, int capacity, int skewMillis) {
--- a/elmline-core/src/test/java/org/elmline/core/timeline/HybridClockTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/timeline/HybridClockTest.java
@@ -70,11 +70,11 @@
     void aTimeFarAheadIsRefused() {
         HybridClock clock = new HybridClock(() -> START, 1_000);
         assertEquals(3_600_000, clock.merge(HybridTime.of(START + 3_600_000, 0)));
-        assertEquals(1, clock.refused());
+        assertEquals(1, clock.rejectedCount());
         assertEquals(START, clock.now().millis());
         assertEquals(0, clock.merge(HybridTime.of(START + 1_000, 0)));
         assertEquals(START + 1_000, clock.now().millis());
-        assertEquals(1, clock.refused());
+        assertEquals(1, clock.rejectedCount());
     }
 
     @Test
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
@@ -38,7 +38,7 @@
     private void announce(HttpServerExchange exchange, byte[] body) {
         Decoded<Announcement> decoded = Codecs.JSON.decode(body, Announcement.class);
         if (decoded instanceof Decoded.Malformed<Announcement> malformed) {
-            JsonResponses.sendRefusal(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, malformed.why()));
+            JsonResponses.sendRefusal(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, malformed.reason()));
             return;
         }
         Announcement announcement = ((Decoded.Value<Announcement>) decoded).value();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmissionController.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmissionController.java
@@ -78,7 +78,7 @@
         }
         if (inFlight.incrementAndGet() > maxConcurrent) {
             inFlight.decrementAndGet();
-            return new Admission.Refused(Refusal.comeBack(
+            return new Admission.Refused(Refusal.retryLater(
                     RefusalReason.OVERLOADED, "this host serves as many calls as it may", RETRY_AFTER_MILLIS));
         }
         long now = clock.nanos();
@@ -109,11 +109,11 @@
 
     private Optional<Refusal> hostRefusal() {
         if (closed) {
-            return Optional.of(Refusal.comeBack(
+            return Optional.of(Refusal.retryLater(
                     RefusalReason.LEAVING, "this host is stopping; ask for entry hosts again", RETRY_AFTER_MILLIS));
         }
         if (!leasedView.mayServe()) {
-            return Optional.of(Refusal.comeBack(
+            return Optional.of(Refusal.retryLater(
                     RefusalReason.NO_LEASE, "this host holds no lease; use another entry host", RETRY_AFTER_MILLIS));
         }
         return Optional.empty();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
@@ -127,7 +127,7 @@
     private boolean mayRetryPlacement(Refusal refusal, long untilMillis) {
         boolean half = forwarder.deliveredCount() > 0;
         return half
-                && refusal.reason().passing()
+                && refusal.reason().retryable()
                 && remainingMillis() > 0
                 && gateway.clock().millis() < untilMillis;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
@@ -40,7 +40,7 @@
         if (addresses.isEmpty()) {
             JsonResponses.sendRefusal(
                     exchange,
-                    Refusal.comeBack(RefusalReason.NO_LEASE, "no entry host is live yet", RETRY_AFTER_MILLIS));
+                    Refusal.retryLater(RefusalReason.NO_LEASE, "no entry host is live yet", RETRY_AFTER_MILLIS));
             return;
         }
         JsonResponses.send(exchange, new EntryHosts(addresses, keepSeconds));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
@@ -70,7 +70,7 @@
                     IMPORT_MEMORY_SHARE,
                     PrefillCost.DEFAULT);
             if (plan.isPresent() && plan.get().predictedFirstTokenMillis() > remainingMillis()) {
-                return Optional.of(Refusal.comeBack(
+                return Optional.of(Refusal.retryLater(
                         RefusalReason.DEADLINE,
                         "reading " + demand.promptTokens() + " tokens takes about "
                                 + plan.get().predictedFirstTokenMillis() + " ms, more than the time limit",
@@ -85,7 +85,7 @@
             // Groups that meet hand back what they hold and come again at unlike times.
             Thread.sleep(RETRY_DELAY_MILLIS + ThreadLocalRandom.current().nextLong(RETRY_DELAY_MILLIS));
         }
-        return Optional.of(Refusal.comeBack(
+        return Optional.of(Refusal.retryLater(
                 RefusalReason.OVERLOADED, "no group of engines has room for this prompt now", RETRY_AFTER_MILLIS));
     }
 
@@ -230,9 +230,9 @@
 
     private static String failureReason(CallResult<?> result) {
         if (result instanceof CallResult.NotSent<?> notSent) {
-            return notSent.why();
+            return notSent.reason();
         }
-        return result instanceof CallResult.Unknown<?> unknown ? unknown.why() : "it refused";
+        return result instanceof CallResult.Unknown<?> unknown ? unknown.reason() : "it refused";
     }
 
     private Refusal failureRefusal(String why) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/OrganisationLimitService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/OrganisationLimitService.java
@@ -93,15 +93,15 @@
         String who = "organisation " + organisation.id();
         return Optional.of(
                 switch (answer) {
-                    case TOO_MANY_TOKENS -> Refusal.comeBack(
+                    case TOO_MANY_TOKENS -> Refusal.retryLater(
                             RefusalReason.OVER_LIMIT,
                             who + " is over its " + organisation.maxTokensPerMinute() + " tokens a minute",
                             TOKENS_RETRY_AFTER_MILLIS);
-                    case TOO_MANY_REQUESTS -> Refusal.comeBack(
+                    case TOO_MANY_REQUESTS -> Refusal.retryLater(
                             RefusalReason.OVER_LIMIT,
                             who + " is over its " + organisation.maxConcurrentRequests() + " requests at once",
                             REQUESTS_RETRY_AFTER_MILLIS);
-                    default -> Refusal.comeBack(
+                    default -> Refusal.retryLater(
                             RefusalReason.OVER_LIMIT,
                             "the share of " + who + " can't be learnt now",
                             REQUESTS_RETRY_AFTER_MILLIS);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
@@ -155,6 +155,6 @@
     private Refusal noOwnerRefusal(Demand demand) {
         boolean known = leasedView.configuration().model(demand.model()).isPresent();
         String why = known ? "no engine of " + demand.model() + " is ready" : "no model " + demand.model();
-        return Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, why, RETRY_AFTER_MILLIS);
+        return Refusal.retryLater(RefusalReason.NO_BACKEND_SERVER, why, RETRY_AFTER_MILLIS);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ClaimService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ClaimService.java
@@ -65,7 +65,7 @@
     private void rejectPending(LeadershipStatus standing) {
         List<CompletableFuture<ClaimAnswer>> waiting;
         synchronized (batcher) {
-            waiting = batcher.drain();
+            waiting = batcher.drainWaiters();
         }
         waiting.forEach(each -> each.complete(new ClaimAnswer.NotLeader(standing.leader())));
     }
@@ -73,7 +73,7 @@
     private void proposeNext() {
         List<ClaimBatch<CompletableFuture<ClaimAnswer>>> ready;
         synchronized (batcher) {
-            ready = batcher.next(commandTimeMillis.getAsLong());
+            ready = batcher.nextBatches(commandTimeMillis.getAsLong());
         }
         for (ClaimBatch<CompletableFuture<ClaimAnswer>> each : ready) {
             batchSizes.update(each.waiters().size());
@@ -83,7 +83,7 @@
 
     private void onProposalResult(ClaimBatch<CompletableFuture<ClaimAnswer>> batch, ProposalOutcome result) {
         synchronized (batcher) {
-            batcher.done(batch);
+            batcher.complete(batch);
         }
         List<ClaimAnswer> answers = toAnswers(batch.waiters().size(), result);
         for (int i = 0; i < answers.size(); i++) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDataFolder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDataFolder.java
@@ -29,13 +29,13 @@
             throw new IOException("data folder " + folder + " is in use by another process");
         }
         if (result instanceof OpenResult.Corrupt corrupt) {
-            throw new IOException("data folder " + folder + " is damaged: " + corrupt.damage()
+            throw new IOException("data folder " + folder + " is damaged: " + corrupt.corruption()
                     + ". Move it away and start anew: the host then joins under a new identity");
         }
         if (result instanceof OpenResult.DiskFull full) {
-            throw new IOException("no room for data folder " + folder + ": " + full.why());
+            throw new IOException("no room for data folder " + folder + ": " + full.reason());
         }
-        throw new IOException("data folder " + folder + ": " + ((OpenResult.Failed) result).why());
+        throw new IOException("data folder " + folder + ": " + ((OpenResult.Failed) result).reason());
     }
 
     /**
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/EngineOrderService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/EngineOrderService.java
@@ -128,7 +128,7 @@
         return new OrderSettings(
                 Math.max(1, leaderLease.toMillis() / ORDER_TIMEOUT_LEASE_DIVISOR),
                 standard.repeatMillis(),
-                standard.freshMillis(),
+                standard.maxStateAgeMillis(),
                 standard.loadsPerMinute(),
                 standard.loadBurst());
     }
@@ -203,6 +203,6 @@
         if (answer == OrderAnswer.STALE_FENCING_NUMBER) {
             staleOrders.inc();
         }
-        by.answered(order.server(), order.order(), answer);
+        by.onAnswer(order.server(), order.order(), answer);
     }
 }
