--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
@@ -13,7 +13,7 @@
 import org.elmline.core.control.CommandClock;
 import org.elmline.core.control.CommandResult;
 import org.elmline.core.control.ControlLimits;
-import org.elmline.core.control.LeaseKeeper;
+import org.elmline.core.control.LeaseManager;
 import org.elmline.core.control.LeaseSettings;
 import org.elmline.core.timeline.EventRing;
 import org.elmline.core.timeline.HostEvent;
@@ -42,7 +42,7 @@
 
     /** One term of this host as leader. Its keeper is used under the machine's lock only. */
     private record LeaderTerm(
-            long number, FencingNumber fencingNumber, LeaseKeeper leases, CommandClock commandClock) {}
+            long number, FencingNumber fencingNumber, LeaseManager leases, CommandClock commandClock) {}
 
     LeadershipMonitor(
             HostId host,
@@ -78,7 +78,7 @@
     }
 
     /** Uses the lease keeper under the machine's lock; empty when this host doesn't lead. */
-    <T> Optional<T> withLeases(Function<LeaseKeeper, T> use) {
+    <T> Optional<T> withLeases(Function<LeaseManager, T> use) {
         return currentTerm().map(each -> machine.read(state -> use.apply(each.leases())));
     }
 
@@ -120,7 +120,7 @@
             clearProposedTerm(number);
             return;
         }
-        LeaseKeeper keeper = machine.read(state -> new LeaseKeeper(state, leaseSettings, clock.nanos()));
+        LeaseManager keeper = machine.read(state -> new LeaseManager(state, leaseSettings, clock.nanos()));
         CommandClock commandClock =
                 machine.read(state -> new CommandClock(state.timeMillis(), System.currentTimeMillis(), clock.nanos()));
         synchronized (this) {
@@ -153,7 +153,7 @@
             return;
         }
         List<Command.EndHost> ended =
-                withLeases(keeper -> keeper.ended(clock.nanos())).orElse(List.of());
+                withLeases(keeper -> keeper.endExpired(clock.nanos())).orElse(List.of());
         ended.forEach(log::propose);
         if (checkCount % CLAIM_EXPIRY_INTERVAL_CHECKS == 0 && currentTerm().isPresent()) {
             log.propose(new Command.ExpireClaims(commandTimeMillis()));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
@@ -32,7 +32,7 @@
 import org.elmline.daemon.raft.RaftDriver;
 import org.elmline.daemon.raft.RaftStatus;
 import org.elmline.daemon.settings.TimelineSettings;
-import org.elmline.storage.CheckedFile;
+import org.elmline.storage.ChecksummedFile;
 import org.elmline.storage.OpenResult;
 import org.elmline.storage.SystemFiles;
 
@@ -140,8 +140,8 @@
     }
 
     private <T> PersistedValue<T> persistedValue(String name, Class<T> type) {
-        CheckedFile file =
-                new CheckedFile(new SystemFiles(), settings.dataFolder().resolve(name));
+        ChecksummedFile file =
+                new ChecksummedFile(new SystemFiles(), settings.dataFolder().resolve(name));
         return closer.register(new PersistedValue<>(name, type, file, log));
     }
 
@@ -240,7 +240,7 @@
             boolean over = !wanted.contains(each.getKey());
             if (over) {
                 each.getValue().close();
-                peers.network().forget(each.getKey());
+                peers.network().disconnect(each.getKey());
             }
             return over;
         });
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorDataFolder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorDataFolder.java
@@ -13,7 +13,7 @@
 import org.elmline.core.common.HostId;
 import org.elmline.core.raft.Membership;
 import org.elmline.core.raft.ReplicaId;
-import org.elmline.core.raft.Restored;
+import org.elmline.core.raft.RestoredState;
 import org.elmline.daemon.log.DecisionLog;
 import org.elmline.daemon.node.NodeSettings;
 import org.elmline.storage.DataFolder;
@@ -67,7 +67,7 @@
                 && settings.controlHosts().stream().anyMatch(each -> each.ip().equals(settings.ip()));
     }
 
-    private static boolean isFresh(Restored restored) {
+    private static boolean isFresh(RestoredState restored) {
         return restored.hardState().term() == 0 && restored.entries().isEmpty() && restored.snapshot() == null;
     }
 
@@ -84,7 +84,7 @@
         if (!(stored instanceof StoreResult.Done)) {
             throw new IOException("the first membership can't be stored: " + stored);
         }
-        return new OpenResult.Opened(opened.folder(), Restored.bootstrap(first));
+        return new OpenResult.Opened(opened.folder(), RestoredState.bootstrap(first));
     }
 
     private static void clear(Path folder) throws IOException {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/PersistedValue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/PersistedValue.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 import org.elmline.daemon.log.DecisionLog;
-import org.elmline.storage.CheckedFile;
+import org.elmline.storage.ChecksummedFile;
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
@@ -18,14 +18,14 @@
 final class PersistedValue<T> implements AutoCloseable {
     private final String name;
     private final Class<T> type;
-    private final CheckedFile file;
+    private final ChecksummedFile file;
     private final DecisionLog log;
     private final AtomicBoolean writeInProgress = new AtomicBoolean();
     private volatile boolean lastWriteFailed;
     private final ExecutorService writer;
 
     /** @param name what it is, for the log and the thread */
-    PersistedValue(String name, Class<T> type, CheckedFile file, DecisionLog log) {
+    PersistedValue(String name, Class<T> type, ChecksummedFile file, DecisionLog log) {
         this.name = name;
         this.type = type;
         this.file = file;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeasedView.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeasedView.java
@@ -31,7 +31,7 @@
 
     /** Whether this entry may admit work or send a claimed call at this moment. */
     public boolean mayServe() {
-        return lease.check(clock.nanos());
+        return lease.isValid(clock.nanos());
     }
 
     public long leaseRemainingNanos() {
@@ -58,7 +58,7 @@
         MemberTable before = members;
         members = before.with(granted.members());
         // Last, so that nothing is admitted under an older configuration than the lease stands for.
-        lease.granted(askedNanos, granted.leaseMillis());
+        lease.recordGrant(askedNanos, granted.leaseMillis());
         if (members != before) {
             onMembers.forEach(Runnable::run);
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
@@ -176,7 +176,7 @@
                 each.getValue().close();
                 followStarter.remove(each.getKey());
                 view.removeControlHost(each.getKey());
-                peers.network().forget(each.getKey());
+                peers.network().disconnect(each.getKey());
             }
             return lost;
         });
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/ErrorBody.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/ErrorBody.java
@@ -12,6 +12,6 @@
 
     public static ErrorBody of(Refusal refusal) {
         return new ErrorBody(new Detail(
-                refusal.reason().type(), refusal.message(), refusal.ran().text(), refusal.retryAfterMillis()));
+                refusal.reason().errorType(), refusal.message(), refusal.ran().wireName(), refusal.retryAfterMillis()));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/JsonResponses.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/JsonResponses.java
@@ -31,6 +31,6 @@
             long seconds = (refusal.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
             exchange.getResponseHeaders().put(Headers.RETRY_AFTER, seconds);
         }
-        send(exchange, refusal.reason().status(), ErrorBody.of(refusal));
+        send(exchange, refusal.reason().httpStatus(), ErrorBody.of(refusal));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/WorkerBodyReader.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/WorkerBodyReader.java
@@ -46,7 +46,7 @@
                     } catch (RejectedExecutionException e) {
                         JsonResponses.sendRefusal(
                                 exchange,
-                                Refusal.comeBack(
+                                Refusal.retryLater(
                                         RefusalReason.OVERLOADED,
                                         "all workers of this host are busy",
                                         BUSY_RETRY_AFTER_MILLIS));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/NodeSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/NodeSettings.java
@@ -86,7 +86,7 @@
     public static ParseResult read(byte[] json) {
         Decoded<NodeSettings> decoded = Codecs.STRICT_JSON.decode(json, NodeSettings.class);
         if (decoded instanceof Decoded.Malformed<NodeSettings> malformed) {
-            return new ParseResult.Invalid(List.of(malformed.why()));
+            return new ParseResult.Invalid(List.of(malformed.reason()));
         }
         NodeSettings settings = ((Decoded.Value<NodeSettings>) decoded).value();
         List<String> problems = settings.findProblems();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/ProcessMetrics.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/ProcessMetrics.java
@@ -30,7 +30,7 @@
     public static void register(MetricRegistry registry, EventRing ring, HybridClock clock) {
         registerGauge(registry, "timeline.recorded.events", ring::recorded);
         registerGauge(registry, "timeline.dropped.events", ring::dropped);
-        registerGauge(registry, "timeline.refused.stamps", clock::refused);
+        registerGauge(registry, "timeline.refused.stamps", clock::rejectedCount);
     }
 
     private static void registerGauge(MetricRegistry registry, String name, Gauge<Number> gauge) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/TicketsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/TicketsHandler.java
@@ -75,7 +75,7 @@
     private void submit(HttpServerExchange exchange, TicketNumber number, byte[] body) {
         Decoded<TicketBody> decoded = Codecs.STRICT_JSON.decode(body, TicketBody.class);
         if (decoded instanceof Decoded.Malformed<TicketBody> malformed) {
-            refuseBadRequest(exchange, malformed.why());
+            refuseBadRequest(exchange, malformed.reason());
             return;
         }
         TicketBody given = ((Decoded.Value<TicketBody>) decoded).value();
@@ -124,7 +124,7 @@
 
     private static int statusCode(TicketStatus status) {
         return status.outcome() instanceof TicketOutcome.Refused refused
-                ? refused.reason().status()
+                ? refused.reason().httpStatus()
                 : StatusCodes.OK;
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/MembershipReporter.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/MembershipReporter.java
@@ -61,7 +61,7 @@
         Set<ReplicaId> now = new HashSet<>();
         if (node.isLeader()) {
             for (ReplicaId each : node.membership().voters()) {
-                long silent = node.silentNanos(each);
+                long silent = node.nanosSinceContact(each);
                 if (each.equals(node.self()) || silent < missingTimeoutNanos) {
                     continue;
                 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
@@ -25,7 +25,7 @@
 import org.elmline.core.raft.RaftNode;
 import org.elmline.core.raft.RaftSettings;
 import org.elmline.core.raft.ReplicaId;
-import org.elmline.core.raft.Restored;
+import org.elmline.core.raft.RestoredState;
 import org.elmline.storage.DataFolder;
 import org.jboss.logging.Logger;
 
@@ -48,7 +48,7 @@
         queue = new ArrayBlockingQueue<>(parts.queueLength);
         folder = parts.folder;
         droppedMessages = parts.metrics.counter("raft.messages.dropped");
-        Restored restored = parts.restored;
+        RestoredState restored = parts.restored;
         if (restored.snapshot() != null) {
             parts.machine.restore(restored.snapshot().data());
         }
@@ -192,7 +192,7 @@
         private static final long SNAPSHOT_BYTES = 8L * 1024 * 1024;
 
         DataFolder folder;
-        Restored restored;
+        RestoredState restored;
         StateMachine machine;
         PeerNetwork network;
         HandlerRegistry handlers;
@@ -211,7 +211,7 @@
         private Builder() {}
 
         /** The opened folder, whose identity this replica has, and what it held; the driver closes it. */
-        public Builder folder(DataFolder value, Restored held) {
+        public Builder folder(DataFolder value, RestoredState held) {
             folder = value;
             restored = held;
             return this;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
@@ -11,7 +11,7 @@
 import org.elmline.core.common.MonotonicClock;
 import org.elmline.core.raft.Entry;
 import org.elmline.core.raft.EntryKind;
-import org.elmline.core.raft.JoinPlan;
+import org.elmline.core.raft.JoinPlanner;
 import org.elmline.core.raft.JoinQueue;
 import org.elmline.core.raft.MembershipChange;
 import org.elmline.core.raft.ProposeOutcome;
@@ -153,7 +153,7 @@
     private boolean isLost(ReplicaId member) {
         return configuration.voterLostTimeout != null
                 && node.isLeader()
-                && node.silentNanos(member) >= configuration.voterLostTimeout.toNanos();
+                && node.nanosSinceContact(member) >= configuration.voterLostTimeout.toNanos();
     }
 
     private void pruneLostVoters(long now) {
@@ -161,7 +161,7 @@
             return;
         }
         nextPruneNanos = now + configuration.settings.electionTimeout().toNanos();
-        JoinPlan.prune(node.membership(), this::isLost).ifPresent(change -> proposeChange(change, now));
+        JoinPlanner.removeLostVoter(node.membership(), this::isLost).ifPresent(change -> proposeChange(change, now));
     }
 
     private void handleAll(List<RaftInput> inputs, long now) {
@@ -213,13 +213,13 @@
             membershipReporter.logJoinRefused(joining, known);
             return;
         }
-        joinQueue.ask(joining, now);
+        joinQueue.addRequest(joining, now);
     }
 
     private void proposeNextJoin(long now) {
         if (node.isLeader()) {
             joinQueue
-                    .next(node.membership(), this::isReadyToVote, this::isLost, now)
+                    .nextChange(node.membership(), this::isReadyToVote, this::isLost, now)
                     .ifPresent(change -> proposeChange(change, now));
         } else {
             joinQueue.clear();
@@ -227,7 +227,7 @@
     }
 
     private boolean isReadyToVote(ReplicaId joining) {
-        boolean heard = node.silentNanos(joining)
+        boolean heard = node.nanosSinceContact(joining)
                 < configuration.settings.electionTimeout().toNanos();
         return heard && node.isCaughtUp(joining);
     }
@@ -238,7 +238,7 @@
 
     private void read(RaftInput.Read read, long now) {
         ReadOutcome outcome = node.readIndex(now);
-        if (outcome instanceof ReadOutcome.Waiting waiting) {
+        if (outcome instanceof ReadOutcome.AwaitingQuorum waiting) {
             pendingOperations.addRead(waiting.number(), node.term(), read.done());
         } else if (outcome instanceof ReadOutcome.NotLeader not) {
             read.done().complete(new ReadResult.NotLeader(not.leader()));
@@ -270,24 +270,24 @@
         if (outcome instanceof ProposeOutcome.NotLeader not) {
             return new ProposeResult.NotLeader(not.leader());
         }
-        return new ProposeResult.Refused(((ProposeOutcome.Refused) outcome).why());
+        return new ProposeResult.Refused(((ProposeOutcome.Refused) outcome).reason());
     }
 
     private void processReady() throws InterruptedException {
         while (node.hasReady() && !stopping) {
             Ready ready = node.ready();
-            sender.send(ready.before());
+            sender.send(ready.messagesBeforeSync());
             if (!sync(ready)) {
                 return;
             }
-            sender.send(ready.after());
-            if (ready.install() != null) {
-                machine.restore(ready.install().data());
-                snapshotIndex = ready.install().index();
+            sender.send(ready.messagesAfterSync());
+            if (ready.snapshotToInstall() != null) {
+                machine.restore(ready.snapshotToInstall().data());
+                snapshotIndex = ready.snapshotToInstall().index();
             }
-            ready.committed().forEach(this::apply);
-            recordCommitted(ready.committed());
-            ready.reads().forEach(pendingOperations::onReadConfirmed);
+            ready.committedEntries().forEach(this::apply);
+            recordCommitted(ready.committedEntries());
+            ready.confirmedReads().forEach(pendingOperations::onReadConfirmed);
             node.advance(clock.nanos(), ready);
             // A sync may have waited for room; without a look at the time a leader would be published as such although
             // another leads meanwhile.
@@ -301,7 +301,7 @@
         if (!committed.isEmpty()) {
             Entry newest = committed.get(committed.size() - 1);
             boolean quick = lastSyncNanos < QUICK_SYNC_NANOS;
-            if (!folder.noteCommitted(newest.index(), newest.term(), quick)) {
+            if (!folder.recordCommitted(newest.index(), newest.term(), quick)) {
                 unrecordedCommits.inc();
             }
         }
@@ -309,7 +309,7 @@
 
     /** Returns false when the replica was stopped before there was room. */
     private boolean sync(Ready ready) throws InterruptedException {
-        if (ready.install() != null && !write(() -> folder.install(ready.install()))) {
+        if (ready.snapshotToInstall() != null && !write(() -> folder.install(ready.snapshotToInstall()))) {
             return false;
         }
         boolean records = ready.hardState() != null || !ready.entries().isEmpty();
@@ -330,7 +330,7 @@
                 return true;
             }
             if (result instanceof StoreResult.Failed failed) {
-                throw new StorageFailure(failed.why());
+                throw new StorageFailure(failed.reason());
             }
             if (!full) {
                 LOG.warnf("replica %s waits: its disk is full", node.self());
@@ -364,7 +364,7 @@
 
     private void apply(Entry entry) {
         committed.inc();
-        bytesSinceSnapshot += entry.weight();
+        bytesSinceSnapshot += entry.sizeBytes();
         boolean command = entry.kind() == EntryKind.COMMAND;
         byte[] result = command ? machine.apply(entry.index(), entry.data()) : EMPTY_RESULT;
         pendingOperations.onApplied(entry, result, node.leader());
@@ -392,7 +392,7 @@
         snapshotIndex = snapshot.index();
         StoreResult result = folder.compact(snapshot);
         if (result instanceof StoreResult.Failed failed) {
-            throw new StorageFailure(failed.why());
+            throw new StorageFailure(failed.reason());
         }
         // With a full disk the log stays as it is, and the next snapshot stands in for this one.
         snapshots.inc();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
@@ -85,15 +85,16 @@
             if (step instanceof ClaimStep.Begin begin) {
                 Duration timeout = Duration.ofMillis(
                         Math.max(1, Math.min(CLAIM_TIMEOUT.toMillis(), remainingMillis(deadlineNanos))));
-                step = session.begun(control.beginClaim(begin.begin(), timeout).join(), clock.nanos());
+                step = session.onBeginResult(
+                        control.beginClaim(begin.begin(), timeout).join(), clock.nanos());
             } else if (step instanceof ClaimStep.Send) {
                 claimsSent.inc();
-                step = session.called(sendOnce(service, call, deadlineNanos));
+                step = session.onCallResult(sendOnce(service, call, deadlineNanos));
             } else if (step instanceof ClaimStep.Finish finish) {
                 if (finish.reply() != null) {
                     deliver(finish.reply(), reply);
                 }
-                step = session.finished(
+                step = session.onFinishResult(
                         control.finishClaim(finish.finish(), CLAIM_TIMEOUT).join());
             } else if (step instanceof ClaimStep.Reply last) {
                 deliver(last.reply(), reply);
@@ -140,9 +141,9 @@
     private static ClaimReply toRefusal(CallResult<RecordedAnswer> result) {
         if (result instanceof CallResult.NotSent<RecordedAnswer> notSent) {
             return new ClaimReply.Refused(
-                    Refusal.comeBack(RefusalReason.NO_BACKEND_SERVER, notSent.why(), RETRY_AFTER_MILLIS));
+                    Refusal.retryLater(RefusalReason.NO_BACKEND_SERVER, notSent.reason(), RETRY_AFTER_MILLIS));
         }
-        String why = "the service's answer was lost: " + ((CallResult.Unknown<RecordedAnswer>) result).why();
+        String why = "the service's answer was lost: " + ((CallResult.Unknown<RecordedAnswer>) result).reason();
         return new ClaimReply.Refused(new Refusal(RefusalReason.BACKEND_FAILED, why, Ran.UNKNOWN, RETRY_AFTER_MILLIS));
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
@@ -91,7 +91,7 @@
      */
     private static Refusal withUnknownRan(HttpServerExchange exchange, Refusal refusal) {
         boolean keyed = exchange.getRequestHeaders().contains(KEY_HEADER);
-        if (!keyed || !refusal.reason().passing()) {
+        if (!keyed || !refusal.reason().retryable()) {
             return refusal;
         }
         return new Refusal(refusal.reason(), refusal.message(), Ran.UNKNOWN, refusal.retryAfterMillis());
--- a/elmline-daemon/src/test/java/org/elmline/daemon/coordinator/MemoryTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/coordinator/MemoryTest.java
@@ -7,7 +7,7 @@
 import org.elmline.core.registry.RegistryChannels.RoutingText;
 import org.elmline.daemon.log.DecisionLog;
 import org.elmline.daemon.runtime.SystemClock;
-import org.elmline.storage.CheckedFile;
+import org.elmline.storage.ChecksummedFile;
 import org.elmline.storage.DiskFullException;
 import org.elmline.storage.SystemFiles;
 import org.junit.jupiter.api.Test;
@@ -38,7 +38,7 @@
         };
         DecisionLog log = new DecisionLog("c", "control", new SystemClock(), OutputStream.nullOutputStream());
         return new PersistedValue<>(
-                "routing", RoutingText.class, new CheckedFile(files, folder.resolve("routing")), log);
+                "routing", RoutingText.class, new ChecksummedFile(files, folder.resolve("routing")), log);
     }
 
     @Test
@@ -70,7 +70,7 @@
 
     @Test
     void whatIsNoSuchValueCountsAsNothing() throws Exception {
-        new CheckedFile(new SystemFiles(), folder.resolve("routing")).write(new byte[] {1, 2});
+        new ChecksummedFile(new SystemFiles(), folder.resolve("routing")).write(new byte[] {1, 2});
         try (PersistedValue<RoutingText> memory = memory()) {
             assertFalse(memory.read().isPresent());
         }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/TestReplica.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/TestReplica.java
@@ -15,7 +15,7 @@
 import org.elmline.core.raft.Membership;
 import org.elmline.core.raft.RaftSettings;
 import org.elmline.core.raft.ReplicaId;
-import org.elmline.core.raft.Restored;
+import org.elmline.core.raft.RestoredState;
 import org.elmline.daemon.runtime.SystemClock;
 import org.elmline.storage.DataFolder;
 import org.elmline.storage.DiskFullException;
@@ -59,11 +59,11 @@
         OpenResult.Opened opened =
                 (OpenResult.Opened) DataFolder.open(files, data, host, new SplittableRandom(data.hashCode()), 1 << 16);
         ReplicaId self = opened.folder().identity();
-        Restored restored = opened.restored();
+        RestoredState restored = opened.restored();
         if (bootstrap) {
             Membership first = Membership.ofVoters(List.of(self));
             opened.folder().bootstrap(first);
-            restored = Restored.bootstrap(first);
+            restored = RestoredState.bootstrap(first);
         }
         driver = RaftDriver.builder()
                 .folder(opened.folder(), restored)
--- a/elmline-storage/src/main/java/org/elmline/storage/WholeFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/AtomicFile.java
@@ -5,13 +5,13 @@
 import java.nio.file.Path;
 
 /** Writes a file that is there whole or not at all, whenever the host dies: temporary file, sync, rename, folder sync. */
-final class WholeFile {
-    static final String TEMPORARY = ".tmp";
+final class AtomicFile {
+    static final String TEMPORARY_SUFFIX = ".tmp";
 
-    private WholeFile() {}
+    private AtomicFile() {}
 
     static void write(FileOperations files, Path path, ByteBuffer bytes) throws IOException {
-        Path temporary = path.resolveSibling(path.getFileName() + TEMPORARY);
+        Path temporary = path.resolveSibling(path.getFileName() + TEMPORARY_SUFFIX);
         files.delete(temporary);
         try (FileOperations.OutputFile file = files.open(temporary)) {
             file.write(bytes);
--- a/elmline-storage/src/main/java/org/elmline/storage/CheckedFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/ChecksummedFile.java
@@ -11,11 +11,11 @@
  * A file that is replaced as a whole and may be lost: what it holds only saves time after a restart. A damaged one counts
  * as missing.
  */
-public final class CheckedFile {
+public final class ChecksummedFile {
     private final FileOperations files;
     private final Path path;
 
-    public CheckedFile(FileOperations files, Path path) {
+    public ChecksummedFile(FileOperations files, Path path) {
         this.files = files;
         this.path = path;
     }
@@ -39,7 +39,7 @@
     public void write(byte[] content) throws IOException {
         ByteBuffer whole = ByteBuffer.allocate(Long.BYTES + content.length);
         whole.putLong(checksum(content)).put(content).flip();
-        WholeFile.write(files, path, whole);
+        AtomicFile.write(files, path, whole);
     }
 
     private static long checksum(byte[] content) {
--- a/elmline-storage/src/main/java/org/elmline/storage/CommittedFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/CommittedIndexFile.java
@@ -13,19 +13,19 @@
  * after the loss of all control hosts it only saves the wait for an election before the state can be shown. What it names
  * can't be undone, so an old one does no harm; a torn one fails its checksum.
  */
-final class CommittedFile {
+final class CommittedIndexFile {
     static final String NAME = "committed";
 
-    private static final int BYTES = 3 * Long.BYTES;
+    private static final int LENGTH_BYTES = 3 * Long.BYTES;
 
     private final FileOperations.OutputFile file;
 
-    CommittedFile(FileOperations files, Path folder) throws IOException {
+    CommittedIndexFile(FileOperations files, Path folder) throws IOException {
         file = files.open(folder.resolve(NAME));
     }
 
     void write(long index, long term, boolean sync) throws IOException {
-        ByteBuffer bytes = ByteBuffer.allocate(BYTES);
+        ByteBuffer bytes = ByteBuffer.allocate(LENGTH_BYTES);
         bytes.putLong(index).putLong(term).putLong(checksum(index, term)).flip();
         file.truncate(0);
         file.write(bytes);
@@ -39,8 +39,8 @@
     }
 
     /** The index, when the entry of that index and term is among those held; 0 otherwise. */
-    static long read(byte[] bytes, List<Entry> held) {
-        if (bytes.length != BYTES) {
+    static long decode(byte[] bytes, List<Entry> held) {
+        if (bytes.length != LENGTH_BYTES) {
             return 0;
         }
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
--- a/elmline-storage/src/main/java/org/elmline/storage/Damage.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Corruption.java
@@ -1,7 +1,7 @@
 package org.elmline.storage;
 
 /** A place where a file does not hold what was synced to it. */
-public record Damage(String file, long offset, String why) {
+public record Corruption(String file, long offset, String why) {
     @Override
     public String toString() {
         return file + " at byte " + offset + ": " + why;
--- a/elmline-storage/src/main/java/org/elmline/storage/DataFolder.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/DataFolder.java
@@ -13,7 +13,7 @@
 import org.elmline.core.raft.HardState;
 import org.elmline.core.raft.Membership;
 import org.elmline.core.raft.ReplicaId;
-import org.elmline.core.raft.Restored;
+import org.elmline.core.raft.RestoredState;
 import org.elmline.core.raft.Snapshot;
 
 /**
@@ -28,12 +28,12 @@
     private final Path folder;
     private final int segmentBytes;
     private final AutoCloseable lock;
-    private final TreeMap<Long, Long> maxIndexOfOld = new TreeMap<>();
+    private final TreeMap<Long, Long> maxIndexBySegment = new TreeMap<>();
     private ReplicaId identity;
     private HardState hardState;
     private SegmentFile segment;
-    private CommittedFile committedFile;
-    private long sequence;
+    private CommittedIndexFile committedFile;
+    private long segmentSequence;
     private long maxIndex;
     private String failure;
 
@@ -64,15 +64,15 @@
             }
             return result;
         } catch (DiskFullException e) {
-            release(lock);
+            releaseLock(lock);
             return new OpenResult.DiskFull(e.getMessage());
         } catch (Exception e) {
-            release(lock);
+            releaseLock(lock);
             return new OpenResult.Failed(e.toString());
         }
     }
 
-    private static void release(AutoCloseable lock) {
+    private static void releaseLock(AutoCloseable lock) {
         try {
             if (lock != null) {
                 lock.close();
@@ -84,52 +84,52 @@
 
     private OpenResult load(HostId host, RandomGenerator random) throws IOException {
         FolderScan scan = FolderScan.of(files, folder);
-        if (!scan.damages().isEmpty()) {
-            return new OpenResult.Corrupt(scan.damages().get(0));
+        if (!scan.corruptions().isEmpty()) {
+            return new OpenResult.Corrupt(scan.corruptions().get(0));
         }
         boolean othersFolder =
                 scan.identity() != null && !scan.identity().host().equals(host);
         if (othersFolder) {
             return new OpenResult.Corrupt(
-                    new Damage(IdentityFile.NAME, 0, "belongs to " + scan.identity() + ", not to " + host));
+                    new Corruption(IdentityFile.NAME, 0, "belongs to " + scan.identity() + ", not to " + host));
         }
-        for (String each : scan.temporary()) {
+        for (String each : scan.temporaryFiles()) {
             files.delete(folder.resolve(each));
         }
-        cutTornTail(scan);
+        truncateTornTails(scan);
         for (SegmentScan each : scan.segments()) {
-            maxIndexOfOld.put(SegmentFile.sequence(each.file()), each.maxIndex());
+            maxIndexBySegment.put(SegmentFile.sequenceOf(each.file()), each.maxIndex());
         }
         hardState = scan.replay().hardState();
-        sequence = scan.lastSequence() + 1;
-        List<Record> first = new ArrayList<>(List.of(Record.of(hardState)));
-        if (scan.replay().replacedBySnapshot()) {
-            first.add(Record.resetTo(scan.snapshot()));
+        segmentSequence = scan.lastSequence() + 1;
+        List<LogRecord> first = new ArrayList<>(List.of(LogRecord.of(hardState)));
+        if (scan.replay().isReplacedBySnapshot()) {
+            first.add(LogRecord.resetTo(scan.snapshot()));
         }
-        segment = SegmentFile.create(files, folder, sequence, first);
+        segment = SegmentFile.create(files, folder, segmentSequence, first);
         identity = scan.identity();
         if (identity == null) {
             identity = new ReplicaId(host, random.nextLong());
-            WholeFile.write(files, folder.resolve(IdentityFile.NAME), IdentityFile.write(identity));
+            AtomicFile.write(files, folder.resolve(IdentityFile.NAME), IdentityFile.encode(identity));
         }
-        return new OpenResult.Opened(this, withCommitted(scan.replay().restored()));
+        return new OpenResult.Opened(this, addCommittedIndex(scan.replay().restored()));
     }
 
-    private Restored withCommitted(Restored restored) throws IOException {
-        long known = files.list(folder).contains(CommittedFile.NAME)
-                ? CommittedFile.read(files.read(folder.resolve(CommittedFile.NAME)), restored.entries())
+    private RestoredState addCommittedIndex(RestoredState restored) throws IOException {
+        long known = files.list(folder).contains(CommittedIndexFile.NAME)
+                ? CommittedIndexFile.decode(files.read(folder.resolve(CommittedIndexFile.NAME)), restored.entries())
                 : 0;
-        committedFile = new CommittedFile(files, folder);
-        return new Restored(restored.hardState(), restored.snapshot(), restored.entries(), known);
+        committedFile = new CommittedIndexFile(files, folder);
+        return new RestoredState(restored.hardState(), restored.snapshot(), restored.entries(), known);
     }
 
     /**
-     * Notes that an entry is committed; see {@link CommittedFile}. Returns whether it was written: a full disk may refuse
+     * Notes that an entry is committed; see {@link CommittedIndexFile}. Returns whether it was written: a full disk may refuse
      * it, which costs no more than a wait at the next start.
      *
      * @param sync whether the note shall outlast a loss of power; waits for the disk
      */
-    public boolean noteCommitted(long index, long term, boolean sync) {
+    public boolean recordCommitted(long index, long term, boolean sync) {
         try {
             committedFile.write(index, term, sync);
             return true;
@@ -138,11 +138,11 @@
         }
     }
 
-    private void cutTornTail(FolderScan scan) throws IOException {
+    private void truncateTornTails(FolderScan scan) throws IOException {
         for (SegmentScan each : scan.segments()) {
-            if (each.torn()) {
+            if (each.isTorn()) {
                 try (FileOperations.OutputFile file = files.open(folder.resolve(each.file()))) {
-                    file.truncate(each.goodLength());
+                    file.truncate(each.validBytes());
                     file.sync();
                 }
             }
@@ -163,55 +163,55 @@
         if (hardState.term() > 0 || !first.isVoter(identity)) {
             throw new IllegalStateException("only an empty folder of a first voter can be bootstrapped");
         }
-        Restored start = Restored.bootstrap(first);
+        RestoredState start = RestoredState.bootstrap(first);
         return append(start.hardState(), start.entries());
     }
 
     /** Writes and syncs once. The first entry may stand on an index that is written, which cuts the log off there. */
     public StoreResult append(HardState newState, List<Entry> entries) {
-        List<Record> batch = new ArrayList<>();
+        List<LogRecord> batch = new ArrayList<>();
         if (newState != null) {
-            batch.add(Record.of(newState));
+            batch.add(LogRecord.of(newState));
         }
-        entries.forEach(each -> batch.add(Record.of(each)));
-        return guarded(() -> {
+        entries.forEach(each -> batch.add(LogRecord.of(each)));
+        return tryWrite(() -> {
             segment.append(batch);
             hardState = newState == null ? hardState : newState;
             entries.forEach(each -> maxIndex = Math.max(maxIndex, each.index()));
             if (segment.length() >= segmentBytes) {
-                roll(List.of());
+                rollSegment(List.of());
             }
         });
     }
 
     /** Writes a snapshot of the own state and deletes what it makes needless. */
     public StoreResult compact(Snapshot snapshot) {
-        return guarded(() -> {
+        return tryWrite(() -> {
             writeSnapshot(snapshot);
-            roll(List.of());
-            deleteBefore(snapshot);
+            rollSegment(List.of());
+            deleteCompacted(snapshot);
         });
     }
 
     /** Writes a snapshot of the leader, which replaces the whole log. */
     public StoreResult install(Snapshot snapshot) {
-        return guarded(() -> {
+        return tryWrite(() -> {
             writeSnapshot(snapshot);
-            roll(List.of(Record.resetTo(snapshot)));
-            deleteBefore(snapshot);
+            rollSegment(List.of(LogRecord.resetTo(snapshot)));
+            deleteCompacted(snapshot);
         });
     }
 
     private void writeSnapshot(Snapshot snapshot) throws IOException {
-        WholeFile.write(files, folder.resolve(SnapshotFile.name(snapshot)), SnapshotFile.write(snapshot));
+        AtomicFile.write(files, folder.resolve(SnapshotFile.fileName(snapshot)), SnapshotFile.encode(snapshot));
     }
 
-    private void roll(List<Record> more) throws IOException {
-        List<Record> first = new ArrayList<>(List.of(Record.of(hardState)));
+    private void rollSegment(List<LogRecord> more) throws IOException {
+        List<LogRecord> first = new ArrayList<>(List.of(LogRecord.of(hardState)));
         first.addAll(more);
         SegmentFile next;
         try {
-            next = SegmentFile.create(files, folder, sequence + 1, first);
+            next = SegmentFile.create(files, folder, segmentSequence + 1, first);
         } catch (DiskFullException e) {
             if (more.isEmpty()) {
                 // The present segment takes more; a new one is tried after the next batch.
@@ -220,36 +220,36 @@
             throw e;
         }
         segment.close();
-        maxIndexOfOld.put(sequence, maxIndex);
-        sequence++;
+        maxIndexBySegment.put(segmentSequence, maxIndex);
+        segmentSequence++;
         maxIndex = 0;
         segment = next;
     }
 
-    private void deleteBefore(Snapshot snapshot) throws IOException {
-        String newest = SnapshotFile.name(snapshot);
+    private void deleteCompacted(Snapshot snapshot) throws IOException {
+        String newest = SnapshotFile.fileName(snapshot);
         for (String each : files.list(folder)) {
-            if (SnapshotFile.isName(each) && each.compareTo(newest) < 0) {
+            if (SnapshotFile.isSnapshotName(each) && each.compareTo(newest) < 0) {
                 files.delete(folder.resolve(each));
             }
         }
         // From the oldest on, each deletion synced before the next, so that a hole always means a loss.
-        while (!maxIndexOfOld.isEmpty()) {
-            Map.Entry<Long, Long> oldest = maxIndexOfOld.firstEntry();
+        while (!maxIndexBySegment.isEmpty()) {
+            Map.Entry<Long, Long> oldest = maxIndexBySegment.firstEntry();
             if (oldest.getValue() > snapshot.index()) {
                 break;
             }
-            files.delete(folder.resolve(SegmentFile.name(oldest.getKey())));
+            files.delete(folder.resolve(SegmentFile.fileName(oldest.getKey())));
             files.syncFolder(folder);
-            maxIndexOfOld.remove(oldest.getKey());
+            maxIndexBySegment.remove(oldest.getKey());
         }
     }
 
-    private interface Write {
+    private interface WriteOperation {
         void run() throws IOException;
     }
 
-    private StoreResult guarded(Write write) {
+    private StoreResult tryWrite(WriteOperation write) {
         if (failure != null) {
             return new StoreResult.Failed(failure);
         }
@@ -267,9 +267,9 @@
     /** Marks the log as closed in order and lets the folder go. */
     @Override
     public void close() throws IOException {
-        guarded(() -> segment.append(List.of(Record.CLOSED)));
+        tryWrite(() -> segment.append(List.of(LogRecord.CLOSED)));
         segment.close();
         committedFile.close();
-        release(lock);
+        releaseLock(lock);
     }
 }
--- a/elmline-storage/src/main/java/org/elmline/storage/FolderScan.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/FolderScan.java
@@ -12,8 +12,8 @@
 final class FolderScan {
     private final List<SegmentScan> segments = new ArrayList<>();
     private final List<String> snapshots = new ArrayList<>();
-    private final List<String> temporary = new ArrayList<>();
-    private final List<Damage> damages = new ArrayList<>();
+    private final List<String> temporaryFiles = new ArrayList<>();
+    private final List<Corruption> corruptions = new ArrayList<>();
     private ReplicaId identity;
     private Snapshot snapshot;
     private Replay replay;
@@ -24,36 +24,36 @@
     static FolderScan of(FileOperations files, Path folder) throws IOException {
         FolderScan scan = new FolderScan();
         for (String name : files.list(folder)) {
-            scan.read(files, folder.resolve(name), name);
+            scan.readFile(files, folder.resolve(name), name);
         }
         scan.finish();
         return scan;
     }
 
-    private void read(FileOperations files, Path file, String name) throws IOException {
-        if (name.endsWith(WholeFile.TEMPORARY)) {
-            temporary.add(name);
+    private void readFile(FileOperations files, Path file, String name) throws IOException {
+        if (name.endsWith(AtomicFile.TEMPORARY_SUFFIX)) {
+            temporaryFiles.add(name);
         } else if (name.equals(IdentityFile.NAME)) {
-            identity = IdentityFile.read(files.read(file));
+            identity = IdentityFile.decode(files.read(file));
             if (identity == null) {
-                damages.add(new Damage(name, 0, "not an identity"));
+                corruptions.add(new Corruption(name, 0, "not an identity"));
             }
-        } else if (SegmentFile.isName(name)) {
+        } else if (SegmentFile.isSegmentName(name)) {
             readSegment(files.read(file), name);
-        } else if (SnapshotFile.isName(name)) {
+        } else if (SnapshotFile.isSnapshotName(name)) {
             snapshots.add(name);
             // Names sort by index, so the newest comes last.
-            snapshot = SnapshotFile.read(files.read(file));
+            snapshot = SnapshotFile.decode(files.read(file));
             if (snapshot == null) {
-                damages.add(new Damage(name, 0, "the snapshot is damaged"));
+                corruptions.add(new Corruption(name, 0, "the snapshot is damaged"));
             }
         }
     }
 
     private void readSegment(byte[] bytes, String name) {
-        long sequence = SegmentFile.sequence(name);
+        long sequence = SegmentFile.sequenceOf(name);
         if (lastSequence != 0 && sequence != lastSequence + 1) {
-            damages.add(new Damage(name, 0, "the segment before it is missing"));
+            corruptions.add(new Corruption(name, 0, "the segment before it is missing"));
         }
         lastSequence = sequence;
         segments.add(SegmentScan.of(name, bytes, sequence));
@@ -64,19 +64,19 @@
         for (int i = 0; i < segments.size(); i++) {
             SegmentScan each = segments.get(i);
             boolean isLast = i == segments.size() - 1;
-            if (each.damage() != null) {
-                damages.add(each.damage());
-            } else if (each.torn() && !isLast) {
-                damages.add(new Damage(each.file(), each.goodLength(), "a synced record is damaged"));
+            if (each.corruption() != null) {
+                corruptions.add(each.corruption());
+            } else if (each.isTorn() && !isLast) {
+                corruptions.add(new Corruption(each.file(), each.validBytes(), "a synced record is damaged"));
             }
-            Damage gap = replay.add(each);
+            Corruption gap = replay.add(each);
             if (gap != null) {
-                damages.add(gap);
+                corruptions.add(gap);
                 break;
             }
         }
-        if (replay.gap() != null) {
-            damages.add(replay.gap());
+        if (replay.findGap() != null) {
+            corruptions.add(replay.findGap());
         }
         checkIdentity();
     }
@@ -84,11 +84,11 @@
     private void checkIdentity() {
         boolean holdsState = snapshot != null || replay.hardState().term() > 0;
         if (identity == null && holdsState) {
-            damages.add(new Damage(IdentityFile.NAME, 0, "missing beside a log"));
+            corruptions.add(new Corruption(IdentityFile.NAME, 0, "missing beside a log"));
         }
         // Without this check a replica whose log was deleted would vote again under the identity it voted with before.
         if (identity != null && segments.isEmpty()) {
-            damages.add(new Damage(IdentityFile.NAME, 0, "stands without a log"));
+            corruptions.add(new Corruption(IdentityFile.NAME, 0, "stands without a log"));
         }
     }
 
@@ -100,12 +100,12 @@
         return snapshots;
     }
 
-    List<String> temporary() {
-        return temporary;
+    List<String> temporaryFiles() {
+        return temporaryFiles;
     }
 
-    List<Damage> damages() {
-        return damages;
+    List<Corruption> corruptions() {
+        return corruptions;
     }
 
     /** Null when there is none. */
--- a/elmline-storage/src/main/java/org/elmline/storage/Frame.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Frame.java
@@ -8,45 +8,45 @@
  * offset at which the record's batch starts, byte type, payload. All before the batch's start was synced before any of
  * the batch was written, which tells a torn tail from damage.
  */
-record Frame(int batchStart, Record record, int end) {
-    static final int HEADER = 3 * Integer.BYTES + 1;
+record Frame(int batchOffset, LogRecord record, int endOffset) {
+    static final int HEADER_BYTES = 3 * Integer.BYTES + 1;
 
-    private static final int CRC_END = 2 * Integer.BYTES;
+    private static final int CRC_END_OFFSET = 2 * Integer.BYTES;
 
-    static int length(Record record) {
-        return HEADER + record.payload().length;
+    static int length(LogRecord record) {
+        return HEADER_BYTES + record.payload().length;
     }
 
-    static void write(ByteBuffer to, int batchStart, Record record) {
+    static void write(ByteBuffer to, int batchStart, LogRecord record) {
         int start = to.position();
         to.putInt(record.payload().length).putInt(0).putInt(batchStart);
         to.put(record.type().code()).put(record.payload());
-        to.putInt(start + Integer.BYTES, checksum(to.array(), start + CRC_END, to.position()));
+        to.putInt(start + Integer.BYTES, checksum(to.array(), start + CRC_END_OFFSET, to.position()));
     }
 
     /** The frame that starts at an offset, null when there is no whole one. */
     static Frame read(ByteBuffer from, int start) {
-        if (from.limit() - start < HEADER) {
+        if (from.limit() - start < HEADER_BYTES) {
             return null;
         }
         int length = from.getInt(start);
-        int batchStart = from.getInt(start + CRC_END);
-        RecordType type = RecordType.ofCode(from.get(start + HEADER - 1));
+        int batchStart = from.getInt(start + CRC_END_OFFSET);
+        RecordType type = RecordType.ofCode(from.get(start + HEADER_BYTES - 1));
         boolean possible = length >= 0
-                && length <= from.limit() - start - HEADER
+                && length <= from.limit() - start - HEADER_BYTES
                 && type != null
                 && batchStart >= 0
                 && batchStart <= start;
         if (!possible) {
             return null;
         }
-        int end = start + HEADER + length;
-        if (from.getInt(start + Integer.BYTES) != checksum(from.array(), start + CRC_END, end)) {
+        int end = start + HEADER_BYTES + length;
+        if (from.getInt(start + Integer.BYTES) != checksum(from.array(), start + CRC_END_OFFSET, end)) {
             return null;
         }
         byte[] payload = new byte[length];
-        from.get(start + HEADER, payload);
-        return new Frame(batchStart, new Record(type, payload), end);
+        from.get(start + HEADER_BYTES, payload);
+        return new Frame(batchStart, new LogRecord(type, payload), end);
     }
 
     private static int checksum(byte[] bytes, int from, int until) {
--- a/elmline-storage/src/main/java/org/elmline/storage/IdentityFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/IdentityFile.java
@@ -12,22 +12,22 @@
 final class IdentityFile {
     static final String NAME = "identity";
 
-    private static final String FORM = "elmline-replica-1 ";
+    private static final String PREFIX = "elmline-replica-1 ";
 
     private IdentityFile() {}
 
-    static ByteBuffer write(ReplicaId id) {
-        return ByteBuffer.wrap((FORM + id + "\n").getBytes(StandardCharsets.UTF_8));
+    static ByteBuffer encode(ReplicaId id) {
+        return ByteBuffer.wrap((PREFIX + id + "\n").getBytes(StandardCharsets.UTF_8));
     }
 
     /** Null when the bytes are not an identity. */
-    static ReplicaId read(byte[] bytes) {
+    static ReplicaId decode(byte[] bytes) {
         String text = new String(bytes, StandardCharsets.UTF_8);
-        if (!text.startsWith(FORM) || !text.endsWith("\n")) {
+        if (!text.startsWith(PREFIX) || !text.endsWith("\n")) {
             return null;
         }
         try {
-            return ReplicaId.parse(text.substring(FORM.length(), text.length() - 1));
+            return ReplicaId.parse(text.substring(PREFIX.length(), text.length() - 1));
         } catch (IllegalArgumentException e) {
             return null;
         }
--- a/elmline-storage/src/main/java/org/elmline/storage/Inspection.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Inspection.java
@@ -9,7 +9,7 @@
 import org.elmline.core.raft.HardState;
 import org.elmline.core.raft.Membership;
 import org.elmline.core.raft.ReplicaId;
-import org.elmline.core.raft.Restored;
+import org.elmline.core.raft.RestoredState;
 
 /**
  * What a data folder holds, for operators. Reading changes nothing and takes no lock, so it also serves on the folder
@@ -31,7 +31,7 @@
         long lastTerm,
         Membership membership,
         List<Segment> segments,
-        List<Damage> damages) {
+        List<Corruption> damages) {
 
     /**
      * One file of the log.
@@ -43,7 +43,7 @@
 
     public static Inspection of(FileOperations files, Path folder) throws IOException {
         FolderScan scan = FolderScan.of(files, folder);
-        Restored restored = scan.replay().restored();
+        RestoredState restored = scan.replay().restored();
         List<Entry> entries = restored.entries();
         boolean compacted = restored.snapshot() != null;
         long snapshotIndex = compacted ? restored.snapshot().index() : 0;
@@ -60,10 +60,10 @@
                 last == null ? snapshotTerm : last.term(),
                 membership(restored),
                 scan.segments().stream().map(Inspection::segment).toList(),
-                List.copyOf(scan.damages()));
+                List.copyOf(scan.corruptions()));
     }
 
-    private static Membership membership(Restored restored) {
+    private static Membership membership(RestoredState restored) {
         Membership newest = restored.snapshot() == null
                 ? Membership.EMPTY
                 : restored.snapshot().membership();
@@ -77,7 +77,7 @@
         long entries = scan.records().stream()
                 .filter(each -> each.type() == RecordType.ENTRY)
                 .count();
-        int torn = scan.torn() ? scan.length() - scan.goodLength() : 0;
-        return new Segment(scan.file(), scan.length(), entries, scan.maxIndex(), torn);
+        int torn = scan.isTorn() ? scan.fileBytes() - scan.validBytes() : 0;
+        return new Segment(scan.file(), scan.fileBytes(), entries, scan.maxIndex(), torn);
     }
 }
--- a/elmline-storage/src/main/java/org/elmline/storage/Record.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/LogRecord.java
@@ -10,28 +10,28 @@
 import org.elmline.core.raft.Snapshot;
 
 /** One record's type and payload, laid out as {@link RecordType} says, big-endian. */
-record Record(RecordType type, byte[] payload) {
-    static final Record CLOSED = new Record(RecordType.CLOSED, new byte[0]);
+record LogRecord(RecordType type, byte[] payload) {
+    static final LogRecord CLOSED = new LogRecord(RecordType.CLOSED, new byte[0]);
 
-    private static final int POSITION = 2 * Long.BYTES;
+    private static final int POSITION_BYTES = 2 * Long.BYTES;
 
-    static Record of(Entry entry) {
-        ByteBuffer to = ByteBuffer.allocate(POSITION + 1 + entry.data().length);
+    static LogRecord of(Entry entry) {
+        ByteBuffer to = ByteBuffer.allocate(POSITION_BYTES + 1 + entry.data().length);
         to.putLong(entry.index()).putLong(entry.term()).put((byte) entry.kind().code());
-        return new Record(RecordType.ENTRY, to.put(entry.data()).array());
+        return new LogRecord(RecordType.ENTRY, to.put(entry.data()).array());
     }
 
-    static Record of(HardState state) {
+    static LogRecord of(HardState state) {
         String vote = state.vote() == null ? "" : state.vote().toString();
         byte[] text = vote.getBytes(StandardCharsets.UTF_8);
         ByteBuffer to = ByteBuffer.allocate(Long.BYTES + text.length);
-        return new Record(
+        return new LogRecord(
                 RecordType.HARD_STATE, to.putLong(state.term()).put(text).array());
     }
 
-    static Record resetTo(Snapshot snapshot) {
-        ByteBuffer to = ByteBuffer.allocate(POSITION);
-        return new Record(
+    static LogRecord resetTo(Snapshot snapshot) {
+        ByteBuffer to = ByteBuffer.allocate(POSITION_BYTES);
+        return new LogRecord(
                 RecordType.RESET,
                 to.putLong(snapshot.index()).putLong(snapshot.term()).array());
     }
--- a/elmline-storage/src/main/java/org/elmline/storage/Replay.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Replay.java
@@ -5,18 +5,18 @@
 
 import org.elmline.core.raft.Entry;
 import org.elmline.core.raft.HardState;
-import org.elmline.core.raft.Restored;
+import org.elmline.core.raft.RestoredState;
 import org.elmline.core.raft.Snapshot;
 
 /** Puts the state of the log together from the records of all segments, in their order. */
 final class Replay {
-    private static final long UNKNOWN = -1;
+    private static final long UNKNOWN_INDEX = -1;
 
     private final Snapshot snapshot;
     private final List<Entry> entries = new ArrayList<>();
     private HardState hardState = HardState.NONE;
-    private long last = UNKNOWN;
-    private long first = UNKNOWN;
+    private long lastIndex = UNKNOWN_INDEX;
+    private long firstIndex = UNKNOWN_INDEX;
     private long resetIndex;
 
     /**
@@ -27,23 +27,23 @@
     }
 
     /** Takes the next segment. Returns the damage found in it, null when there is none. */
-    Damage add(SegmentScan segment) {
-        for (Record each : segment.records()) {
+    Corruption add(SegmentScan segment) {
+        for (LogRecord each : segment.records()) {
             if (!add(each)) {
-                return new Damage(segment.file(), 0, "an entry before " + each.entry() + " is missing");
+                return new Corruption(segment.file(), 0, "an entry before " + each.entry() + " is missing");
             }
         }
         return null;
     }
 
-    private boolean add(Record record) {
+    private boolean add(LogRecord record) {
         switch (record.type()) {
             case HARD_STATE -> hardState = record.hardState();
             case RESET -> {
                 entries.clear();
                 resetIndex = record.resetIndex();
-                last = resetIndex;
-                first = resetIndex + 1;
+                lastIndex = resetIndex;
+                firstIndex = resetIndex + 1;
             }
             case ENTRY -> {
                 return add(record.entry());
@@ -56,16 +56,16 @@
     }
 
     private boolean add(Entry entry) {
-        if (last == UNKNOWN || entry.index() < first) {
+        if (lastIndex == UNKNOWN_INDEX || entry.index() < firstIndex) {
             entries.clear();
-            first = entry.index();
-        } else if (entry.index() > last + 1) {
+            firstIndex = entry.index();
+        } else if (entry.index() > lastIndex + 1) {
             return false;
         } else {
-            entries.subList((int) (entry.index() - first), entries.size()).clear();
+            entries.subList((int) (entry.index() - firstIndex), entries.size()).clear();
         }
         entries.add(entry);
-        last = entry.index();
+        lastIndex = entry.index();
         return true;
     }
 
@@ -74,12 +74,12 @@
     }
 
     /** Null when snapshot and entries leave no gap. */
-    Damage gap() {
+    Corruption findGap() {
         if (resetIndex > snapshotIndex()) {
-            return new Damage("snapshot", resetIndex, "the snapshot that replaced the log is missing");
+            return new Corruption("snapshot", resetIndex, "the snapshot that replaced the log is missing");
         }
-        if (!entries.isEmpty() && first > snapshotIndex() + 1) {
-            return new Damage("snapshot", first, "entries or a snapshot before this index are missing");
+        if (!entries.isEmpty() && firstIndex > snapshotIndex() + 1) {
+            return new Corruption("snapshot", firstIndex, "entries or a snapshot before this index are missing");
         }
         return null;
     }
@@ -88,14 +88,14 @@
      * Whether the log does not lead up to the snapshot: the host died between writing a snapshot of the leader and
      * noting that it replaces the log. The entries are void then.
      */
-    boolean replacedBySnapshot() {
-        if (snapshot == null || last == UNKNOWN || resetIndex == snapshot.index()) {
+    boolean isReplacedBySnapshot() {
+        if (snapshot == null || lastIndex == UNKNOWN_INDEX || resetIndex == snapshot.index()) {
             return false;
         }
-        if (last < snapshot.index()) {
+        if (lastIndex < snapshot.index()) {
             return true;
         }
-        long at = snapshot.index() - first;
+        long at = snapshot.index() - firstIndex;
         return at >= 0 && entries.get((int) at).term() != snapshot.term();
     }
 
@@ -103,12 +103,12 @@
         return hardState;
     }
 
-    Restored restored() {
-        if (replacedBySnapshot()) {
-            return new Restored(hardState, snapshot, List.of());
+    RestoredState restored() {
+        if (isReplacedBySnapshot()) {
+            return new RestoredState(hardState, snapshot, List.of());
         }
         List<Entry> after =
                 entries.stream().filter(each -> each.index() > snapshotIndex()).toList();
-        return new Restored(hardState, snapshot, after);
+        return new RestoredState(hardState, snapshot, after);
     }
 }
--- a/elmline-storage/src/main/java/org/elmline/storage/SegmentFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SegmentFile.java
@@ -11,12 +11,12 @@
  * log-SEQUENCE.seg} with 16 hex digits and appear whole, by renaming.
  */
 final class SegmentFile implements AutoCloseable {
-    static final int HEADER = 2 * Long.BYTES;
+    static final int HEADER_BYTES = 2 * Long.BYTES;
 
     private static final long MAGIC = 0x454c_4d4c_4f47_0001L;
     private static final String PREFIX = "log-";
     private static final String SUFFIX = ".seg";
-    private static final int HEX = 16;
+    private static final int HEX_DIGITS = 16;
 
     private final FileOperations.OutputFile file;
     private int length;
@@ -26,41 +26,44 @@
         this.length = length;
     }
 
-    static boolean isName(String name) {
-        return name.matches(PREFIX + "[0-9a-f]{" + HEX + "}\\" + SUFFIX);
+    static boolean isSegmentName(String name) {
+        return name.matches(PREFIX + "[0-9a-f]{" + HEX_DIGITS + "}\\" + SUFFIX);
     }
 
-    static String name(long sequence) {
+    static String fileName(long sequence) {
         return String.format("%s%016x%s", PREFIX, sequence, SUFFIX);
     }
 
-    static long sequence(String name) {
-        return Long.parseUnsignedLong(name.substring(PREFIX.length(), name.length() - SUFFIX.length()), HEX);
+    static long sequenceOf(String name) {
+        return Long.parseUnsignedLong(name.substring(PREFIX.length(), name.length() - SUFFIX.length()), HEX_DIGITS);
     }
 
     /** Null when the header is whole. */
-    static Damage headerDamage(String file, ByteBuffer bytes, long sequence) {
-        if (bytes.limit() < HEADER) {
-            return new Damage(file, bytes.limit(), "the segment's header is cut off");
+    static Corruption headerCorruption(String file, ByteBuffer bytes, long sequence) {
+        if (bytes.limit() < HEADER_BYTES) {
+            return new Corruption(file, bytes.limit(), "the segment's header is cut off");
         }
         if (bytes.getLong(0) != MAGIC) {
-            return new Damage(file, 0, "not a segment of this version");
+            return new Corruption(file, 0, "not a segment of this version");
         }
-        return bytes.getLong(Long.BYTES) == sequence ? null : new Damage(file, Long.BYTES, "not the named sequence");
+        return bytes.getLong(Long.BYTES) == sequence
+                ? null
+                : new Corruption(file, Long.BYTES, "not the named sequence");
     }
 
     /** Creates a segment that starts with the given records, synced. */
-    static SegmentFile create(FileOperations files, Path folder, long sequence, List<Record> first) throws IOException {
-        int length = HEADER + first.stream().mapToInt(Frame::length).sum();
+    static SegmentFile create(FileOperations files, Path folder, long sequence, List<LogRecord> first)
+            throws IOException {
+        int length = HEADER_BYTES + first.stream().mapToInt(Frame::length).sum();
         ByteBuffer bytes = ByteBuffer.allocate(length).putLong(MAGIC).putLong(sequence);
-        first.forEach(each -> Frame.write(bytes, HEADER, each));
-        Path path = folder.resolve(name(sequence));
-        WholeFile.write(files, path, bytes.flip());
+        first.forEach(each -> Frame.write(bytes, HEADER_BYTES, each));
+        Path path = folder.resolve(fileName(sequence));
+        AtomicFile.write(files, path, bytes.flip());
         return new SegmentFile(files.open(path), length);
     }
 
     /** Adds one batch and syncs it. On a full disk nothing of it counts; any other failure leaves the file unusable. */
-    void append(List<Record> batch) throws IOException {
+    void append(List<LogRecord> batch) throws IOException {
         int bytes = batch.stream().mapToInt(Frame::length).sum();
         ByteBuffer buffer = ByteBuffer.allocate(bytes);
         batch.forEach(each -> Frame.write(buffer, length, each));
--- a/elmline-storage/src/main/java/org/elmline/storage/SnapshotFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SnapshotFile.java
@@ -14,22 +14,22 @@
     private static final long MAGIC = 0x454c_4d53_4e41_0001L;
     private static final String PREFIX = "snapshot-";
     private static final String SUFFIX = ".snap";
-    private static final int CRC_END = Long.BYTES + Integer.BYTES;
-    private static final int HEADER = CRC_END + 2 * Long.BYTES + Integer.BYTES;
+    private static final int CRC_END_OFFSET = Long.BYTES + Integer.BYTES;
+    private static final int HEADER_BYTES = CRC_END_OFFSET + 2 * Long.BYTES + Integer.BYTES;
 
     private SnapshotFile() {}
 
-    static boolean isName(String name) {
+    static boolean isSnapshotName(String name) {
         return name.startsWith(PREFIX) && name.endsWith(SUFFIX);
     }
 
-    static String name(Snapshot snapshot) {
+    static String fileName(Snapshot snapshot) {
         return String.format("%s%016x%s", PREFIX, snapshot.index(), SUFFIX);
     }
 
-    static ByteBuffer write(Snapshot snapshot) {
+    static ByteBuffer encode(Snapshot snapshot) {
         byte[] members = snapshot.membership().toBytes();
-        ByteBuffer to = ByteBuffer.allocate(HEADER + members.length + snapshot.data().length);
+        ByteBuffer to = ByteBuffer.allocate(HEADER_BYTES + members.length + snapshot.data().length);
         to.putLong(MAGIC).putInt(0).putLong(snapshot.index()).putLong(snapshot.term());
         to.putInt(members.length).put(members).put(snapshot.data());
         to.putInt(Long.BYTES, checksum(to.array()));
@@ -37,9 +37,9 @@
     }
 
     /** Null when the bytes are not a whole snapshot. */
-    static Snapshot read(byte[] bytes) {
+    static Snapshot decode(byte[] bytes) {
         ByteBuffer from = ByteBuffer.wrap(bytes);
-        boolean whole = bytes.length >= HEADER && from.getLong() == MAGIC && from.getInt() == checksum(bytes);
+        boolean whole = bytes.length >= HEADER_BYTES && from.getLong() == MAGIC && from.getInt() == checksum(bytes);
         if (!whole) {
             return null;
         }
@@ -54,7 +54,7 @@
 
     private static int checksum(byte[] bytes) {
         CRC32C crc = new CRC32C();
-        crc.update(bytes, CRC_END, bytes.length - CRC_END);
+        crc.update(bytes, CRC_END_OFFSET, bytes.length - CRC_END_OFFSET);
         return (int) crc.getValue();
     }
 }
--- a/elmline-storage/src/main/java/org/elmline/storage/StoreResult.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/StoreResult.java
@@ -6,8 +6,8 @@
     record Done() implements StoreResult {}
 
     /** No room; nothing of it counts, and the same write may be tried again later. */
-    record DiskFull(String why) implements StoreResult {}
+    record DiskFull(String reason) implements StoreResult {}
 
     /** The disk failed; what is on it is unknown, and this opening of the folder takes no more writes. */
-    record Failed(String why) implements StoreResult {}
+    record Failed(String reason) implements StoreResult {}
 }
--- a/elmline-storage/src/main/java/org/elmline/storage/SystemFiles.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SystemFiles.java
@@ -14,7 +14,7 @@
 
 /** The file system of the host. */
 public class SystemFiles implements FileOperations {
-    private static final List<String> NO_ROOM = List.of("No space left on device", "Disk quota exceeded");
+    private static final List<String> DISK_FULL_MESSAGES = List.of("No space left on device", "Disk quota exceeded");
 
     @Override
     public void createFolder(Path folder) throws IOException {
@@ -83,7 +83,7 @@
                 }
             } catch (IOException e) {
                 String message = String.valueOf(e.getMessage());
-                if (NO_ROOM.stream().anyMatch(message::contains)) {
+                if (DISK_FULL_MESSAGES.stream().anyMatch(message::contains)) {
                     throw new DiskFullException(message);
                 }
                 throw e;
--- a/elmline-storage/src/test/java/org/elmline/storage/CheckedFileTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CheckedFileTest.java
@@ -17,19 +17,20 @@
     @Test
     void holdsWhatWasWrittenLast() throws Exception {
         Path path = folder.resolve("f");
-        CheckedFile file = new CheckedFile(new SystemFiles(), path);
+        ChecksummedFile file = new ChecksummedFile(new SystemFiles(), path);
         assertTrue(file.read().isEmpty());
         file.write(new byte[] {1, 2, 3});
         file.write(new byte[] {4});
         assertArrayEquals(
-                new byte[] {4}, new CheckedFile(new SystemFiles(), path).read().orElseThrow());
+                new byte[] {4},
+                new ChecksummedFile(new SystemFiles(), path).read().orElseThrow());
     }
 
     /** A file that a loss of power has torn would bring servers that never were: each damage counts as nothing. */
     @Test
     void aDamagedFileCountsAsMissing() throws Exception {
         Path path = folder.resolve("f");
-        CheckedFile file = new CheckedFile(new SystemFiles(), path);
+        ChecksummedFile file = new ChecksummedFile(new SystemFiles(), path);
         file.write(new byte[] {1, 2, 3});
         byte[] whole = Files.readAllBytes(path);
         for (int i = 0; i < whole.length; i++) {
--- a/elmline-storage/src/test/java/org/elmline/storage/CommittedFileTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CommittedFileTest.java
@@ -37,11 +37,11 @@
     void whatWasNotedIsKnownAfterAKill() throws Exception {
         try (DataFolder data = open().folder()) {
             data.append(new HardState(3, null), List.of(entry(1, 2), entry(2, 3), entry(3, 3)));
-            assertTrue(data.noteCommitted(1, 2, false));
-            assertTrue(data.noteCommitted(2, 3, true));
+            assertTrue(data.recordCommitted(1, 2, false));
+            assertTrue(data.recordCommitted(2, 3, true));
         }
         OpenResult.Opened again = open();
-        assertEquals(2, again.restored().committed());
+        assertEquals(2, again.restored().committedIndex());
         again.folder().close();
     }
 
@@ -51,12 +51,12 @@
         List<Entry> held = List.of(entry(1, 2), entry(2, 3));
         try (DataFolder data = open().folder()) {
             data.append(new HardState(3, null), held);
-            data.noteCommitted(2, 9, true);
+            data.recordCommitted(2, 9, true);
         }
         OpenResult.Opened again = open();
-        assertEquals(0, again.restored().committed());
+        assertEquals(0, again.restored().committedIndex());
         again.folder().close();
-        assertEquals(0, CommittedFile.read(new byte[24], held));
-        assertEquals(0, CommittedFile.read(new byte[3], held));
+        assertEquals(0, CommittedIndexFile.decode(new byte[24], held));
+        assertEquals(0, CommittedIndexFile.decode(new byte[3], held));
     }
 }
--- a/elmline-storage/src/test/java/org/elmline/storage/CrashTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CrashTest.java
@@ -10,7 +10,7 @@
 import org.elmline.core.common.HostId;
 import org.elmline.core.raft.Entry;
 import org.elmline.core.raft.HardState;
-import org.elmline.core.raft.Restored;
+import org.elmline.core.raft.RestoredState;
 import org.elmline.core.raft.Snapshot;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
@@ -49,7 +49,7 @@
     private DataFolder open(SplittableRandom random) {
         OpenResult result = DataFolder.open(files, FOLDER, HostId.of("h1"), random, 400);
         OpenResult.Opened opened = assertInstanceOf(OpenResult.Opened.class, result, result::toString);
-        Restored found = opened.restored();
+        RestoredState found = opened.restored();
         long floor = snapshot == null ? 0 : snapshot.index();
         List<Entry> expected =
                 entries.stream().filter(each -> each.index() > floor).toList();
@@ -68,7 +68,7 @@
     }
 
     private interface Pending {
-        void check(List<Entry> before, Restored found);
+        void check(List<Entry> before, RestoredState found);
     }
 
     private Pending pending;
--- a/elmline-storage/src/test/java/org/elmline/storage/DataFolderTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/DataFolderTest.java
@@ -14,7 +14,7 @@
 import org.elmline.core.raft.HardState;
 import org.elmline.core.raft.Membership;
 import org.elmline.core.raft.ReplicaId;
-import org.elmline.core.raft.Restored;
+import org.elmline.core.raft.RestoredState;
 import org.elmline.core.raft.Snapshot;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -50,7 +50,7 @@
     }
 
     private static Path segment(int sequence) {
-        return FOLDER.resolve(SegmentFile.name(sequence));
+        return FOLDER.resolve(SegmentFile.fileName(sequence));
     }
 
     /** Writes three batches and returns the segment's length after each. */
@@ -96,8 +96,8 @@
             MemoryFiles flipped = files.copy();
             flipped.bytes(segment(1))[offset] ^= 0x10;
             OpenResult.Corrupt corrupt = assertInstanceOf(OpenResult.Corrupt.class, tryOpen(flipped, FOLDER));
-            assertEquals(SegmentFile.name(1), corrupt.damage().file());
-            assertTrue(corrupt.damage().offset() <= offset);
+            assertEquals(SegmentFile.fileName(1), corrupt.corruption().file());
+            assertTrue(corrupt.corruption().offset() <= offset);
         }
     }
 
@@ -119,7 +119,7 @@
         folder.compact(snapshot(1, 1));
         open(files).folder().append(null, List.of(entry(3, 1)));
         MemoryFiles damaged = files.copy();
-        damaged.bytes(FOLDER.resolve(SnapshotFile.name(snapshot(1, 1))))[30] ^= 1;
+        damaged.bytes(FOLDER.resolve(SnapshotFile.fileName(snapshot(1, 1))))[30] ^= 1;
         assertInstanceOf(OpenResult.Corrupt.class, tryOpen(damaged, FOLDER));
         MemoryFiles hole = files.copy();
         hole.put(segment(9), hole.bytes(segment(1)));
@@ -168,7 +168,7 @@
     void realFilesAreLockedRestoredAndInspectedUnchanged(@TempDir Path folder) throws IOException {
         FileOperations system = new SystemFiles();
         OpenResult.Opened opened = assertInstanceOf(OpenResult.Opened.class, tryOpen(system, folder));
-        assertEquals(Restored.NOTHING, opened.restored());
+        assertEquals(RestoredState.EMPTY, opened.restored());
         assertInstanceOf(OpenResult.Locked.class, tryOpen(system, folder));
         Membership first = Membership.ofVoters(List.of(opened.folder().identity()));
         assertEquals(DONE, opened.folder().bootstrap(first));
@@ -185,7 +185,7 @@
         for (int i = 0; i < before.size(); i++) {
             assertTrue(java.util.Arrays.equals(before.get(i), after.get(i)));
         }
-        Restored again = ((OpenResult.Opened) tryOpen(system, folder)).restored();
+        RestoredState again = ((OpenResult.Opened) tryOpen(system, folder)).restored();
         assertEquals(List.of(entry(3, 2)), again.entries());
         assertEquals("state at 2", new String(again.snapshot().data()));
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/Codecs.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/Codecs.java
@@ -14,20 +14,21 @@
 /** The codecs elmline uses. Each is safe for use by many threads. */
 public final class Codecs {
     /** Longest single string read, in characters: a prompt of a million tokens with room to spare. */
-    public static final int MAX_STRING = 64 * 1024 * 1024;
+    public static final int MAX_STRING_CHARS = 64 * 1024 * 1024;
 
     /**
      * Between elmline processes. Unknown fields are passed over, so that two releases can run side by side during a
      * rolling upgrade.
      */
     public static final Codec MESSAGE_PACK = new ShapeCodec(
-            constrained(messagePackFactory()), false, () -> lenient(new ObjectMapper(messagePackFactory())));
+            withReadLimits(messagePackFactory()), false, () -> lenient(new ObjectMapper(messagePackFactory())));
 
     /** For what people write (settings, tickets): an unknown field is an error, since it is most likely a typing slip. */
-    public static final Codec STRICT_JSON = new ShapeCodec(constrained(new JsonFactory()), true, Codecs::strictMapper);
+    public static final Codec STRICT_JSON =
+            new ShapeCodec(withReadLimits(new JsonFactory()), true, Codecs::strictMapper);
 
     /** For JSON that other programs send: unknown fields are passed over. */
-    public static final Codec JSON = new ShapeCodec(constrained(new JsonFactory()), false, Codecs::jsonMapper);
+    public static final Codec JSON = new ShapeCodec(withReadLimits(new JsonFactory()), false, Codecs::jsonMapper);
 
     private Codecs() {}
 
@@ -37,19 +38,19 @@
     }
 
     private static ObjectMapper strictMapper() {
-        SimpleModule booleans = new SimpleModule().addDeserializer(boolean.class, new AbsentIsFalse());
-        return common(JsonMapper.builder().addModule(booleans).build())
+        SimpleModule booleans = new SimpleModule().addDeserializer(boolean.class, new OptionalBooleanDeserializer());
+        return configure(JsonMapper.builder().addModule(booleans).build())
                 .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
                 .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
                 .enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES);
     }
 
     static ObjectMapper lenient(ObjectMapper mapper) {
-        return common(mapper).disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
+        return configure(mapper).disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES);
     }
 
-    private static ObjectMapper common(ObjectMapper mapper) {
-        constrained(mapper.getFactory());
+    private static ObjectMapper configure(ObjectMapper mapper) {
+        withReadLimits(mapper.getFactory());
         mapper.setAnnotationIntrospector(new SealedTypeIntrospector());
         mapper.setSerializationInclusion(JsonInclude.Include.NON_NULL);
         mapper.disable(SerializationFeature.FAIL_ON_EMPTY_BEANS);
@@ -57,9 +58,10 @@
         return mapper;
     }
 
-    private static <F extends JsonFactory> F constrained(F factory) {
-        factory.setStreamReadConstraints(
-                StreamReadConstraints.builder().maxStringLength(MAX_STRING).build());
+    private static <F extends JsonFactory> F withReadLimits(F factory) {
+        factory.setStreamReadConstraints(StreamReadConstraints.builder()
+                .maxStringLength(MAX_STRING_CHARS)
+                .build());
         return factory;
     }
 
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/Decoded.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/Decoded.java
@@ -6,5 +6,5 @@
     record Value<T>(T value) implements Decoded<T> {}
 
     /** The bytes held no such value; {@code why} names the place and is fit to be shown to the sender. */
-    record Malformed<T>(String why) implements Decoded<T> {}
+    record Malformed<T>(String reason) implements Decoded<T> {}
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/JacksonCodec.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/JacksonCodec.java
@@ -28,7 +28,7 @@
             T value = mapper.readValue(bytes, type);
             return value == null ? new Decoded.Malformed<>("empty") : new Decoded.Value<>(value);
         } catch (JsonProcessingException e) {
-            return new Decoded.Malformed<>(Problems.describe(e));
+            return new Decoded.Malformed<>(JacksonErrors.describe(e));
         } catch (IOException | IllegalArgumentException e) {
             return new Decoded.Malformed<>(String.valueOf(e.getMessage()));
         }
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/Problems.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/JacksonErrors.java
@@ -5,16 +5,16 @@
 import com.fasterxml.jackson.databind.exc.UnrecognizedPropertyException;
 
 /** Words Jackson's exceptions for whoever sent the bytes: the place and the fault, without class names. */
-final class Problems {
+final class JacksonErrors {
     private static final int MAX_LENGTH = 300;
 
-    private Problems() {}
+    private JacksonErrors() {}
 
     static String describe(JsonProcessingException e) {
         String place = e instanceof JsonMappingException mapping ? path(mapping) : "";
         String fault = e instanceof UnrecognizedPropertyException unknown
                 ? "unknown field '" + unknown.getPropertyName() + "'"
-                : cause(e);
+                : rootMessage(e);
         String text = place.isEmpty() ? fault : place + ": " + fault;
         return text.length() <= MAX_LENGTH ? text : text.substring(0, MAX_LENGTH);
     }
@@ -31,7 +31,7 @@
         return path.toString();
     }
 
-    private static String cause(JsonProcessingException e) {
+    private static String rootMessage(JsonProcessingException e) {
         Throwable root = e;
         while (root.getCause() != null) {
             root = root.getCause();
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/JsonTrees.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/JsonTreeReader.java
@@ -16,7 +16,7 @@
  * Reads documents whose fields vary as trees. Jackson's mapper would do, but making one loads the formats of all languages
  * for dates that these documents don't have, which a process that has just started waits for.
  */
-public final class JsonTrees {
+public final class JsonTreeReader {
     /** Deeper documents are none of ours; without a bound one could use up a thread's stack. */
     private static final int MAX_DEPTH = 64;
 
@@ -24,21 +24,21 @@
 
     private final JsonFactory factory;
 
-    private JsonTrees(JsonFactory factory) {
+    private JsonTreeReader(JsonFactory factory) {
         this.factory = factory.setStreamReadConstraints(StreamReadConstraints.builder()
                 .maxNestingDepth(MAX_DEPTH)
-                .maxStringLength(Codecs.MAX_STRING)
+                .maxStringLength(Codecs.MAX_STRING_CHARS)
                 .build());
     }
 
     /** A reader that takes the last of two fields of one name. */
-    public static JsonTrees lenient() {
-        return new JsonTrees(new JsonFactory());
+    public static JsonTreeReader lenient() {
+        return new JsonTreeReader(new JsonFactory());
     }
 
     /** A reader to which two fields of one name are an error. */
-    public static JsonTrees strict() {
-        return new JsonTrees(new JsonFactory().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION));
+    public static JsonTreeReader strict() {
+        return new JsonTreeReader(new JsonFactory().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION));
     }
 
     /** Reads a document; throws when it is no JSON, or something follows it. */
@@ -61,14 +61,14 @@
             case START_OBJECT -> object(from);
             case START_ARRAY -> array(from);
             case VALUE_STRING -> NODES.textNode(from.getText());
-            case VALUE_NUMBER_INT -> whole(from);
+            case VALUE_NUMBER_INT -> integer(from);
             case VALUE_NUMBER_FLOAT -> NODES.numberNode(from.getDoubleValue());
             case VALUE_TRUE, VALUE_FALSE -> NODES.booleanNode(from.getBooleanValue());
             default -> NODES.nullNode();
         };
     }
 
-    private static JsonNode whole(JsonParser from) throws IOException {
+    private static JsonNode integer(JsonParser from) throws IOException {
         return from.getNumberType() == JsonParser.NumberType.BIG_INTEGER
                 ? NODES.numberNode(from.getBigIntegerValue())
                 : NODES.numberNode(from.getLongValue());
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/AbsentIsFalse.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/OptionalBooleanDeserializer.java
@@ -11,10 +11,10 @@
  * Reads a {@code boolean} that may be left out, which means false: a ticket need not say of each object that it is not
  * removed. A number that is left out stays an error, since a limit of 0 means something.
  */
-final class AbsentIsFalse extends StdDeserializer<Boolean> {
+final class OptionalBooleanDeserializer extends StdDeserializer<Boolean> {
     private static final long serialVersionUID = 1L;
 
-    AbsentIsFalse() {
+    OptionalBooleanDeserializer() {
         super(boolean.class);
     }
 
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/ShapeCodec.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/ShapeCodec.java
@@ -23,9 +23,9 @@
     private final JsonFactory factory;
     private final boolean strict;
     private final Shapes shapes;
-    private final Supplier<ObjectMapper> mapper;
-    private final ConcurrentMap<Class<?>, Optional<Shape>> known = new ConcurrentHashMap<>();
-    private volatile Codec binding;
+    private final Supplier<ObjectMapper> mapperSupplier;
+    private final ConcurrentMap<Class<?>, Optional<Shape>> shapesByType = new ConcurrentHashMap<>();
+    private volatile Codec jacksonCodec;
 
     /**
      * @param strict whether unknown fields, numbers that are left out and bytes after the value are errors
@@ -35,21 +35,21 @@
         this.factory = factory;
         this.strict = strict;
         this.shapes = new Shapes(strict);
-        this.mapper = mapper;
+        this.mapperSupplier = mapper;
     }
 
     @Override
     public byte[] encode(Object value) {
         Optional<Shape> shape = shape(value.getClass());
         if (shape.isEmpty()) {
-            return binding().encode(value);
+            return jacksonCodec().encode(value);
         }
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator to = factory.createGenerator(bytes)) {
             shape.get().write(to, value);
         } catch (UnsupportedTypeException e) {
-            known.put(value.getClass(), Optional.empty());
-            return binding().encode(value);
+            shapesByType.put(value.getClass(), Optional.empty());
+            return jacksonCodec().encode(value);
         } catch (IOException e) {
             throw new IllegalStateException("a message type that can't be written: " + value.getClass(), e);
         }
@@ -60,7 +60,7 @@
     public <T> Decoded<T> decode(byte[] bytes, Class<T> type) {
         Optional<Shape> shape = shape(type);
         if (shape.isEmpty()) {
-            return binding().decode(bytes, type);
+            return jacksonCodec().decode(bytes, type);
         }
         try (JsonParser from = factory.createParser(bytes)) {
             from.nextToken();
@@ -71,19 +71,19 @@
         } catch (IOException | RuntimeException e) {
             // Data binding finds the fault again, and tells its place.
         }
-        return binding().decode(bytes, type);
+        return jacksonCodec().decode(bytes, type);
     }
 
     private Optional<Shape> shape(Class<?> type) {
-        Optional<Shape> shape = known.get(type);
+        Optional<Shape> shape = shapesByType.get(type);
         if (shape == null) {
-            shape = make(type);
-            known.put(type, shape);
+            shape = createShape(type);
+            shapesByType.put(type, shape);
         }
         return shape;
     }
 
-    private Optional<Shape> make(Class<?> type) {
+    private Optional<Shape> createShape(Class<?> type) {
         try {
             return Optional.of(shapes.of(type));
         } catch (UnsupportedTypeException e) {
@@ -91,11 +91,11 @@
         }
     }
 
-    private Codec binding() {
-        Codec made = binding;
+    private Codec jacksonCodec() {
+        Codec made = jacksonCodec;
         if (made == null) {
-            made = new JacksonCodec(mapper.get());
-            binding = made;
+            made = new JacksonCodec(mapperSupplier.get());
+            jacksonCodec = made;
         }
         return made;
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/engine/EngineJson.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/engine/EngineJson.java
@@ -37,22 +37,22 @@
     }
 
     public static <T> T read(byte[] json, Class<T> type) throws IOException {
-        return require(MAPPER.readValue(json, type));
+        return requireNonNull(MAPPER.readValue(json, type));
     }
 
     public static <T> T read(byte[] json, JavaType type) throws IOException {
-        return require(MAPPER.readValue(json, type));
+        return requireNonNull(MAPPER.readValue(json, type));
     }
 
     public static StreamEvent readEvent(String line) throws IOException {
-        return require(MAPPER.readValue(line, StreamEvent.class));
+        return requireNonNull(MAPPER.readValue(line, StreamEvent.class));
     }
 
     public static JavaType listOf(Class<?> element) {
         return MAPPER.getTypeFactory().constructCollectionType(java.util.List.class, element);
     }
 
-    private static <T> T require(T value) throws IOException {
+    private static <T> T requireNonNull(T value) throws IOException {
         if (value == null) {
             throw new IOException("the JSON text is null");
         }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/ListShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/ListShape.java
@@ -37,7 +37,7 @@
         }
         List<Object> list = new ArrayList<>();
         while (from.nextToken() != JsonToken.END_ARRAY) {
-            list.add(from.currentToken() == JsonToken.VALUE_NULL ? element.absent() : element.read(from));
+            list.add(from.currentToken() == JsonToken.VALUE_NULL ? element.absentValue() : element.read(from));
         }
         return list;
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/PrimitiveShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/PrimitiveShape.java
@@ -8,12 +8,12 @@
 /** A number or truth value that can't be null. */
 final class PrimitiveShape implements Shape {
     private final ScalarShape scalar;
-    private final Object absent;
+    private final Object absentValue;
 
     /** @param absent what it is when left out; null where it must not be */
     PrimitiveShape(ScalarShape scalar, Object absent) {
         this.scalar = scalar;
-        this.absent = absent;
+        this.absentValue = absent;
     }
 
     @Override
@@ -27,10 +27,10 @@
     }
 
     @Override
-    public Object absent() throws MismatchException {
-        if (absent == null) {
+    public Object absentValue() throws MismatchException {
+        if (absentValue == null) {
             throw new MismatchException("a number is missing");
         }
-        return absent;
+        return absentValue;
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/RecordShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/RecordShape.java
@@ -94,12 +94,12 @@
             }
         }
         for (int i = 0; i < components.length; i++) {
-            components[i] = components[i] == null ? shapes[i].absent() : components[i];
+            components[i] = components[i] == null ? shapes[i].absentValue() : components[i];
         }
-        return made(components);
+        return construct(components);
     }
 
-    private Object made(Object[] components) throws MismatchException {
+    private Object construct(Object[] components) throws MismatchException {
         try {
             return constructor.newInstance(components);
         } catch (InvocationTargetException e) {
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/CaseShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/SealedTypeShape.java
@@ -10,15 +10,15 @@
 import com.fasterxml.jackson.core.JsonToken;
 
 /** The records of a sealed type, told apart by the name in their first field. Only cases that occur are looked into. */
-final class CaseShape implements Shape {
+final class SealedTypeShape implements Shape {
     private final String field;
     private final Shapes shapes;
     private final Map<Class<?>, String> names = new HashMap<>();
     private final Map<String, Class<?>> types = new HashMap<>();
-    private final Map<Class<?>, RecordShape> made = new ConcurrentHashMap<>();
+    private final Map<Class<?>, RecordShape> shapesByType = new ConcurrentHashMap<>();
 
     /** @param field the first field, which holds the name */
-    CaseShape(String field, Shapes shapes) {
+    SealedTypeShape(String field, Shapes shapes) {
         this.field = field;
         this.shapes = shapes;
     }
@@ -29,12 +29,12 @@
     }
 
     private RecordShape shape(Class<?> type) {
-        RecordShape known = made.get(type);
+        RecordShape known = shapesByType.get(type);
         if (known != null) {
             return known;
         }
         RecordShape shape = shapes.record(type);
-        made.put(type, shape);
+        shapesByType.put(type, shape);
         return shape;
     }
 
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/Shape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/Shape.java
@@ -18,7 +18,7 @@
     Object read(JsonParser from) throws IOException;
 
     /** What stands for a component that is left out or null. */
-    default Object absent() throws MismatchException {
+    default Object absentValue() throws MismatchException {
         return null;
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/Shapes.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/Shapes.java
@@ -27,7 +27,7 @@
             Map.entry(byte[].class, ScalarShape.BYTES),
             Map.entry(Path.class, ScalarShape.PATH));
 
-    private final Map<Type, Shape> made = new ConcurrentHashMap<>();
+    private final Map<Type, Shape> shapesByType = new ConcurrentHashMap<>();
     private final boolean strict;
 
     /** @param strict whether unknown fields and numbers that are left out are errors */
@@ -41,16 +41,16 @@
      * @throws UnsupportedTypeException when the type, or one that it is made of, is not covered
      */
     public Shape of(Type type) {
-        Shape known = made.get(type);
+        Shape known = shapesByType.get(type);
         if (known != null) {
             return known;
         }
-        Shape shape = make(type);
-        made.put(type, shape);
+        Shape shape = createShape(type);
+        shapesByType.put(type, shape);
         return shape;
     }
 
-    private Shape make(Type type) {
+    private Shape createShape(Type type) {
         if (type instanceof ParameterizedType list && list.getRawType() == List.class) {
             return new ListShape(of(list.getActualTypeArguments()[0]));
         }
@@ -67,7 +67,7 @@
             return new EnumShape(plain);
         }
         if (plain.isInterface()) {
-            return cases(plain);
+            return sealedTypeShape(plain);
         }
         Method value = annotatedValue(plain);
         if (value != null) {
@@ -131,12 +131,12 @@
         return null;
     }
 
-    private Shape cases(Class<?> type) {
+    private Shape sealedTypeShape(Class<?> type) {
         JsonTypeInfo info = type.getAnnotation(JsonTypeInfo.class);
         if (!type.isSealed() || info == null || info.use() != JsonTypeInfo.Id.NAME) {
             throw new UnsupportedTypeException(type);
         }
-        CaseShape cases = new CaseShape(info.property(), this);
+        SealedTypeShape cases = new SealedTypeShape(info.property(), this);
         for (Class<?> each : type.getPermittedSubclasses()) {
             JsonTypeName name = each.getAnnotation(JsonTypeName.class);
             if (!each.isRecord() || name == null) {
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/Connection.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/Connection.java
@@ -22,8 +22,8 @@
     private final HybridClock hybridClock;
     private final Consumer<Connection> onClose;
     private final AtomicLong nextCall = new AtomicLong();
-    private final AtomicInteger handling = new AtomicInteger();
-    private final Map<Long, CompletableFuture<CallResult<byte[]>>> unanswered = new ConcurrentHashMap<>();
+    private final AtomicInteger callsBeingHandled = new AtomicInteger();
+    private final Map<Long, CompletableFuture<CallResult<byte[]>>> callsInFlight = new ConcurrentHashMap<>();
     private final CompletableFuture<Boolean> ready = new CompletableFuture<>();
     private volatile boolean closed;
     private volatile long receivedAtNanos = System.nanoTime();
@@ -31,7 +31,7 @@
     Connection(
             AsynchronousSocketChannel socket,
             PeerKey key,
-            Handshake.Role role,
+            Handshake.Side role,
             PeerHandlers handlers,
             PeerLimits limits,
             HybridClock hybridClock,
@@ -41,7 +41,7 @@
         this.limits = limits;
         this.hybridClock = hybridClock;
         this.onClose = onClose;
-        this.frames = new FrameChannel(socket, limits, this::receive, this::ended);
+        this.frames = new FrameChannel(socket, limits, this::onFrame, this::onFramesClosed);
     }
 
     void start() {
@@ -67,34 +67,34 @@
     PendingCall call(String channel, byte[] body) {
         long number = nextCall.incrementAndGet();
         CompletableFuture<CallResult<byte[]>> result = new CompletableFuture<>();
-        if (unanswered.size() >= limits.maxCallsInFlight()) {
+        if (callsInFlight.size() >= limits.maxCallsInFlight()) {
             result.complete(new CallResult.NotSent<>("too many unanswered calls"));
             return new PendingCall(result, () -> {});
         }
-        unanswered.put(number, result);
+        callsInFlight.put(number, result);
         byte[] frame =
                 Codecs.MESSAGE_PACK.encode(new Envelope(number, Envelope.Kind.CALL, channel, hybridClock.now(), body));
         if (!frames.send(frame)) {
-            unanswered.remove(number);
+            callsInFlight.remove(number);
             result.complete(new CallResult.NotSent<>("the connection is closed or its queue is full"));
-        } else if (closed && unanswered.remove(number) != null) {
+        } else if (closed && callsInFlight.remove(number) != null) {
             result.complete(new CallResult.Unknown<>("the connection closed"));
         }
-        return new PendingCall(result, () -> unanswered.remove(number));
+        return new PendingCall(result, () -> callsInFlight.remove(number));
     }
 
     /** A call on its way; {@code forget} drops its place so that a late answer is ignored. */
-    record PendingCall(CompletableFuture<CallResult<byte[]>> result, Runnable forget) {}
+    record PendingCall(CompletableFuture<CallResult<byte[]>> result, Runnable discard) {}
 
     /** When the last frame came, by {@link System#nanoTime()}. */
     long receivedAtNanos() {
         return receivedAtNanos;
     }
 
-    private void receive(byte[] frame) {
+    private void onFrame(byte[] frame) {
         receivedAtNanos = System.nanoTime();
-        if (!handshake.proven()) {
-            shakeHands(frame);
+        if (!handshake.completed()) {
+            continueHandshake(frame);
             return;
         }
         if (!(Codecs.MESSAGE_PACK.decode(frame, Envelope.class) instanceof Decoded.Value<Envelope> envelope)
@@ -108,12 +108,12 @@
         dispatch(envelope.value());
     }
 
-    private void shakeHands(byte[] frame) {
+    private void continueHandshake(byte[] frame) {
         Handshake.Step step = handshake.receive(frame);
         if (step instanceof Handshake.Step.Send send) {
             frames.send(send.frame());
         } else if (step instanceof Handshake.Step.Fail fail) {
-            close(fail.why());
+            close(fail.reason());
         } else {
             ready.complete(true);
         }
@@ -130,24 +130,24 @@
     }
 
     private void complete(Envelope envelope, CallResult<byte[]> result) {
-        CompletableFuture<CallResult<byte[]>> waiting = unanswered.remove(envelope.call());
+        CompletableFuture<CallResult<byte[]>> waiting = callsInFlight.remove(envelope.call());
         if (waiting != null) {
             waiting.complete(result);
         }
     }
 
     private void handle(Envelope call) {
-        if (handling.incrementAndGet() > limits.maxCallsInFlight()) {
-            handling.decrementAndGet();
+        if (callsBeingHandled.incrementAndGet() > limits.maxCallsInFlight()) {
+            callsBeingHandled.decrementAndGet();
             reply(call, Envelope.Kind.REFUSED, "too many calls at once", new byte[0]);
             return;
         }
         handlers.handle(call.channel(), call.body()).whenComplete((answer, failure) -> {
-            handling.decrementAndGet();
+            callsBeingHandled.decrementAndGet();
             if (failure != null) {
                 reply(call, Envelope.Kind.FAILED, "the handler failed", new byte[0]);
             } else if (answer instanceof PeerHandlers.Answer.Refused refused) {
-                reply(call, Envelope.Kind.REFUSED, refused.why(), new byte[0]);
+                reply(call, Envelope.Kind.REFUSED, refused.reason(), new byte[0]);
             } else if (answer instanceof PeerHandlers.Answer.Body body) {
                 reply(call, Envelope.Kind.ANSWER, "", body.bytes());
             }
@@ -163,11 +163,11 @@
         }
     }
 
-    private void ended(String why) {
+    private void onFramesClosed(String why) {
         closed = true;
         ready.complete(false);
-        for (Long number : unanswered.keySet()) {
-            CompletableFuture<CallResult<byte[]>> waiting = unanswered.remove(number);
+        for (Long number : callsInFlight.keySet()) {
+            CompletableFuture<CallResult<byte[]>> waiting = callsInFlight.remove(number);
             if (waiting != null) {
                 waiting.complete(new CallResult.Unknown<>("the connection closed: " + why));
             }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/FrameChannel.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/FrameChannel.java
@@ -18,14 +18,14 @@
     private static final int HEADER_BYTES = Integer.BYTES;
 
     /** Room for a few messages of the usual size; one that is larger gets its own for as long as it comes. */
-    private static final int READ_BYTES = 4_096;
+    private static final int READ_BUFFER_BYTES = 4_096;
 
     private final AsynchronousSocketChannel socket;
     private final PeerLimits limits;
     private final Consumer<byte[]> onFrame;
     private final Consumer<String> onClose;
-    private final Deque<ByteBuffer> queue = new ArrayDeque<>();
-    private ByteBuffer received = ByteBuffer.allocate(READ_BYTES);
+    private final Deque<ByteBuffer> writeQueue = new ArrayDeque<>();
+    private ByteBuffer readBuffer = ByteBuffer.allocate(READ_BUFFER_BYTES);
     private int queuedBytes;
     private boolean writing;
     private boolean closed;
@@ -54,7 +54,7 @@
                 return false;
             }
             queuedBytes += buffer.remaining();
-            queue.add(buffer);
+            writeQueue.add(buffer);
             if (writing) {
                 return true;
             }
@@ -70,7 +70,7 @@
                 return;
             }
             closed = true;
-            queue.clear();
+            writeQueue.clear();
         }
         try {
             socket.close();
@@ -83,7 +83,7 @@
     private void writeNext() {
         ByteBuffer next;
         synchronized (this) {
-            next = queue.peek();
+            next = writeQueue.peek();
             if (next == null || closed) {
                 writing = false;
                 return;
@@ -91,48 +91,48 @@
         }
         socket.write(next, next, new Completion() {
             @Override
-            void done(int count, ByteBuffer buffer) {
+            void onCompleted(int count, ByteBuffer buffer) {
                 if (!buffer.hasRemaining()) {
-                    remove(buffer);
+                    onWritten(buffer);
                 }
                 writeNext();
             }
         });
     }
 
-    private synchronized void remove(ByteBuffer written) {
-        if (queue.poll() != null) {
+    private synchronized void onWritten(ByteBuffer written) {
+        if (writeQueue.poll() != null) {
             queuedBytes -= written.capacity();
         }
     }
 
     /** Reads what there is, and hands on each frame that is whole; most are, so that a frame costs one read. */
     private void read() {
-        socket.read(received, received, new Completion() {
+        socket.read(readBuffer, readBuffer, new Completion() {
             @Override
-            void done(int count, ByteBuffer buffer) {
+            void onCompleted(int count, ByteBuffer buffer) {
                 if (count < 0) {
                     close("closed by the other side");
                     return;
                 }
                 buffer.flip();
-                handOn();
-                if (makeRoom()) {
+                deliverFrames();
+                if (prepareReadBuffer()) {
                     read();
                 }
             }
         });
     }
 
-    private void handOn() {
-        while (!closed() && received.remaining() >= HEADER_BYTES) {
-            int length = received.getInt(received.position());
-            if (!fits(length) || received.remaining() - HEADER_BYTES < length) {
+    private void deliverFrames() {
+        while (!closed() && readBuffer.remaining() >= HEADER_BYTES) {
+            int length = readBuffer.getInt(readBuffer.position());
+            if (!isValidLength(length) || readBuffer.remaining() - HEADER_BYTES < length) {
                 return;
             }
             byte[] frame = new byte[length];
-            received.position(received.position() + HEADER_BYTES);
-            received.get(frame);
+            readBuffer.position(readBuffer.position() + HEADER_BYTES);
+            readBuffer.get(frame);
             onFrame.accept(frame);
         }
     }
@@ -141,34 +141,35 @@
         return closed;
     }
 
-    private boolean fits(int length) {
+    private boolean isValidLength(int length) {
         return length > 0 && length <= limits.maxFrameBytes();
     }
 
     /** Makes room for the rest of the frame that has begun. False when it is none, and the connection closed. */
-    private boolean makeRoom() {
-        int length = received.remaining() >= HEADER_BYTES ? received.getInt(received.position()) : 1;
-        if (!fits(length)) {
+    private boolean prepareReadBuffer() {
+        int length = readBuffer.remaining() >= HEADER_BYTES ? readBuffer.getInt(readBuffer.position()) : 1;
+        if (!isValidLength(length)) {
             close("frame of " + length + " bytes; 1 to " + limits.maxFrameBytes() + " are allowed");
             return false;
         }
-        int wanted = Math.max(READ_BYTES, HEADER_BYTES + length);
-        if (wanted > received.capacity() || received.capacity() > READ_BYTES && wanted == READ_BYTES) {
-            received = ByteBuffer.allocate(wanted).put(received);
+        int wanted = Math.max(READ_BUFFER_BYTES, HEADER_BYTES + length);
+        if (wanted > readBuffer.capacity()
+                || readBuffer.capacity() > READ_BUFFER_BYTES && wanted == READ_BUFFER_BYTES) {
+            readBuffer = ByteBuffer.allocate(wanted).put(readBuffer);
         } else {
-            received.compact();
+            readBuffer.compact();
         }
         return true;
     }
 
     /** Ends the connection on any failure, so that the two directions share one way out. */
     private abstract class Completion implements CompletionHandler<Integer, ByteBuffer> {
-        abstract void done(int count, ByteBuffer buffer);
+        abstract void onCompleted(int count, ByteBuffer buffer);
 
         @Override
         public void completed(Integer count, ByteBuffer buffer) {
             try {
-                done(count, buffer);
+                onCompleted(count, buffer);
             } catch (RuntimeException e) {
                 close("broken frame: " + e.getMessage());
             }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/Handshake.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/Handshake.java
@@ -15,40 +15,40 @@
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private final PeerKey key;
-    private final Role role;
-    private final Hello own;
-    private Hello other;
-    private boolean proven;
+    private final Side role;
+    private final Hello ownHello;
+    private Hello peerHello;
+    private boolean completed;
 
     /** Which side opened the connection. */
-    enum Role {
+    enum Side {
         CLIENT,
         SERVER;
 
-        Role opposite() {
+        Side opposite() {
             return this == CLIENT ? SERVER : CLIENT;
         }
     }
 
-    Handshake(PeerKey key, Role role) {
+    Handshake(PeerKey key, Side role) {
         this.key = key;
         this.role = role;
         byte[] nonce = new byte[Hello.NONCE_BYTES];
         RANDOM.nextBytes(nonce);
-        own = new Hello(Hello.MAGIC, Hello.MIN_VERSION, Hello.MAX_VERSION, nonce);
+        ownHello = new Hello(Hello.MAGIC, Hello.MIN_VERSION, Hello.MAX_VERSION, nonce);
     }
 
     byte[] hello() {
-        return Codecs.MESSAGE_PACK.encode(own);
+        return Codecs.MESSAGE_PACK.encode(ownHello);
     }
 
-    boolean proven() {
-        return proven;
+    boolean completed() {
+        return completed;
     }
 
     /** Takes the other side's next frame and answers what to do. */
     Step receive(byte[] frame) {
-        return other == null ? receiveHello(frame) : receiveProof(frame);
+        return peerHello == null ? receiveHello(frame) : receiveProof(frame);
     }
 
     private Step receiveHello(byte[] frame) {
@@ -58,13 +58,14 @@
                 || hello.value().nonce().length != Hello.NONCE_BYTES) {
             return new Step.Fail("not an elmline process");
         }
-        if (Hello.common(own, hello.value()) == 0) {
-            return new Step.Fail("no protocol version in common: this side speaks " + own.minVersion() + " to "
-                    + own.maxVersion() + ", the other " + hello.value().minVersion() + " to "
+        if (Hello.commonVersion(ownHello, hello.value()) == 0) {
+            return new Step.Fail("no protocol version in common: this side speaks " + ownHello.minVersion() + " to "
+                    + ownHello.maxVersion() + ", the other " + hello.value().minVersion() + " to "
                     + hello.value().maxVersion());
         }
-        other = hello.value();
-        return new Step.Send(Codecs.MESSAGE_PACK.encode(new Proof(key.sign(role.name(), own.nonce(), other.nonce()))));
+        peerHello = hello.value();
+        return new Step.Send(
+                Codecs.MESSAGE_PACK.encode(new Proof(key.sign(role.name(), ownHello.nonce(), peerHello.nonce()))));
     }
 
     private Step receiveProof(byte[] frame) {
@@ -72,13 +73,13 @@
                 && proof.value().signature() != null
                 && key.verify(
                         role.opposite().name(),
-                        other.nonce(),
-                        own.nonce(),
+                        peerHello.nonce(),
+                        ownHello.nonce(),
                         proof.value().signature());
         if (!valid) {
             return new Step.Fail("wrong peer key");
         }
-        proven = true;
+        completed = true;
         return new Step.Done();
     }
 
@@ -91,6 +92,6 @@
         record Done() implements Step {}
 
         /** Close the connection. */
-        record Fail(String why) implements Step {}
+        record Fail(String reason) implements Step {}
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/Hello.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/Hello.java
@@ -13,7 +13,7 @@
     static final int NONCE_BYTES = 16;
 
     /** The highest version that both sides speak, or 0 when there is none. */
-    static int common(Hello a, Hello b) {
+    static int commonVersion(Hello a, Hello b) {
         int highest = Math.min(a.maxVersion, b.maxVersion);
         return highest >= Math.max(a.minVersion, b.minVersion) ? highest : 0;
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerHandlers.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerHandlers.java
@@ -15,7 +15,7 @@
 
 /** The channels a process serves, and the workers that run their handlers. */
 public final class PeerHandlers implements HandlerRegistry {
-    private final Map<String, Entry<?, ?>> entries = new ConcurrentHashMap<>();
+    private final Map<String, RegisteredHandler<?, ?>> handlersByChannel = new ConcurrentHashMap<>();
     private final Executor workers;
 
     public PeerHandlers(Executor workers) {
@@ -24,13 +24,13 @@
 
     @Override
     public <Q, R> void register(Channel<Q, R> channel, PeerHandler<Q, R> handler) {
-        if (entries.putIfAbsent(channel.name(), new Entry<>(channel, handler)) != null) {
+        if (handlersByChannel.putIfAbsent(channel.name(), new RegisteredHandler<>(channel, handler)) != null) {
             throw new IllegalStateException("channel " + channel.name() + " is registered twice");
         }
     }
 
     CompletableFuture<Answer> handle(String channel, byte[] body) {
-        Entry<?, ?> entry = channel == null ? null : entries.get(channel);
+        RegisteredHandler<?, ?> entry = channel == null ? null : handlersByChannel.get(channel);
         if (entry == null) {
             return CompletableFuture.completedFuture(new Answer.Refused("unknown channel " + channel));
         }
@@ -47,17 +47,17 @@
         record Body(byte[] bytes) implements Answer {}
 
         /** The call was not handled at all. */
-        record Refused(String why) implements Answer {}
+        record Refused(String reason) implements Answer {}
     }
 
-    private record Entry<Q, R>(Channel<Q, R> channel, PeerHandler<Q, R> handler) {
+    private record RegisteredHandler<Q, R>(Channel<Q, R> channel, PeerHandler<Q, R> handler) {
         CompletionStage<Answer> run(byte[] body) {
             Decoded<Q> decoded = Codecs.MESSAGE_PACK.decode(body, channel.request());
             if (decoded instanceof Decoded.Value<Q> request) {
                 return handler.handle(request.value())
                         .thenApply(answer -> new Answer.Body(Codecs.MESSAGE_PACK.encode(answer)));
             }
-            String why = ((Decoded.Malformed<Q>) decoded).why();
+            String why = ((Decoded.Malformed<Q>) decoded).reason();
             return CompletableFuture.completedFuture(new Answer.Refused("malformed " + channel.name() + ": " + why));
         }
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerKey.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerKey.java
@@ -13,8 +13,8 @@
 public final class PeerKey {
     private static final String DIGEST = "SHA-256";
     private static final int BLOCK_BYTES = 64;
-    private static final byte INNER = 0x36;
-    private static final byte OUTER = 0x5c;
+    private static final byte INNER_PAD = 0x36;
+    private static final byte OUTER_PAD = 0x5c;
     private static final int MIN_LENGTH = 16;
 
     private final byte[] key;
@@ -29,11 +29,11 @@
 
     byte[] sign(String purpose, byte[] first, byte[] second) {
         MessageDigest digest = digest();
-        digest.update(padded(INNER));
+        digest.update(padded(INNER_PAD));
         digest.update(purpose.getBytes(StandardCharsets.UTF_8));
         digest.update(first);
         byte[] inner = digest.digest(second);
-        digest.update(padded(OUTER));
+        digest.update(padded(OUTER_PAD));
         return digest.digest(inner);
     }
 
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
@@ -38,7 +38,7 @@
      * Time without a byte after which a connection with an unanswered call is taken for dead. A host that is held up for a
      * moment would else lose the connections of all that ask it, and be busy with their handshakes next.
      */
-    private static final Duration DEAD_AFTER = Duration.ofMillis(400);
+    private static final Duration DEAD_CONNECTION_TIMEOUT = Duration.ofMillis(400);
 
     private final PeerKey key;
     private final PeerLimits limits;
@@ -47,7 +47,7 @@
     private final Executor workers;
     private final HybridClock hybridClock;
     private final PeerHandlers noHandlers;
-    private final Map<Address, Link> links = new ConcurrentHashMap<>();
+    private final Map<Address, PeerLink> links = new ConcurrentHashMap<>();
     private volatile boolean closed;
 
     public TcpPeerNetwork(
@@ -75,19 +75,19 @@
             return result;
         }
         byte[] body = Codecs.MESSAGE_PACK.encode(request);
-        Sending<R> sending = new Sending<>(channel.response(), result);
-        if (!sending.expireAfter(timeout)) {
+        OutgoingCall<R> sending = new OutgoingCall<>(channel.response(), result);
+        if (!sending.scheduleTimeout(timeout)) {
             return result;
         }
-        links.computeIfAbsent(to, Link::new)
+        links.computeIfAbsent(to, PeerLink::new)
                 .connection()
                 .whenComplete((connection, failure) -> sending.send(connection, channel.name(), body));
         return result;
     }
 
     /** Closes the connection to an address that has left, so that its place is freed. */
-    public void forget(Address address) {
-        Link link = links.remove(address);
+    public void disconnect(Address address) {
+        PeerLink link = links.remove(address);
         if (link != null) {
             link.close();
         }
@@ -96,32 +96,33 @@
     @Override
     public void close() {
         closed = true;
-        links.values().forEach(Link::close);
+        links.values().forEach(PeerLink::close);
         links.clear();
     }
 
     /** One call from its start to its single completion. */
-    private final class Sending<R> {
+    private final class OutgoingCall<R> {
         private final Class<R> type;
         private final CompletableFuture<CallResult<R>> result;
-        private ScheduledFuture<?> expiry;
+        private ScheduledFuture<?> timeoutTask;
         private boolean sent;
-        private boolean over;
-        private Runnable forget = () -> {};
+        private boolean completed;
+        private Runnable discardPending = () -> {};
         private Connection usedConnection;
         private long sentAtNanos;
 
-        Sending(Class<R> type, CompletableFuture<CallResult<R>> result) {
+        OutgoingCall(Class<R> type, CompletableFuture<CallResult<R>> result) {
             this.type = type;
             this.result = result;
         }
 
         /** False when this process is stopping; the call has its result then. */
-        boolean expireAfter(Duration timeout) {
+        boolean scheduleTimeout(Duration timeout) {
             try {
-                ScheduledFuture<?> scheduled = timer.schedule(this::expire, timeout.toMillis(), TimeUnit.MILLISECONDS);
+                ScheduledFuture<?> scheduled =
+                        timer.schedule(this::onTimeout, timeout.toMillis(), TimeUnit.MILLISECONDS);
                 synchronized (this) {
-                    expiry = scheduled;
+                    timeoutTask = scheduled;
                 }
                 return true;
             } catch (RejectedExecutionException e) {
@@ -132,7 +133,7 @@
 
         void send(Connection connection, String channel, byte[] body) {
             synchronized (this) {
-                if (over) {
+                if (completed) {
                     return;
                 }
                 sent = connection != null;
@@ -146,29 +147,29 @@
             Connection.PendingCall pending = connection.call(channel, body);
             boolean late;
             synchronized (this) {
-                forget = pending.forget();
-                late = over;
+                discardPending = pending.discard();
+                late = completed;
             }
             if (late) {
-                pending.forget().run();
+                pending.discard().run();
                 return;
             }
             pending.result().whenCompleteAsync((answer, failure) -> complete(decode(answer)), workers);
         }
 
-        void expire() {
+        void onTimeout() {
             boolean wasSent;
             Connection suspected = null;
             long since;
             synchronized (this) {
                 wasSent = sent;
                 since = sentAtNanos;
-                if (sent && !over) {
+                if (sent && !completed) {
                     suspected = usedConnection;
                 }
             }
             if (suspected != null) {
-                closeIfDead(suspected, since);
+                closeIfUnresponsive(suspected, since);
             }
             complete(
                     wasSent ? new CallResult.Unknown<>("timed out") : new CallResult.NotSent<>("timed out connecting"));
@@ -178,12 +179,12 @@
             Runnable cleanUp;
             ScheduledFuture<?> scheduled;
             synchronized (this) {
-                if (over) {
+                if (completed) {
                     return;
                 }
-                over = true;
-                cleanUp = forget;
-                scheduled = expiry;
+                completed = true;
+                cleanUp = discardPending;
+                scheduled = timeoutTask;
             }
             if (scheduled != null) {
                 scheduled.cancel(false);
@@ -194,16 +195,16 @@
 
         private CallResult<R> decode(CallResult<byte[]> answer) {
             if (answer instanceof CallResult.NotSent<byte[]> not) {
-                return new CallResult.NotSent<>(not.why());
+                return new CallResult.NotSent<>(not.reason());
             }
             if (answer instanceof CallResult.Unknown<byte[]> unknown) {
-                return new CallResult.Unknown<>(unknown.why());
+                return new CallResult.Unknown<>(unknown.reason());
             }
             byte[] body = ((CallResult.Answered<byte[]>) answer).value();
             Decoded<R> decoded = Codecs.MESSAGE_PACK.decode(body, type);
             return decoded instanceof Decoded.Value<R> value
                     ? new CallResult.Answered<>(value.value())
-                    : new CallResult.Unknown<>("malformed answer: " + ((Decoded.Malformed<R>) decoded).why());
+                    : new CallResult.Unknown<>("malformed answer: " + ((Decoded.Malformed<R>) decoded).reason());
         }
     }
 
@@ -211,42 +212,42 @@
      * Closes a connection on which nothing has come since a call was sent on it: it may be dead without a reset, and every
      * later call would be lost on it too. A new one costs a round trip.
      */
-    private void closeIfDead(Connection connection, long sinceNanos) {
+    private void closeIfUnresponsive(Connection connection, long sinceNanos) {
         if (connection.closed() || connection.receivedAtNanos() - sinceNanos >= 0) {
             return;
         }
-        long left = DEAD_AFTER.toNanos() - (System.nanoTime() - sinceNanos);
+        long left = DEAD_CONNECTION_TIMEOUT.toNanos() - (System.nanoTime() - sinceNanos);
         if (left <= 0) {
             connection.close("silent for the time of a call");
             return;
         }
         try {
-            timer.schedule(() -> closeIfDead(connection, sinceNanos), left, TimeUnit.NANOSECONDS);
+            timer.schedule(() -> closeIfUnresponsive(connection, sinceNanos), left, TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
             connection.close("stopping");
         }
     }
 
     /** The connection to one address, opened when it is needed and there is none. */
-    private final class Link {
+    private final class PeerLink {
         private final Address address;
-        private CompletableFuture<Connection> current;
+        private CompletableFuture<Connection> currentConnection;
 
-        Link(Address address) {
+        PeerLink(Address address) {
             this.address = address;
         }
 
         synchronized CompletableFuture<Connection> connection() {
-            if (current != null && !stale(current)) {
-                return current;
+            if (currentConnection != null && !isUnusable(currentConnection)) {
+                return currentConnection;
             }
-            current = open();
-            return current;
+            currentConnection = open();
+            return currentConnection;
         }
 
         synchronized void close() {
-            if (current != null) {
-                current.thenAccept(each -> {
+            if (currentConnection != null) {
+                currentConnection.thenAccept(each -> {
                     if (each != null) {
                         each.close("stopping");
                     }
@@ -254,7 +255,7 @@
             }
         }
 
-        private boolean stale(CompletableFuture<Connection> future) {
+        private boolean isUnusable(CompletableFuture<Connection> future) {
             if (!future.isDone()) {
                 return false;
             }
@@ -273,7 +274,7 @@
                 return opened;
             }
             SocketOptions.apply(socket);
-            timer.schedule(() -> giveUp(socket, opened), CONNECT_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+            timer.schedule(() -> abandon(socket, opened), CONNECT_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
             connect(socket, opened);
             return opened;
         }
@@ -284,19 +285,19 @@
                 @Override
                 public void completed(Void done, Void nothing) {
                     Connection connection = new Connection(
-                            socket, key, Handshake.Role.CLIENT, noHandlers, limits, hybridClock, each -> {});
+                            socket, key, Handshake.Side.CLIENT, noHandlers, limits, hybridClock, each -> {});
                     connection.ready().thenAccept(proven -> opened.complete(proven ? connection : null));
                     connection.start();
                 }
 
                 @Override
                 public void failed(Throwable e, Void nothing) {
-                    giveUp(socket, opened);
+                    abandon(socket, opened);
                 }
             });
         }
 
-        private void giveUp(AsynchronousSocketChannel socket, CompletableFuture<Connection> opened) {
+        private void abandon(AsynchronousSocketChannel socket, CompletableFuture<Connection> opened) {
             if (!opened.complete(null)) {
                 return;
             }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerServer.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerServer.java
@@ -108,13 +108,13 @@
             public void failed(Throwable e, Void nothing) {
                 if (!closed) {
                     // Out of file descriptors, most likely: try again a little later.
-                    timer.schedule(TcpPeerServer.this::accept, PAUSE.toMillis(), TimeUnit.MILLISECONDS);
+                    timer.schedule(TcpPeerServer.this::accept, ACCEPT_RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
                 }
             }
         });
     }
 
-    private static final Duration PAUSE = Duration.ofMillis(100);
+    private static final Duration ACCEPT_RETRY_DELAY = Duration.ofMillis(100);
     private static final Duration HANDSHAKE_TIMEOUT = Duration.ofSeconds(5);
 
     private void serve(AsynchronousSocketChannel socket) {
@@ -124,7 +124,7 @@
         }
         SocketOptions.apply(socket);
         Connection connection =
-                new Connection(socket, key, Handshake.Role.SERVER, handlers, limits, hybridClock, connections::remove);
+                new Connection(socket, key, Handshake.Side.SERVER, handlers, limits, hybridClock, connections::remove);
         connections.add(connection);
         connection.start();
         // A peer that connects and says nothing would otherwise hold its place for ever.
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/JsonTreesTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/JsonTreesTest.java
@@ -22,23 +22,23 @@
     void readsWhatTheMapperReads(@ForAll long seed) throws IOException {
         byte[] document = MAPPER.writeValueAsBytes(random(new SplittableRandom(seed), 5));
         String expected = MAPPER.readTree(document).toString();
-        assertEquals(expected, JsonTrees.strict().read(document).toString());
-        assertEquals(expected, JsonTrees.lenient().read(document).toString());
+        assertEquals(expected, JsonTreeReader.strict().read(document).toString());
+        assertEquals(expected, JsonTreeReader.lenient().read(document).toString());
     }
 
     @Test
     void refusesWhatIsNoDocument() {
         String[] faulty = {"", "{", "[1", "{\"a\":1}{}", "{\"a\" 1}", "tru", "[".repeat(100) + "]".repeat(100)};
         for (String each : faulty) {
-            assertThrows(IOException.class, () -> JsonTrees.lenient().read(each.getBytes()), each);
+            assertThrows(IOException.class, () -> JsonTreeReader.lenient().read(each.getBytes()), each);
         }
     }
 
     @Test
     void onlyAStrictReaderRefusesTwoFieldsOfOneName() throws IOException {
         byte[] twice = "{\"a\":1,\"a\":2}".getBytes();
-        assertThrows(IOException.class, () -> JsonTrees.strict().read(twice));
-        assertEquals(2, JsonTrees.lenient().read(twice).path("a").asInt());
+        assertThrows(IOException.class, () -> JsonTreeReader.strict().read(twice));
+        assertEquals(2, JsonTreeReader.lenient().read(twice).path("a").asInt());
     }
 
     private static JsonNode random(SplittableRandom random, int depth) {
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/RouteMessagesTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/RouteMessagesTest.java
@@ -65,7 +65,7 @@
             new PlaceRequest(ATTEMPT, HOST, FIRST, ORGANISATION, demand, PlaceMode.SEGMENT, 500),
             new OwnerPlaceAnswer.Placed(grant),
             new OwnerPlaceAnswer.Placed(grant, model),
-            new OwnerPlaceAnswer.Refused(Refusal.comeBack(RefusalReason.OVERLOADED, "full", 9), model),
+            new OwnerPlaceAnswer.Refused(Refusal.retryLater(RefusalReason.OVERLOADED, "full", 9), model),
             new GrantReport(HOST, FIRST, List.of(new FirstToken(ATTEMPT, 3)), List.of()),
             new GrantReport(
                     HOST,
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/HandshakeTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/HandshakeTest.java
@@ -12,8 +12,8 @@
 
     @Test
     void bothSidesProveTheKey() {
-        Handshake client = new Handshake(KEY, Handshake.Role.CLIENT);
-        Handshake server = new Handshake(KEY, Handshake.Role.SERVER);
+        Handshake client = new Handshake(KEY, Handshake.Side.CLIENT);
+        Handshake server = new Handshake(KEY, Handshake.Side.SERVER);
         assertInstanceOf(Decoded.Value.class, Codecs.MESSAGE_PACK.decode(client.hello(), Hello.class));
         Handshake.Step fromServer = server.receive(client.hello());
         Handshake.Step fromClient = client.receive(server.hello());
@@ -30,7 +30,7 @@
     /** A host without the key sends back the very proof it was given. It must not pass for a holder of the key. */
     @Test
     void aReflectedProofIsRefused() {
-        Handshake server = new Handshake(KEY, Handshake.Role.SERVER);
+        Handshake server = new Handshake(KEY, Handshake.Side.SERVER);
         Handshake.Step proof = server.receive(server.hello());
         Handshake.Step answer = server.receive(
                 assertInstanceOf(Handshake.Step.Send.class, proof).frame());
@@ -39,7 +39,7 @@
 
     @Test
     void anotherVersionIsRefusedByName() {
-        Handshake server = new Handshake(KEY, Handshake.Role.SERVER);
+        Handshake server = new Handshake(KEY, Handshake.Side.SERVER);
         Hello later = new Hello(Hello.MAGIC, 7, 9, new byte[Hello.NONCE_BYTES]);
         Handshake.Step step = server.receive(Codecs.MESSAGE_PACK.encode(later));
         assertEquals(
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/TcpPeerNetworkTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/TcpPeerNetworkTest.java
@@ -186,7 +186,7 @@
     void connectsAgainAfterALoss() throws Exception {
         TcpPeerNetwork network = network(SECRET, PeerLimits.DEFAULT);
         await(network.call(address, ECHO, new Ask("x"), LONG));
-        network.forget(address);
+        network.disconnect(address);
         assertInstanceOf(CallResult.Answered.class, await(network.call(address, ECHO, new Ask("y"), LONG)));
     }
 
@@ -225,9 +225,9 @@
         Hello oldRelease = new Hello(Hello.MAGIC, 1, 2, nonce);
         Hello newRelease = new Hello(Hello.MAGIC, 2, 3, nonce);
         Hello nextRelease = new Hello(Hello.MAGIC, 3, 4, nonce);
-        assertEquals(2, Hello.common(oldRelease, newRelease));
-        assertEquals(3, Hello.common(newRelease, nextRelease));
-        assertEquals(0, Hello.common(oldRelease, nextRelease));
+        assertEquals(2, Hello.commonVersion(oldRelease, newRelease));
+        assertEquals(3, Hello.commonVersion(newRelease, nextRelease));
+        assertEquals(0, Hello.commonVersion(oldRelease, nextRelease));
         assertTrue(Hello.MIN_VERSION <= Hello.MAX_VERSION);
     }
 
