--- a/elmline-standin/src/main/java/org/elmline/standin/JsonResponses.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/StandinHttpResponses.java
@@ -9,8 +9,8 @@
 import org.elmline.wire.engine.Problem;
 
 /** Answers of the stand-ins' HTTP servers, all JSON. */
-public final class JsonResponses {
-    private JsonResponses() {}
+public final class StandinHttpResponses {
+    private StandinHttpResponses() {}
 
     public static void send(HttpServerExchange exchange, Object body) {
         send(exchange, 200, body);
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineRoutes.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineRoutes.java
@@ -15,7 +15,7 @@
 import org.elmline.core.common.AttemptId;
 import org.elmline.core.engine.EngineOrder;
 import org.elmline.core.engine.EngineRequest;
-import org.elmline.standin.JsonResponses;
+import org.elmline.standin.StandinHttpResponses;
 import org.elmline.wire.engine.EngineJson;
 import org.elmline.wire.engine.EnginePaths;
 import org.elmline.wire.engine.ExportedKv;
@@ -42,20 +42,20 @@
     HttpHandler handler() {
         return Handlers.routing()
                 .post(EnginePaths.STREAMS, withJsonBody(EngineRequest.class, this::start))
-                .get(EnginePaths.STREAMS, exchange -> JsonResponses.send(exchange, engine.streamInfos()))
+                .get(EnginePaths.STREAMS, exchange -> StandinHttpResponses.send(exchange, engine.streamInfos()))
                 .get(EnginePaths.STREAM, this::resume)
                 .delete(EnginePaths.STREAM, this::cancel)
                 .put(EnginePaths.PRIORITY, this::changePriority)
                 .post(EnginePaths.EXPORTS, withJsonBody(EngineRequest.class, this::export))
-                .get(EnginePaths.EXPORTS, exchange -> JsonResponses.send(exchange, engine.exports()))
+                .get(EnginePaths.EXPORTS, exchange -> StandinHttpResponses.send(exchange, engine.exports()))
                 .get(EnginePaths.EXPORT, this::exported)
                 .delete(EnginePaths.EXPORT, this::free)
                 .post(EnginePaths.IMPORT, withJsonBody(ImportRequest.class, this::importKv))
                 .post(
                         EnginePaths.ORDERS,
-                        withJsonBody(EngineOrder.class, (e, o) -> JsonResponses.send(e, engine.order(o))))
-                .get(EnginePaths.STATE, exchange -> JsonResponses.send(exchange, engine.state()))
-                .get(EnginePaths.LOAD, exchange -> JsonResponses.send(exchange, engine.load()))
+                        withJsonBody(EngineOrder.class, (e, o) -> StandinHttpResponses.send(e, engine.order(o))))
+                .get(EnginePaths.STATE, exchange -> StandinHttpResponses.send(exchange, engine.state()))
+                .get(EnginePaths.LOAD, exchange -> StandinHttpResponses.send(exchange, engine.load()))
                 .get(EnginePaths.CACHE_EVENTS, this::cacheEvents)
                 .put("/standin/faults", withJsonBody(EngineFaults.Settings.class, this::setFaults));
     }
@@ -71,7 +71,7 @@
             try {
                 value = EngineJson.read(bytes, type);
             } catch (IOException e) {
-                JsonResponses.sendProblem(received, 400, "not a " + type.getSimpleName());
+                StandinHttpResponses.sendProblem(received, 400, "not a " + type.getSimpleName());
                 return;
             }
             handler.handle(received, value);
@@ -80,12 +80,13 @@
 
     private void start(HttpServerExchange exchange, EngineRequest request) {
         if (!isComplete(request, 1)) {
-            JsonResponses.sendProblem(exchange, 400, "attempt, host, incarnation, model, prompt and sizes are needed");
+            StandinHttpResponses.sendProblem(
+                    exchange, 400, "attempt, host, incarnation, model, prompt and sizes are needed");
             return;
         }
         Engine.StartResult started = engine.start(request);
         if (started.refusal() != null) {
-            JsonResponses.sendProblem(
+            StandinHttpResponses.sendProblem(
                     exchange, started.refusal().status(), started.refusal().name());
             return;
         }
@@ -108,12 +109,12 @@
         AttemptId attempt = attempt(exchange);
         Integer offset = integerParameter(exchange, EnginePaths.OFFSET);
         if (attempt == null || offset == null || offset < 0) {
-            JsonResponses.sendProblem(exchange, 400, "attempt and offset are needed");
+            StandinHttpResponses.sendProblem(exchange, 400, "attempt and offset are needed");
             return;
         }
         Optional<EngineStream> stream = engine.stream(attempt);
         if (stream.isEmpty()) {
-            JsonResponses.sendProblem(exchange, 404, "no such attempt");
+            StandinHttpResponses.sendProblem(exchange, 404, "no such attempt");
             return;
         }
         exchange.dispatch((HttpHandler) dispatched -> writeStream(dispatched, stream.get(), offset));
@@ -138,31 +139,32 @@
     private void cancel(HttpServerExchange exchange) {
         AttemptId attempt = attempt(exchange);
         if (attempt == null) {
-            JsonResponses.sendProblem(exchange, 400, "attempt is needed");
+            StandinHttpResponses.sendProblem(exchange, 400, "attempt is needed");
             return;
         }
         engine.cancel(attempt);
-        JsonResponses.send(exchange, true);
+        StandinHttpResponses.send(exchange, true);
     }
 
     private void changePriority(HttpServerExchange exchange) {
         AttemptId attempt = attempt(exchange);
         Integer priority = integerParameter(exchange, "priority");
         if (attempt == null || priority == null) {
-            JsonResponses.sendProblem(exchange, 400, "attempt and priority are needed");
+            StandinHttpResponses.sendProblem(exchange, 400, "attempt and priority are needed");
             return;
         }
-        JsonResponses.send(exchange, engine.changePriority(attempt, priority));
+        StandinHttpResponses.send(exchange, engine.changePriority(attempt, priority));
     }
 
     private void export(HttpServerExchange exchange, EngineRequest segment) {
         if (!isComplete(segment, 0)) {
-            JsonResponses.sendProblem(exchange, 400, "attempt, host, incarnation, model, prompt and sizes are needed");
+            StandinHttpResponses.sendProblem(
+                    exchange, 400, "attempt, host, incarnation, model, prompt and sizes are needed");
             return;
         }
         Engine.StartResult started = engine.startExport(segment);
         if (started.refusal() != null) {
-            JsonResponses.sendProblem(
+            StandinHttpResponses.sendProblem(
                     exchange, started.refusal().status(), started.refusal().name());
             return;
         }
@@ -195,25 +197,25 @@
 
     private void exported(HttpServerExchange exchange) {
         Optional<ExportedKv> exported =
-                engine.findExport(String.valueOf(JsonResponses.queryParameter(exchange, EnginePaths.ID)));
+                engine.findExport(String.valueOf(StandinHttpResponses.queryParameter(exchange, EnginePaths.ID)));
         if (exported.isEmpty()) {
-            JsonResponses.sendProblem(exchange, 404, "no such export");
+            StandinHttpResponses.sendProblem(exchange, 404, "no such export");
             return;
         }
-        JsonResponses.send(exchange, exported.get());
+        StandinHttpResponses.send(exchange, exported.get());
     }
 
     private void free(HttpServerExchange exchange) {
-        engine.freeExport(String.valueOf(JsonResponses.queryParameter(exchange, EnginePaths.ID)));
-        JsonResponses.send(exchange, true);
+        engine.freeExport(String.valueOf(StandinHttpResponses.queryParameter(exchange, EnginePaths.ID)));
+        StandinHttpResponses.send(exchange, true);
     }
 
     private void importKv(HttpServerExchange exchange, ImportRequest request) {
         if (request.export() == null || request.from() == null) {
-            JsonResponses.sendProblem(exchange, 400, "export and from are needed");
+            StandinHttpResponses.sendProblem(exchange, 400, "export and from are needed");
             return;
         }
-        exchange.dispatch((HttpHandler) dispatched -> JsonResponses.send(dispatched, fetchAndImport(request)));
+        exchange.dispatch((HttpHandler) dispatched -> StandinHttpResponses.send(dispatched, fetchAndImport(request)));
     }
 
     private boolean fetchAndImport(ImportRequest request) {
@@ -234,22 +236,22 @@
     }
 
     private void cacheEvents(HttpServerExchange exchange) {
-        String after = JsonResponses.queryParameter(exchange, EnginePaths.AFTER);
+        String after = StandinHttpResponses.queryParameter(exchange, EnginePaths.AFTER);
         try {
-            JsonResponses.send(exchange, engine.cacheEventsAfter(after == null ? 0 : Long.parseLong(after)));
+            StandinHttpResponses.send(exchange, engine.cacheEventsAfter(after == null ? 0 : Long.parseLong(after)));
         } catch (NumberFormatException e) {
-            JsonResponses.sendProblem(exchange, 400, "after is a number");
+            StandinHttpResponses.sendProblem(exchange, 400, "after is a number");
         }
     }
 
     private void setFaults(HttpServerExchange exchange, EngineFaults.Settings settings) {
         faults.apply(settings);
-        JsonResponses.send(exchange, true);
+        StandinHttpResponses.send(exchange, true);
     }
 
     private static AttemptId attempt(HttpServerExchange exchange) {
         try {
-            return AttemptId.of(JsonResponses.queryParameter(exchange, EnginePaths.ATTEMPT));
+            return AttemptId.of(StandinHttpResponses.queryParameter(exchange, EnginePaths.ATTEMPT));
         } catch (IllegalArgumentException e) {
             return null;
         }
@@ -257,7 +259,7 @@
 
     private static Integer integerParameter(HttpServerExchange exchange, String name) {
         try {
-            return Integer.valueOf(JsonResponses.queryParameter(exchange, name));
+            return Integer.valueOf(StandinHttpResponses.queryParameter(exchange, name));
         } catch (NumberFormatException e) {
             return null;
         }
--- a/elmline-standin/src/main/java/org/elmline/standin/service/ServiceServer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/service/ServiceServer.java
@@ -22,7 +22,7 @@
 import org.elmline.core.common.ServiceName;
 import org.elmline.core.engine.EngineLoad;
 import org.elmline.standin.Announcer;
-import org.elmline.standin.JsonResponses;
+import org.elmline.standin.StandinHttpResponses;
 import org.elmline.standin.StandinHttpServer;
 import org.elmline.wire.engine.EngineJson;
 import org.elmline.wire.engine.EnginePaths;
@@ -119,11 +119,11 @@
 
     private HttpHandler handler() {
         return Handlers.routing()
-                .get("/schedule", onWorker(exchange -> JsonResponses.send(exchange, Schedule.today())))
+                .get("/schedule", onWorker(exchange -> StandinHttpResponses.send(exchange, Schedule.today())))
                 .get("/seats/{seat}", onWorker(this::handleSeat))
                 .post("/seats/{seat}/hold", onWorker(this::handleMutation))
                 .post("/fees", onWorker(this::handleMutation))
-                .get("/runs", exchange -> JsonResponses.send(exchange, new Runs(runs.runs())))
+                .get("/runs", exchange -> StandinHttpResponses.send(exchange, new Runs(runs.runs())))
                 .put("/standin/faults", this::setFaults);
     }
 
@@ -152,13 +152,13 @@
     }
 
     private void handleSeat(HttpServerExchange exchange) {
-        JsonResponses.send(exchange, new Seat(JsonResponses.queryParameter(exchange, "seat")));
+        StandinHttpResponses.send(exchange, new Seat(StandinHttpResponses.queryParameter(exchange, "seat")));
     }
 
     private void handleMutation(HttpServerExchange exchange) throws IOException {
         if (faults.mode() == ServiceFaults.Mode.FAIL_BEFORE_RUNNING) {
             exchange.getResponseHeaders().put(RAN, "no");
-            JsonResponses.sendProblem(exchange, 503, "refused before running");
+            StandinHttpResponses.sendProblem(exchange, 503, "refused before running");
             return;
         }
         String body = new String(exchange.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
@@ -169,16 +169,16 @@
             IoUtils.safeClose(exchange.getConnection());
             return;
         }
-        JsonResponses.send(exchange, new RunCounts.Run(keyOrNone, exchange.getRequestPath(), body, count));
+        StandinHttpResponses.send(exchange, new RunCounts.Run(keyOrNone, exchange.getRequestPath(), body, count));
     }
 
     private void setFaults(HttpServerExchange exchange) {
         exchange.getRequestReceiver().receiveFullBytes((received, bytes) -> {
             try {
                 faults.apply(EngineJson.read(bytes, ServiceFaults.Settings.class));
-                JsonResponses.send(received, true);
+                StandinHttpResponses.send(received, true);
             } catch (IOException e) {
-                JsonResponses.sendProblem(received, 400, "not fault settings");
+                StandinHttpResponses.sendProblem(received, 400, "not fault settings");
             }
         });
     }
--- a/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
@@ -15,7 +15,7 @@
 import org.elmline.core.backend.AnnounceAnswer;
 import org.elmline.core.backend.Announcement;
 import org.elmline.core.common.Address;
-import org.elmline.standin.JsonResponses;
+import org.elmline.standin.StandinHttpResponses;
 import org.elmline.standin.StandinHttpServer;
 import org.elmline.wire.engine.EngineJson;
 import org.junit.jupiter.api.Test;
@@ -75,7 +75,7 @@
                             } catch (IOException bad) {
                                 throw new AssertionError(bad);
                             }
-                            JsonResponses.send(e, new AnnounceAnswer(50, 500, List.of()));
+                            StandinHttpResponses.send(e, new AnnounceAnswer(50, 500, List.of()));
                         }));
                 ServiceServer service = ServiceServer.builder()
                         .id("booking-1")
