--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
@@ -188,9 +188,7 @@
             return;
         }
         for (ServiceShard each : directory.shards(service)) {
-            directory.dispatchersByPreference(each).stream()
-                    .findFirst()
-                    .ifPresent(first -> firstDispatchers.put(each, first));
+            directory.byPreference(each).stream().findFirst().ifPresent(first -> firstDispatchers.put(each, first));
         }
     }
 
@@ -199,7 +197,7 @@
         firstDispatchers.keySet().removeIf(each -> each.service().equals(service) && !shards.contains(each));
         boolean changed = false;
         for (ServiceShard each : shards) {
-            List<EntryRecord> order = directory.dispatchersByPreference(each);
+            List<EntryRecord> order = directory.byPreference(each);
             if (order.isEmpty()) {
                 continue;
             }
@@ -336,8 +334,7 @@
 
         private void request(Target to) {
             HostId dispatcher = to.entry().host();
-            if (!dispatcher.equals(
-                    directory.dispatchersByPreference(to.shard()).get(0).host())) {
+            if (!dispatcher.equals(directory.byPreference(to.shard()).get(0).host())) {
                 sendOpenGrants(to.shard(), to.entry());
             }
             grantHolders.addHolder(call.attempt(), dispatcher);
@@ -384,7 +381,7 @@
             if (first != null) {
                 return first;
             }
-            for (EntryRecord each : directory.dispatchersByPreference(shards.get(0))) {
+            for (EntryRecord each : directory.byPreference(shards.get(0))) {
                 if (isAvailable(each)) {
                     return new Target(shards.get(0), each);
                 }
@@ -395,7 +392,7 @@
         /** The first dispatcher of a shard that has not answered yet; null where none may be asked. */
         private Target nextFirstDispatcher() {
             for (ServiceShard each : shards) {
-                List<EntryRecord> order = directory.dispatchersByPreference(each);
+                List<EntryRecord> order = directory.byPreference(each);
                 if (!answeredShards.contains(each) && !order.isEmpty() && isAvailable(order.get(0))) {
                     return new Target(each, order.get(0));
                 }
@@ -491,7 +488,7 @@
         /** The dispatcher that all ask first must count what another one has granted. */
         private void notifyFirstDispatcher(HostId dispatcher, DispatchAnswer.Granted granted) {
             ServiceShard shard = directory.shardOf(call.service(), granted.server());
-            List<EntryRecord> order = directory.dispatchersByPreference(shard);
+            List<EntryRecord> order = directory.byPreference(shard);
             if (order.isEmpty() || order.get(0).host().equals(dispatcher)) {
                 return;
             }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
@@ -67,7 +67,7 @@
     }
 
     /** The entries that may dispatch a shard, the one to ask first in front. */
-    List<EntryRecord> dispatchersByPreference(ServiceShard shard) {
+    List<EntryRecord> byPreference(ServiceShard shard) {
         Collection<EntryRecord> alive = entries.get();
         if (alive != cachedEntries) {
             cachedOrders.clear();
