--- a/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorClient.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorClient.java
@@ -51,7 +51,7 @@
     }
 
     /** Asks one host only. */
-    OperatorAnswer getFrom(HttpUrl host, String path) {
+    OperatorAnswer readFrom(HttpUrl host, String path) {
         return send(host, builder -> builder, path);
     }
 
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineReader.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineReader.java
@@ -49,7 +49,7 @@
         try {
             List<Future<OperatorAnswer>> answers = new ArrayList<>();
             for (HttpUrl host : hosts) {
-                answers.add(asking.submit(() -> client.getFrom(host, EventsPath.of(query))));
+                answers.add(asking.submit(() -> client.readFrom(host, EventsPath.of(query))));
             }
             for (Future<OperatorAnswer> answer : answers) {
                 addAnswer(answer.get(), pages, missing);
