--- a/elmline-core/src/main/java/org/elmline/core/stream/RetryDecision.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/RetryDecision.java
@@ -11,7 +11,7 @@
     /** Start a new attempt elsewhere with the pieces that the caller has. */
     CONTINUE,
     /** Tell the caller that it failed, with what is known of whether it ran. */
-    FAIL;
+    GIVE_UP;
 
     private static final int MAX_RESUMES = 3;
     private static final int MAX_ATTEMPTS = 4;
@@ -20,7 +20,7 @@
     /** Decides, and takes a retry out of the budget where one is spent. */
     public static RetryDecision of(StreamFailure failure, RetryBudget budget) {
         if (failure.remainingMillis() < MIN_REMAINING_MILLIS) {
-            return FAIL;
+            return GIVE_UP;
         }
         boolean mayStillRun = failure.ran() != Ran.NO;
         if (mayStillRun && failure.engineReachable() && failure.resumes() < MAX_RESUMES) {
@@ -28,10 +28,10 @@
         }
         // What may have run and must not run twice ends here: a second try could charge a caller again.
         if (mayStillRun && !failure.repeatable()) {
-            return FAIL;
+            return GIVE_UP;
         }
         if (failure.attempts() >= MAX_ATTEMPTS || !budget.tryAcquire()) {
-            return FAIL;
+            return GIVE_UP;
         }
         return failure.deliveredPieces() > 0 ? CONTINUE : RETRY;
     }
--- a/elmline-core/src/test/java/org/elmline/core/stream/FailureTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/stream/FailureTest.java
@@ -29,14 +29,14 @@
             // ran, repeatable, reachable, delivered, resumes, tries, remaining
             {Ran.NO, false, true, 0, 0, 1, 1_000L, RetryDecision.RETRY},
             {Ran.NO, true, true, 0, 0, 1, 1_000L, RetryDecision.RETRY},
-            {Ran.UNKNOWN, false, false, 0, 0, 1, 1_000L, RetryDecision.FAIL},
-            {Ran.YES, false, false, 0, 0, 1, 1_000L, RetryDecision.FAIL},
+            {Ran.UNKNOWN, false, false, 0, 0, 1, 1_000L, RetryDecision.GIVE_UP},
+            {Ran.YES, false, false, 0, 0, 1, 1_000L, RetryDecision.GIVE_UP},
             {Ran.UNKNOWN, true, true, 5, 0, 1, 1_000L, RetryDecision.RESUME},
             {Ran.UNKNOWN, true, true, 5, 3, 1, 1_000L, RetryDecision.CONTINUE},
             {Ran.UNKNOWN, true, false, 5, 0, 1, 1_000L, RetryDecision.CONTINUE},
             {Ran.UNKNOWN, true, false, 0, 0, 1, 1_000L, RetryDecision.RETRY},
-            {Ran.NO, true, true, 0, 0, 4, 1_000L, RetryDecision.FAIL},
-            {Ran.NO, true, true, 0, 0, 1, 10L, RetryDecision.FAIL},
+            {Ran.NO, true, true, 0, 0, 4, 1_000L, RetryDecision.GIVE_UP},
+            {Ran.NO, true, true, 0, 0, 1, 10L, RetryDecision.GIVE_UP},
         };
         int passed = 0;
         for (Object[] each : cases) {
@@ -67,10 +67,10 @@
         for (int i = 0; i < requests; i++) {
             budget.onFirstAttempt();
             int own = 1;
-            RetryDecision next = random.nextBoolean() ? decide(own, budget) : RetryDecision.FAIL;
+            RetryDecision next = random.nextBoolean() ? decide(own, budget) : RetryDecision.GIVE_UP;
             while (next == RetryDecision.RETRY) {
                 own++;
-                next = random.nextBoolean() ? decide(own, budget) : RetryDecision.FAIL;
+                next = random.nextBoolean() ? decide(own, budget) : RetryDecision.GIVE_UP;
             }
             tries += own;
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
@@ -92,7 +92,7 @@
             RetryDecision decision = decide(broken);
             gateway.counter("broken." + decision.name().toLowerCase(Locale.ROOT))
                     .inc();
-            if (decision == RetryDecision.FAIL) {
+            if (decision == RetryDecision.GIVE_UP) {
                 refuse(failureRefusal(broken));
                 return;
             }
