--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimAnswer.java
@@ -11,15 +11,15 @@
     @JsonTypeName("decided")
     record Decided(ClaimOutcome outcome) implements ClaimAnswer {}
 
-    /** Nothing was proposed. Ask the leader; null when this control host knows none. */
+    /** Nothing was proposed; the request belongs to the leader. Null when this control host has no current leader. */
     @JsonTypeName("not-leader")
     record NotLeader(Address leader) implements ClaimAnswer {}
 
-    /** Nothing was proposed: too many claims wait. */
+    /** Nothing was proposed because too many claims are queued; retry after {@code retryAfterMillis}. */
     @JsonTypeName("overloaded")
     record Overloaded(long retryAfterMillis) implements ClaimAnswer {}
 
-    /** Proposed but not known to be committed. Asking again from the same session is safe. */
+    /** Proposed, but not confirmed as committed. The same session may safely retry. */
     @JsonTypeName("undecided")
     record Undecided(String why) implements ClaimAnswer {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimBatcher.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimBatcher.java
@@ -7,11 +7,11 @@
 import java.util.function.BiFunction;
 
 /**
- * Gathers claims on the leader while earlier ones are being synced, so that one log entry and one sync serve many. At
- * most one batch of begins and one of finishes is under way; it needs no timer, since a lone claim goes at once and the
- * batches grow by themselves when syncs are slow. Not safe for concurrent use.
+ * Collects claims on the leader while earlier ones are being synced, so that one log entry and one sync serve many. At
+ * most one batch of begins and one of finishes is in flight. No timer is needed: a single claim is proposed at once,
+ * and batches grow when syncs are slow. Not safe for concurrent use.
  *
- * @param <T> whoever waits for a claim's outcome
+ * @param <T> identifies the caller waiting for a claim's outcome
  */
 public final class ClaimBatcher<T> {
     private final int maxBatch;
@@ -21,24 +21,25 @@
 
     /**
      * @param maxBatch most claims in one command
-     * @param maxWaiting most begins, and most finishes, that may wait; more are refused, as each would wait too long
+     * @param maxWaiting most begins, and most finishes, that may be queued; more are rejected, since their waiting time
+     *     would be too long
      */
     public ClaimBatcher(int maxBatch, int maxWaiting) {
         this.maxBatch = maxBatch;
         this.maxWaiting = maxWaiting;
     }
 
-    /** Takes a begin to wait for the next batch; false when too many wait already, with nothing proposed. */
+    /** Queues a begin for the next batch. Returns false, with nothing proposed, when the queue is full. */
     public boolean begin(ClaimBegin claim, T waiter) {
         return begins.offer(claim, waiter);
     }
 
-    /** Takes a finish to wait for the next batch; false when too many wait already, with nothing proposed. */
+    /** Queues a finish for the next batch. Returns false, with nothing proposed, when the queue is full. */
     public boolean finish(ClaimFinish claim, T waiter) {
         return finishes.offer(claim, waiter);
     }
 
-    /** The batches to propose now. Each must be given back to {@link #complete} when it is applied or lost. */
+    /** Returns the batches to propose now. Each must be passed to {@link #complete} once it is applied or lost. */
     public List<ClaimBatch<T>> nextBatches(long wallMillis) {
         List<ClaimBatch<T>> ready = new ArrayList<>(2);
         finishes.addNextBatch(wallMillis, ready);
@@ -46,13 +47,13 @@
         return ready;
     }
 
-    /** Lets the next batch of this kind go. */
+    /** Marks a batch as no longer in flight, so that the next one of its kind can be proposed. */
     public void complete(ClaimBatch<T> batch) {
         begins.complete(batch);
         finishes.complete(batch);
     }
 
-    /** Everyone whose claim was never proposed, removed from here; for a leader that is deposed. */
+    /** Removes and returns the waiters of all claims that were not proposed. Called when the leader is deposed. */
     public List<T> drainWaiters() {
         List<T> waiters = new ArrayList<>();
         begins.drainWaiters(waiters);
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimBegin.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimBegin.java
@@ -1,8 +1,9 @@
 package org.elmline.core.control;
 
 /**
- * Asks for the right to send a call once.
+ * Requests the right to send a call once.
  *
- * @param requestDigest SHA-256 of method, target and body, so that one key can't stand for two calls
+ * @param requestDigest SHA-256 of method, target and body, in lower-case hexadecimal; it detects one key used for two
+ *     different calls
  */
 public record ClaimBegin(ClaimKey key, String requestDigest, ClaimOwner owner) {}
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimKey.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimKey.java
@@ -5,8 +5,8 @@
 import org.elmline.core.common.OrganisationId;
 
 /**
- * Identity of a claim. Each organisation has a key space of its own, so that none can find, or block, another's call
- * by using its key. Ordered by issue time, the order in which claims expire.
+ * Identity of a claim. Each organisation has its own key space, so that none can read or block another's call by using
+ * its key. Ordered by issue time, the order in which claims expire.
  */
 public record ClaimKey(OrganisationId organisation, IdempotencyKey key) implements Comparable<ClaimKey> {
     private static final Comparator<ClaimKey> ORDER =
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimOutcome.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimOutcome.java
@@ -8,7 +8,7 @@
 /** The decision on one claim of a batch. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "outcome")
 public sealed interface ClaimOutcome {
-    /** The asking session owns the claim, and nothing ran under this key before. It may send the call, once. */
+    /** The requesting session owns the claim, and nothing ran under this key before. It may send the call once. */
     @JsonTypeName("granted")
     record Granted() implements ClaimOutcome {}
 
@@ -16,11 +16,11 @@
     @JsonTypeName("recorded")
     record Recorded(RecordedAnswer answer) implements ClaimOutcome {}
 
-    /** Another session owns the claim and hasn't finished it: the call may be running, have run, or never run. */
+    /** Another session owns the claim and has not finished it: the call may be running, have run, or never run. */
     @JsonTypeName("may-have-run")
     record MayHaveRun(HostId owner) implements ClaimOutcome {}
 
-    /** The claim is not for this asker, and the call didn't run for it. */
+    /** The claim was rejected for this requester, and the call did not run for it. */
     @JsonTypeName("refused")
     record Refused(RefusalReason reason, String message) implements ClaimOutcome {}
 
@@ -28,7 +28,7 @@
     @JsonTypeName("finished")
     record Finished() implements ClaimOutcome {}
 
-    /** A finish came from a session that doesn't own the claim, or after the claim was dropped. Nothing changed. */
+    /** A finish was sent by a session that does not own the claim, or after the claim was dropped. Nothing changed. */
     @JsonTypeName("not-owner")
     record NotOwner() implements ClaimOutcome {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimOwner.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimOwner.java
@@ -4,9 +4,9 @@
 import org.elmline.core.common.Incarnation;
 
 /**
- * The one session that may send a claimed call.
+ * The only session that may send a claimed call.
  *
- * @param session counts the claim sessions of one incarnation: two callers who use one key on one entry at once are two
- *     sessions, of which one may send
+ * @param session number of the claim session within one incarnation: two callers that use one key on one entry at the
+ *     same time have two sessions, of which only one may send
  */
 public record ClaimOwner(HostId host, Incarnation incarnation, long session) {}
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimReply.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimReply.java
@@ -2,12 +2,12 @@
 
 import org.elmline.core.common.Refusal;
 
-/** The final answer that a claim session gives its caller. */
+/** The final reply of a claim session to its caller. */
 public sealed interface ClaimReply {
     /**
      * The service's answer.
      *
-     * @param repeated true when the call ran earlier and this is the recorded answer, whose body may be left out
+     * @param repeated true when the call ran earlier and this is the recorded answer, whose body may be missing
      */
     record Answered(RecordedAnswer answer, boolean repeated) implements ClaimReply {}
 
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimSession.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimSession.java
@@ -7,13 +7,13 @@
 import org.elmline.core.common.RefusalReason;
 
 /**
- * An entry's side of one call that may run at most once. It sends at most once: only after a quorum has committed its
- * begin, and only while the entry's own lease and the deadline still hold at that moment. Every event may come late,
- * doubled or not at all.
+ * An entry's state for one call that may run at most once. It sends at most once: only after a quorum has committed its
+ * begin, and only while the entry's own lease and the deadline are still valid at that moment. Every event may be late,
+ * duplicated or lost. Safe for concurrent use.
  *
- * <p>Until its claim is decided a session knows nothing of earlier tries under the key, so it refuses with "unknown",
- * not with "did not run": a caller told that the call didn't run could use a new key and pay twice. A retry under the
- * same key is safe in every case.
+ * <p>Until its claim is decided, a session has no information about earlier attempts under the key, so it refuses with
+ * "unknown" instead of "did not run": a caller told that the call did not run could use a new key and pay twice. A
+ * retry under the same key is safe in every case.
  */
 public final class ClaimSession {
     private static final long RETRY_DELAY_MILLIS = 1_000;
@@ -23,7 +23,7 @@
         BEGINNING,
         SENT,
         FINISHING,
-        /** The caller has its reply, nothing was sent; a begin may still be on its way to being committed. */
+        /** The caller has its reply and nothing was sent; a begin may still be in flight and be committed. */
         ABANDONED,
         ENDED
     }
@@ -38,7 +38,9 @@
 
     /**
      * @param lease the entry's own lease
-     * @param finishTries how often to tell control hosts how the call ended; when all fail, a repeat gets "may have run"
+     * @param deadlineNanos the caller's deadline on the entry's monotonic clock
+     * @param finishTries how often to report the call's end to control hosts; when all reports fail, a repeat is
+     *     answered "may have run"
      */
     public ClaimSession(ClaimBegin begin, HostLease lease, long deadlineNanos, int finishTries) {
         this.begin = begin;
@@ -55,7 +57,7 @@
         return new ClaimStep.Begin(begin, null);
     }
 
-    /** What came of a begin. */
+    /** Handles the result of a begin. */
     public synchronized ClaimStep onBeginResult(CallResult<ClaimAnswer> result, long nowNanos) {
         ClaimOutcome outcome = committedOutcome(result);
         if (phase == Phase.ABANDONED && outcome instanceof ClaimOutcome.Granted) {
@@ -75,8 +77,9 @@
     }
 
     /**
-     * A freeze may have passed between the commit and now. A session that finds its lease or its deadline gone hasn't
-     * sent and never will, so it may say so and let a later try run.
+     * Checks lease and deadline again, because the process may have been frozen since the commit. A session whose lease
+     * or deadline is over has not sent the call and never will, so it may report that and release the claim for a later
+     * attempt.
      */
     private ClaimStep onGranted(long nowNanos) {
         if (!lease.isValid(nowNanos)) {
@@ -89,7 +92,7 @@
         return new ClaimStep.Send();
     }
 
-    /** What came of the call to the service. */
+    /** Handles the result of the call to the service. */
     public synchronized ClaimStep onCallResult(CallResult<RecordedAnswer> result) {
         if (phase != Phase.SENT) {
             return new ClaimStep.Nothing();
@@ -106,7 +109,7 @@
         return replyOnce(refusal(RefusalReason.BACKEND_FAILED, "the service's answer was lost", Ran.UNKNOWN));
     }
 
-    /** What came of a finish. */
+    /** Handles the result of a finish. */
     public synchronized ClaimStep onFinishResult(CallResult<ClaimAnswer> result) {
         if (phase != Phase.FINISHING) {
             return new ClaimStep.Nothing();
@@ -118,7 +121,7 @@
         return new ClaimStep.Nothing();
     }
 
-    /** The caller's deadline has passed: the caller gets its reply now, whatever is still on its way. */
+    /** Handles the caller's deadline: the caller receives its reply now, whatever is still in flight. */
     public synchronized ClaimStep onDeadline() {
         if (phase == Phase.SENT) {
             return replyOnce(refusal(RefusalReason.DEADLINE, "the service hasn't answered in time", Ran.UNKNOWN));
@@ -166,7 +169,7 @@
         return new ClaimReply.Refused(new Refusal(reason, message, ran, reason.retryable() ? RETRY_DELAY_MILLIS : 0));
     }
 
-    /** The committed outcome; null when there is none to rely on. */
+    /** Returns the committed outcome, or null when none is confirmed. */
     private static ClaimOutcome committedOutcome(CallResult<ClaimAnswer> result) {
         boolean decided = result instanceof CallResult.Answered<ClaimAnswer> answered
                 && answered.value() instanceof ClaimAnswer.Decided;
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimState.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimState.java
@@ -2,15 +2,18 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** How far a claim has come. */
+/** Progress of a claim. */
 public enum ClaimState {
-    /** Its owner may have sent the call. Stays so for good when the owner dies: no other may take it over. */
+    /**
+     * Its owner may have sent the call. A claim stays in this state if the owner dies: no other session may take it
+     * over.
+     */
     @JsonProperty("begun")
     BEGUN,
     /** The call ran and its answer is recorded. */
     @JsonProperty("recorded")
     RECORDED,
-    /** Its last owner knows that it never sent the call; another session may own it next. */
+    /** Its last owner certainly never sent the call; another session may own it next. */
     @JsonProperty("released")
     RELEASED
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimStep.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimStep.java
@@ -2,25 +2,29 @@
 
 import org.elmline.core.common.Address;
 
-/** What an entry must do next for a claim session. */
+/** The next action of an entry for a claim session. */
 public sealed interface ClaimStep {
-    /** Ask a control host, and pass what comes to {@link ClaimSession#onBeginResult}; {@code leader} is a hint or null. */
+    /**
+     * Send the begin to a control host and pass the result to {@link ClaimSession#onBeginResult}; {@code leader} is a
+     * hint or null.
+     */
     record Begin(ClaimBegin begin, Address leader) implements ClaimStep {}
 
-    /** Send the call to the service, now and once, and pass what comes to {@link ClaimSession#onCallResult}. */
+    /** Send the call to the service, now and once, and pass the result to {@link ClaimSession#onCallResult}. */
     record Send() implements ClaimStep {}
 
     /**
-     * Give the caller its reply at once, when there is one, and tell a control host; pass what comes to
-     * {@link ClaimSession#onFinishResult}.
+     * Send the caller its reply at once, if there is one, and the finish to a control host; pass the result to {@link
+     * ClaimSession#onFinishResult}.
      *
-     * @param reply null when the caller has had its reply
+     * @param reply null when the caller already has its reply
+     * @param leader hint at the control host to send to, or null
      */
     record Finish(ClaimFinish finish, ClaimReply reply, Address leader) implements ClaimStep {}
 
-    /** Give the caller its reply. */
+    /** Send the caller its reply. */
     record Reply(ClaimReply reply) implements ClaimStep {}
 
-    /** Nothing: a late or doubled event, or one after the end. */
+    /** No action: the event was late or duplicated, or the session has ended. */
     record Nothing() implements ClaimStep {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimStore.java
@@ -12,11 +12,12 @@
 import org.elmline.core.common.RefusalReason;
 
 /**
- * The claims on calls that may run at most once.
+ * Stores the claims on calls that may run at most once. Not safe for concurrent use.
  *
- * <p>A claim is dropped only when its key is too old, by a floor that never falls, to be accepted again. Time is the
- * greatest wall clock that any command brought, so that a leader whose clock is behind its predecessor's can't bring an
- * expired key back; were the floor computed from the retention alone, a longer retention set later could.
+ * <p>A claim is dropped only when its key is older than a floor that never falls, so that the key is never accepted
+ * again. Time is the greatest wall clock of any command: a leader whose clock is behind its predecessor's can't make an
+ * expired key valid again. Computed from the retention alone, the floor would fall when a longer retention is set
+ * later.
  */
 final class ClaimStore {
     private final TreeMap<ClaimKey, Claim> claims = new TreeMap<>();
@@ -146,8 +147,8 @@
     }
 
     /**
-     * A released claim never goes back to the session that released it: a begin of that session which arrives late would
-     * leave the claim begun with nobody to finish it.
+     * Grants a released claim to another session. It is never granted again to the session that released it: a late
+     * begin of that session would leave the claim begun with no session to finish it.
      */
     private ClaimOutcome reassignReleased(ClaimBegin begin) {
         claims.put(begin.key(), new Claim(begin.key(), begin.requestDigest(), begin.owner(), ClaimState.BEGUN, null));
--- a/elmline-core/src/main/java/org/elmline/core/control/Command.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/Command.java
@@ -8,12 +8,15 @@
 import org.elmline.core.common.Incarnation;
 
 /**
- * A change of {@link ControlState} that goes through the replicated log. All that a command needs, the wall clock and
- * digests included, is stamped into it by the leader, so that every replica computes the same result from it.
+ * A change of {@link ControlState} that goes through the replicated log. The leader writes all inputs into it, wall
+ * clock and digests included, so that every replica computes the same result.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 public sealed interface Command {
-    /** Decides a ticket. The digest is the leader's, so that replicas of two releases never compare two digests. */
+    /**
+     * Decides a ticket. The digest is computed by the leader, so that replicas of two releases never compare digests
+     * computed in two ways.
+     */
     @JsonTypeName("apply-ticket")
     record ApplyTicket(Ticket ticket, String digest) implements Command {
         public static ApplyTicket of(Ticket ticket) {
@@ -26,14 +29,14 @@
     record JoinHost(HostRecord host) implements Command {}
 
     /**
-     * Ends a membership whose lease has run out.
+     * Ends a membership whose lease has expired.
      *
-     * @param joinedAt members version of the membership meant; a host that joined again since is left alone
+     * @param joinedAt members version of the membership to end; a host that has joined again since is left unchanged
      */
     @JsonTypeName("end-host")
     record EndHost(HostId host, Incarnation incarnation, long joinedAt) implements Command {}
 
-    /** Begins many claims, each decided on its own, in order. */
+    /** Begins several claims, each decided separately, in order. */
     @JsonTypeName("begin-claims")
     record BeginClaims(long wallMillis, List<ClaimBegin> claims) implements Command {
         public BeginClaims {
@@ -41,7 +44,7 @@
         }
     }
 
-    /** Finishes many claims, each decided on its own, in order. */
+    /** Finishes several claims, each decided separately, in order. */
     @JsonTypeName("finish-claims")
     record FinishClaims(long wallMillis, List<ClaimFinish> claims) implements Command {
         public FinishClaims {
@@ -54,7 +57,7 @@
     record ExpireClaims(long wallMillis) implements Command {}
 
     /**
-     * First command of every leader: takes the next fencing number and sets the limits by which all replicas decide.
+     * First command of every leader: takes the next fencing number and sets the limits that all replicas apply.
      *
      * @param term the leader's term; the fencing number is at least this
      */
--- a/elmline-core/src/main/java/org/elmline/core/control/CommandResult.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/CommandResult.java
@@ -7,10 +7,10 @@
 import org.elmline.core.common.FencingNumber;
 import org.elmline.core.common.Incarnation;
 
-/** What applying a {@link Command} gave; the same on every replica. */
+/** The result of applying a {@link Command}; the same on every replica. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 public sealed interface CommandResult {
-    /** The answer to an {@link Command.ApplyTicket}. */
+    /** The decision on an {@link Command.ApplyTicket}. */
     @JsonTypeName("ticket-decided")
     record TicketDecided(TicketOutcome outcome) implements CommandResult {}
 
@@ -18,11 +18,13 @@
     @JsonTypeName("host-joined")
     record HostJoined(long membersVersion) implements CommandResult {}
 
-    /** Another process holds the host's id: one of a later incarnation, or of the same one at other addresses. */
+    /**
+     * Another process has the host's id: one of a later incarnation, or one of the same incarnation at another address.
+     */
     @JsonTypeName("host-replaced")
     record HostReplaced(Incarnation by) implements CommandResult {}
 
-    /** False when the membership meant was over already. */
+    /** Whether a membership ended; false when the one named by the command was over already. */
     @JsonTypeName("host-ended")
     record HostEnded(boolean changed) implements CommandResult {}
 
--- a/elmline-core/src/main/java/org/elmline/core/control/ControlChannels.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ControlChannels.java
@@ -2,7 +2,7 @@
 
 import org.elmline.core.peer.Channel;
 
-/** What control hosts serve to entries. */
+/** Channels that control hosts serve to entries. */
 public final class ControlChannels {
     public static final Channel<LeaseRequest, LeaseAnswer> LEASE_RENEW =
             new Channel<>("lease.renew", LeaseRequest.class, LeaseAnswer.class);
--- a/elmline-core/src/main/java/org/elmline/core/control/ControlLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ControlLimits.java
@@ -1,15 +1,15 @@
 package org.elmline.core.control;
 
 /**
- * Bounds on the replicated state. They travel in {@link Command.StartLeadership}: read from each replica's own
- * settings, two settings files that differ would let replicas decide differently and diverge unseen.
+ * Bounds on the replicated state. They are part of {@link Command.StartLeadership}: if each replica read them from its
+ * own settings, two settings files that differ would make replicas decide differently and diverge undetected.
  *
- * @param ticketRecords decided tickets kept for a resend to find
+ * @param ticketRecords decided tickets kept to answer a resend
  * @param claims claims kept over all organisations
  * @param claimsPerOrganisation claims kept for one organisation, so that one can't use up all
  * @param claimRetentionMillis age of an idempotency key, from its issue, at which it is refused and its claim dropped
  * @param recordedBodyBytes longest answer body recorded with a claim; of a longer one only the digest is kept
- * @param endedHosts hosts remembered after their end, for the members' changes and their last incarnation
+ * @param endedHosts ended hosts kept to compute members' deltas and to reject earlier incarnations
  */
 public record ControlLimits(
         int ticketRecords,
--- a/elmline-core/src/main/java/org/elmline/core/control/ControlSnapshot.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ControlSnapshot.java
@@ -8,13 +8,13 @@
 import org.elmline.core.config.VersionedObject;
 
 /**
- * The whole of a {@link ControlState} after one log index.
+ * A complete copy of a {@link ControlState} after one log index.
  *
  * @param index last log index applied
  * @param ticketFloor highest ticket number whose record was dropped, null when none was
- * @param membersFloor lowest members version from which changes, ends included, are still known
- * @param timeMillis replicated time: the greatest wall clock that a command brought
- * @param claimFloorMillis keys issued before this are expired for good
+ * @param membersFloor lowest members version from which changes, ends included, can still be listed
+ * @param timeMillis replicated time: the greatest wall clock of any command, in milliseconds since 1970
+ * @param claimFloorMillis keys issued before this time, in milliseconds since 1970, have expired permanently
  */
 public record ControlSnapshot(
         long index,
--- a/elmline-core/src/main/java/org/elmline/core/control/ControlState.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ControlState.java
@@ -17,9 +17,10 @@
 import org.elmline.core.config.VersionedObject;
 
 /**
- * The state that all control hosts hold alike: configuration, decided tickets, live hosts, claims and the fencing
- * number. It changes only by committed commands in the order of the log (the state machine of section 2 of the Raft
- * paper), reads no clock and draws no random number. Not safe for concurrent use: whoever applies commands guards it.
+ * The state replicated on all control hosts: configuration, decided tickets, live hosts, claims and the fencing number.
+ * It changes only by committed commands in the order of the log (the state machine of section 2 of the Raft paper),
+ * reads no clock and draws no random number. Not safe for concurrent use: the caller that applies commands must
+ * synchronise.
  */
 public final class ControlState {
     private final TicketStore tickets;
@@ -50,7 +51,7 @@
         return new ControlState(snapshot);
     }
 
-    /** Applies the command committed at a log index; indexes must grow. */
+    /** Applies the command committed at a log index; indexes must increase. */
     public CommandResult apply(long index, Command command) {
         if (index <= this.index) {
             throw new IllegalStateException("log index " + index + " applied after " + this.index);
@@ -100,12 +101,12 @@
         return limits;
     }
 
-    /** Fencing number of the newest leader. */
+    /** Fencing number of the most recent leader. */
     public FencingNumber fencing() {
         return fencing;
     }
 
-    /** Replicated time: the greatest wall clock that a command brought, in milliseconds since 1970. */
+    /** Replicated time: the greatest wall clock of any command, in milliseconds since 1970. */
     public long timeMillis() {
         return claims.timeMillis();
     }
@@ -122,7 +123,7 @@
         return current.changesSince(from);
     }
 
-    /** Number of the newest change of the members. */
+    /** Number of the most recent change of the members. */
     public long membersVersion() {
         return members.version();
     }
@@ -139,12 +140,12 @@
         return members.changesSince(from);
     }
 
-    /** The accepted ticket of a number, or else the first one refused under it, while retained. */
+    /** The accepted ticket of a number, else the first one refused under it; empty when no record is retained. */
     public Optional<TicketRecord> ticket(TicketNumber number) {
         return tickets.record(number);
     }
 
-    /** The decision on one content under a number, while retained. */
+    /** The decision on one content under a number; empty when its record is not retained. */
     public Optional<TicketRecord> ticket(TicketNumber number, String digest) {
         return tickets.record(number, digest);
     }
@@ -161,7 +162,7 @@
         return claims.claims().size();
     }
 
-    /** The whole state, to be written by whoever stores snapshots. */
+    /** Copies the whole state, for the snapshot storage to write. */
     public ControlSnapshot snapshot() {
         return new ControlSnapshot(
                 index,
@@ -180,7 +181,7 @@
                 new ArrayList<>(claims.claims()));
     }
 
-    /** In one order on every replica, so that snapshots of equal states are equal byte for byte. */
+    /** Sorted by key on every replica, so that snapshots of equal states are equal byte for byte. */
     private List<VersionedObject> objectsByKey() {
         List<VersionedObject> objects = new ArrayList<>(configuration().objects());
         objects.sort(Comparator.comparing(o -> o.object().key()));
--- a/elmline-core/src/main/java/org/elmline/core/control/EngineObservation.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/EngineObservation.java
@@ -7,9 +7,9 @@
 /**
  * One engine as its owner reports it to the control leader.
  *
- * @param protocol name of the engine plug-in that speaks to it
- * @param checksFencing whether it says that it refuses old fencing numbers
- * @param state read from the engine for this report; null when it didn't answer
+ * @param protocol name of the engine plug-in that communicates with it
+ * @param checksFencing whether the engine declares that it rejects outdated fencing numbers
+ * @param state read from the engine for this report; null when it did not answer
  */
 public record EngineObservation(
         BackendServerId id,
--- a/elmline-core/src/main/java/org/elmline/core/control/HostLease.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/HostLease.java
@@ -3,15 +3,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * An entry's own lease, which it must hold to admit anything. The lease counts from the moment the entry asked, so the
- * leader, which counts from when the request arrived, always takes it to last longer than the entry does.
+ * An entry's own lease, without which it admits nothing. The lease starts when the entry sent the request, while the
+ * leader counts from the request's arrival, so the leader always treats it as lasting longer than the entry does. Safe
+ * for concurrent use.
  *
- * <p>A process that was frozen wakes with its lease long over and the world changed: its host replaced, tickets in
- * force that it never saw. It must call {@link #isValid} with a clock read after it woke, on every admission and again
- * right before every claimed call, and then acts only on a lease that is still good. The clock must be monotonic and
- * run on while the process is stopped, as Linux's CLOCK_MONOTONIC does.
+ * <p>A process that was frozen may resume long after its lease has expired: its host may have been replaced, and
+ * tickets it never received may be in force. Callers must therefore pass {@link #isValid} a clock read after resuming,
+ * on every admission and again right before every claimed call, and act only on a lease that is still valid. The clock
+ * must be monotonic and keep running while the process is stopped, as Linux's CLOCK_MONOTONIC does.
  *
- * <p>Take in a grant's configuration before {@link #recordGrant}, so that no request is admitted under an older one.
+ * <p>Apply a grant's configuration before {@link #recordGrant}, so that no request is admitted under an older one.
  */
 public final class HostLease {
     private long untilNanos;
@@ -19,9 +20,10 @@
     private boolean replaced;
 
     /**
-     * Takes a grant.
+     * Records a grant.
      *
-     * @param askedNanos this process's clock when it sent the request that was granted
+     * @param askedNanos this process's monotonic clock when it sent the request that was granted
+     * @param leaseMillis length of the lease, counted from {@code askedNanos}
      */
     public synchronized void recordGrant(long askedNanos, long leaseMillis) {
         long until = askedNanos + TimeUnit.MILLISECONDS.toNanos(leaseMillis);
@@ -29,7 +31,7 @@
         held = true;
     }
 
-    /** A later start of this host holds the lease. Final: this process never serves again. */
+    /** Records that a later incarnation of this host holds the lease. Final: this process never serves again. */
     public synchronized void replaced() {
         replaced = true;
     }
@@ -39,7 +41,7 @@
         return remainingNanos(nowNanos) > 0;
     }
 
-    /** Nanoseconds left; 0 when there is no lease. */
+    /** Nanoseconds left; 0 when no lease is held. */
     public synchronized long remainingNanos(long nowNanos) {
         return held && !replaced ? Math.max(0, untilNanos - nowNanos) : 0;
     }
--- a/elmline-core/src/main/java/org/elmline/core/control/HostRecord.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/HostRecord.java
@@ -7,11 +7,11 @@
 import org.elmline.core.common.Region;
 
 /**
- * One live entry as every process knows it.
+ * One live entry as published to every process.
  *
- * @param callers where callers connect
- * @param peers where elmline's own processes connect
- * @param operators where operators connect
+ * @param callers address for callers
+ * @param peers address for elmline's own processes
+ * @param operators address for operators
  * @param leaving true once it is stopping and must not be offered to callers or own backend servers
  */
 public record HostRecord(
--- a/elmline-core/src/main/java/org/elmline/core/control/IdempotencyKey.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/IdempotencyKey.java
@@ -11,13 +11,13 @@
 import org.elmline.core.common.OrganisationId;
 
 /**
- * Names one call that may run at most once, as {@code <issue time>-<random>-<check>}: milliseconds since 1970 in base
- * 36, 8 to 32 random letters or digits, and the first 10 hexadecimal digits of the SHA-256 of
- * {@code <organisation>/<issue time>-<random>}. Lower case throughout.
+ * Identifies one call that may run at most once, as {@code <issue time>-<random>-<check>}: milliseconds since 1970 in
+ * base 36, 8 to 32 random letters or digits, and the first 10 hexadecimal digits of the SHA-256 of {@code
+ * <organisation>/<issue time>-<random>}. Lower case throughout.
  *
- * <p>The key carries its issue time because a claim can't be kept for ever: a key without one, used again after its
- * claim was dropped, would look new and run the call a second time. The check finds a key that was mistyped, cut off or
- * made for another organisation; it is no secret.
+ * <p>The key contains its issue time because a claim can't be kept indefinitely: a key without one, used again after
+ * its claim was dropped, would look new and run the call a second time. The checksum detects a key that was mistyped,
+ * truncated or made for another organisation; it is no secret.
  */
 public final class IdempotencyKey implements Comparable<IdempotencyKey> {
     private static final Pattern FORMAT = Pattern.compile("([0-9a-z]{1,11})-([0-9a-z]{8,32})-([0-9a-f]{10})");
@@ -33,7 +33,11 @@
         this.issuedMillis = issuedMillis;
     }
 
-    /** A new key for an organisation, issued at the given wall clock. */
+    /**
+     * Issues a new key for an organisation.
+     *
+     * @param wallMillis wall clock of the issue, in milliseconds since 1970
+     */
     public static IdempotencyKey issue(OrganisationId organisation, long wallMillis, RandomGenerator random) {
         StringBuilder body = new StringBuilder(Long.toString(wallMillis, RADIX)).append('-');
         for (int i = 0; i < RANDOM_LENGTH; i++) {
@@ -42,7 +46,7 @@
         return new IdempotencyKey(body + "-" + checksum(organisation, body.toString()), wallMillis);
     }
 
-    /** The key that a text spells, empty when it isn't in the form of one. */
+    /** Parses a key; empty when the text is null or malformed. */
     public static Optional<IdempotencyKey> parse(String text) {
         Matcher matcher = FORMAT.matcher(text == null ? "" : text);
         if (!matcher.matches()) {
@@ -56,7 +60,7 @@
         return parse(text).orElseThrow(() -> new IllegalArgumentException("not an idempotency key"));
     }
 
-    /** Whether the check at the end was made for this organisation. */
+    /** Whether the checksum was computed for this organisation. */
     public boolean belongsTo(OrganisationId organisation) {
         int end = value.length() - CHECKSUM_LENGTH;
         return value.substring(end).equals(checksum(organisation, value.substring(0, end - 1)));
@@ -67,7 +71,7 @@
         return value;
     }
 
-    /** Wall clock of its issue, in milliseconds since 1970, as its issuer saw it. */
+    /** Wall clock of the issuer at the issue, in milliseconds since 1970. */
     public long issuedMillis() {
         return issuedMillis;
     }
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseAnswer.java
@@ -12,7 +12,8 @@
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "answer")
 public sealed interface LeaseAnswer {
     /**
-     * The lease runs {@code leaseMillis} from the moment the entry asked, on the entry's own monotonic clock.
+     * The lease runs {@code leaseMillis} from the moment the entry sent its request, on the entry's own monotonic
+     * clock.
      *
      * @param controlHosts peer addresses of all control hosts, the leader first
      */
@@ -20,11 +21,11 @@
     record Granted(long leaseMillis, ConfigDelta config, MembersDelta members, List<Address> controlHosts)
             implements LeaseAnswer {}
 
-    /** Ask the leader; null when this control host knows none. */
+    /** The request belongs to the leader. Null when this control host has no current leader. */
     @JsonTypeName("not-leader")
     record NotLeader(Address leader) implements LeaseAnswer {}
 
-    /** A later start of the same host holds the lease; this process must not serve. */
+    /** A later incarnation of the same host holds the lease; this process must not serve. */
     @JsonTypeName("replaced")
     record Replaced(Incarnation by) implements LeaseAnswer {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseDecision.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseDecision.java
@@ -1,10 +1,10 @@
 package org.elmline.core.control;
 
-/** What a leader does with a renewal. */
+/** A leader's decision on a renewal. */
 public sealed interface LeaseDecision {
-    /** Answer now. */
+    /** Send this answer now. */
     record Answer(LeaseAnswer answer) implements LeaseDecision {}
 
-    /** The membership changes: propose this, and ask again once it is applied. */
+    /** The membership changes: propose this command, and decide the renewal again once it is applied. */
     record Join(Command.JoinHost command) implements LeaseDecision {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseManager.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseManager.java
@@ -14,10 +14,10 @@
 import org.elmline.core.common.Incarnation;
 
 /**
- * Grants host leases on the leader, in memory. A leader makes one when its {@link Command.StartLeadership} is applied,
- * and drops it when it is deposed. Renewals are not logged: at 370 entries and one renewal a second they would be 370
- * commands a second to sync, for a fact that is void seconds later. What a new leader can't know for that is covered by
- * its taking every member to hold a lease for one whole length from its start.
+ * Grants host leases on the leader, in memory. A leader creates one when its {@link Command.StartLeadership} is applied
+ * and discards it when it is deposed. Renewals are not logged: 370 entries that renew once a second would need 370
+ * synced commands a second, for a fact that is obsolete seconds later. The lost information is covered by treating
+ * every member as holding a lease for one full length after the start of a new leader. Not safe for concurrent use.
  */
 public final class LeaseManager {
     private final ControlState state;
@@ -25,7 +25,9 @@
     private final long settledNanos;
     private final Map<HostProcess, LeaseState> leases = new HashMap<>();
 
-    /** One start of a host. A replaced process may hold its lease for a while beside the one that replaced it. */
+    /**
+     * One incarnation of a host. A replaced process may hold its lease for a while at the same time as its replacement.
+     */
     private record HostProcess(HostId host, Incarnation incarnation) {
         static HostProcess of(HostRecord host) {
             return new HostProcess(host.id(), host.incarnation());
@@ -37,7 +39,10 @@
         private ConfigVersion inForce = ConfigVersion.of(0);
         private long endProposedVersion = -1;
 
-        /** A process that is about to join gets this too, or its membership would end before its first grant. */
+        /**
+         * Extends the lease from the time of a request. Also applied to a process that is about to join; otherwise its
+         * membership would end before its first grant.
+         */
         private void extend(long askedNanos) {
             long until = askedNanos + settings.leaderLeaseNanos();
             untilNanos = untilNanos - until >= 0 ? untilNanos : until;
@@ -45,8 +50,9 @@
     }
 
     /**
-     * @param state the leader's state with its own {@link Command.StartLeadership} applied, so that it knows every
+     * @param state the leader's state with its own {@link Command.StartLeadership} applied, so that it contains every
      *     member that an earlier leader granted a lease
+     * @param startedNanos monotonic clock at the start of this leadership
      */
     public LeaseManager(ControlState state, LeaseSettings settings, long startedNanos) {
         this.state = state;
@@ -57,7 +63,7 @@
     /**
      * Decides a renewal.
      *
-     * @param leaderUntilNanos end of the leader's own lease; a leader past it may be deposed and grants nothing
+     * @param leaderUntilNanos end of the leader's own lease; past it the leader may be deposed and grants nothing
      * @param controlHosts peer addresses of all control hosts, the leader first
      */
     public LeaseDecision renew(LeaseRequest request, long nowNanos, long leaderUntilNanos, List<Address> controlHosts) {
@@ -89,15 +95,18 @@
     }
 
     /**
-     * Whether this membership's end is proposed. It is granted nothing more: the end may be committed already, and a
-     * lease granted after it would belong to a host that no longer counts for "in force".
+     * Whether the end of this membership has been proposed. Such a membership gets no further grant: the end may be
+     * committed already, and a host that holds a lease without being a member would not be counted for "in force".
      */
     private boolean isEndProposed(Member member) {
         LeaseState holder = leases.get(HostProcess.of(member.host()));
         return holder != null && holder.endProposedVersion == member.version();
     }
 
-    /** The memberships whose leases are over. Proposed again at each call until applied. */
+    /**
+     * Returns commands that end the memberships whose leases have expired. Each is returned again on every call until
+     * it is applied.
+     */
     public List<Command.EndHost> endExpired(long nowNanos) {
         List<Command.EndHost> over = new ArrayList<>();
         for (Member each : state.members()) {
@@ -133,12 +142,12 @@
         return holder == null ? settledNanos : holder.untilNanos;
     }
 
-    /** Whether leases may still run that an earlier leader granted to processes replaced since. */
+    /** Whether leases that an earlier leader granted, to processes replaced since, may still be valid. */
     public boolean isSettling(long nowNanos) {
         return nowNanos - settledNanos < 0;
     }
 
-    /** A decided ticket with the hosts where it may not be in force yet. */
+    /** Returns a decided ticket with the hosts where it may not be in force yet. */
     public TicketStatus status(TicketRecord ticket, long nowNanos) {
         List<HostId> outstanding = ticket.outcome() instanceof TicketOutcome.Accepted accepted
                 ? outstanding(accepted.version(), nowNanos)
@@ -154,7 +163,7 @@
                 isSettling(nowNanos));
     }
 
-    /** Hosts that may hold a lease and haven't acknowledged this version, in order of their ids. */
+    /** Hosts that may hold a lease and have not acknowledged this version, sorted by id. */
     public List<HostId> outstanding(ConfigVersion version, long nowNanos) {
         TreeSet<HostId> found = new TreeSet<>();
         for (Map.Entry<HostProcess, LeaseState> each : leases.entrySet()) {
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseRequest.java
@@ -2,5 +2,5 @@
 
 import org.elmline.core.common.ConfigVersion;
 
-/** An entry's renewal of its lease; acknowledges the configuration it holds in force. */
+/** An entry's renewal of its lease, which acknowledges the configuration in force there. */
 public record LeaseRequest(HostRecord host, ConfigVersion inForce, long membersVersion) {}
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseSettings.java
@@ -5,9 +5,9 @@
 /**
  * Length of host leases.
  *
- * @param leaseMillis how long a grant lasts, counted by the entry from when it asked
- * @param graceMillis how much longer the leader takes a lease to last, counted from when it was asked. It covers clocks
- *     that run at different rates; the way from entry to leader is on the safe side already
+ * @param leaseMillis how long a grant lasts, counted by the entry from when it sent the request
+ * @param graceMillis how much longer the leader treats a lease as valid, counted from the request's arrival. It covers
+ *     clocks that run at different rates; the transmission delay from entry to leader is on the safe side already
  */
 public record LeaseSettings(long leaseMillis, long graceMillis) {
     public static final LeaseSettings DEFAULT = new LeaseSettings(4_000, 500);
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Nanoseconds after a request until the leader takes the lease to be over. */
+    /** Nanoseconds after a request until the leader treats the lease as expired. */
     long leaderLeaseNanos() {
         return TimeUnit.MILLISECONDS.toNanos(leaseMillis + graceMillis);
     }
--- a/elmline-core/src/main/java/org/elmline/core/control/Member.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/Member.java
@@ -1,7 +1,7 @@
 package org.elmline.core.control;
 
 /**
- * A live host as replicated.
+ * A live host in the replicated state.
  *
  * @param version members version that set this record
  */
--- a/elmline-core/src/main/java/org/elmline/core/control/MemberStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/MemberStore.java
@@ -10,7 +10,10 @@
 import org.elmline.core.common.HostId;
 import org.elmline.core.common.Incarnation;
 
-/** The live hosts. Only their comings, goings and changes are replicated; renewals stay in the leader's memory. */
+/**
+ * Stores the live hosts. Only joins, ends and changes of members are replicated; renewals stay in the leader's memory.
+ * Not safe for concurrent use.
+ */
 final class MemberStore {
     private final TreeMap<HostId, Member> members = new TreeMap<>();
     private final TreeMap<HostId, EndedHost> ended = new TreeMap<>();
@@ -46,7 +49,7 @@
         return Optional.ofNullable(members.get(id));
     }
 
-    /** The incarnation that keeps this process from joining, if one does. */
+    /** Returns the incarnation that prevents this process from joining, if there is one. */
     Optional<Incarnation> replacingIncarnation(HostRecord host) {
         Member live = members.get(host.id());
         if (live == null) {
@@ -60,8 +63,8 @@
     }
 
     /**
-     * The record that a join would leave. A process that was leaving stays so: an older renewal that arrives late would
-     * otherwise offer a stopping host to callers again.
+     * Returns the record that a join would store. The leaving flag of a process is never cleared: otherwise a delayed
+     * older renewal would offer a stopping host to callers again.
      */
     HostRecord mergeLeaving(HostRecord host) {
         Member live = members.get(host.id());
--- a/elmline-core/src/main/java/org/elmline/core/control/MembersDelta.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/MembersDelta.java
@@ -7,7 +7,7 @@
 /**
  * The change of the live entries between two versions.
  *
- * @param full true when {@code changed} is the whole list, for a holder whose version is too old or unknown
+ * @param full true when {@code changed} is the whole list, because the recipient's version is too old or unknown
  */
 public record MembersDelta(long from, long to, boolean full, List<HostRecord> changed, List<HostId> removed) {
     public MembersDelta {
--- a/elmline-core/src/main/java/org/elmline/core/control/ObserveRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ObserveRequest.java
@@ -2,5 +2,5 @@
 
 import org.elmline.core.common.FencingNumber;
 
-/** A control leader asks an entry what its engines serve now. */
+/** A control leader's request to an entry to report what its engines serve now. */
 public record ObserveRequest(FencingNumber fencing) {}
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderChannels.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderChannels.java
@@ -2,7 +2,7 @@
 
 import org.elmline.core.peer.Channel;
 
-/** What entries serve to the control leader, so that it can order engines. */
+/** Channels that entries serve to the control leader, so that it can send orders to engines. */
 public final class OrderChannels {
     public static final Channel<ObserveRequest, ObserveAnswer> OBSERVE =
             new Channel<>("orders.observe", ObserveRequest.class, ObserveAnswer.class);
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderPlan.java
@@ -11,6 +11,6 @@
         held = List.copyOf(held);
     }
 
-    /** An engine that differs from its wanted state, and why it gets no order. */
+    /** An engine that differs from its configured state, and why it receives no order. */
     public record Held(BackendServerId server, HoldReason reason) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
@@ -19,12 +19,15 @@
 import org.elmline.core.engine.OrderAnswer;
 
 /**
- * Decides a leader's orders to engines: one planner for each leadership. An order states the whole wanted state and is
- * repeated until it shows in the state read back from the engine, so that a lost order, a lost answer and an engine
- * that restarted need no cases of their own. Not safe for concurrent use.
+ * Decides a leader's orders to engines; each leadership has its own planner. An order contains the complete configured
+ * state and is repeated until the state read back from the engine matches it, so that a lost order, a lost answer and a
+ * restarted engine need no special handling. Not safe for concurrent use.
  */
 public final class OrderPlanner {
-    /** An order gets up to half of what remains of the lease, and isn't sent for less than this part of its timeout. */
+    /**
+     * The timeout of an order is at most half of the remaining lease; below this fraction of the configured timeout the
+     * order is not sent.
+     */
     private static final int MIN_TIMEOUT_DIVISOR = 10;
 
     private final OrderSettings settings;
@@ -34,7 +37,7 @@
     private final Map<BackendServerId, EngineOrder> rejected = new HashMap<>();
     private boolean deposed;
 
-    /** The last order to an engine; {@code shown} once its state was read back with it. */
+    /** The last order to an engine; {@code observed} once the state read back from it matched. */
     private record SentOrder(EngineOrder order, long sentAtNanos, boolean observed) {}
 
     public OrderPlanner(OrderSettings settings, Leadership leadership) {
@@ -45,10 +48,11 @@
     }
 
     /**
-     * The orders to send now.
+     * Plans the orders to send now.
      *
-     * @param engines all announced engines; one that is left out is treated as gone
-     * @param leaderUntilNanos end of the leader's own lease
+     * @param engines all announced engines; one that is missing is treated as gone
+     * @param nowNanos the leader's monotonic clock
+     * @param leaderUntilNanos end of the leader's own lease, on the same clock
      */
     public OrderPlan plan(
             Configuration configuration, Collection<ObservedEngine> engines, long nowNanos, long leaderUntilNanos) {
@@ -65,7 +69,7 @@
         return new OrderPlan(round.orders, round.held);
     }
 
-    /** Takes an engine's answer to an order. */
+    /** Records an engine's answer to an order. */
     public void onAnswer(BackendServerId server, EngineOrder order, OrderAnswer answer) {
         if (answer == OrderAnswer.STALE_FENCING_NUMBER) {
             deposed = true;
@@ -90,8 +94,8 @@
     }
 
     /**
-     * Ready replicas of each model that will stay so. An engine with an order on its way doesn't count, although it
-     * still says ready: it stops being so the moment the order arrives.
+     * Counts the replicas of each model that will stay ready. An engine with an order in flight is not counted although
+     * it still reports ready: it stops being ready as soon as the order arrives.
      */
     private Map<ModelName, Integer> readyReplicas(Collection<ObservedEngine> engines, long nowNanos) {
         Map<ModelName, Integer> ready = new HashMap<>();
@@ -115,7 +119,10 @@
                 && Objects.equals(state.role(), order.role());
     }
 
-    /** One pass over the engines; what is ordered early in it counts for the floor and the rate of the later ones. */
+    /**
+     * One pass over the engines; orders planned early in it count towards the minimum of ready replicas and the load
+     * rate of later ones.
+     */
     private final class PlanningPass {
         private final Configuration configuration;
         private final long nowNanos;
@@ -198,8 +205,9 @@
         }
 
         /**
-         * An engine that is slow to act on an order, or on a repeat of one, would go back to it after the next one was
-         * in effect: both carry the same fencing number. The replica would stop being ready with nobody expecting it.
+         * Whether another order to this engine may still take effect. Both orders carry the same fencing number, so an
+         * engine that is slow to act on the earlier one, or on a repeat of it, would revert to it after the later one
+         * took effect. The replica would unexpectedly stop being ready.
          */
         private boolean isEarlierOrderInFlight(SentOrder last, EngineOrder wanted) {
             return last != null
@@ -208,14 +216,14 @@
         }
 
         /**
-         * A state read before the earlier leader's lease was over may miss the effect of its last orders, and an order
-         * of ours could meet one of its own on the way.
+         * Whether the state was read after the earlier leader's lease ended. An earlier state may miss the effect of
+         * that leader's last orders, and an order sent now could conflict with one of them still in flight.
          */
         private boolean isSettledFor(ObservedEngine engine) {
             return engine.observedNanos() - leadership.settledNanos() >= 0;
         }
 
-        /** Whether the engine serves a model now that an order takes out of service for a while. */
+        /** Whether the engine now serves a model that an order would take out of service for a while. */
         private boolean isDisruptive(ObservedEngine engine) {
             EngineState state = engine.state();
             return state.ready() && configuration.model(state.model()).isPresent();
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderSettings.java
@@ -3,13 +3,13 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How a leader orders engines.
+ * Timing and rate of a leader's orders to engines.
  *
  * @param timeoutMillis longest that sending one order may take
- * @param repeatMillis time after which an order that hasn't shown in the engine's state is sent again
- * @param maxStateAgeMillis age at which a state read from an engine says nothing any more
+ * @param repeatMillis time after which an order whose effect is not visible in the engine's state is sent again
+ * @param maxStateAgeMillis age at which a state read from an engine is no longer used
  * @param loadsPerMinute weight loads that the weight store allows a minute, over all engines
- * @param loadBurst weight loads that may start at once after a quiet time
+ * @param loadBurst weight loads that may start at once after an idle period
  */
 public record OrderSettings(
         long timeoutMillis, long repeatMillis, long maxStateAgeMillis, double loadsPerMinute, double loadBurst) {
--- a/elmline-core/src/main/java/org/elmline/core/control/RecordedAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/RecordedAnswer.java
@@ -5,11 +5,11 @@
 import java.util.Objects;
 
 /**
- * A service's answer as kept with its claim, for a repeat to get.
+ * A service's answer as kept with its claim and returned for a repeat.
  *
- * @param headers the headers a repeat needs, for example Content-Type and Location
+ * @param headers the headers that a repeat needs, for example Content-Type and Location
  * @param body the body; null when it was longer than the limit
- * @param bodyDigest SHA-256 of the whole body
+ * @param bodyDigest SHA-256 of the whole body, in lower-case hexadecimal
  */
 public record RecordedAnswer(int status, List<Header> headers, byte[] body, String bodyDigest) {
     public RecordedAnswer {
@@ -23,7 +23,10 @@
     /** One header field of an answer. */
     public record Header(String name, String value) {}
 
-    /** This answer within a limit: a body over it is left out, and headers that don't fit besides it are too. */
+    /**
+     * Returns this answer reduced to a limit: a longer body is dropped, and so are all headers when their total length
+     * exceeds the same limit.
+     */
     RecordedAnswer truncatedTo(int bodyBytes) {
         boolean fits = body == null || body.length <= bodyBytes;
         int headerBytes = 0;
--- a/elmline-core/src/main/java/org/elmline/core/control/Sha256.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/Sha256.java
@@ -4,7 +4,7 @@
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
 
-/** SHA-256 in lower-case hexadecimal. */
+/** Computes SHA-256 in lower-case hexadecimal. */
 public final class Sha256 {
     private Sha256() {}
 
--- a/elmline-core/src/main/java/org/elmline/core/control/Ticket.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/Ticket.java
@@ -7,7 +7,7 @@
 import org.elmline.core.common.TicketNumber;
 import org.elmline.core.config.ConfigObject;
 
-/** A numbered change: the whole new state of every object it touches. Applied whole or not at all. */
+/** A numbered change: the complete new state of every object in it. Applied atomically. */
 public record Ticket(TicketNumber number, String author, List<ConfigObject> objects) {
     public Ticket {
         if (number == null || objects == null || objects.isEmpty()) {
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketAnswer.java
@@ -5,7 +5,7 @@
 import org.elmline.core.common.Address;
 import org.elmline.core.common.TicketNumber;
 
-/** A control host's answer to a ticket, or to a question about one. */
+/** A control host's answer to a ticket, or to a query for one. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "answer")
 public sealed interface TicketAnswer {
     /** Committed by a quorum. */
@@ -16,11 +16,11 @@
     @JsonTypeName("unknown")
     record Unknown(TicketNumber number) implements TicketAnswer {}
 
-    /** Nothing was proposed. Ask the leader; null when this control host knows none. */
+    /** Nothing was proposed; the request belongs to the leader. Null when this control host has no current leader. */
     @JsonTypeName("not-leader")
     record NotLeader(Address leader) implements TicketAnswer {}
 
-    /** Proposed but not known to be committed. Sending the same ticket again is safe. */
+    /** Proposed, but not confirmed as committed. Sending the same ticket again is safe. */
     @JsonTypeName("undecided")
     record Undecided(String why) implements TicketAnswer {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketDigest.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketDigest.java
@@ -14,8 +14,9 @@
 
 /**
  * SHA-256 over a canonical form of a ticket: its number and its objects in the order of their keys, each as its
- * component names and length-prefixed values. Walking the record's components means that a component added later can't
- * be forgotten. The author is no part of it: two operators who send one content under one number agree.
+ * component names and length-prefixed values. Iterating over the record's components covers components added later as
+ * well. The author is not included, so that two operators who send the same content under one number get the same
+ * digest.
  */
 final class TicketDigest {
     private static final int NULL = 0;
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketListQuery.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketListQuery.java
@@ -3,7 +3,7 @@
 import org.elmline.core.common.TicketNumber;
 
 /**
- * Asks for decided tickets, the highest number first.
+ * Query for decided tickets, the highest number first.
  *
  * @param below list only lower numbers; null to start with the highest
  */
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketOutcome.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketOutcome.java
@@ -5,7 +5,9 @@
 import org.elmline.core.common.ConfigVersion;
 import org.elmline.core.common.RefusalReason;
 
-/** The decision on a ticket. One content under one number gets the same outcome for as long as it is retained. */
+/**
+ * The decision on a ticket. The same content under the same number gets the same outcome for as long as it is retained.
+ */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "outcome")
 public sealed interface TicketOutcome {
     /** The whole ticket is part of the configuration from this version on. */
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketQuery.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketQuery.java
@@ -2,5 +2,5 @@
 
 import org.elmline.core.common.TicketNumber;
 
-/** Asks for one ticket's status. */
+/** Query for one ticket's status. */
 public record TicketQuery(TicketNumber number) {}
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketRecord.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketRecord.java
@@ -9,7 +9,7 @@
  * A decided ticket.
  *
  * @param digest SHA-256 of the ticket's content, see {@link TicketDigest}
- * @param keys keys of the objects it names
+ * @param keys keys of the objects in it
  */
 public record TicketRecord(
         TicketNumber number, String author, String digest, List<String> keys, TicketOutcome outcome) {
@@ -17,7 +17,10 @@
         keys = List.copyOf(keys);
     }
 
-    /** The record of a ticket that was just decided, for an answer; one too old to be kept is in no list. */
+    /**
+     * Creates the record of a ticket that was just decided, for an answer. A ticket too old to be retained is in no
+     * list.
+     */
     public static TicketRecord of(Ticket ticket, String digest, TicketOutcome outcome) {
         List<String> keys = ticket.objects().stream().map(ConfigObject::key).toList();
         return new TicketRecord(ticket.number(), ticket.author(), digest, keys, outcome);
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketStatus.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketStatus.java
@@ -9,8 +9,8 @@
  * A ticket's decision, and where it is in force.
  *
  * @param inForce whether every process that may hold a lease has acknowledged the ticket's version
- * @param outstanding hosts that may hold a lease and haven't acknowledged it
- * @param settling true while a new leader can't know yet which leases its predecessor granted
+ * @param outstanding hosts that may hold a lease and have not acknowledged it
+ * @param settling true while leases that an earlier leader granted may still be valid
  */
 public record TicketStatus(
         TicketNumber number,
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketStore.java
@@ -16,11 +16,11 @@
 import org.elmline.core.config.VersionedObject;
 
 /**
- * Decides tickets and holds the configuration they make.
+ * Decides tickets and holds the configuration that results from them. Not safe for concurrent use.
  *
- * <p>Kept for ever: each object's newest ticket number, which alone keeps an older ticket from reverting it. Kept for a
- * bounded number of tickets: the decision, for a resend to find. A number at or below the highest one dropped is
- * refused, so a ticket whose record is gone is never applied a second time.
+ * <p>Kept indefinitely: each object's highest ticket number, which alone prevents an older ticket from reverting the
+ * object. Kept for a bounded number of tickets: the decision, to answer a resend. A number at or below the highest one
+ * dropped is refused, so that a ticket whose record is gone is never applied a second time.
  */
 final class TicketStore {
     private final TreeMap<TicketNumber, List<TicketRecord>> records = new TreeMap<>();
@@ -61,7 +61,7 @@
         return outcome;
     }
 
-    /** The accepted record of a number, or else its first refused one. */
+    /** The accepted record of a number, else its first refused one. */
     Optional<TicketRecord> record(TicketNumber number) {
         List<TicketRecord> found = records.getOrDefault(number, List.of());
         for (TicketRecord each : found) {
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketValidator.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketValidator.java
@@ -14,7 +14,10 @@
 import org.elmline.core.config.Model;
 import org.elmline.core.config.Organisation;
 
-/** Finds what a ticket names that doesn't exist, or claims twice, in the configuration it would leave. */
+/**
+ * Checks that everything a ticket refers to exists, and that no API key belongs to two organisations, in the
+ * configuration that would result from it.
+ */
 final class TicketValidator {
     private final Configuration before;
     private final Map<String, ConfigObject> changedObjects = new HashMap<>();
@@ -26,7 +29,7 @@
         }
     }
 
-    /** What is wrong, in words for the operator; empty when nothing is. */
+    /** Returns a description of the first error for the operator; empty when the ticket is valid. */
     Optional<String> findError(List<ConfigObject> objects) {
         for (ConfigObject each : objects) {
             Optional<String> fault = Optional.empty();
@@ -65,7 +68,10 @@
         return before.model(role.model());
     }
 
-    /** Two organisations under one key hash could read each other's answers and claims. */
+    /**
+     * Returns an error if another organisation has one of this organisation's API keys: organisations with the same key
+     * hash could read each other's answers and claims.
+     */
     private Optional<String> findApiKeyError(Organisation organisation) {
         if (organisation.removed()) {
             return Optional.empty();
--- a/elmline-core/src/main/java/org/elmline/core/control/TokenBucket.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TokenBucket.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Spreads weight loads under the weight store's rate limit. It starts empty: a full one at each change of leader would
- * let leaders that follow one another closely exceed the rate together.
+ * Limits weight loads to the weight store's rate. It starts empty: if it started full at each change of leader, several
+ * leaders in quick succession would together exceed the rate. Not safe for concurrent use.
  */
 final class TokenBucket {
     private static final double NANOS_PER_MINUTE = TimeUnit.MINUTES.toNanos(1);
--- a/elmline-core/src/test/java/org/elmline/core/control/ClaimPropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ClaimPropertiesTest.java
@@ -24,12 +24,17 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Callers who repeat one key on several entries that freeze, die and lose leases and messages: one run at most. */
+/**
+ * Callers repeat one key on several entries that freeze, stop, and lose leases and messages: the call runs at most
+ * once.
+ */
 class ClaimPropertiesTest {
     private static final int OPERATIONS = 16;
     private static final long RETENTION_MILLIS = 60_000;
 
-    /** A caller's try on one entry. A dead one gets no event any more; a frozen one none for a while. */
+    /**
+     * A caller's attempt on one entry. A dead one receives no further event; a frozen one receives none for a while.
+     */
     private static final class Try {
         private final ClaimKey key;
         private final HostLease lease;
@@ -44,7 +49,7 @@
         }
     }
 
-    /** A begin or a finish on its way to the leader. */
+    /** A begin or a finish in flight to the leader. */
     private record Message(Try from, ClaimBegin begin, ClaimFinish finish) {}
 
     private record Reply(Message to, CallResult<ClaimAnswer> result) {}
@@ -86,7 +91,7 @@
             perform(next, next.session.start());
         }
 
-        /** The leader commits a message, perhaps twice, or it's lost on the way there or back. */
+        /** The leader commits a message, possibly twice, or the message or its reply is lost. */
         private void commit(int choice) {
             if (messages.isEmpty()) {
                 return;
@@ -206,7 +211,7 @@
         }
     }
 
-    /** Keeps every claim for ever in one map and tells the rules in the plainest way. */
+    /** Reference model: keeps every claim indefinitely in one map and applies the rules directly. */
     private static final class NaiveClaims {
         private final Map<ClaimKey, Claim> claims = new HashMap<>();
         private final Set<ClaimKey> expired = new HashSet<>();
--- a/elmline-core/src/test/java/org/elmline/core/control/ClaimTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ClaimTest.java
@@ -34,8 +34,8 @@
         assertEquals(new ClaimOutcome.Recorded(answer("seat 4")), control.begin(ISSUED, begin("b", 9)));
     }
 
-    // An entry sends a seat hold and dies. The caller tries again on another entry: taking the claim over would hold a
-    // second seat, so nobody ever may.
+    // An entry sends a seat hold and dies, and the caller retries on another entry. Taking the claim over would hold a
+    // second seat, so no session may ever do so.
     @Test
     void claimOfADeadOwnerMayHaveRunForGood() {
         control.begin(ISSUED, begin("a", 1));
@@ -54,8 +54,8 @@
         assertEquals(ClaimState.BEGUN, control.state.claim(key).orElseThrow().state());
     }
 
-    // Session 1 knows that it never sent and releases; session 2 takes over and sends. A late copy of session 1's
-    // begin, or of its release, must not let anyone send again.
+    // Session 1 has not sent the call and releases its claim; session 2 takes over and sends it. A late copy of session
+    // 1's begin or release must not let any session send again.
     @Test
     void releasedClaimGoesToAnotherSessionOnce() {
         control.begin(ISSUED, begin("a", 1));
@@ -85,7 +85,7 @@
         assertRefused(RefusalReason.IDEMPOTENCY_CONFLICT, new ClaimBegin(key, "other", owner("a", 1)));
     }
 
-    // Another organisation that learns or guesses a key must neither read the answer under it nor block its owner.
+    // Another organisation that obtains or guesses a key must neither read the answer under it nor block its owner.
     @Test
     void organisationsDoNotShareKeys() {
         control.begin(ISSUED, begin("a", 1));
@@ -96,9 +96,9 @@
         assertFalse(control.state.claim(new ClaimKey(ZRNO, key.key())).isPresent());
     }
 
-    // A claim is dropped after its retention. Its key comes once more from a client that retried for days: it looks
-    // new, and would run a second time, if age weren't held against it; also when the next leader's clock is behind,
-    // and when operators lengthen the retention.
+    // A claim is dropped after its retention, and its key arrives once more from a client that retried for days. The
+    // key looks new and would run a second time unless it is refused for its age, also when the next leader's clock is
+    // behind and when operators lengthen the retention.
     @Test
     void expiredKeyNeverRunsAgain() {
         control.begin(ISSUED, begin("a", 1));
@@ -161,7 +161,7 @@
         }
     }
 
-    // A wall clock is set a year ahead for a second. Stamped as it is, every key in use would be expired for a year.
+    // A wall clock is set a year ahead for a second. Used unchanged, it would expire every key in use for a year.
     @Test
     void clockThatJumpsAheadDoesNotExpireEveryKey() {
         CommandClock clock = new CommandClock(ISSUED, ISSUED - HOUR, 0);
--- a/elmline-core/src/test/java/org/elmline/core/control/ControlFixture.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ControlFixture.java
@@ -21,7 +21,7 @@
 import org.elmline.core.config.Model;
 import org.elmline.core.config.Organisation;
 
-/** Short ways to make what control tests need, and a state that numbers its own log. */
+/** Factories for the objects of control tests, and a state that assigns its own log indexes. */
 final class ControlFixture {
     static final OrganisationId SNOWPAW = OrganisationId.of("snowpaw");
     static final OrganisationId ZRNO = OrganisationId.of("zrno");
@@ -104,8 +104,8 @@
     }
 
     /**
-     * Numbers for a test to read steps from, spread evenly: jqwik's own choice favours small ones and would seldom reach
-     * the later choices of a step.
+     * Numbers that encode the steps of a test, distributed uniformly: jqwik's default distribution favours small ones
+     * and would seldom reach the later choices of a step.
      */
     static Arbitrary<List<Integer>> steps(int least, int most) {
         return Arbitraries.integers()
--- a/elmline-core/src/test/java/org/elmline/core/control/ControlStateTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ControlStateTest.java
@@ -20,8 +20,9 @@
 class ControlStateTest {
     private final ControlFixture control = new ControlFixture();
 
-    // A control host and an entry come back after hundreds of changes. The one restores a snapshot and applies the rest
-    // of the log, the other asks for what it lacks; either could miss a change, a removal or a claim.
+    // A control host and an entry return after hundreds of changes. The control host restores a snapshot and applies
+    // the rest of the log, the entry requests the changes since its version; either could miss a change, a removal or a
+    // claim.
     @Test
     void restartAfterHundredsOfChanges() {
         Configuration entry = Configuration.EMPTY;
--- a/elmline-core/src/test/java/org/elmline/core/control/HostLeaseTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/HostLeaseTest.java
@@ -14,9 +14,9 @@
         assertFalse(lease.isValid(0));
     }
 
-    // A caller would be served under a configuration that tickets have replaced, by an entry that the others take for
-    // dead: the entry asks, is frozen for a minute with the grant already in its socket buffer, wakes, and reads the
-    // grant. Counted from the answer, the lease would look fresh.
+    // An entry requests a lease, is frozen for a minute with the grant already in its socket buffer, resumes and reads
+    // the grant. Counted from the answer, the lease would look valid: the entry would serve callers under a
+    // configuration that tickets have replaced, while the other hosts treat it as dead.
     @Test
     void frozenProcessFindsItsLeaseGone() {
         long asked = MILLISECONDS.toNanos(1_000);
--- a/elmline-core/src/test/java/org/elmline/core/control/LeaseKeeperTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/LeaseKeeperTest.java
@@ -45,8 +45,9 @@
         assertTrue(next.changed().isEmpty());
     }
 
-    // Two leaders could grant at once, and a ticket be called in force by the new one while entries renew under the
-    // old one's configuration. A leader grants nothing once its own lease is over, whatever it believes.
+    // Otherwise two leaders could grant at the same time, and the new one could report a ticket in force while entries
+    // renew under the old one's configuration. A leader grants nothing once its own lease has expired, even if it has
+    // not been notified of a successor.
     @Test
     void grantsOnlyInsideTheLeadersOwnLease() {
         join("a", 1, 0);
@@ -56,8 +57,8 @@
         assertEquals(new LeaseDecision.Answer(new LeaseAnswer.NotLeader(null)), late);
     }
 
-    // Host "a" is restarted while its first process is only frozen. That process wakes and asks again; a grant would
-    // leave two processes serving under one name.
+    // Host "a" is restarted while its first process is only frozen. That process resumes and sends a renewal; a grant
+    // would leave two processes serving under one host id.
     @Test
     void laterIncarnationReplacesAnEarlierOne() {
         join("a", 1, 0);
@@ -84,8 +85,8 @@
         assertTrue(status(9_500).inForce());
     }
 
-    // A new leader has no memory of leases. Calling a ticket in force at once would be wrong for the entries that hold
-    // leases of its predecessor and run the old configuration, members and replaced processes alike.
+    // A new leader has no record of earlier leases. Reporting a ticket in force at once would be wrong for processes,
+    // members and replaced ones alike, that hold leases of its predecessor and use the old configuration.
     @Test
     void newLeaderWaitsOutEveryLeaseItMayNotKnow() {
         join("a", 1, 0);
@@ -101,8 +102,8 @@
         assertTrue(status(5_500).inForce());
     }
 
-    // The frozen first process of "a" still holds its lease when the second has acknowledged a ticket. It may admit
-    // under the old configuration until that lease is over.
+    // The frozen first process of "a" still holds its lease when the second one has acknowledged a ticket. The first
+    // may admit requests under the old configuration until its lease expires.
     @Test
     void replacedProcessCountsUntilItsLeaseIsOver() {
         join("a", 1, 10_000);
@@ -115,9 +116,9 @@
         assertTrue(status(14_500).inForce());
     }
 
-    // A renewal arrives after the end of its membership was proposed and before it is applied. Granted, the entry would
-    // serve for seconds as no member: no ticket would wait for it. It must join again first, and a late copy of the
-    // end must leave the new membership alone.
+    // A renewal arrives after the end of its membership was proposed and before it is applied. If it were granted, the
+    // entry would serve for seconds without being a member, and no ticket would wait for it. It must join again first,
+    // and a late copy of the end must not affect the new membership.
     @Test
     void noGrantBetweenAnEndProposedAndApplied() {
         join("a", 1, 0);
@@ -133,8 +134,8 @@
         assertTrue(keeper.endExpired(at(60_200)).isEmpty());
     }
 
-    // A stopping entry says leaving. An older renewal, delayed on the way, arrives afterwards: taken at its word, the
-    // entry would be offered to callers again and break off their requests when it exits.
+    // A stopping entry reports that it is leaving, and a delayed older renewal arrives afterwards. If that renewal
+    // cleared the flag, the entry would be offered to callers again and break off their requests when it exits.
     @Test
     void leavingIsFinalForAProcess() {
         join("a", 1, 0);
@@ -147,7 +148,7 @@
         assertTrue(control.state.member(HostId.of("a")).orElseThrow().host().leaving());
     }
 
-    // The leader's tick may run between a join's commit and the grant that follows it.
+    // The leader's periodic expiry may run between a join's commit and the grant that follows it.
     @Test
     void joinedHostIsNotEndedBeforeItsFirstGrant() {
         keeper.renew(request("a", 1, 0), at(60_000), FOR_LONG, List.of());
--- a/elmline-core/src/test/java/org/elmline/core/control/LeasePropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/LeasePropertiesTest.java
@@ -19,8 +19,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Entries that freeze and restart, leaders that follow one another, and messages that are delayed, reordered and lost:
- * a ticket once reported in force is in force at every process that still admits.
+ * Entries freeze and restart, leaders change, and messages are delayed, reordered and lost: a ticket once reported in
+ * force is in force at every process that still admits requests.
  */
 class LeasePropertiesTest {
     private static final LeaseSettings SETTINGS = new LeaseSettings(4_000, 500);
@@ -31,7 +31,7 @@
 
     private record Told(Process to, LeaseAnswer.Granted grant, long askedNanos) {}
 
-    /** One start of an entry. It's frozen whenever no step concerns it. */
+    /** One incarnation of an entry. It is frozen whenever no step concerns it. */
     private static final class Process {
         private final HostRecord record;
         private final HostLease lease = new HostLease();
@@ -116,7 +116,10 @@
             control.submit(control.state.index() + 1, model("m", "v" + choice));
         }
 
-        /** The same leader renews its lease, or another follows once it is over, with what was proposed lost or not. */
+        /**
+         * The same leader renews its lease, or another one takes over once it has expired; proposals are lost or
+         * applied first.
+         */
         private void leadOn(int choice) {
             if (choice % 2 == 0 && now < leaderUntil) {
                 leaderUntil = now + MILLISECONDS.toNanos(LEADER_LEASE_MILLIS);
--- a/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
@@ -64,8 +64,8 @@
         assertEquals(List.of(wanted), ordered(10_100));
     }
 
-    // An operator moves all replicas of a model to a new version at once. Ordered together, none would be ready and
-    // every caller of the model refused while they load.
+    // An operator moves all replicas of a model to a new version at once. If all orders were sent together, no replica
+    // would be ready and every request for the model would be refused while the weights load.
     @Test
     void roleChangesKeepTheFloorOfReadyReplicas() {
         control.submit(1, model("m", "v2", 2), role("e1", "m", "v2"), role("e2", "m", "v2"), role("e3", "m", "v2"));
@@ -109,9 +109,10 @@
         assertEquals(3, ordered(11_200).size(), "two repeats and the third, whose token has come");
     }
 
-    // A new leader follows one that ordered an engine just before its lease ended. Some engines would obey that late
-    // order over the new leader's, and an engine it takes down still says ready: only orders that can't do harm go out
-    // before the earlier leader's lease is surely over.
+    // The earlier leader ordered an engine just before its lease ended. Some engines would execute that late order
+    // after the new leader's, and an engine that it takes out of service still reports ready. Until the earlier lease
+    // has certainly ended, only harmless orders may be sent: those to engines that check fencing numbers and serve
+    // nothing.
     @Test
     void newLeaderWaitsTheEarlierLeaseOut() {
         control.submit(1, model("m", "v2", 0), role("checks", "m", "v2"), role("ignores", "m", "v2"));
@@ -128,8 +129,9 @@
         assertEquals(2, ordered(4_000).size());
     }
 
-    // A leader plans an order and is frozen before it sends. When it wakes another leads, and an engine that ignores
-    // fencing numbers would obey the old order. The time it may still send is over, and too short a lease is no start.
+    // A leader plans an order and is frozen before it sends it. When it resumes, another one leads, and an engine that
+    // ignores fencing numbers would execute the old order. The time limit for sending must be over by then, and no
+    // order may be planned when too little of the lease remains.
     @Test
     void orderIsSentOnlyWellInsideTheLeadersLease() {
         control.submit(1, model("m", "v2", 0), role("e1", "m", "v2"));
--- a/elmline-core/src/test/java/org/elmline/core/control/OrderPropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/OrderPropertiesTest.java
@@ -22,8 +22,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Leaders that follow one another, freeze with orders in hand and wake, over engines that check fencing numbers and
- * engines that ignore them: no engine obeys an earlier leader after a later one, and the floor of ready replicas holds.
+ * Leaders change, freeze with unsent orders and resume, over engines that check fencing numbers and engines that ignore
+ * them: no engine executes an order of an earlier leader after one of a later leader, and the minimum of ready replicas
+ * holds.
  */
 class OrderPropertiesTest {
     private static final OrderSettings SETTINGS = new OrderSettings(500, 1_000, 5_000, 60_000, 9);
@@ -33,7 +34,7 @@
     private static final int ENGINES = 4;
     private static final int OPERATIONS = 12;
 
-    /** Two of the four engines ignore fencing numbers. */
+    /** A simulated engine. Two of the four ignore fencing numbers. */
     private static final class Engine {
         private final String id;
         private final boolean checksFencing;
@@ -63,7 +64,10 @@
         }
     }
 
-    /** A leader with what it read and planned; it may sleep through its own end at any point. */
+    /**
+     * A leader with the states it read and the orders it planned; it may be frozen past the end of its lease at any
+     * point.
+     */
     private static final class Leader {
         private final OrderPlanner planner;
         private final Map<String, ObservedEngine> read = new HashMap<>();
@@ -128,7 +132,7 @@
             due.forEach(this::obey);
         }
 
-        /** A leader reads, plans and sends, unless it is frozen with the orders in hand. */
+        /** A leader reads, plans and sends, unless it is frozen before it sends the orders. */
         private void work(Leader leader, boolean freezes) {
             engines.forEach(e -> read(leader, e));
             plan(leader);
@@ -154,7 +158,10 @@
             leader.planned.clear();
         }
 
-        /** An order reaches its engine, which is slow to act on it, or the connection was given up, or it's lost. */
+        /**
+         * An order reaches its engine, which is slow to act on it, or the sender closed the connection, or the order is
+         * lost.
+         */
         private void arrive(int choice) {
             if (choice % 2 == 0 && !arrived.isEmpty()) {
                 obey(arrived.get(choice / 2 % arrived.size()));
--- a/elmline-core/src/test/java/org/elmline/core/control/TicketPropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/TicketPropertiesTest.java
@@ -26,11 +26,13 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Tickets in any order, with repeats, races and restarts, against a naive version that forgets nothing. */
+/**
+ * Compares tickets in any order, with repeats, races and restarts, with a reference model that retains every decision.
+ */
 class TicketPropertiesTest {
     private record Step(Ticket ticket, boolean restart, boolean catchUp) {}
 
-    /** Every decided content and every object in one map each, decided by the plain words of the rules. */
+    /** Reference model: keeps every decided content and every object in one map each and applies the rules directly. */
     private static final class NaiveTickets {
         private record Content(TicketNumber number, Set<ConfigObject> objects) {}
 
@@ -96,8 +98,8 @@
         }
     }
 
-    // The same with hardly any records kept: answers may be refused as stale that were accepted once, but nothing is
-    // applied twice and nothing reverts.
+    // With hardly any records retained, a ticket that was accepted once may be refused as stale, but nothing is applied
+    // twice and nothing reverts.
     @Property(seed = "42", tries = 300)
     void nothingRevertsWithFewRecords(@ForAll("steps") List<Step> steps) {
         ControlFixture control = new ControlFixture();
--- a/elmline-core/src/test/java/org/elmline/core/control/TicketTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/TicketTest.java
@@ -23,9 +23,9 @@
 class TicketTest {
     private final ControlFixture control = new ControlFixture();
 
-    // Two operators send ticket 7 at once through two hosts, with other content. Both would believe theirs to be in
-    // force if the second overwrote the first, or if each host decided by itself. The log orders them; the second must
-    // learn whose ticket won, so that its author can compare.
+    // Two operators send ticket 7 at the same time through two hosts, with different contents. Both would take theirs
+    // to be in force if the second overwrote the first, or if each host decided separately. The log orders them; the
+    // refusal of the second must name the accepted ticket, so that its author can compare.
     @Test
     void twoOperatorsRaceOneNumber() {
         Ticket first = ticket(7, "nok", model("elm-desk", "v1"));
@@ -43,8 +43,8 @@
     }
 
     // An operator's answer is lost and the client sends the ticket again, to another host, after a restart and after a
-    // later ticket on the same object. Decided anew it would be refused as stale, and the operator would think that it
-    // never took effect; applied anew it would revert the later one.
+    // later ticket on the same object. Decided anew, it would be refused as stale and the operator would conclude that
+    // it never took effect; applied anew, it would revert the later ticket.
     @Test
     void resendAfterLostAnswerGetsTheRecordedAnswer() {
         TicketOutcome first = control.submit(7, model("elm-desk", "v1"));
@@ -56,8 +56,8 @@
         assertEquals(2, control.state.configuration().version().value());
     }
 
-    // An operator is told that ticket 7 was refused. The network delivers a copy of it later, when the model it lacked
-    // exists. Decided anew the copy would take effect behind the operator's back.
+    // Ticket 7 is refused. A delayed copy of it arrives when the model that was missing exists. Decided anew, the copy
+    // would take effect although its operator received a refusal.
     @Test
     void refusedContentStaysRefused() {
         TicketOutcome refused = control.submit(7, role("e1", "elm-desk", "v1"));
@@ -78,8 +78,8 @@
         assertTrue(control.state.ticket(TicketNumber.of(7)).orElseThrow().accepted());
     }
 
-    // Half a ticket in force is a state that no operator asked for. One object of the ticket is newer than it, the
-    // other isn't: neither may change.
+    // A partially applied ticket would leave a state that no operator requested. One object of the ticket was set by a
+    // newer ticket, the other was not: neither may change.
     @Test
     void ticketAppliesWholeOrNotAtAll() {
         control.submit(9, model("elm-desk", "v9"));
@@ -120,8 +120,8 @@
         }
     }
 
-    // A ticket on an object of its own comes again after its record was dropped. No newer ticket touched the object
-    // since, and still the operator must not be told "accepted" for what may be another content under that number.
+    // A ticket on an object of its own arrives again after its record was dropped. No newer ticket has touched the
+    // object, yet the answer must not be "accepted", since the number may have been used for another content.
     @Test
     void resendOlderThanTheRecordsIsRefused() {
         control.limits(new ControlLimits(2, 10, 10, 1_000, 10, 10));
