--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimBatcher.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimBatcher.java
@@ -41,10 +41,10 @@
 
     /** Returns the batches to propose now. Each must be passed to {@link #complete} once it is applied or lost. */
     public List<ClaimBatch<T>> nextBatches(long wallMillis) {
-        List<ClaimBatch<T>> ready = new ArrayList<>(2);
-        finishes.addNextBatch(wallMillis, ready);
-        begins.addNextBatch(wallMillis, ready);
-        return ready;
+        List<ClaimBatch<T>> batches = new ArrayList<>(2);
+        finishes.addNextBatch(wallMillis, batches);
+        begins.addNextBatch(wallMillis, batches);
+        return batches;
     }
 
     /** Marks a batch as no longer in flight, so that the next one of its kind can be proposed. */
@@ -80,18 +80,18 @@
             return true;
         }
 
-        private void addNextBatch(long wallMillis, List<ClaimBatch<T>> ready) {
+        private void addNextBatch(long wallMillis, List<ClaimBatch<T>> batches) {
             if (batchInFlight != null || claims.isEmpty()) {
                 return;
             }
             List<C> batch = new ArrayList<>();
-            List<T> waiting = new ArrayList<>();
+            List<T> batchWaiters = new ArrayList<>();
             while (batch.size() < maxBatch && !claims.isEmpty()) {
                 batch.add(claims.remove());
-                waiting.add(waiters.remove());
+                batchWaiters.add(waiters.remove());
             }
-            batchInFlight = new ClaimBatch<>(toCommand.apply(wallMillis, batch), waiting);
-            ready.add(batchInFlight);
+            batchInFlight = new ClaimBatch<>(toCommand.apply(wallMillis, batch), batchWaiters);
+            batches.add(batchInFlight);
         }
 
         private void complete(ClaimBatch<T> batch) {
@@ -100,8 +100,8 @@
             }
         }
 
-        private void drainWaiters(List<T> into) {
-            into.addAll(waiters);
+        private void drainWaiters(List<T> drained) {
+            drained.addAll(waiters);
             claims.clear();
             waiters.clear();
         }
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimSession.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimSession.java
@@ -39,14 +39,14 @@
     /**
      * @param lease the entry's own lease
      * @param deadlineNanos the caller's deadline on the entry's monotonic clock
-     * @param finishTries how often to report the call's end to control hosts; when all reports fail, a repeat is
+     * @param finishAttempts how often to report the call's end to control hosts; when all reports fail, a repeat is
      *     answered "may have run"
      */
-    public ClaimSession(ClaimBegin begin, HostLease lease, long deadlineNanos, int finishTries) {
+    public ClaimSession(ClaimBegin begin, HostLease lease, long deadlineNanos, int finishAttempts) {
         this.begin = begin;
         this.lease = lease;
         this.deadlineNanos = deadlineNanos;
-        this.finishAttemptsLeft = finishTries;
+        this.finishAttemptsLeft = finishAttempts;
     }
 
     public synchronized ClaimStep start() {
@@ -141,9 +141,9 @@
 
     private ClaimStep finishStep(ClaimReply reply, Address leader) {
         finishAttemptsLeft--;
-        ClaimReply first = replied ? null : reply;
-        replied |= first != null;
-        return new ClaimStep.Finish(finish, first, leader);
+        ClaimReply pendingReply = replied ? null : reply;
+        replied |= pendingReply != null;
+        return new ClaimStep.Finish(finish, pendingReply, leader);
     }
 
     private ClaimStep replyOnce(ClaimReply reply) {
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimStore.java
@@ -98,9 +98,9 @@
                     RefusalReason.KEY_EXPIRED,
                     "the idempotency key was issued too long ago; whether its call ran is no longer known");
         }
-        Claim held = claims.get(key);
-        if (held != null) {
-            return beginExisting(held, begin);
+        Claim current = claims.get(key);
+        if (current != null) {
+            return beginExisting(current, begin);
         }
         Optional<ClaimOutcome> refusal = newClaimRefusal(key, limits);
         if (refusal.isPresent()) {
@@ -126,23 +126,23 @@
         return Optional.empty();
     }
 
-    private ClaimOutcome beginExisting(Claim held, ClaimBegin begin) {
-        if (!held.requestDigest().equals(begin.requestDigest())) {
+    private ClaimOutcome beginExisting(Claim current, ClaimBegin begin) {
+        if (!current.requestDigest().equals(begin.requestDigest())) {
             return new ClaimOutcome.Refused(
                     RefusalReason.IDEMPOTENCY_CONFLICT, "the idempotency key was used for another request");
         }
-        boolean same = held.owner().equals(begin.owner());
-        switch (held.state()) {
+        boolean sameOwner = current.owner().equals(begin.owner());
+        switch (current.state()) {
             case RECORDED:
-                return new ClaimOutcome.Recorded(held.answer());
+                return new ClaimOutcome.Recorded(current.answer());
             case BEGUN:
-                return same
+                return sameOwner
                         ? new ClaimOutcome.Granted()
-                        : new ClaimOutcome.MayHaveRun(held.owner().host());
+                        : new ClaimOutcome.MayHaveRun(current.owner().host());
             case RELEASED:
-                return same ? new ClaimOutcome.NotOwner() : reassignReleased(begin);
+                return sameOwner ? new ClaimOutcome.NotOwner() : reassignReleased(begin);
             default:
-                throw new IllegalStateException("unknown claim state " + held.state());
+                throw new IllegalStateException("unknown claim state " + current.state());
         }
     }
 
@@ -156,20 +156,21 @@
     }
 
     private ClaimOutcome finish(ClaimFinish finish, ControlLimits limits) {
-        Claim held = claims.get(finish.key());
-        if (held == null || !held.owner().equals(finish.owner())) {
+        Claim current = claims.get(finish.key());
+        if (current == null || !current.owner().equals(finish.owner())) {
             return new ClaimOutcome.NotOwner();
         }
-        ClaimState wanted = finish.answer() == null ? ClaimState.RELEASED : ClaimState.RECORDED;
-        if (held.state() == wanted) {
+        ClaimState targetState = finish.answer() == null ? ClaimState.RELEASED : ClaimState.RECORDED;
+        if (current.state() == targetState) {
             return new ClaimOutcome.Finished();
         }
-        if (held.state() != ClaimState.BEGUN) {
+        if (current.state() != ClaimState.BEGUN) {
             return new ClaimOutcome.NotOwner();
         }
         RecordedAnswer answer =
                 finish.answer() == null ? null : finish.answer().truncatedTo(limits.recordedBodyBytes());
-        claims.put(finish.key(), new Claim(finish.key(), held.requestDigest(), held.owner(), wanted, answer));
+        claims.put(
+                finish.key(), new Claim(finish.key(), current.requestDigest(), current.owner(), targetState, answer));
         return new ClaimOutcome.Finished();
     }
 
--- a/elmline-core/src/main/java/org/elmline/core/control/CommandClock.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/CommandClock.java
@@ -29,8 +29,8 @@
         if (elapsedMillis == 0) {
             return lastMillis;
         }
-        long most = lastMillis + MAX_RATE * elapsedMillis;
-        lastMillis = Math.max(lastMillis, Math.min(wallMillis, most));
+        long maxMillis = lastMillis + MAX_RATE * elapsedMillis;
+        lastMillis = Math.max(lastMillis, Math.min(wallMillis, maxMillis));
         lastNanos = nowNanos;
         return lastMillis;
     }
--- a/elmline-core/src/main/java/org/elmline/core/control/IdempotencyKey.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/IdempotencyKey.java
@@ -98,7 +98,7 @@
     }
 
     private static String checksum(OrganisationId organisation, String body) {
-        String bound = organisation + "/" + body;
-        return Sha256.hex(bound.getBytes(StandardCharsets.UTF_8)).substring(0, CHECKSUM_LENGTH);
+        String checkedText = organisation + "/" + body;
+        return Sha256.hex(checkedText.getBytes(StandardCharsets.UTF_8)).substring(0, CHECKSUM_LENGTH);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseManager.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseManager.java
@@ -84,9 +84,9 @@
     }
 
     private LeaseAnswer grant(LeaseRequest request, long nowNanos, List<Address> controlHosts) {
-        LeaseState holder = leaseOf(HostProcess.of(request.host()));
-        holder.extend(nowNanos);
-        holder.inForce = request.inForce().compareTo(holder.inForce) > 0 ? request.inForce() : holder.inForce;
+        LeaseState lease = leaseOf(HostProcess.of(request.host()));
+        lease.extend(nowNanos);
+        lease.inForce = request.inForce().compareTo(lease.inForce) > 0 ? request.inForce() : lease.inForce;
         return new LeaseAnswer.Granted(
                 settings.leaseMillis(),
                 state.configSince(request.inForce()),
@@ -99,8 +99,8 @@
      * committed already, and a host that holds a lease without being a member would not be counted for "in force".
      */
     private boolean isEndProposed(Member member) {
-        LeaseState holder = leases.get(HostProcess.of(member.host()));
-        return holder != null && holder.endProposedVersion == member.version();
+        LeaseState lease = leases.get(HostProcess.of(member.host()));
+        return lease != null && lease.endProposedVersion == member.version();
     }
 
     /**
@@ -108,17 +108,17 @@
      * it is applied.
      */
     public List<Command.EndHost> endExpired(long nowNanos) {
-        List<Command.EndHost> over = new ArrayList<>();
+        List<Command.EndHost> expired = new ArrayList<>();
         for (Member each : state.members()) {
             if (nowNanos - untilNanos(each) < 0) {
                 continue;
             }
             HostProcess process = HostProcess.of(each.host());
             leaseOf(process).endProposedVersion = each.version();
-            over.add(new Command.EndHost(process.host(), process.incarnation(), each.version()));
+            expired.add(new Command.EndHost(process.host(), process.incarnation(), each.version()));
         }
         evictExpired(nowNanos);
-        return over;
+        return expired;
     }
 
     private void evictExpired(long nowNanos) {
@@ -138,8 +138,8 @@
     }
 
     private long untilNanos(Member member) {
-        LeaseState holder = leases.get(HostProcess.of(member.host()));
-        return holder == null ? settledNanos : holder.untilNanos;
+        LeaseState lease = leases.get(HostProcess.of(member.host()));
+        return lease == null ? settledNanos : lease.untilNanos;
     }
 
     /** Whether leases that an earlier leader granted, to processes replaced since, may still be valid. */
@@ -167,8 +167,8 @@
     public List<HostId> outstanding(ConfigVersion version, long nowNanos) {
         TreeSet<HostId> found = new TreeSet<>();
         for (Map.Entry<HostProcess, LeaseState> each : leases.entrySet()) {
-            LeaseState holder = each.getValue();
-            if (nowNanos - holder.untilNanos < 0 && holder.inForce.compareTo(version) < 0) {
+            LeaseState lease = each.getValue();
+            if (nowNanos - lease.untilNanos < 0 && lease.inForce.compareTo(version) < 0) {
                 found.add(each.getKey().host());
             }
         }
--- a/elmline-core/src/main/java/org/elmline/core/control/MemberStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/MemberStore.java
@@ -51,15 +51,18 @@
 
     /** Returns the incarnation that prevents this process from joining, if there is one. */
     Optional<Incarnation> replacingIncarnation(HostRecord host) {
-        Member live = members.get(host.id());
-        if (live == null) {
-            EndedHost over = ended.get(host.id());
-            boolean older = over != null && host.incarnation().compareTo(over.incarnation()) < 0;
-            return older ? Optional.of(over.incarnation()) : Optional.empty();
+        Member current = members.get(host.id());
+        if (current == null) {
+            EndedHost endedHost = ended.get(host.id());
+            boolean earlierIncarnation = endedHost != null && host.incarnation().compareTo(endedHost.incarnation()) < 0;
+            return earlierIncarnation ? Optional.of(endedHost.incarnation()) : Optional.empty();
         }
-        int order = host.incarnation().compareTo(live.host().incarnation());
-        boolean twin = order == 0 && !host.peers().equals(live.host().peers());
-        return order < 0 || twin ? Optional.of(live.host().incarnation()) : Optional.empty();
+        int order = host.incarnation().compareTo(current.host().incarnation());
+        boolean sameIncarnationElsewhere =
+                order == 0 && !host.peers().equals(current.host().peers());
+        return order < 0 || sameIncarnationElsewhere
+                ? Optional.of(current.host().incarnation())
+                : Optional.empty();
     }
 
     /**
@@ -67,10 +70,10 @@
      * older renewal would offer a stopping host to callers again.
      */
     HostRecord mergeLeaving(HostRecord host) {
-        Member live = members.get(host.id());
-        boolean wasLeaving = live != null
-                && live.host().leaving()
-                && live.host().incarnation().equals(host.incarnation());
+        Member current = members.get(host.id());
+        boolean wasLeaving = current != null
+                && current.host().leaving()
+                && current.host().incarnation().equals(host.incarnation());
         if (host.leaving() || !wasLeaving) {
             return host;
         }
@@ -86,9 +89,9 @@
     }
 
     CommandResult join(HostRecord host) {
-        Optional<Incarnation> by = replacingIncarnation(host);
-        if (by.isPresent()) {
-            return new CommandResult.HostReplaced(by.get());
+        Optional<Incarnation> replacement = replacingIncarnation(host);
+        if (replacement.isPresent()) {
+            return new CommandResult.HostReplaced(replacement.get());
         }
         HostRecord merged = mergeLeaving(host);
         version++;
@@ -98,11 +101,11 @@
     }
 
     CommandResult end(Command.EndHost end, int limit) {
-        Member live = members.get(end.host());
-        boolean meant = live != null
-                && live.version() == end.joinedAt()
-                && live.host().incarnation().equals(end.incarnation());
-        if (!meant) {
+        Member current = members.get(end.host());
+        boolean currentMembership = current != null
+                && current.version() == end.joinedAt()
+                && current.host().incarnation().equals(end.incarnation());
+        if (!currentMembership) {
             return new CommandResult.HostEnded(false);
         }
         members.remove(end.host());
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
@@ -56,17 +56,17 @@
      */
     public OrderPlan plan(
             Configuration configuration, Collection<ObservedEngine> engines, long nowNanos, long leaderUntilNanos) {
-        Map<BackendServerId, ObservedEngine> byId = new TreeMap<>();
-        engines.forEach(e -> byId.put(e.id(), e));
-        lastOrders.keySet().retainAll(byId.keySet());
-        rejected.keySet().retainAll(byId.keySet());
-        byId.values().forEach(this::markObserved);
-        PlanningPass round =
-                new PlanningPass(configuration, nowNanos, leaderUntilNanos, readyReplicas(byId.values(), nowNanos));
-        for (ObservedEngine each : byId.values()) {
-            round.planEngine(each);
+        Map<BackendServerId, ObservedEngine> enginesById = new TreeMap<>();
+        engines.forEach(e -> enginesById.put(e.id(), e));
+        lastOrders.keySet().retainAll(enginesById.keySet());
+        rejected.keySet().retainAll(enginesById.keySet());
+        enginesById.values().forEach(this::markObserved);
+        PlanningPass pass = new PlanningPass(
+                configuration, nowNanos, leaderUntilNanos, readyReplicas(enginesById.values(), nowNanos));
+        for (ObservedEngine each : enginesById.values()) {
+            pass.planEngine(each);
         }
-        return new OrderPlan(round.orders, round.held);
+        return new OrderPlan(pass.orders, pass.held);
     }
 
     /** Records an engine's answer to an order. */
@@ -100,8 +100,8 @@
     private Map<ModelName, Integer> readyReplicas(Collection<ObservedEngine> engines, long nowNanos) {
         Map<ModelName, Integer> ready = new HashMap<>();
         for (ObservedEngine each : engines) {
-            boolean counts = isFresh(each, nowNanos) && !each.leaving() && !isAwaitingEffect(each.id());
-            if (counts && each.state().ready()) {
+            boolean willStayReady = isFresh(each, nowNanos) && !each.leaving() && !isAwaitingEffect(each.id());
+            if (willStayReady && each.state().ready()) {
                 ready.merge(each.state().model(), 1, Integer::sum);
             }
         }
@@ -143,12 +143,12 @@
         }
 
         private void planEngine(ObservedEngine engine) {
-            VersionedObject found =
+            VersionedObject roleObject =
                     configuration.object("backend-role/" + engine.id()).orElse(null);
-            if (found == null || engine.leaving()) {
+            if (roleObject == null || engine.leaving()) {
                 return;
             }
-            BackendRole role = (BackendRole) found.object();
+            BackendRole role = (BackendRole) roleObject.object();
             if (!isFresh(engine, nowNanos)) {
                 hold(engine, HoldReason.NOT_OBSERVED);
                 return;
@@ -192,11 +192,11 @@
             if (isEarlierOrderInFlight(last, wanted)) {
                 return HoldReason.EARLIER_ORDER;
             }
-            boolean awaited = isAwaitingEffect(engine.id());
-            if (awaited && last.order().equals(wanted)) {
+            boolean awaitingEffect = isAwaitingEffect(engine.id());
+            if (awaitingEffect && last.order().equals(wanted)) {
                 return nowNanos - last.sentAtNanos() < settings.repeatNanos() ? HoldReason.AWAITING_EFFECT : null;
             }
-            if (!awaited
+            if (!awaitingEffect
                     && isDisruptive(engine)
                     && !staysAboveFloor(engine.state().model())) {
                 return HoldReason.READY_FLOOR;
--- a/elmline-core/src/main/java/org/elmline/core/control/RecordedAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/RecordedAnswer.java
@@ -27,17 +27,17 @@
      * Returns this answer reduced to a limit: a longer body is dropped, and so are all headers when their total length
      * exceeds the same limit.
      */
-    RecordedAnswer truncatedTo(int bodyBytes) {
-        boolean fits = body == null || body.length <= bodyBytes;
+    RecordedAnswer truncatedTo(int maxBytes) {
+        boolean bodyFits = body == null || body.length <= maxBytes;
         int headerBytes = 0;
         for (Header each : headers) {
             headerBytes += each.name().length() + each.value().length();
         }
-        boolean headersFit = headerBytes <= bodyBytes;
-        if (fits && headersFit) {
+        boolean headersFit = headerBytes <= maxBytes;
+        if (bodyFits && headersFit) {
             return this;
         }
-        return new RecordedAnswer(status, headersFit ? headers : List.of(), fits ? body : null, bodyDigest);
+        return new RecordedAnswer(status, headersFit ? headers : List.of(), bodyFits ? body : null, bodyDigest);
     }
 
     @Override
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketDigest.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketDigest.java
@@ -71,9 +71,9 @@
         out.write(bytes);
     }
 
-    private static Object componentValue(RecordComponent component, Object of) {
+    private static Object componentValue(RecordComponent component, Object instance) {
         try {
-            return component.getAccessor().invoke(of);
+            return component.getAccessor().invoke(instance);
         } catch (ReflectiveOperationException e) {
             throw new IllegalStateException("unreadable component " + component, e);
         }
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketStore.java
@@ -102,9 +102,9 @@
     }
 
     private Optional<TicketOutcome> refusal(Ticket ticket) {
-        Optional<TicketRecord> winner = record(ticket.number()).filter(TicketRecord::accepted);
-        if (winner.isPresent()) {
-            return refuse(RefusalReason.TICKET_NUMBER_TAKEN, numberTakenMessage(winner.get()));
+        Optional<TicketRecord> accepted = record(ticket.number()).filter(TicketRecord::accepted);
+        if (accepted.isPresent()) {
+            return refuse(RefusalReason.TICKET_NUMBER_TAKEN, numberTakenMessage(accepted.get()));
         }
         if (floor != null && ticket.number().compareTo(floor) <= 0) {
             return refuse(
@@ -113,22 +113,22 @@
                             + ", the highest number whose decision is no longer kept; it was not applied now");
         }
         for (ConfigObject each : ticket.objects()) {
-            Optional<VersionedObject> held = configuration.object(each.key());
-            if (held.isPresent() && held.get().ticket().compareTo(ticket.number()) >= 0) {
+            Optional<VersionedObject> current = configuration.object(each.key());
+            if (current.isPresent() && current.get().ticket().compareTo(ticket.number()) >= 0) {
                 return refuse(
                         RefusalReason.STALE_TICKET,
                         each.key() + " was set by the newer ticket "
-                                + held.get().ticket());
+                                + current.get().ticket());
             }
         }
         return new TicketValidator(configuration, ticket.objects())
                 .findError(ticket.objects())
-                .flatMap(fault -> refuse(RefusalReason.BAD_REQUEST, fault));
+                .flatMap(error -> refuse(RefusalReason.BAD_REQUEST, error));
     }
 
-    private static String numberTakenMessage(TicketRecord winner) {
-        return "number " + winner.number() + " belongs to the ticket of " + winner.author() + " with digest "
-                + winner.digest() + " on " + String.join(", ", winner.keys());
+    private static String numberTakenMessage(TicketRecord accepted) {
+        return "number " + accepted.number() + " belongs to the ticket of " + accepted.author() + " with digest "
+                + accepted.digest() + " on " + String.join(", ", accepted.keys());
     }
 
     private static Optional<TicketOutcome> refuse(RefusalReason reason, String message) {
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketValidator.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketValidator.java
@@ -19,11 +19,11 @@
  * configuration that would result from it.
  */
 final class TicketValidator {
-    private final Configuration before;
+    private final Configuration currentConfiguration;
     private final Map<String, ConfigObject> changedObjects = new HashMap<>();
 
-    TicketValidator(Configuration before, List<ConfigObject> objects) {
-        this.before = before;
+    TicketValidator(Configuration currentConfiguration, List<ConfigObject> objects) {
+        this.currentConfiguration = currentConfiguration;
         for (ConfigObject each : objects) {
             changedObjects.put(each.key(), each);
         }
@@ -32,14 +32,14 @@
     /** Returns a description of the first error for the operator; empty when the ticket is valid. */
     Optional<String> findError(List<ConfigObject> objects) {
         for (ConfigObject each : objects) {
-            Optional<String> fault = Optional.empty();
+            Optional<String> error = Optional.empty();
             if (each instanceof BackendRole role) {
-                fault = findRoleError(role);
+                error = findRoleError(role);
             } else if (each instanceof Organisation organisation) {
-                fault = findApiKeyError(organisation);
+                error = findApiKeyError(organisation);
             }
-            if (fault.isPresent()) {
-                return fault;
+            if (error.isPresent()) {
+                return error;
             }
         }
         return Optional.empty();
@@ -50,22 +50,22 @@
         if (model.isEmpty()) {
             return Optional.of(role.key() + " names the model " + role.model() + ", which doesn't exist");
         }
-        Set<String> unknown = new HashSet<>(role.adapters());
-        unknown.removeAll(model.get().adapters());
-        if (!unknown.isEmpty()) {
-            String first = unknown.stream().sorted().findFirst().orElseThrow();
+        Set<String> unknownAdapters = new HashSet<>(role.adapters());
+        unknownAdapters.removeAll(model.get().adapters());
+        if (!unknownAdapters.isEmpty()) {
+            String firstUnknown = unknownAdapters.stream().sorted().findFirst().orElseThrow();
             return Optional.of(
-                    role.key() + " names the adapter " + first + ", which " + role.model() + " doesn't have");
+                    role.key() + " names the adapter " + firstUnknown + ", which " + role.model() + " doesn't have");
         }
         return Optional.empty();
     }
 
     private Optional<Model> modelAfterTicket(BackendRole role) {
-        ConfigObject set = changedObjects.get("model/" + role.model());
-        if (set instanceof Model model) {
+        ConfigObject changedObject = changedObjects.get("model/" + role.model());
+        if (changedObject instanceof Model model) {
             return model.removed() ? Optional.empty() : Optional.of(model);
         }
-        return before.model(role.model());
+        return currentConfiguration.model(role.model());
     }
 
     /**
@@ -77,9 +77,10 @@
             return Optional.empty();
         }
         for (String hash : organisation.keyHashes()) {
-            Optional<OrganisationId> holder = otherOrganisationWithKey(organisation.id(), hash);
-            if (holder.isPresent()) {
-                return Optional.of(organisation.key() + " has an API key that organisation/" + holder.get() + " has");
+            Optional<OrganisationId> otherOwner = otherOrganisationWithKey(organisation.id(), hash);
+            if (otherOwner.isPresent()) {
+                return Optional.of(
+                        organisation.key() + " has an API key that organisation/" + otherOwner.get() + " has");
             }
         }
         return Optional.empty();
@@ -93,7 +94,8 @@
                 return Optional.of(other.id());
             }
         }
-        return before.organisationByKeyHash(hash)
+        return currentConfiguration
+                .organisationByKeyHash(hash)
                 .filter(o -> !o.id().equals(id) && !changedObjects.containsKey(o.key()))
                 .map(Organisation::id);
     }
--- a/elmline-core/src/main/java/org/elmline/core/control/TokenBucket.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TokenBucket.java
@@ -14,9 +14,9 @@
     private double tokens;
     private long refilledAtNanos;
 
-    TokenBucket(double perMinute, double most, long nowNanos) {
-        this.tokensPerMinute = perMinute;
-        this.capacity = most;
+    TokenBucket(double tokensPerMinute, double capacity, long nowNanos) {
+        this.tokensPerMinute = tokensPerMinute;
+        this.capacity = capacity;
         this.refilledAtNanos = nowNanos;
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/control/ClaimBatcherTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ClaimBatcherTest.java
@@ -16,7 +16,7 @@
     private final ClaimBatcher<Integer> batcher = new ClaimBatcher<>(100, 150);
 
     @Test
-    void claimsThatArriveDuringOneSyncShareTheNext() {
+    void claimsReceivedDuringASyncShareTheNextBatch() {
         batcher.begin(begin(0), 0);
         ClaimBatch<Integer> first = batcher.nextBatches(ISSUED).get(0);
         int commands = 1;
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void beginsAndFinishesGoSideBySideAndADeposedLeaderDrains() {
+    void proposesBeginsAndFinishesInParallelAndDrainsWaiters() {
         ClaimBegin begin = begin(1);
         batcher.finish(new ClaimFinish(begin.key(), begin.owner(), null), 1);
         batcher.begin(begin, 2);
--- a/elmline-core/src/test/java/org/elmline/core/control/ClaimPropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ClaimPropertiesTest.java
@@ -29,20 +29,20 @@
  * once.
  */
 class ClaimPropertiesTest {
-    private static final int OPERATIONS = 16;
+    private static final int OPERATION_COUNT = 16;
     private static final long RETENTION_MILLIS = 60_000;
 
     /**
      * A caller's attempt on one entry. A dead one receives no further event; a frozen one receives none for a while.
      */
-    private static final class Try {
+    private static final class Attempt {
         private final ClaimKey key;
         private final HostLease lease;
         private final ClaimSession session;
         private boolean sent;
         private boolean dead;
 
-        private Try(ClaimBegin begin, HostLease lease, long deadlineNanos) {
+        private Attempt(ClaimBegin begin, HostLease lease, long deadlineNanos) {
             this.key = begin.key();
             this.lease = lease;
             this.session = new ClaimSession(begin, lease, deadlineNanos, 3);
@@ -50,22 +50,22 @@
     }
 
     /** A begin or a finish in flight to the leader. */
-    private record Message(Try from, ClaimBegin begin, ClaimFinish finish) {}
+    private record Message(Attempt sender, ClaimBegin begin, ClaimFinish finish) {}
 
-    private record Reply(Message to, CallResult<ClaimAnswer> result) {}
+    private record Reply(Message message, CallResult<ClaimAnswer> result) {}
 
-    private static final class World {
+    private static final class Simulation {
         private final ControlFixture control = new ControlFixture();
         private final List<ClaimKey> keys = List.of(control.key(SNOWPAW), control.key(ZRNO));
         private final List<HostLease> leases = List.of(new HostLease(), new HostLease());
-        private final List<Try> tries = new ArrayList<>();
+        private final List<Attempt> attempts = new ArrayList<>();
         private final List<Message> messages = new ArrayList<>();
         private final List<Reply> replies = new ArrayList<>();
-        private final List<Try> calls = new ArrayList<>();
+        private final List<Attempt> calls = new ArrayList<>();
         private final Map<ClaimKey, Integer> runs = new HashMap<>();
-        private long now;
+        private long nowNanos;
 
-        private World() {
+        private Simulation() {
             control.limits(new ControlLimits(10, 10, 10, RETENTION_MILLIS, 100, 10));
         }
 
@@ -73,22 +73,22 @@
             switch (operation) {
                 case 0, 1 -> begin(choice);
                 case 2, 3, 4, 5 -> commit(choice);
-                case 6, 7, 8, 9 -> hear(choice);
-                case 10, 11 -> serve(choice);
-                case 12 -> leases.get(choice % 2).recordGrant(now, 4_000);
-                case 13 -> now += MILLISECONDS.toNanos(choice % 5_000);
-                case 14 -> breakOff(choice);
-                default -> tend(choice);
+                case 6, 7, 8, 9 -> deliverReply(choice);
+                case 10, 11 -> runCall(choice);
+                case 12 -> leases.get(choice % 2).recordGrant(nowNanos, 4_000);
+                case 13 -> nowNanos += MILLISECONDS.toNanos(choice % 5_000);
+                case 14 -> stopOrTimeOut(choice);
+                default -> restartOrExpire(choice);
             }
         }
 
         private void begin(int choice) {
             int host = choice % 2;
             ClaimKey key = keys.get(choice / 2 % 2);
-            ClaimBegin begin = new ClaimBegin(key, "digest", owner("e" + host, tries.size()));
-            Try next = new Try(begin, leases.get(host), now + MILLISECONDS.toNanos(10_000));
-            tries.add(next);
-            perform(next, next.session.start());
+            ClaimBegin begin = new ClaimBegin(key, "digest", owner("e" + host, attempts.size()));
+            Attempt attempt = new Attempt(begin, leases.get(host), nowNanos + MILLISECONDS.toNanos(10_000));
+            attempts.add(attempt);
+            perform(attempt, attempt.session.start());
         }
 
         /** The leader commits a message, possibly twice, or the message or its reply is lost. */
@@ -97,64 +97,68 @@
                 return;
             }
             Message message = messages.get(choice % messages.size());
-            int fate = choice / 7 % 8;
-            if (fate != 0) {
+            int fault = choice / 7 % 8;
+            if (fault != 0) {
                 messages.remove(message);
             }
-            if (fate == 1) {
+            if (fault == 1) {
                 replies.add(new Reply(message, new CallResult.NotSent<>("refused")));
                 return;
             }
-            long wall = ISSUED + now / 1_000_000;
+            long wallMillis = ISSUED + nowNanos / 1_000_000;
             ClaimOutcome outcome = message.begin() != null
-                    ? control.begin(wall, message.begin())
-                    : control.finish(wall, message.finish());
+                    ? control.begin(wallMillis, message.begin())
+                    : control.finish(wallMillis, message.finish());
             CallResult<ClaimAnswer> answered = new CallResult.Answered<>(new ClaimAnswer.Decided(outcome));
-            replies.add(new Reply(message, fate == 2 ? new CallResult.Unknown<>("lost") : answered));
+            replies.add(new Reply(message, fault == 2 ? new CallResult.Unknown<>("lost") : answered));
         }
 
-        private void hear(int choice) {
+        private void deliverReply(int choice) {
             if (replies.isEmpty()) {
                 return;
             }
             Reply reply = replies.remove(choice % replies.size());
-            Try to = reply.to().from();
+            Attempt to = reply.message().sender();
             if (!to.dead) {
-                boolean begin = reply.to().begin() != null;
+                boolean isBegin = reply.message().begin() != null;
                 perform(
                         to,
-                        begin
-                                ? to.session.onBeginResult(reply.result(), now)
+                        isBegin
+                                ? to.session.onBeginResult(reply.result(), nowNanos)
                                 : to.session.onFinishResult(reply.result()));
             }
         }
 
-        private void serve(int choice) {
+        private void runCall(int choice) {
             if (calls.isEmpty()) {
                 return;
             }
-            Try call = calls.remove(choice % calls.size());
-            int fate = choice / 5 % 4;
-            if (fate == 0) {
-                called(call, new CallResult.NotSent<>("connection refused"));
+            Attempt call = calls.remove(choice % calls.size());
+            int fault = choice / 5 % 4;
+            if (fault == 0) {
+                deliverCallResult(call, new CallResult.NotSent<>("connection refused"));
                 return;
             }
             int count = runs.merge(call.key, 1, Integer::sum);
             assertEquals(1, count, "the call ran again");
-            called(call, fate == 1 ? new CallResult.Unknown<>("lost") : new CallResult.Answered<>(ranOnce(call.key)));
+            deliverCallResult(
+                    call,
+                    fault == 1
+                            ? new CallResult.Unknown<>("lost")
+                            : new CallResult.Answered<>(expectedAnswer(call.key)));
         }
 
-        private void called(Try call, CallResult<RecordedAnswer> result) {
+        private void deliverCallResult(Attempt call, CallResult<RecordedAnswer> result) {
             if (!call.dead) {
                 perform(call, call.session.onCallResult(result));
             }
         }
 
-        private void breakOff(int choice) {
-            if (tries.isEmpty()) {
+        private void stopOrTimeOut(int choice) {
+            if (attempts.isEmpty()) {
                 return;
             }
-            Try each = tries.get(choice % tries.size());
+            Attempt each = attempts.get(choice % attempts.size());
             if (choice / 3 % 2 == 0) {
                 each.dead = true;
             } else if (!each.dead) {
@@ -162,20 +166,20 @@
             }
         }
 
-        private void tend(int choice) {
+        private void restartOrExpire(int choice) {
             if (choice % 2 == 0) {
                 control.restart();
                 return;
             }
-            now += choice % 5 == 0 ? MILLISECONDS.toNanos(RETENTION_MILLIS) : 0;
-            control.apply(new Command.ExpireClaims(ISSUED + now / 1_000_000));
+            nowNanos += choice % 5 == 0 ? MILLISECONDS.toNanos(RETENTION_MILLIS) : 0;
+            control.apply(new Command.ExpireClaims(ISSUED + nowNanos / 1_000_000));
         }
 
-        private void perform(Try by, ClaimStep step) {
+        private void perform(Attempt by, ClaimStep step) {
             if (step instanceof ClaimStep.Begin begin) {
                 messages.add(new Message(by, begin.begin(), null));
             } else if (step instanceof ClaimStep.Send) {
-                assertTrue(!by.sent && by.lease.isValid(now), "sent twice or without a lease");
+                assertTrue(!by.sent && by.lease.isValid(nowNanos), "sent twice or without a lease");
                 by.sent = true;
                 calls.add(by);
             } else if (step instanceof ClaimStep.Finish finish) {
@@ -186,105 +190,104 @@
             }
         }
 
-        private void reply(Try to, ClaimReply reply) {
+        private void reply(Attempt to, ClaimReply reply) {
             if (reply instanceof ClaimReply.Answered answered) {
-                assertEquals(ranOnce(to.key), answered.answer());
+                assertEquals(expectedAnswer(to.key), answered.answer());
                 assertEquals(1, runs.get(to.key));
             } else if (reply instanceof ClaimReply.Refused refused
                     && refused.refusal().ran() == Ran.NO) {
-                assertEquals(0, runs.getOrDefault(to.key, 0), "told that a call didn't run which did");
-                assertTrue(
-                        calls.stream().noneMatch(c -> c.key.equals(to.key)), "told that a call on its way didn't run");
+                assertEquals(0, runs.getOrDefault(to.key, 0), "reported a call as not run although it ran");
+                assertTrue(calls.stream().noneMatch(c -> c.key.equals(to.key)), "reported a call in flight as not run");
             }
         }
 
-        private static RecordedAnswer ranOnce(ClaimKey key) {
+        private static RecordedAnswer expectedAnswer(ClaimKey key) {
             return answer("the one run of " + key.organisation());
         }
     }
 
     @Property(seed = "44", tries = 2_000)
-    void oneRunAtMostAndEveryReplyIsTrue(@ForAll("steps") List<Integer> steps) {
-        World world = new World();
+    void callRunsAtMostOnceAndEveryReplyIsCorrect(@ForAll("steps") List<Integer> steps) {
+        Simulation simulation = new Simulation();
         for (int each : steps) {
-            world.step(each % OPERATIONS, each / OPERATIONS);
+            simulation.step(each % OPERATION_COUNT, each / OPERATION_COUNT);
         }
     }
 
     /** Reference model: keeps every claim indefinitely in one map and applies the rules directly. */
-    private static final class NaiveClaims {
+    private static final class ReferenceClaims {
         private final Map<ClaimKey, Claim> claims = new HashMap<>();
         private final Set<ClaimKey> expired = new HashSet<>();
-        private long time;
+        private long timeMillis;
 
-        void advance(long wall, List<ClaimKey> keys) {
-            time = Math.max(time, wall);
+        void advance(long wallMillis, List<ClaimKey> keys) {
+            timeMillis = Math.max(timeMillis, wallMillis);
             keys.stream()
-                    .filter(k -> time - k.key().issuedMillis() > RETENTION_MILLIS)
+                    .filter(k -> timeMillis - k.key().issuedMillis() > RETENTION_MILLIS)
                     .forEach(expired::add);
         }
 
         ClaimOutcome begin(ClaimBegin begin) {
-            Claim held = claims.get(begin.key());
+            Claim current = claims.get(begin.key());
             if (expired.contains(begin.key())) {
                 return new ClaimOutcome.Refused(null, "");
             }
-            boolean mine = held != null && held.owner().equals(begin.owner());
-            boolean released = held != null && held.state() == ClaimState.RELEASED;
-            if (held == null || released && !mine) {
+            boolean sameOwner = current != null && current.owner().equals(begin.owner());
+            boolean released = current != null && current.state() == ClaimState.RELEASED;
+            if (current == null || released && !sameOwner) {
                 claims.put(begin.key(), new Claim(begin.key(), "", begin.owner(), ClaimState.BEGUN, null));
                 return new ClaimOutcome.Granted();
             }
-            if (held.state() == ClaimState.RECORDED) {
-                return new ClaimOutcome.Recorded(held.answer());
+            if (current.state() == ClaimState.RECORDED) {
+                return new ClaimOutcome.Recorded(current.answer());
             }
             if (released) {
                 return new ClaimOutcome.NotOwner();
             }
-            return mine
+            return sameOwner
                     ? new ClaimOutcome.Granted()
-                    : new ClaimOutcome.MayHaveRun(held.owner().host());
+                    : new ClaimOutcome.MayHaveRun(current.owner().host());
         }
 
         ClaimOutcome finish(ClaimFinish finish) {
-            Claim held = claims.get(finish.key());
-            ClaimState wanted = finish.answer() == null ? ClaimState.RELEASED : ClaimState.RECORDED;
-            boolean mine = held != null && held.owner().equals(finish.owner());
-            if (!mine || held.state() != ClaimState.BEGUN && held.state() != wanted) {
+            Claim current = claims.get(finish.key());
+            ClaimState targetState = finish.answer() == null ? ClaimState.RELEASED : ClaimState.RECORDED;
+            boolean sameOwner = current != null && current.owner().equals(finish.owner());
+            if (!sameOwner || current.state() != ClaimState.BEGUN && current.state() != targetState) {
                 return new ClaimOutcome.NotOwner();
             }
-            if (held.state() == ClaimState.BEGUN) {
-                claims.put(finish.key(), new Claim(finish.key(), "", finish.owner(), wanted, finish.answer()));
+            if (current.state() == ClaimState.BEGUN) {
+                claims.put(finish.key(), new Claim(finish.key(), "", finish.owner(), targetState, finish.answer()));
             }
             return new ClaimOutcome.Finished();
         }
     }
 
     @Property(seed = "45", tries = 1_000)
-    void decidesLikeTheNaiveVersion(@ForAll("shortSteps") List<Integer> steps) {
+    void decidesLikeTheReferenceModel(@ForAll("shortSteps") List<Integer> steps) {
         ControlFixture control = new ControlFixture();
         control.limits(new ControlLimits(10, 10, 10, RETENTION_MILLIS, 100, 10));
-        NaiveClaims naive = new NaiveClaims();
+        ReferenceClaims reference = new ReferenceClaims();
         List<ClaimKey> keys = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
             keys.add(new ClaimKey(SNOWPAW, IdempotencyKey.issue(SNOWPAW, ISSUED + 20_000 * i, new Random(i))));
         }
-        long wall = ISSUED + 10_000;
+        long wallMillis = ISSUED + 10_000;
         for (int each : steps) {
-            wall += each % 7 == 0 ? 15_000 : 0;
-            long stamped = wall - each % 5 * 1_000L;
-            naive.advance(stamped, keys);
+            wallMillis += each % 7 == 0 ? 15_000 : 0;
+            long commandMillis = wallMillis - each % 5 * 1_000L;
+            reference.advance(commandMillis, keys);
             ClaimKey key = keys.get(each % 4);
             ClaimOwner owner = owner("e", each / 4 % 3);
             if (each / 12 % 2 == 0) {
                 ClaimBegin begin = new ClaimBegin(key, "digest", owner);
-                assertSame(naive.begin(begin), control.begin(stamped, begin));
+                assertSame(reference.begin(begin), control.begin(commandMillis, begin));
                 continue;
             }
             ClaimFinish finish = new ClaimFinish(key, owner, each / 24 % 2 == 0 ? null : answer("by " + owner));
-            assertSame(naive.finish(finish), control.finish(stamped, finish));
-            control.apply(new Command.ExpireClaims(stamped));
-            naive.claims.keySet().removeAll(naive.expired);
+            assertSame(reference.finish(finish), control.finish(commandMillis, finish));
+            control.apply(new Command.ExpireClaims(commandMillis));
+            reference.claims.keySet().removeAll(reference.expired);
         }
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/control/ClaimTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ClaimTest.java
@@ -20,13 +20,13 @@
 
 class ClaimTest {
     private static final ClaimOutcome GRANTED = new ClaimOutcome.Granted();
-    private static final long HOUR = 3_600_000;
+    private static final long HOUR_MILLIS = 3_600_000;
 
     private final ControlFixture control = new ControlFixture();
     private final ClaimKey key = control.key(SNOWPAW);
 
     @Test
-    void repeatGetsTheRecordedAnswerAlsoAfterARestart() {
+    void repeatReturnsTheRecordedAnswerAlsoAfterARestart() {
         assertEquals(GRANTED, control.begin(ISSUED, begin("a", 1)));
         control.finish(ISSUED, new ClaimFinish(key, owner("a", 1), answer("seat 4")));
         control.restart();
@@ -37,15 +37,15 @@
     // An entry sends a seat hold and dies, and the caller retries on another entry. Taking the claim over would hold a
     // second seat, so no session may ever do so.
     @Test
-    void claimOfADeadOwnerMayHaveRunForGood() {
+    void claimOfADeadOwnerIsNeverTakenOver() {
         control.begin(ISSUED, begin("a", 1));
         control.restart();
 
-        assertEquals(new ClaimOutcome.MayHaveRun(HostId.of("a")), control.begin(ISSUED + HOUR, begin("b", 1)));
+        assertEquals(new ClaimOutcome.MayHaveRun(HostId.of("a")), control.begin(ISSUED + HOUR_MILLIS, begin("b", 1)));
     }
 
     @Test
-    void onlyTheOwnerFinishes() {
+    void onlyTheOwnerCanFinishAClaim() {
         control.begin(ISSUED, begin("a", 1));
 
         assertEquals(
@@ -57,7 +57,7 @@
     // Session 1 has not sent the call and releases its claim; session 2 takes over and sends it. A late copy of session
     // 1's begin or release must not let any session send again.
     @Test
-    void releasedClaimGoesToAnotherSessionOnce() {
+    void releasedClaimIsGrantedToOneOtherSession() {
         control.begin(ISSUED, begin("a", 1));
         ClaimFinish release = new ClaimFinish(key, owner("a", 1), null);
         control.finish(ISSUED, release);
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void oneKeyStandsForOneRequest() {
+    void rejectsKeyUsedForAnotherRequest() {
         control.begin(ISSUED, begin("a", 1));
 
         assertRefused(RefusalReason.IDEMPOTENCY_CONFLICT, new ClaimBegin(key, "other", owner("a", 1)));
@@ -103,26 +103,28 @@
     void expiredKeyNeverRunsAgain() {
         control.begin(ISSUED, begin("a", 1));
         control.finish(ISSUED, new ClaimFinish(key, owner("a", 1), answer("x")));
-        control.apply(new Command.ExpireClaims(ISSUED + HOUR));
+        control.apply(new Command.ExpireClaims(ISSUED + HOUR_MILLIS));
         assertTrue(control.state.claim(key).isPresent());
 
-        assertEquals(new CommandResult.ClaimsExpired(1), control.apply(new Command.ExpireClaims(ISSUED + HOUR + 1)));
+        assertEquals(
+                new CommandResult.ClaimsExpired(1), control.apply(new Command.ExpireClaims(ISSUED + HOUR_MILLIS + 1)));
         assertRefused(RefusalReason.KEY_EXPIRED, begin("b", 1));
-        control.limits(new ControlLimits(10, 10, 10, 10 * HOUR, 10, 10));
+        control.limits(new ControlLimits(10, 10, 10, 10 * HOUR_MILLIS, 10, 10));
         control.restart();
         assertRefused(RefusalReason.KEY_EXPIRED, begin("b", 1));
     }
 
     @Test
     void keyFromTheFarFutureIsRefused() {
-        ClaimKey early = new ClaimKey(SNOWPAW, IdempotencyKey.issue(SNOWPAW, ISSUED + HOUR + 1, new Random(1)));
+        ClaimKey futureKey =
+                new ClaimKey(SNOWPAW, IdempotencyKey.issue(SNOWPAW, ISSUED + HOUR_MILLIS + 1, new Random(1)));
 
-        assertRefused(RefusalReason.BAD_REQUEST, new ClaimBegin(early, "digest", owner("a", 1)));
+        assertRefused(RefusalReason.BAD_REQUEST, new ClaimBegin(futureKey, "digest", owner("a", 1)));
     }
 
     @Test
     void claimsAreBoundedForEachOrganisationAndInAll() {
-        control.limits(new ControlLimits(10, 3, 2, HOUR, 10, 10));
+        control.limits(new ControlLimits(10, 3, 2, HOUR_MILLIS, 10, 10));
 
         assertEquals(GRANTED, control.begin(ISSUED, begin("a", 1)));
         assertEquals(GRANTED, control.begin(ISSUED, new ClaimBegin(control.key(SNOWPAW), "d", owner("a", 2))));
@@ -130,44 +132,45 @@
         assertEquals(GRANTED, control.begin(ISSUED, new ClaimBegin(control.key(ZRNO), "d", owner("a", 4))));
         assertRefused(RefusalReason.OVERLOADED, new ClaimBegin(control.key(ZRNO), "d", owner("a", 5)));
         assertEquals(GRANTED, control.begin(ISSUED, begin("a", 1)));
-        control.apply(new Command.ExpireClaims(ISSUED + HOUR + 1));
+        control.apply(new Command.ExpireClaims(ISSUED + HOUR_MILLIS + 1));
         assertEquals(0, control.state.claims());
     }
 
     @Test
-    void longAnswerIsRecordedByItsDigest() {
-        control.limits(new ControlLimits(10, 10, 10, HOUR, 8, 10));
+    void longAnswerIsRecordedAsDigestOnly() {
+        control.limits(new ControlLimits(10, 10, 10, HOUR_MILLIS, 8, 10));
         control.begin(ISSUED, begin("a", 1));
         RecordedAnswer.Header header = new RecordedAnswer.Header("Location", "/holds/4");
 
         RecordedAnswer whole = RecordedAnswer.of(201, List.of(header), "123456789".getBytes());
         control.finish(ISSUED, new ClaimFinish(key, owner("a", 1), whole));
 
-        RecordedAnswer kept = control.state.claim(key).orElseThrow().answer();
-        assertNull(kept.body());
-        assertEquals(List.of(), kept.headers());
-        assertEquals(whole.bodyDigest(), kept.bodyDigest());
+        RecordedAnswer recorded = control.state.claim(key).orElseThrow().answer();
+        assertNull(recorded.body());
+        assertEquals(List.of(), recorded.headers());
+        assertEquals(whole.bodyDigest(), recorded.bodyDigest());
     }
 
     @Test
-    void keysInOtherFormsAreNotKeys() {
-        String good = key.key().value();
-        assertEquals(key.key(), IdempotencyKey.of(good));
+    void rejectsMalformedKeys() {
+        String valid = key.key().value();
+        assertEquals(key.key(), IdempotencyKey.of(valid));
         assertEquals(ISSUED, key.key().issuedMillis());
         assertTrue(key.key().belongsTo(SNOWPAW));
         assertFalse(key.key().belongsTo(OrganisationId.of("snowpaw2")));
-        for (String bad : new String[] {null, "", "pay-42", good + "0", good.toUpperCase(), "zzzzzzzzzzzz" + good}) {
-            assertTrue(IdempotencyKey.parse(bad).isEmpty(), bad);
+        for (String invalid :
+                new String[] {null, "", "pay-42", valid + "0", valid.toUpperCase(), "zzzzzzzzzzzz" + valid}) {
+            assertTrue(IdempotencyKey.parse(invalid).isEmpty(), invalid);
         }
     }
 
     // A wall clock is set a year ahead for a second. Used unchanged, it would expire every key in use for a year.
     @Test
     void clockThatJumpsAheadDoesNotExpireEveryKey() {
-        CommandClock clock = new CommandClock(ISSUED, ISSUED - HOUR, 0);
+        CommandClock clock = new CommandClock(ISSUED, ISSUED - HOUR_MILLIS, 0);
 
-        assertEquals(ISSUED, clock.stamp(ISSUED - HOUR, 5_000_000_000L));
-        assertEquals(ISSUED + 2_000, clock.stamp(ISSUED + 9_000 * HOUR, 6_000_000_000L));
+        assertEquals(ISSUED, clock.stamp(ISSUED - HOUR_MILLIS, 5_000_000_000L));
+        assertEquals(ISSUED + 2_000, clock.stamp(ISSUED + 9_000 * HOUR_MILLIS, 6_000_000_000L));
         assertEquals(ISSUED + 2_000, clock.stamp(ISSUED, 7_000_000_000L));
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/control/ControlFixture.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ControlFixture.java
@@ -107,14 +107,14 @@
      * Numbers that encode the steps of a test, distributed uniformly: jqwik's default distribution favours small ones
      * and would seldom reach the later choices of a step.
      */
-    static Arbitrary<List<Integer>> steps(int least, int most) {
+    static Arbitrary<List<Integer>> steps(int minSize, int maxSize) {
         return Arbitraries.integers()
                 .between(0, 99_999)
                 .withDistribution(RandomDistribution.uniform())
                 .edgeCases(EdgeCases.Config::none)
                 .list()
-                .ofMinSize(least)
-                .ofMaxSize(most)
+                .ofMinSize(minSize)
+                .ofMaxSize(maxSize)
                 .withSizeDistribution(RandomDistribution.uniform());
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/control/ControlStateTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/ControlStateTest.java
@@ -24,7 +24,7 @@
     // the rest of the log, the entry requests the changes since its version; either could miss a change, a removal or a
     // claim.
     @Test
-    void restartAfterHundredsOfChanges() {
+    void replicaAndEntryCatchUpAfterHundredsOfChanges() {
         Configuration entry = Configuration.EMPTY;
         ControlState replica = control.state;
         for (int i = 1; i <= 600; i++) {
@@ -42,30 +42,30 @@
         control.restart();
 
         assertEquals(control.state.snapshot(), replica.snapshot());
-        Configuration caughtUp = entry.with(control.state.configSince(entry.version()));
-        assertEquals(control.state.configuration().version(), caughtUp.version());
+        Configuration updatedEntry = entry.with(control.state.configSince(entry.version()));
+        assertEquals(control.state.configuration().version(), updatedEntry.version());
         assertEquals(
                 control.state.snapshot().objects(),
-                caughtUp.objects().stream()
+                updatedEntry.objects().stream()
                         .sorted((a, b) -> a.object().key().compareTo(b.object().key()))
                         .toList());
         assertEquals(600, control.state.snapshot().tickets().size());
     }
 
     @Test
-    void fencingNumbersGrowWithEveryLeader() {
-        assertEquals(fencing(5), control.apply(lead(5)));
-        assertEquals(fencing(6), control.apply(lead(5)));
+    void fencingNumberIncreasesWithEveryLeader() {
+        assertEquals(fencing(5), control.apply(startLeadership(5)));
+        assertEquals(fencing(6), control.apply(startLeadership(5)));
         control.restart();
-        assertEquals(fencing(7), control.apply(lead(6)));
-        assertEquals(fencing(20), control.apply(lead(20)));
+        assertEquals(fencing(7), control.apply(startLeadership(6)));
+        assertEquals(fencing(20), control.apply(startLeadership(20)));
     }
 
     @Test
-    void logIndexesMustGrow() {
-        control.apply(lead(1));
+    void rejectsLogIndexThatDoesNotIncrease() {
+        control.apply(startLeadership(1));
 
-        assertThrows(IllegalStateException.class, () -> control.state.apply(control.state.index(), lead(1)));
+        assertThrows(IllegalStateException.class, () -> control.state.apply(control.state.index(), startLeadership(1)));
     }
 
     private List<Command> changes(int i) {
@@ -83,7 +83,7 @@
         return changes;
     }
 
-    private static Command lead(long term) {
+    private static Command startLeadership(long term) {
         return new Command.StartLeadership(HostId.of("c1"), term, ControlLimits.DEFAULT);
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/control/HostLeaseTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/HostLeaseTest.java
@@ -18,15 +18,15 @@
     // the grant. Counted from the answer, the lease would look valid: the entry would serve callers under a
     // configuration that tickets have replaced, while the other hosts treat it as dead.
     @Test
-    void frozenProcessFindsItsLeaseGone() {
-        long asked = MILLISECONDS.toNanos(1_000);
-        long woken = MILLISECONDS.toNanos(61_000);
+    void leaseIsCountedFromTheRequestAlsoAfterAFreeze() {
+        long requestedNanos = MILLISECONDS.toNanos(1_000);
+        long resumedNanos = MILLISECONDS.toNanos(61_000);
 
-        lease.recordGrant(asked, 4_000);
+        lease.recordGrant(requestedNanos, 4_000);
 
         assertTrue(lease.isValid(MILLISECONDS.toNanos(4_999)));
         assertFalse(lease.isValid(MILLISECONDS.toNanos(5_000)));
-        assertFalse(lease.isValid(woken));
+        assertFalse(lease.isValid(resumedNanos));
     }
 
     @Test
@@ -38,17 +38,17 @@
     }
 
     @Test
-    void clockNearItsWrapAroundStillWorks() {
-        long asked = Long.MAX_VALUE - 10;
+    void leaseIsCorrectWhenTheClockWrapsAround() {
+        long requestedNanos = Long.MAX_VALUE - 10;
 
-        lease.recordGrant(asked, 4_000);
+        lease.recordGrant(requestedNanos, 4_000);
 
-        assertTrue(lease.isValid(asked + MILLISECONDS.toNanos(3_999)));
-        assertFalse(lease.isValid(asked + MILLISECONDS.toNanos(4_000)));
+        assertTrue(lease.isValid(requestedNanos + MILLISECONDS.toNanos(3_999)));
+        assertFalse(lease.isValid(requestedNanos + MILLISECONDS.toNanos(4_000)));
     }
 
     @Test
-    void replacedIsFinal() {
+    void replacedHostGetsNoFurtherLease() {
         lease.replaced();
         lease.recordGrant(0, 4_000);
 
--- a/elmline-core/src/test/java/org/elmline/core/control/LeaseKeeperTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/LeaseManagerTest.java
@@ -18,23 +18,23 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class LeaseKeeperTest {
+class LeaseManagerTest {
     private static final LeaseSettings SETTINGS = new LeaseSettings(4_000, 500);
-    private static final long FOR_LONG = Long.MAX_VALUE / 2;
+    private static final long LATE_LEADER_LEASE_END = Long.MAX_VALUE / 2;
 
     private final ControlFixture control = new ControlFixture();
-    private LeaseManager keeper;
+    private LeaseManager manager;
 
     @BeforeEach
-    void lead() {
-        keeper = new LeaseManager(control.state, SETTINGS, 0);
+    void startLeadership() {
+        manager = new LeaseManager(control.state, SETTINGS, 0);
     }
 
     @Test
-    void firstRenewalJoinsAndThenBringsEverything() {
+    void firstRenewalJoinsAndTheNextDeliversTheFullState() {
         control.submit(1, model("elm-desk", "v1"));
 
-        LeaseDecision first = keeper.renew(request("a", 1, 0), at(10), FOR_LONG, List.of());
+        LeaseDecision first = manager.renew(request("a", 1, 0), at(10), LATE_LEADER_LEASE_END, List.of());
         control.apply(assertInstanceOf(LeaseDecision.Join.class, first).command());
         LeaseAnswer.Granted granted = granted("a", 1, 0, 20);
 
@@ -52,7 +52,7 @@
     void grantsOnlyInsideTheLeadersOwnLease() {
         join("a", 1, 0);
 
-        LeaseDecision late = keeper.renew(request("a", 1, 0), at(100), at(100), List.of());
+        LeaseDecision late = manager.renew(request("a", 1, 0), at(100), at(100), List.of());
 
         assertEquals(new LeaseDecision.Answer(new LeaseAnswer.NotLeader(null)), late);
     }
@@ -64,12 +64,12 @@
         join("a", 1, 0);
         join("a", 2, 1_000);
 
-        LeaseDecision old = keeper.renew(request("a", 1, 0), at(2_000), FOR_LONG, List.of());
-        assertEquals(new LeaseDecision.Answer(new LeaseAnswer.Replaced(Incarnation.of(2))), old);
+        LeaseDecision oldRenewal = manager.renew(request("a", 1, 0), at(2_000), LATE_LEADER_LEASE_END, List.of());
+        assertEquals(new LeaseDecision.Answer(new LeaseAnswer.Replaced(Incarnation.of(2))), oldRenewal);
 
         control.apply(end("a", 60_000));
-        old = keeper.renew(request("a", 1, 0), at(61_000), FOR_LONG, List.of());
-        assertEquals(new LeaseDecision.Answer(new LeaseAnswer.Replaced(Incarnation.of(2))), old);
+        oldRenewal = manager.renew(request("a", 1, 0), at(61_000), LATE_LEADER_LEASE_END, List.of());
+        assertEquals(new LeaseDecision.Answer(new LeaseAnswer.Replaced(Incarnation.of(2))), oldRenewal);
     }
 
     @Test
@@ -88,14 +88,14 @@
     // A new leader has no record of earlier leases. Reporting a ticket in force at once would be wrong for processes,
     // members and replaced ones alike, that hold leases of its predecessor and use the old configuration.
     @Test
-    void newLeaderWaitsOutEveryLeaseItMayNotKnow() {
+    void newLeaderWaitsUntilLeasesOfItsPredecessorHaveExpired() {
         join("a", 1, 0);
         control.submit(1, model("elm-desk", "v1"));
 
-        keeper = new LeaseManager(control.state, SETTINGS, at(1_000));
+        manager = new LeaseManager(control.state, SETTINGS, at(1_000));
 
         assertEquals(List.of(HostId.of("a")), status(5_499).outstanding());
-        assertTrue(keeper.endExpired(at(5_499)).isEmpty());
+        assertTrue(manager.endExpired(at(5_499)).isEmpty());
         granted("a", 1, 1, 2_000);
         assertFalse(status(5_499).inForce());
         assertTrue(status(5_499).settling());
@@ -105,12 +105,12 @@
     // The frozen first process of "a" still holds its lease when the second one has acknowledged a ticket. The first
     // may admit requests under the old configuration until its lease expires.
     @Test
-    void replacedProcessCountsUntilItsLeaseIsOver() {
+    void replacedProcessIsOutstandingUntilItsLeaseExpires() {
         join("a", 1, 10_000);
         control.submit(1, model("elm-desk", "v1"));
         join("a", 2, 11_000);
         granted("a", 2, 1, 12_000);
-        keeper.endExpired(at(12_000));
+        manager.endExpired(at(12_000));
 
         assertEquals(List.of(HostId.of("a")), status(14_499).outstanding());
         assertTrue(status(14_500).inForce());
@@ -120,18 +120,18 @@
     // entry would serve for seconds without being a member, and no ticket would wait for it. It must join again first,
     // and a late copy of the end must not affect the new membership.
     @Test
-    void noGrantBetweenAnEndProposedAndApplied() {
+    void noGrantWhileAnEndIsProposedButNotApplied() {
         join("a", 1, 0);
         Command.EndHost end = end("a", 60_000);
 
-        LeaseDecision decision = keeper.renew(request("a", 1, 0), at(60_001), FOR_LONG, List.of());
+        LeaseDecision decision = manager.renew(request("a", 1, 0), at(60_001), LATE_LEADER_LEASE_END, List.of());
         Command.JoinHost rejoin =
                 assertInstanceOf(LeaseDecision.Join.class, decision).command();
         control.apply(rejoin);
 
         assertEquals(new CommandResult.HostEnded(false), control.apply(end));
         granted("a", 1, 0, 60_100);
-        assertTrue(keeper.endExpired(at(60_200)).isEmpty());
+        assertTrue(manager.endExpired(at(60_200)).isEmpty());
     }
 
     // A stopping entry reports that it is leaving, and a delayed older renewal arrives afterwards. If that renewal
@@ -151,18 +151,18 @@
     // The leader's periodic expiry may run between a join's commit and the grant that follows it.
     @Test
     void joinedHostIsNotEndedBeforeItsFirstGrant() {
-        keeper.renew(request("a", 1, 0), at(60_000), FOR_LONG, List.of());
+        manager.renew(request("a", 1, 0), at(60_000), LATE_LEADER_LEASE_END, List.of());
         control.apply(new Command.JoinHost(host("a", 1)));
 
-        assertTrue(keeper.endExpired(at(64_499)).isEmpty());
-        assertEquals(1, keeper.endExpired(at(64_500)).size());
+        assertTrue(manager.endExpired(at(64_499)).isEmpty());
+        assertEquals(1, manager.endExpired(at(64_500)).size());
     }
 
     @Test
-    void twinOfOneIncarnationIsRefused() {
+    void rejectsSecondProcessOfOneIncarnation() {
         join("a", 1, 0);
         HostRecord other = host("b", 1);
-        HostRecord twin = new HostRecord(
+        HostRecord duplicate = new HostRecord(
                 HostId.of("a"),
                 Incarnation.of(1),
                 other.failureDomain(),
@@ -172,11 +172,11 @@
                 other.operators(),
                 false);
 
-        assertInstanceOf(CommandResult.HostReplaced.class, control.apply(new Command.JoinHost(twin)));
+        assertInstanceOf(CommandResult.HostReplaced.class, control.apply(new Command.JoinHost(duplicate)));
     }
 
     @Test
-    void membersChangesBringAnyHolderUpToDate() {
+    void membersDeltaUpdatesAnyVersion() {
         control.limits(new ControlLimits(10, 10, 10, 1_000, 10, 1));
         join("a", 1, 0);
         join("b", 1, 0);
@@ -201,14 +201,15 @@
     }
 
     private LeaseAnswer.Granted granted(String id, long incarnation, long inForce, long millis) {
-        LeaseDecision decision = keeper.renew(request(id, incarnation, inForce), at(millis), FOR_LONG, List.of());
+        LeaseDecision decision =
+                manager.renew(request(id, incarnation, inForce), at(millis), LATE_LEADER_LEASE_END, List.of());
         LeaseAnswer answer =
                 assertInstanceOf(LeaseDecision.Answer.class, decision).answer();
         return assertInstanceOf(LeaseAnswer.Granted.class, answer);
     }
 
     private Command.EndHost end(String id, long millis) {
-        return keeper.endExpired(at(millis)).stream()
+        return manager.endExpired(at(millis)).stream()
                 .filter(e -> e.host().equals(HostId.of(id)))
                 .findFirst()
                 .orElseThrow();
@@ -217,7 +218,7 @@
     private TicketStatus status(long millis) {
         TicketRecord record =
                 control.state.tickets(new TicketListQuery(null, 1)).tickets().get(0);
-        return keeper.status(record, at(millis));
+        return manager.status(record, at(millis));
     }
 
     private static LeaseRequest request(String id, long incarnation, long inForce) {
--- a/elmline-core/src/test/java/org/elmline/core/control/LeasePropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/LeasePropertiesTest.java
@@ -25,11 +25,11 @@
 class LeasePropertiesTest {
     private static final LeaseSettings SETTINGS = new LeaseSettings(4_000, 500);
     private static final long LEADER_LEASE_MILLIS = 2_000;
-    private static final int OPERATIONS = 16;
+    private static final int OPERATION_COUNT = 16;
 
-    private record Asked(Process by, LeaseRequest request, long atNanos) {}
+    private record PendingRenewal(Process sender, LeaseRequest request, long sentNanos) {}
 
-    private record Told(Process to, LeaseAnswer.Granted grant, long askedNanos) {}
+    private record PendingGrant(Process recipient, LeaseAnswer.Granted grant, long sentNanos) {}
 
     /** One incarnation of an entry. It is frozen whenever no step concerns it. */
     private static final class Process {
@@ -42,18 +42,18 @@
         }
     }
 
-    private static final class World {
+    private static final class Simulation {
         private final ControlFixture control = new ControlFixture();
         private final List<Process> processes = new ArrayList<>();
-        private final List<Asked> asked = new ArrayList<>();
-        private final List<Told> told = new ArrayList<>();
-        private final Deque<Command> proposed = new ArrayDeque<>();
+        private final List<PendingRenewal> pendingRenewals = new ArrayList<>();
+        private final List<PendingGrant> pendingGrants = new ArrayList<>();
+        private final Deque<Command> proposals = new ArrayDeque<>();
         private final TreeSet<ConfigVersion> reported = new TreeSet<>();
-        private LeaseManager keeper = new LeaseManager(control.state, SETTINGS, 0);
-        private long leaderUntil = MILLISECONDS.toNanos(LEADER_LEASE_MILLIS);
-        private long now;
+        private LeaseManager manager = new LeaseManager(control.state, SETTINGS, 0);
+        private long leaderUntilNanos = MILLISECONDS.toNanos(LEADER_LEASE_MILLIS);
+        private long nowNanos;
 
-        private World() {
+        private Simulation() {
             processes.add(new Process(host("a", 1)));
             processes.add(new Process(host("b", 1)));
         }
@@ -61,48 +61,51 @@
         void step(int operation, int choice) {
             switch (operation) {
                 case 0, 1 -> advance(1 + 13L * (choice % 199));
-                case 2, 3, 4 -> ask(pick(processes, choice));
-                case 5, 6, 7 -> decide(take(asked, choice));
-                case 8, 9, 10 -> grant(take(told, choice));
+                case 2, 3, 4 -> sendRenewal(pick(processes, choice));
+                case 5, 6, 7 -> deliverRenewal(take(pendingRenewals, choice));
+                case 8, 9, 10 -> deliverGrant(take(pendingGrants, choice));
                 case 11, 12 -> applyNext();
-                case 13 -> proposed.addAll(keeper.endExpired(now));
+                case 13 -> proposals.addAll(manager.endExpired(nowNanos));
                 case 14 -> restartOrSubmit(choice);
-                default -> leadOn(choice);
+                default -> renewOrChangeLeader(choice);
             }
         }
 
         private void advance(long millis) {
-            now += MILLISECONDS.toNanos(millis);
+            nowNanos += MILLISECONDS.toNanos(millis);
         }
 
-        private void ask(Process process) {
-            asked.add(new Asked(process, new LeaseRequest(process.record, process.inForce, 0), now));
+        private void sendRenewal(Process process) {
+            pendingRenewals.add(
+                    new PendingRenewal(process, new LeaseRequest(process.record, process.inForce, 0), nowNanos));
         }
 
-        private void decide(Asked ask) {
-            if (ask == null) {
+        private void deliverRenewal(PendingRenewal renewal) {
+            if (renewal == null) {
                 return;
             }
-            LeaseDecision decision = keeper.renew(ask.request(), now, leaderUntil, List.of());
+            LeaseDecision decision = manager.renew(renewal.request(), nowNanos, leaderUntilNanos, List.of());
             if (decision instanceof LeaseDecision.Join join) {
-                proposed.add(join.command());
+                proposals.add(join.command());
             } else if (((LeaseDecision.Answer) decision).answer() instanceof LeaseAnswer.Granted granted) {
-                told.add(new Told(ask.by(), granted, ask.atNanos()));
+                pendingGrants.add(new PendingGrant(renewal.sender(), granted, renewal.sentNanos()));
             }
         }
 
-        private void grant(Told answer) {
+        private void deliverGrant(PendingGrant answer) {
             if (answer == null) {
                 return;
             }
             ConfigVersion to = answer.grant().config().to();
-            answer.to().inForce = to.compareTo(answer.to().inForce) > 0 ? to : answer.to().inForce;
-            answer.to().lease.recordGrant(answer.askedNanos(), answer.grant().leaseMillis());
+            answer.recipient().inForce = to.compareTo(answer.recipient().inForce) > 0 ? to : answer.recipient().inForce;
+            answer.recipient()
+                    .lease
+                    .recordGrant(answer.sentNanos(), answer.grant().leaseMillis());
         }
 
         private void applyNext() {
-            if (!proposed.isEmpty()) {
-                control.apply(proposed.remove());
+            if (!proposals.isEmpty()) {
+                control.apply(proposals.remove());
             }
         }
 
@@ -120,36 +123,40 @@
          * The same leader renews its lease, or another one takes over once it has expired; proposals are lost or
          * applied first.
          */
-        private void leadOn(int choice) {
-            if (choice % 2 == 0 && now < leaderUntil) {
-                leaderUntil = now + MILLISECONDS.toNanos(LEADER_LEASE_MILLIS);
+        private void renewOrChangeLeader(int choice) {
+            if (choice % 2 == 0 && nowNanos < leaderUntilNanos) {
+                leaderUntilNanos = nowNanos + MILLISECONDS.toNanos(LEADER_LEASE_MILLIS);
                 return;
             }
-            now = Math.max(now, leaderUntil);
-            while (choice % 3 == 0 && !proposed.isEmpty()) {
+            nowNanos = Math.max(nowNanos, leaderUntilNanos);
+            while (choice % 3 == 0 && !proposals.isEmpty()) {
                 applyNext();
             }
-            proposed.clear();
-            keeper = new LeaseManager(control.state, SETTINGS, now);
-            leaderUntil = now + MILLISECONDS.toNanos(LEADER_LEASE_MILLIS);
+            proposals.clear();
+            manager = new LeaseManager(control.state, SETTINGS, nowNanos);
+            leaderUntilNanos = nowNanos + MILLISECONDS.toNanos(LEADER_LEASE_MILLIS);
         }
 
-        void check() {
+        void checkInvariants() {
             for (TicketRecord each :
                     control.state.tickets(new TicketListQuery(null, 99)).tickets()) {
-                if (keeper.status(each, now).inForce()) {
+                if (manager.status(each, nowNanos).inForce()) {
                     reported.add(((TicketOutcome.Accepted) each.outcome()).version());
                 }
             }
             for (Process each : processes) {
-                boolean admits = each.lease.isValid(now);
-                boolean old = !reported.isEmpty() && each.inForce.compareTo(reported.last()) < 0;
-                assertTrue(!admits || !old, () -> each.record.id() + " admits under an old configuration");
-                assertTrue(!admits || isKnown(each), () -> each.record.id() + " admits and is no member");
+                boolean admits = each.lease.isValid(nowNanos);
+                boolean outdated = !reported.isEmpty() && each.inForce.compareTo(reported.last()) < 0;
+                assertTrue(
+                        !admits || !outdated,
+                        () -> each.record.id() + " admits requests under an outdated configuration");
+                assertTrue(
+                        !admits || isMemberOrReplaced(each),
+                        () -> each.record.id() + " admits requests but is neither a member nor replaced");
             }
         }
 
-        private boolean isKnown(Process process) {
+        private boolean isMemberOrReplaced(Process process) {
             HostId id = process.record.id();
             boolean member = control.state.member(id).isPresent();
             return member || control.state.replacingIncarnation(process.record).isPresent();
@@ -165,11 +172,11 @@
     }
 
     @Property(seed = "43", tries = 2_000)
-    void inForceIsTrueAtEveryProcessThatAdmits(@ForAll("steps") List<Integer> steps) {
-        World world = new World();
+    void reportedTicketIsInForceAtEveryProcessThatAdmits(@ForAll("steps") List<Integer> steps) {
+        Simulation simulation = new Simulation();
         for (int each : steps) {
-            world.step(each % OPERATIONS, each / OPERATIONS);
-            world.check();
+            simulation.step(each % OPERATION_COUNT, each / OPERATION_COUNT);
+            simulation.checkInvariants();
         }
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
@@ -35,7 +35,7 @@
     private OrderPlan plan;
 
     @Test
-    void orderStatesEverythingAndIsRepeatedUntilItShows() {
+    void repeatsTheCompleteOrderUntilTheEngineReportsIt() {
         control.submit(1, model("m", "v2", 0), role("e1", "m", "v2", "roster"));
         observe("e1", "v1", true, 10_000);
 
@@ -54,9 +54,9 @@
 
     @Test
     void orderChangesTheRoleThatATicketNames() {
-        BackendRole asked =
+        BackendRole requested =
                 new BackendRole(BackendServerId.of("e1"), model("m", "v1").name(), "v1", List.of(), "prefill", true);
-        control.submit(1, model("m", "v1", 0), asked);
+        control.submit(1, model("m", "v1", 0), requested);
         observe("e1", "v1", true, 10_000);
 
         EngineOrder wanted =
@@ -67,7 +67,7 @@
     // An operator moves all replicas of a model to a new version at once. If all orders were sent together, no replica
     // would be ready and every request for the model would be refused while the weights load.
     @Test
-    void roleChangesKeepTheFloorOfReadyReplicas() {
+    void roleChangesKeepTheMinimumOfReadyReplicas() {
         control.submit(1, model("m", "v2", 2), role("e1", "m", "v2"), role("e2", "m", "v2"), role("e3", "m", "v2"));
         for (String each : List.of("e1", "e2", "e3")) {
             observe(each, "v1", true, 10_000);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void enginesNotReadLatelyNeitherCountNorGetOrders() {
+    void enginesWithStaleStateNeitherCountAsReadyNorReceiveOrders() {
         control.submit(1, model("m", "v2", 1), role("e1", "m", "v2"));
         observe("e1", "v1", true, 10_000);
         observe("e2", "v1", true, 4_000);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void weightLoadsShareTheStoresRate() {
+    void weightLoadsStayWithinTheStoresRate() {
         control.submit(1, model("m", "v2", 0), role("e1", "m", "v2"), role("e2", "m", "v2"), role("e3", "m", "v2"));
         for (String each : List.of("e1", "e2", "e3")) {
             observe(each, "v1", false, 10_000);
@@ -106,7 +106,7 @@
         assertEquals(2, ordered(10_100).size());
         assertHeld(LOAD_RATE);
         assertEquals(0, ordered(10_900).size());
-        assertEquals(3, ordered(11_200).size(), "two repeats and the third, whose token has come");
+        assertEquals(3, ordered(11_200).size(), "two repeats and the third order, for which a token is available");
     }
 
     // The earlier leader ordered an engine just before its lease ended. Some engines would execute that late order
@@ -114,7 +114,7 @@
     // has certainly ended, only harmless orders may be sent: those to engines that check fencing numbers and serve
     // nothing.
     @Test
-    void newLeaderWaitsTheEarlierLeaseOut() {
+    void newLeaderWaitsUntilTheEarlierLeaseHasExpired() {
         control.submit(1, model("m", "v2", 0), role("checks", "m", "v2"), role("ignores", "m", "v2"));
         control.submit(2, role("ready", "m", "v2"));
         observe("checks", "v1", false, 1_500);
@@ -148,7 +148,7 @@
     }
 
     @Test
-    void refusedOrdersAreNotRepeated() {
+    void rejectedOrdersAreNotRepeated() {
         control.submit(1, model("m", "v2", 0), role("e1", "m", "v2"));
         observe("e1", "v1", true, 10_000);
         EngineOrder order = ordered(10_100).get(0);
--- a/elmline-core/src/test/java/org/elmline/core/control/TicketPropertiesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/TicketPropertiesTest.java
@@ -33,11 +33,11 @@
     private record Step(Ticket ticket, boolean restart, boolean catchUp) {}
 
     /** Reference model: keeps every decided content and every object in one map each and applies the rules directly. */
-    private static final class NaiveTickets {
+    private static final class ReferenceTickets {
         private record Content(TicketNumber number, Set<ConfigObject> objects) {}
 
         private final Map<Content, String> decided = new HashMap<>();
-        private final Set<Long> winners = new HashSet<>();
+        private final Set<Long> takenNumbers = new HashSet<>();
         private final Map<String, Long> newest = new HashMap<>();
         private final Map<String, ConfigObject> objects = new HashMap<>();
 
@@ -46,7 +46,7 @@
             return decided.computeIfAbsent(content, c -> {
                 String outcome = decide(ticket);
                 if (outcome.equals("accepted")) {
-                    winners.add(ticket.number().value());
+                    takenNumbers.add(ticket.number().value());
                     ticket.objects().forEach(o -> objects.put(o.key(), o));
                     ticket.objects()
                             .forEach(o -> newest.put(o.key(), ticket.number().value()));
@@ -57,7 +57,7 @@
 
         private String decide(Ticket ticket) {
             long number = ticket.number().value();
-            if (winners.contains(number)) {
+            if (takenNumbers.contains(number)) {
                 return "TICKET_NUMBER_TAKEN";
             }
             if (ticket.objects().stream().anyMatch(o -> newest.getOrDefault(o.key(), -1L) > number)) {
@@ -75,21 +75,21 @@
     }
 
     @Property(seed = "41", tries = 300)
-    void decidesLikeTheNaiveVersion(@ForAll("steps") List<Step> steps) {
+    void decidesLikeTheReferenceModel(@ForAll("steps") List<Step> steps) {
         ControlFixture control = new ControlFixture();
-        NaiveTickets naive = new NaiveTickets();
+        ReferenceTickets reference = new ReferenceTickets();
         Configuration follower = Configuration.EMPTY;
         for (Step each : steps) {
             if (each.restart()) {
                 control.restart();
             }
             Configuration before = control.state.configuration();
-            String expected = naive.submit(each.ticket());
+            String expected = reference.submit(each.ticket());
 
-            assertEquals(expected, word(control.submit(each.ticket())));
+            assertEquals(expected, outcomeName(control.submit(each.ticket())));
 
-            nothingReverts(before, control.state.configuration());
-            assertEquals(naive.objects, objects(control.state.configuration()));
+            checkNothingReverts(before, control.state.configuration());
+            assertEquals(reference.objects, objects(control.state.configuration()));
             if (each.catchUp()) {
                 ConfigDelta delta = control.state.configSince(follower.version());
                 follower = follower.with(delta);
@@ -101,7 +101,7 @@
     // With hardly any records retained, a ticket that was accepted once may be refused as stale, but nothing is applied
     // twice and nothing reverts.
     @Property(seed = "42", tries = 300)
-    void nothingRevertsWithFewRecords(@ForAll("steps") List<Step> steps) {
+    void nothingRevertsWithFewRetainedRecords(@ForAll("steps") List<Step> steps) {
         ControlFixture control = new ControlFixture();
         control.limits(new ControlLimits(2, 10, 10, 1_000, 10, 10));
         Map<Long, String> accepted = new HashMap<>();
@@ -113,7 +113,7 @@
 
             control.submit(each.ticket());
 
-            nothingReverts(before, control.state.configuration());
+            checkNothingReverts(before, control.state.configuration());
             boolean applied =
                     !before.version().equals(control.state.configuration().version());
             if (applied) {
@@ -124,11 +124,11 @@
         }
     }
 
-    private static void nothingReverts(Configuration before, Configuration after) {
+    private static void checkNothingReverts(Configuration before, Configuration after) {
         for (VersionedObject old : before.objects()) {
-            VersionedObject now = after.object(old.object().key()).orElseThrow();
-            boolean same = now.equals(old);
-            assertTrue(same || now.ticket().compareTo(old.ticket()) > 0, old + " became " + now);
+            VersionedObject current = after.object(old.object().key()).orElseThrow();
+            boolean same = current.equals(old);
+            assertTrue(same || current.ticket().compareTo(old.ticket()) > 0, old + " became " + current);
         }
     }
 
@@ -137,7 +137,7 @@
                 .collect(Collectors.toMap(o -> o.object().key(), o -> o.object()));
     }
 
-    private static String word(TicketOutcome outcome) {
+    private static String outcomeName(TicketOutcome outcome) {
         return outcome instanceof TicketOutcome.Refused refused
                 ? refused.reason().name()
                 : "accepted";
--- a/elmline-core/src/test/java/org/elmline/core/control/TicketTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/TicketTest.java
@@ -27,19 +27,19 @@
     // to be in force if the second overwrote the first, or if each host decided separately. The log orders them; the
     // refusal of the second must name the accepted ticket, so that its author can compare.
     @Test
-    void twoOperatorsRaceOneNumber() {
+    void secondContentUnderOneNumberIsRefused() {
         Ticket first = ticket(7, "nok", model("elm-desk", "v1"));
         Ticket second = ticket(7, "ana", model("elm-desk", "v2"));
 
-        TicketOutcome won = control.submit(first);
-        TicketOutcome lost = control.submit(second);
+        TicketOutcome firstOutcome = control.submit(first);
+        TicketOutcome secondOutcome = control.submit(second);
 
-        assertEquals(new TicketOutcome.Accepted(ConfigVersion.of(1)), won);
-        assertEquals(RefusalReason.TICKET_NUMBER_TAKEN, reason(lost));
-        String message = ((TicketOutcome.Refused) lost).message();
+        assertEquals(new TicketOutcome.Accepted(ConfigVersion.of(1)), firstOutcome);
+        assertEquals(RefusalReason.TICKET_NUMBER_TAKEN, reason(secondOutcome));
+        String message = ((TicketOutcome.Refused) secondOutcome).message();
         assertTrue(message.contains("nok") && message.contains(TicketDigest.of(first)), message);
         assertEquals("v1", servedVersion("elm-desk"));
-        assertEquals(lost, control.submit(second));
+        assertEquals(secondOutcome, control.submit(second));
     }
 
     // An operator's answer is lost and the client sends the ticket again, to another host, after a restart and after a
@@ -95,26 +95,26 @@
     }
 
     @Test
-    void namesThatDoNotExistAreRefused() {
+    void rejectsUnknownNamesAndSharedApiKeys() {
         control.submit(1, model("elm-desk", "v1"), organisation("snowpaw", "k1"));
         Model gone = new Model(ModelName.of("gone"), "v1", List.of(), 1, 1, 0, true);
-        List<List<ConfigObject>> faulty = List.of(
+        List<List<ConfigObject>> invalid = List.of(
                 List.of(role("e1", "none", "v1")),
                 List.of(role("e1", "elm-desk", "v1", "roster", "latte")),
                 List.of(gone, role("e1", "gone", "v1")),
                 List.of(organisation("zrno", "k1")),
                 List.of(organisation("a", "k2"), organisation("b", "k2")));
-        List<List<ConfigObject>> sound = List.of(
+        List<List<ConfigObject>> valid = List.of(
                 List.of(role("e1", "elm-desk", "v1", "roster")),
                 List.of(organisation("snowpaw", "k1", "k3")),
                 List.of(organisation("snowpaw", "k4"), organisation("zrno", "k1")));
 
         long number = 2;
-        for (List<ConfigObject> each : faulty) {
+        for (List<ConfigObject> each : invalid) {
             assertEquals(
                     RefusalReason.BAD_REQUEST, reason(control.submit(new Ticket(TicketNumber.of(number++), "", each))));
         }
-        for (List<ConfigObject> each : sound) {
+        for (List<ConfigObject> each : valid) {
             TicketOutcome outcome = control.submit(new Ticket(TicketNumber.of(number++), "", each));
             assertTrue(outcome instanceof TicketOutcome.Accepted, outcome.toString());
         }
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void digestTellsContentsApart() {
+    void digestDiffersForDifferentContents() {
         Ticket base = ticket(1, "nok", model("a", "v1"), model("b", "v1"));
 
         assertEquals(TicketDigest.of(base), TicketDigest.of(ticket(1, "ana", model("b", "v1"), model("a", "v1"))));
