--- a/elmline-core/src/main/java/org/elmline/core/control/HostLease.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/HostLease.java
@@ -22,11 +22,11 @@
     /**
      * Records a grant.
      *
-     * @param askedNanos this process's monotonic clock when it sent the request that was granted
-     * @param leaseMillis length of the lease, counted from {@code askedNanos}
+     * @param requestedNanos this process's monotonic clock when it sent the request that was granted
+     * @param leaseMillis length of the lease, counted from {@code requestedNanos}
      */
-    public synchronized void recordGrant(long askedNanos, long leaseMillis) {
-        long until = askedNanos + TimeUnit.MILLISECONDS.toNanos(leaseMillis);
+    public synchronized void recordGrant(long requestedNanos, long leaseMillis) {
+        long until = requestedNanos + TimeUnit.MILLISECONDS.toNanos(leaseMillis);
         untilNanos = held && untilNanos - until > 0 ? untilNanos : until;
         held = true;
     }
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseManager.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseManager.java
@@ -40,11 +40,11 @@
         private long endProposedVersion = -1;
 
         /**
-         * Extends the lease from the time of a request. Also applied to a process that is about to join; otherwise its
+         * Extends the lease from the arrival of a request. Also applied to a process that is about to join; otherwise its
          * membership would end before its first grant.
          */
-        private void extend(long askedNanos) {
-            long until = askedNanos + settings.leaderLeaseNanos();
+        private void extend(long receivedNanos) {
+            long until = receivedNanos + settings.leaderLeaseNanos();
             untilNanos = untilNanos - until >= 0 ? untilNanos : until;
         }
     }
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseSettings.java
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Nanoseconds after a request until the leader treats the lease as expired. */
+    /** Nanoseconds after the arrival of a request until the leader treats the lease as expired. */
     long leaderLeaseNanos() {
         return TimeUnit.MILLISECONDS.toNanos(leaseMillis + graceMillis);
     }
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
@@ -153,35 +153,35 @@
                 hold(engine, HoldReason.NOT_OBSERVED);
                 return;
             }
-            EngineOrder wanted = new EngineOrder(
+            EngineOrder desired = new EngineOrder(
                     leadership.fencing(),
                     role.model(),
                     role.version(),
                     role.adapters(),
                     role.role().isEmpty() ? engine.state().role() : role.role());
-            if (matches(engine.state(), wanted) && !isAwaitingEffect(engine.id())) {
+            if (matches(engine.state(), desired) && !isAwaitingEffect(engine.id())) {
                 return;
             }
-            HoldReason reason = holdReason(engine, role, wanted);
+            HoldReason reason = holdReason(engine, role, desired);
             if (reason != null) {
                 hold(engine, reason);
                 return;
             }
-            addOrder(engine, wanted);
+            addOrder(engine, desired);
         }
 
         private void hold(ObservedEngine engine, HoldReason reason) {
             held.add(new OrderPlan.Held(engine.id(), reason));
         }
 
-        private HoldReason holdReason(ObservedEngine engine, BackendRole role, EngineOrder wanted) {
+        private HoldReason holdReason(ObservedEngine engine, BackendRole role, EngineOrder desired) {
             if (deposed || !leaseLongEnough) {
                 return HoldReason.LEADER_LEASE;
             }
             if (configuration.model(role.model()).isEmpty()) {
                 return HoldReason.MODEL_REMOVED;
             }
-            if (wanted.equals(rejected.get(engine.id()))) {
+            if (desired.equals(rejected.get(engine.id()))) {
                 return HoldReason.REJECTED;
             }
             boolean checksFencing = engine.checksFencing() && role.checksFencing();
@@ -189,11 +189,11 @@
                 return HoldReason.LEADER_SETTLING;
             }
             SentOrder last = lastOrders.get(engine.id());
-            if (isEarlierOrderInFlight(last, wanted)) {
+            if (isEarlierOrderInFlight(last, desired)) {
                 return HoldReason.EARLIER_ORDER;
             }
             boolean awaitingEffect = isAwaitingEffect(engine.id());
-            if (awaitingEffect && last.order().equals(wanted)) {
+            if (awaitingEffect && last.order().equals(desired)) {
                 return nowNanos - last.sentAtNanos() < settings.repeatNanos() ? HoldReason.AWAITING_EFFECT : null;
             }
             if (!awaitingEffect
@@ -201,7 +201,9 @@
                     && !staysAboveFloor(engine.state().model())) {
                 return HoldReason.READY_FLOOR;
             }
-            return needsLoad(engine.state(), wanted) && !loadRateLimit.tryTake(nowNanos) ? HoldReason.LOAD_RATE : null;
+            return needsLoad(engine.state(), desired) && !loadRateLimit.tryAcquire(nowNanos)
+                    ? HoldReason.LOAD_RATE
+                    : null;
         }
 
         /**
@@ -209,9 +211,9 @@
          * engine that is slow to act on the earlier one, or on a repeat of it, would revert to it after the later one
          * took effect. The replica would unexpectedly stop being ready.
          */
-        private boolean isEarlierOrderInFlight(SentOrder last, EngineOrder wanted) {
+        private boolean isEarlierOrderInFlight(SentOrder last, EngineOrder desired) {
             return last != null
-                    && !last.order().equals(wanted)
+                    && !last.order().equals(desired)
                     && nowNanos - last.sentAtNanos() < leadership.leaseNanos();
         }
 
@@ -234,18 +236,18 @@
             return readyReplicas.getOrDefault(model, 0) - 1 >= floor;
         }
 
-        private boolean needsLoad(EngineState state, EngineOrder wanted) {
-            return !state.model().equals(wanted.model())
-                    || !state.version().equals(wanted.version())
-                    || !state.adapters().containsAll(wanted.adapters());
+        private boolean needsLoad(EngineState state, EngineOrder desired) {
+            return !state.model().equals(desired.model())
+                    || !state.version().equals(desired.version())
+                    || !state.adapters().containsAll(desired.adapters());
         }
 
-        private void addOrder(ObservedEngine engine, EngineOrder wanted) {
+        private void addOrder(ObservedEngine engine, EngineOrder desired) {
             if (!isAwaitingEffect(engine.id()) && engine.state().ready()) {
                 readyReplicas.merge(engine.state().model(), -1, Integer::sum);
             }
-            lastOrders.put(engine.id(), new SentOrder(wanted, nowNanos, false));
-            orders.add(new PlannedOrder(engine.id(), wanted, sendDeadlineNanos));
+            lastOrders.put(engine.id(), new SentOrder(desired, nowNanos, false));
+            orders.add(new PlannedOrder(engine.id(), desired, sendDeadlineNanos));
         }
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/TokenBucket.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TokenBucket.java
@@ -20,7 +20,7 @@
         this.refilledAtNanos = nowNanos;
     }
 
-    boolean tryTake(long nowNanos) {
+    boolean tryAcquire(long nowNanos) {
         tokens = Math.min(capacity, tokens + tokensPerMinute * (nowNanos - refilledAtNanos) / NANOS_PER_MINUTE);
         refilledAtNanos = nowNanos;
         if (tokens < 1) {
--- a/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
@@ -39,15 +39,15 @@
         control.submit(1, model("m", "v2", 0), role("e1", "m", "v2", "roster"));
         observe("e1", "v1", true, 10_000);
 
-        EngineOrder wanted =
+        EngineOrder desired =
                 new EngineOrder(FencingNumber.of(7), model("m", "v2").name(), "v2", List.of("roster"), "decode");
-        assertEquals(List.of(wanted), ordered(10_100));
+        assertEquals(List.of(desired), ordered(10_100));
         assertEquals(List.of(), ordered(10_200));
         assertHeld(AWAITING_EFFECT);
         observe("e1", "v1", true, 11_000);
-        assertEquals(List.of(wanted), ordered(11_100));
+        assertEquals(List.of(desired), ordered(11_100));
 
-        engines.put("e1", observed("e1", wanted.version(), wanted.adapters(), false, 11_200));
+        engines.put("e1", observed("e1", desired.version(), desired.adapters(), false, 11_200));
         assertEquals(List.of(), ordered(11_300));
         assertHeld();
     }
@@ -59,9 +59,9 @@
         control.submit(1, model("m", "v1", 0), requested);
         observe("e1", "v1", true, 10_000);
 
-        EngineOrder wanted =
+        EngineOrder desired =
                 new EngineOrder(FencingNumber.of(7), model("m", "v1").name(), "v1", List.of(), "prefill");
-        assertEquals(List.of(wanted), ordered(10_100));
+        assertEquals(List.of(desired), ordered(10_100));
     }
 
     // An operator moves all replicas of a model to a new version at once. If all orders were sent together, no replica
