--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimStore.java
@@ -12,11 +12,12 @@
 import org.elmline.core.common.RefusalReason;
 
 /**
- * The claims on calls that may run at most once.
+ * Stores the claims on calls that may run at most once. Not safe for concurrent use.
  *
- * <p>A claim is dropped only when its key is too old, by a floor that never falls, to be accepted again. Time is the
- * greatest wall clock that any command brought, so that a leader whose clock is behind its predecessor's can't bring an
- * expired key back; were the floor computed from the retention alone, a longer retention set later could.
+ * <p>A claim is dropped only when its key is older than a floor that never falls, so that the key is never accepted
+ * again. Time is the greatest wall clock of any command: a leader whose clock is behind its predecessor's can't make an
+ * expired key valid again. Computed from the retention alone, the floor would fall when a longer retention is set
+ * later.
  */
 final class ClaimStore {
     private final TreeMap<ClaimKey, Claim> claims = new TreeMap<>();
@@ -97,9 +98,9 @@
                     RefusalReason.KEY_EXPIRED,
                     "the idempotency key was issued too long ago; whether its call ran is no longer known");
         }
-        Claim held = claims.get(key);
-        if (held != null) {
-            return beginExisting(held, begin);
+        Claim current = claims.get(key);
+        if (current != null) {
+            return beginExisting(current, begin);
         }
         Optional<ClaimOutcome> refusal = newClaimRefusal(key, limits);
         if (refusal.isPresent()) {
@@ -125,29 +126,29 @@
         return Optional.empty();
     }
 
-    private ClaimOutcome beginExisting(Claim held, ClaimBegin begin) {
-        if (!held.requestDigest().equals(begin.requestDigest())) {
+    private ClaimOutcome beginExisting(Claim current, ClaimBegin begin) {
+        if (!current.requestDigest().equals(begin.requestDigest())) {
             return new ClaimOutcome.Refused(
                     RefusalReason.IDEMPOTENCY_CONFLICT, "the idempotency key was used for another request");
         }
-        boolean same = held.owner().equals(begin.owner());
-        switch (held.state()) {
+        boolean sameOwner = current.owner().equals(begin.owner());
+        switch (current.state()) {
             case RECORDED:
-                return new ClaimOutcome.Recorded(held.answer());
+                return new ClaimOutcome.Recorded(current.answer());
             case BEGUN:
-                return same
+                return sameOwner
                         ? new ClaimOutcome.Granted()
-                        : new ClaimOutcome.MayHaveRun(held.owner().host());
+                        : new ClaimOutcome.MayHaveRun(current.owner().host());
             case RELEASED:
-                return same ? new ClaimOutcome.NotOwner() : reassignReleased(begin);
+                return sameOwner ? new ClaimOutcome.NotOwner() : reassignReleased(begin);
             default:
-                throw new IllegalStateException("unknown claim state " + held.state());
+                throw new IllegalStateException("unknown claim state " + current.state());
         }
     }
 
     /**
-     * A released claim never goes back to the session that released it: a begin of that session which arrives late would
-     * leave the claim begun with nobody to finish it.
+     * Grants a released claim to another session. It is never granted again to the session that released it: a late
+     * begin of that session would leave the claim begun with no session to finish it.
      */
     private ClaimOutcome reassignReleased(ClaimBegin begin) {
         claims.put(begin.key(), new Claim(begin.key(), begin.requestDigest(), begin.owner(), ClaimState.BEGUN, null));
@@ -155,20 +156,21 @@
     }
 
     private ClaimOutcome finish(ClaimFinish finish, ControlLimits limits) {
-        Claim held = claims.get(finish.key());
-        if (held == null || !held.owner().equals(finish.owner())) {
+        Claim current = claims.get(finish.key());
+        if (current == null || !current.owner().equals(finish.owner())) {
             return new ClaimOutcome.NotOwner();
         }
-        ClaimState wanted = finish.answer() == null ? ClaimState.RELEASED : ClaimState.RECORDED;
-        if (held.state() == wanted) {
+        ClaimState targetState = finish.answer() == null ? ClaimState.RELEASED : ClaimState.RECORDED;
+        if (current.state() == targetState) {
             return new ClaimOutcome.Finished();
         }
-        if (held.state() != ClaimState.BEGUN) {
+        if (current.state() != ClaimState.BEGUN) {
             return new ClaimOutcome.NotOwner();
         }
         RecordedAnswer answer =
                 finish.answer() == null ? null : finish.answer().truncatedTo(limits.recordedBodyBytes());
-        claims.put(finish.key(), new Claim(finish.key(), held.requestDigest(), held.owner(), wanted, answer));
+        claims.put(
+                finish.key(), new Claim(finish.key(), current.requestDigest(), current.owner(), targetState, answer));
         return new ClaimOutcome.Finished();
     }
 
--- a/elmline-core/src/main/java/org/elmline/core/control/MemberStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/MemberStore.java
@@ -10,7 +10,10 @@
 import org.elmline.core.common.HostId;
 import org.elmline.core.common.Incarnation;
 
-/** The live hosts. Only their comings, goings and changes are replicated; renewals stay in the leader's memory. */
+/**
+ * Stores the live hosts. Only joins, ends and changes of members are replicated; renewals stay in the leader's memory.
+ * Not safe for concurrent use.
+ */
 final class MemberStore {
     private final TreeMap<HostId, Member> members = new TreeMap<>();
     private final TreeMap<HostId, EndedHost> ended = new TreeMap<>();
@@ -46,28 +49,31 @@
         return Optional.ofNullable(members.get(id));
     }
 
-    /** The incarnation that keeps this process from joining, if one does. */
+    /** Returns the incarnation that prevents this process from joining, if there is one. */
     Optional<Incarnation> replacingIncarnation(HostRecord host) {
-        Member live = members.get(host.id());
-        if (live == null) {
-            EndedHost over = ended.get(host.id());
-            boolean older = over != null && host.incarnation().compareTo(over.incarnation()) < 0;
-            return older ? Optional.of(over.incarnation()) : Optional.empty();
+        Member current = members.get(host.id());
+        if (current == null) {
+            EndedHost endedHost = ended.get(host.id());
+            boolean earlierIncarnation = endedHost != null && host.incarnation().compareTo(endedHost.incarnation()) < 0;
+            return earlierIncarnation ? Optional.of(endedHost.incarnation()) : Optional.empty();
         }
-        int order = host.incarnation().compareTo(live.host().incarnation());
-        boolean twin = order == 0 && !host.peers().equals(live.host().peers());
-        return order < 0 || twin ? Optional.of(live.host().incarnation()) : Optional.empty();
+        int order = host.incarnation().compareTo(current.host().incarnation());
+        boolean sameIncarnationElsewhere =
+                order == 0 && !host.peers().equals(current.host().peers());
+        return order < 0 || sameIncarnationElsewhere
+                ? Optional.of(current.host().incarnation())
+                : Optional.empty();
     }
 
     /**
-     * The record that a join would leave. A process that was leaving stays so: an older renewal that arrives late would
-     * otherwise offer a stopping host to callers again.
+     * Returns the record that a join would store. The leaving flag of a process is never cleared: otherwise a delayed
+     * older renewal would offer a stopping host to callers again.
      */
     HostRecord mergeLeaving(HostRecord host) {
-        Member live = members.get(host.id());
-        boolean wasLeaving = live != null
-                && live.host().leaving()
-                && live.host().incarnation().equals(host.incarnation());
+        Member current = members.get(host.id());
+        boolean wasLeaving = current != null
+                && current.host().leaving()
+                && current.host().incarnation().equals(host.incarnation());
         if (host.leaving() || !wasLeaving) {
             return host;
         }
@@ -83,9 +89,9 @@
     }
 
     CommandResult join(HostRecord host) {
-        Optional<Incarnation> by = replacingIncarnation(host);
-        if (by.isPresent()) {
-            return new CommandResult.HostReplaced(by.get());
+        Optional<Incarnation> replacement = replacingIncarnation(host);
+        if (replacement.isPresent()) {
+            return new CommandResult.HostReplaced(replacement.get());
         }
         HostRecord merged = mergeLeaving(host);
         version++;
@@ -95,11 +101,11 @@
     }
 
     CommandResult end(Command.EndHost end, int limit) {
-        Member live = members.get(end.host());
-        boolean meant = live != null
-                && live.version() == end.joinedAt()
-                && live.host().incarnation().equals(end.incarnation());
-        if (!meant) {
+        Member current = members.get(end.host());
+        boolean currentMembership = current != null
+                && current.version() == end.joinedAt()
+                && current.host().incarnation().equals(end.incarnation());
+        if (!currentMembership) {
             return new CommandResult.HostEnded(false);
         }
         members.remove(end.host());
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
@@ -19,12 +19,15 @@
 import org.elmline.core.engine.OrderAnswer;
 
 /**
- * Decides a leader's orders to engines: one planner for each leadership. An order states the whole wanted state and is
- * repeated until it shows in the state read back from the engine, so that a lost order, a lost answer and an engine
- * that restarted need no cases of their own. Not safe for concurrent use.
+ * Decides a leader's orders to engines; each leadership has its own planner. An order contains the complete configured
+ * state and is repeated until the state read back from the engine matches it, so that a lost order, a lost answer and a
+ * restarted engine need no special handling. Not safe for concurrent use.
  */
 public final class OrderPlanner {
-    /** An order gets up to half of what remains of the lease, and isn't sent for less than this part of its timeout. */
+    /**
+     * The timeout of an order is at most half of the remaining lease; below this fraction of the configured timeout the
+     * order is not sent.
+     */
     private static final int MIN_TIMEOUT_DIVISOR = 10;
 
     private final OrderSettings settings;
@@ -34,7 +37,7 @@
     private final Map<BackendServerId, EngineOrder> rejected = new HashMap<>();
     private boolean deposed;
 
-    /** The last order to an engine; {@code shown} once its state was read back with it. */
+    /** The last order to an engine; {@code observed} once the state read back from it matched. */
     private record SentOrder(EngineOrder order, long sentAtNanos, boolean observed) {}
 
     public OrderPlanner(OrderSettings settings, Leadership leadership) {
@@ -45,27 +48,28 @@
     }
 
     /**
-     * The orders to send now.
+     * Plans the orders to send now.
      *
-     * @param engines all announced engines; one that is left out is treated as gone
-     * @param leaderUntilNanos end of the leader's own lease
+     * @param engines all announced engines; one that is missing is treated as gone
+     * @param nowNanos the leader's monotonic clock
+     * @param leaderUntilNanos end of the leader's own lease, on the same clock
      */
     public OrderPlan plan(
             Configuration configuration, Collection<ObservedEngine> engines, long nowNanos, long leaderUntilNanos) {
-        Map<BackendServerId, ObservedEngine> byId = new TreeMap<>();
-        engines.forEach(e -> byId.put(e.id(), e));
-        lastOrders.keySet().retainAll(byId.keySet());
-        rejected.keySet().retainAll(byId.keySet());
-        byId.values().forEach(this::markObserved);
-        PlanningPass round =
-                new PlanningPass(configuration, nowNanos, leaderUntilNanos, readyReplicas(byId.values(), nowNanos));
-        for (ObservedEngine each : byId.values()) {
-            round.planEngine(each);
+        Map<BackendServerId, ObservedEngine> enginesById = new TreeMap<>();
+        engines.forEach(e -> enginesById.put(e.id(), e));
+        lastOrders.keySet().retainAll(enginesById.keySet());
+        rejected.keySet().retainAll(enginesById.keySet());
+        enginesById.values().forEach(this::markObserved);
+        PlanningPass pass = new PlanningPass(
+                configuration, nowNanos, leaderUntilNanos, readyReplicas(enginesById.values(), nowNanos));
+        for (ObservedEngine each : enginesById.values()) {
+            pass.planEngine(each);
         }
-        return new OrderPlan(round.orders, round.held);
+        return new OrderPlan(pass.orders, pass.held);
     }
 
-    /** Takes an engine's answer to an order. */
+    /** Records an engine's answer to an order. */
     public void onAnswer(BackendServerId server, EngineOrder order, OrderAnswer answer) {
         if (answer == OrderAnswer.STALE_FENCING_NUMBER) {
             deposed = true;
@@ -90,14 +94,14 @@
     }
 
     /**
-     * Ready replicas of each model that will stay so. An engine with an order on its way doesn't count, although it
-     * still says ready: it stops being so the moment the order arrives.
+     * Counts the replicas of each model that will stay ready. An engine with an order in flight is not counted although
+     * it still reports ready: it stops being ready as soon as the order arrives.
      */
     private Map<ModelName, Integer> readyReplicas(Collection<ObservedEngine> engines, long nowNanos) {
         Map<ModelName, Integer> ready = new HashMap<>();
         for (ObservedEngine each : engines) {
-            boolean counts = isFresh(each, nowNanos) && !each.leaving() && !isAwaitingEffect(each.id());
-            if (counts && each.state().ready()) {
+            boolean willStayReady = isFresh(each, nowNanos) && !each.leaving() && !isAwaitingEffect(each.id());
+            if (willStayReady && each.state().ready()) {
                 ready.merge(each.state().model(), 1, Integer::sum);
             }
         }
@@ -115,7 +119,10 @@
                 && Objects.equals(state.role(), order.role());
     }
 
-    /** One pass over the engines; what is ordered early in it counts for the floor and the rate of the later ones. */
+    /**
+     * One pass over the engines; orders planned early in it count towards the minimum of ready replicas and the load
+     * rate of later ones.
+     */
     private final class PlanningPass {
         private final Configuration configuration;
         private final long nowNanos;
@@ -136,45 +143,45 @@
         }
 
         private void planEngine(ObservedEngine engine) {
-            VersionedObject found =
+            VersionedObject roleObject =
                     configuration.object("backend-role/" + engine.id()).orElse(null);
-            if (found == null || engine.leaving()) {
+            if (roleObject == null || engine.leaving()) {
                 return;
             }
-            BackendRole role = (BackendRole) found.object();
+            BackendRole role = (BackendRole) roleObject.object();
             if (!isFresh(engine, nowNanos)) {
                 hold(engine, HoldReason.NOT_OBSERVED);
                 return;
             }
-            EngineOrder wanted = new EngineOrder(
+            EngineOrder desired = new EngineOrder(
                     leadership.fencing(),
                     role.model(),
                     role.version(),
                     role.adapters(),
                     role.role().isEmpty() ? engine.state().role() : role.role());
-            if (matches(engine.state(), wanted) && !isAwaitingEffect(engine.id())) {
+            if (matches(engine.state(), desired) && !isAwaitingEffect(engine.id())) {
                 return;
             }
-            HoldReason reason = holdReason(engine, role, wanted);
+            HoldReason reason = holdReason(engine, role, desired);
             if (reason != null) {
                 hold(engine, reason);
                 return;
             }
-            addOrder(engine, wanted);
+            addOrder(engine, desired);
         }
 
         private void hold(ObservedEngine engine, HoldReason reason) {
             held.add(new OrderPlan.Held(engine.id(), reason));
         }
 
-        private HoldReason holdReason(ObservedEngine engine, BackendRole role, EngineOrder wanted) {
+        private HoldReason holdReason(ObservedEngine engine, BackendRole role, EngineOrder desired) {
             if (deposed || !leaseLongEnough) {
                 return HoldReason.LEADER_LEASE;
             }
             if (configuration.model(role.model()).isEmpty()) {
                 return HoldReason.MODEL_REMOVED;
             }
-            if (wanted.equals(rejected.get(engine.id()))) {
+            if (desired.equals(rejected.get(engine.id()))) {
                 return HoldReason.REJECTED;
             }
             boolean checksFencing = engine.checksFencing() && role.checksFencing();
@@ -182,40 +189,43 @@
                 return HoldReason.LEADER_SETTLING;
             }
             SentOrder last = lastOrders.get(engine.id());
-            if (isEarlierOrderInFlight(last, wanted)) {
+            if (isEarlierOrderInFlight(last, desired)) {
                 return HoldReason.EARLIER_ORDER;
             }
-            boolean awaited = isAwaitingEffect(engine.id());
-            if (awaited && last.order().equals(wanted)) {
+            boolean awaitingEffect = isAwaitingEffect(engine.id());
+            if (awaitingEffect && last.order().equals(desired)) {
                 return nowNanos - last.sentAtNanos() < settings.repeatNanos() ? HoldReason.AWAITING_EFFECT : null;
             }
-            if (!awaited
+            if (!awaitingEffect
                     && isDisruptive(engine)
                     && !staysAboveFloor(engine.state().model())) {
                 return HoldReason.READY_FLOOR;
             }
-            return needsLoad(engine.state(), wanted) && !loadRateLimit.tryTake(nowNanos) ? HoldReason.LOAD_RATE : null;
+            return needsLoad(engine.state(), desired) && !loadRateLimit.tryAcquire(nowNanos)
+                    ? HoldReason.LOAD_RATE
+                    : null;
         }
 
         /**
-         * An engine that is slow to act on an order, or on a repeat of one, would go back to it after the next one was
-         * in effect: both carry the same fencing number. The replica would stop being ready with nobody expecting it.
+         * Whether another order to this engine may still take effect. Both orders carry the same fencing number, so an
+         * engine that is slow to act on the earlier one, or on a repeat of it, would revert to it after the later one
+         * took effect. The replica would unexpectedly stop being ready.
          */
-        private boolean isEarlierOrderInFlight(SentOrder last, EngineOrder wanted) {
+        private boolean isEarlierOrderInFlight(SentOrder last, EngineOrder desired) {
             return last != null
-                    && !last.order().equals(wanted)
+                    && !last.order().equals(desired)
                     && nowNanos - last.sentAtNanos() < leadership.leaseNanos();
         }
 
         /**
-         * A state read before the earlier leader's lease was over may miss the effect of its last orders, and an order
-         * of ours could meet one of its own on the way.
+         * Whether the state was read after the earlier leader's lease ended. An earlier state may miss the effect of
+         * that leader's last orders, and an order sent now could conflict with one of them still in flight.
          */
         private boolean isSettledFor(ObservedEngine engine) {
             return engine.observedNanos() - leadership.settledNanos() >= 0;
         }
 
-        /** Whether the engine serves a model now that an order takes out of service for a while. */
+        /** Whether the engine now serves a model that an order would take out of service for a while. */
         private boolean isDisruptive(ObservedEngine engine) {
             EngineState state = engine.state();
             return state.ready() && configuration.model(state.model()).isPresent();
@@ -226,18 +236,18 @@
             return readyReplicas.getOrDefault(model, 0) - 1 >= floor;
         }
 
-        private boolean needsLoad(EngineState state, EngineOrder wanted) {
-            return !state.model().equals(wanted.model())
-                    || !state.version().equals(wanted.version())
-                    || !state.adapters().containsAll(wanted.adapters());
+        private boolean needsLoad(EngineState state, EngineOrder desired) {
+            return !state.model().equals(desired.model())
+                    || !state.version().equals(desired.version())
+                    || !state.adapters().containsAll(desired.adapters());
         }
 
-        private void addOrder(ObservedEngine engine, EngineOrder wanted) {
+        private void addOrder(ObservedEngine engine, EngineOrder desired) {
             if (!isAwaitingEffect(engine.id()) && engine.state().ready()) {
                 readyReplicas.merge(engine.state().model(), -1, Integer::sum);
             }
-            lastOrders.put(engine.id(), new SentOrder(wanted, nowNanos, false));
-            orders.add(new PlannedOrder(engine.id(), wanted, sendDeadlineNanos));
+            lastOrders.put(engine.id(), new SentOrder(desired, nowNanos, false));
+            orders.add(new PlannedOrder(engine.id(), desired, sendDeadlineNanos));
         }
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketStore.java
@@ -16,11 +16,11 @@
 import org.elmline.core.config.VersionedObject;
 
 /**
- * Decides tickets and holds the configuration they make.
+ * Decides tickets and holds the configuration that results from them. Not safe for concurrent use.
  *
- * <p>Kept for ever: each object's newest ticket number, which alone keeps an older ticket from reverting it. Kept for a
- * bounded number of tickets: the decision, for a resend to find. A number at or below the highest one dropped is
- * refused, so a ticket whose record is gone is never applied a second time.
+ * <p>Kept indefinitely: each object's highest ticket number, which alone prevents an older ticket from reverting the
+ * object. Kept for a bounded number of tickets: the decision, to answer a resend. A number at or below the highest one
+ * dropped is refused, so that a ticket whose record is gone is never applied a second time.
  */
 final class TicketStore {
     private final TreeMap<TicketNumber, List<TicketRecord>> records = new TreeMap<>();
@@ -61,7 +61,7 @@
         return outcome;
     }
 
-    /** The accepted record of a number, or else its first refused one. */
+    /** The accepted record of a number, else its first refused one. */
     Optional<TicketRecord> record(TicketNumber number) {
         List<TicketRecord> found = records.getOrDefault(number, List.of());
         for (TicketRecord each : found) {
@@ -102,9 +102,9 @@
     }
 
     private Optional<TicketOutcome> refusal(Ticket ticket) {
-        Optional<TicketRecord> winner = record(ticket.number()).filter(TicketRecord::accepted);
-        if (winner.isPresent()) {
-            return refuse(RefusalReason.TICKET_NUMBER_TAKEN, numberTakenMessage(winner.get()));
+        Optional<TicketRecord> accepted = record(ticket.number()).filter(TicketRecord::accepted);
+        if (accepted.isPresent()) {
+            return refuse(RefusalReason.TICKET_NUMBER_TAKEN, numberTakenMessage(accepted.get()));
         }
         if (floor != null && ticket.number().compareTo(floor) <= 0) {
             return refuse(
@@ -113,22 +113,22 @@
                             + ", the highest number whose decision is no longer kept; it was not applied now");
         }
         for (ConfigObject each : ticket.objects()) {
-            Optional<VersionedObject> held = configuration.object(each.key());
-            if (held.isPresent() && held.get().ticket().compareTo(ticket.number()) >= 0) {
+            Optional<VersionedObject> current = configuration.object(each.key());
+            if (current.isPresent() && current.get().ticket().compareTo(ticket.number()) >= 0) {
                 return refuse(
                         RefusalReason.STALE_TICKET,
                         each.key() + " was set by the newer ticket "
-                                + held.get().ticket());
+                                + current.get().ticket());
             }
         }
         return new TicketValidator(configuration, ticket.objects())
                 .findError(ticket.objects())
-                .flatMap(fault -> refuse(RefusalReason.BAD_REQUEST, fault));
+                .flatMap(error -> refuse(RefusalReason.BAD_REQUEST, error));
     }
 
-    private static String numberTakenMessage(TicketRecord winner) {
-        return "number " + winner.number() + " belongs to the ticket of " + winner.author() + " with digest "
-                + winner.digest() + " on " + String.join(", ", winner.keys());
+    private static String numberTakenMessage(TicketRecord accepted) {
+        return "number " + accepted.number() + " belongs to the ticket of " + accepted.author() + " with digest "
+                + accepted.digest() + " on " + String.join(", ", accepted.keys());
     }
 
     private static Optional<TicketOutcome> refuse(RefusalReason reason, String message) {
--- a/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/control/OrderPlannerTest.java
@@ -35,39 +35,39 @@
     private OrderPlan plan;
 
     @Test
-    void orderStatesEverythingAndIsRepeatedUntilItShows() {
+    void repeatsTheCompleteOrderUntilTheEngineReportsIt() {
         control.submit(1, model("m", "v2", 0), role("e1", "m", "v2", "roster"));
         observe("e1", "v1", true, 10_000);
 
-        EngineOrder wanted =
+        EngineOrder desired =
                 new EngineOrder(FencingNumber.of(7), model("m", "v2").name(), "v2", List.of("roster"), "decode");
-        assertEquals(List.of(wanted), ordered(10_100));
+        assertEquals(List.of(desired), ordered(10_100));
         assertEquals(List.of(), ordered(10_200));
         assertHeld(AWAITING_EFFECT);
         observe("e1", "v1", true, 11_000);
-        assertEquals(List.of(wanted), ordered(11_100));
+        assertEquals(List.of(desired), ordered(11_100));
 
-        engines.put("e1", observed("e1", wanted.version(), wanted.adapters(), false, 11_200));
+        engines.put("e1", observed("e1", desired.version(), desired.adapters(), false, 11_200));
         assertEquals(List.of(), ordered(11_300));
         assertHeld();
     }
 
     @Test
     void orderChangesTheRoleThatATicketNames() {
-        BackendRole asked =
+        BackendRole requested =
                 new BackendRole(BackendServerId.of("e1"), model("m", "v1").name(), "v1", List.of(), "prefill", true);
-        control.submit(1, model("m", "v1", 0), asked);
+        control.submit(1, model("m", "v1", 0), requested);
         observe("e1", "v1", true, 10_000);
 
-        EngineOrder wanted =
+        EngineOrder desired =
                 new EngineOrder(FencingNumber.of(7), model("m", "v1").name(), "v1", List.of(), "prefill");
-        assertEquals(List.of(wanted), ordered(10_100));
+        assertEquals(List.of(desired), ordered(10_100));
     }
 
-    // An operator moves all replicas of a model to a new version at once. Ordered together, none would be ready and
-    // every caller of the model refused while they load.
+    // An operator moves all replicas of a model to a new version at once. If all orders were sent together, no replica
+    // would be ready and every request for the model would be refused while the weights load.
     @Test
-    void roleChangesKeepTheFloorOfReadyReplicas() {
+    void roleChangesKeepTheMinimumOfReadyReplicas() {
         control.submit(1, model("m", "v2", 2), role("e1", "m", "v2"), role("e2", "m", "v2"), role("e3", "m", "v2"));
         for (String each : List.of("e1", "e2", "e3")) {
             observe(each, "v1", true, 10_000);
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void enginesNotReadLatelyNeitherCountNorGetOrders() {
+    void enginesWithStaleStateNeitherCountAsReadyNorReceiveOrders() {
         control.submit(1, model("m", "v2", 1), role("e1", "m", "v2"));
         observe("e1", "v1", true, 10_000);
         observe("e2", "v1", true, 4_000);
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void weightLoadsShareTheStoresRate() {
+    void weightLoadsStayWithinTheStoresRate() {
         control.submit(1, model("m", "v2", 0), role("e1", "m", "v2"), role("e2", "m", "v2"), role("e3", "m", "v2"));
         for (String each : List.of("e1", "e2", "e3")) {
             observe(each, "v1", false, 10_000);
@@ -106,14 +106,15 @@
         assertEquals(2, ordered(10_100).size());
         assertHeld(LOAD_RATE);
         assertEquals(0, ordered(10_900).size());
-        assertEquals(3, ordered(11_200).size(), "two repeats and the third, whose token has come");
+        assertEquals(3, ordered(11_200).size(), "two repeats and the third order, for which a token is available");
     }
 
-    // A new leader follows one that ordered an engine just before its lease ended. Some engines would obey that late
-    // order over the new leader's, and an engine it takes down still says ready: only orders that can't do harm go out
-    // before the earlier leader's lease is surely over.
+    // The earlier leader ordered an engine just before its lease ended. Some engines would execute that late order
+    // after the new leader's, and an engine that it takes out of service still reports ready. Until the earlier lease
+    // has certainly ended, only harmless orders may be sent: those to engines that check fencing numbers and serve
+    // nothing.
     @Test
-    void newLeaderWaitsTheEarlierLeaseOut() {
+    void newLeaderWaitsUntilTheEarlierLeaseHasExpired() {
         control.submit(1, model("m", "v2", 0), role("checks", "m", "v2"), role("ignores", "m", "v2"));
         control.submit(2, role("ready", "m", "v2"));
         observe("checks", "v1", false, 1_500);
@@ -128,8 +129,9 @@
         assertEquals(2, ordered(4_000).size());
     }
 
-    // A leader plans an order and is frozen before it sends. When it wakes another leads, and an engine that ignores
-    // fencing numbers would obey the old order. The time it may still send is over, and too short a lease is no start.
+    // A leader plans an order and is frozen before it sends it. When it resumes, another one leads, and an engine that
+    // ignores fencing numbers would execute the old order. The time limit for sending must be over by then, and no
+    // order may be planned when too little of the lease remains.
     @Test
     void orderIsSentOnlyWellInsideTheLeadersLease() {
         control.submit(1, model("m", "v2", 0), role("e1", "m", "v2"));
@@ -146,7 +148,7 @@
     }
 
     @Test
-    void refusedOrdersAreNotRepeated() {
+    void rejectedOrdersAreNotRepeated() {
         control.submit(1, model("m", "v2", 0), role("e1", "m", "v2"));
         observe("e1", "v1", true, 10_000);
         EngineOrder order = ordered(10_100).get(0);
