--- a/elmline-core/src/main/java/org/elmline/core/engine/CacheEvents.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/CacheEvents.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Prefix-cache changes after a sequence number. Events come late and with gaps; a gap in the sequence means that what
- * is known of the engine's cache can't be relied on.
+ * Prefix-cache changes after a sequence number. Events arrive late and with gaps; after a gap in the sequence, the
+ * known contents of the engine's cache are unreliable.
  */
 public record CacheEvents(List<Event> events, long lastSequence) {
     public CacheEvents {
         events = List.copyOf(events);
     }
 
-    /** One block of a prefix was stored or evicted; the hash chains over all blocks before it. */
+    /** One block of a prefix was stored or evicted; its hash covers all blocks before it. */
     public record Event(long sequence, long blockHash, boolean stored) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/engine/EngineClient.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/EngineClient.java
@@ -8,8 +8,8 @@
 import org.elmline.core.common.CallResult;
 
 /**
- * One model engine, as elmline needs it. The users' engines are met through an implementation of this interface, so no
- * other code knows their protocol. No method blocks; each future completes normally within the client's timeout.
+ * Connection to one model engine. Each engine protocol implements this interface, so no other code depends on a
+ * protocol. No method blocks; each future completes normally within the client's timeout.
  */
 public interface EngineClient extends AutoCloseable {
     /** Opens a stream; closing the handle stops reading but doesn't cancel the attempt on the engine. */
@@ -38,7 +38,7 @@
     /**
      * Sends an order.
      *
-     * @param limit time after which the connection is given up, so that nothing of the order arrives later
+     * @param limit time after which the connection is closed, so that nothing of the order arrives later
      */
     CompletableFuture<CallResult<OrderAnswer>> order(EngineOrder order, Duration limit);
 
--- a/elmline-core/src/main/java/org/elmline/core/engine/EngineProtocol.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/EngineProtocol.java
@@ -4,7 +4,7 @@
 
 /** A plug-in for one kind of engine, registered by {@link java.util.ServiceLoader}. */
 public interface EngineProtocol {
-    /** The word that a backend server of this kind announces. */
+    /** The protocol name that a backend server of this kind announces. */
     String name();
 
     EngineClient connect(Address engine);
--- a/elmline-core/src/main/java/org/elmline/core/engine/EngineRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/EngineRequest.java
@@ -10,12 +10,13 @@
 /**
  * One attempt at a request on one engine.
  *
- * @param host host whose entry opened the attempt; with its incarnation it tells whose streams to sweep after a loss
+ * @param host host whose entry opened the attempt; host and incarnation identify the streams to cancel after the entry
+ *     is lost
  * @param adapter adapter to apply, empty for none
  * @param prompt whole prompt text; empty when {@code kvImports} hold all of it
  * @param promptTokens length of the prompt in tokens, imported segments included
  * @param priority 0 is the most urgent
- * @param delivered pieces that the caller has already, when a lost stream continues on another engine; the engine
+ * @param delivered pieces already delivered to the caller, when a lost stream continues on another engine; the engine
  *     answers from piece number {@code delivered.size()} on
  * @param kvImports ids of exported KV segments to import before the prompt, in order
  */
--- a/elmline-core/src/main/java/org/elmline/core/engine/EngineState.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/EngineState.java
@@ -4,7 +4,7 @@
 
 import org.elmline.core.common.ModelName;
 
-/** What an engine says it serves now. {@code ready} is false while weights load. */
+/** What an engine reports that it serves now. {@code ready} is false while weights load. */
 public record EngineState(ModelName model, String version, List<String> adapters, String role, boolean ready) {
     public EngineState {
         adapters = List.copyOf(adapters);
--- a/elmline-core/src/main/java/org/elmline/core/engine/FinishReason.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/FinishReason.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** Why a whole answer ended, in the words of the OpenAI API. */
+/** Why a complete answer ended, with the values of the OpenAI API. */
 public enum FinishReason {
     @JsonProperty("stop")
     STOP,
--- a/elmline-core/src/main/java/org/elmline/core/engine/PromptBlocks.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/PromptBlocks.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * Cuts a prompt into the blocks by which engines cache prefixes. Entry and engine must agree on it: an entry compares
- * these hashes with those in an engine's cache events. Each hash chains over all blocks before it, the model and the
- * adapter, so that equal hashes mean an equal prefix.
+ * Splits a prompt into the blocks by which engines cache prefixes. Entry and engine must use the same split: an entry
+ * compares these hashes with those in an engine's cache events. Each hash covers the model, the adapter and all blocks
+ * before it, so equal hashes mean an equal prefix. Stateless and thread-safe.
  */
 public final class PromptBlocks {
     /** Tokens in one block. */
     public static final int BLOCK_TOKENS = 512;
-    /** Characters that stand for one token where no tokenizer is at hand. */
+    /** Characters counted as one token where no tokenizer is available. */
     public static final int CHARACTERS_PER_TOKEN = 4;
 
     private static final int BLOCK_CHARACTERS = BLOCK_TOKENS * CHARACTERS_PER_TOKEN;
--- a/elmline-core/src/main/java/org/elmline/core/engine/StreamEvent.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/StreamEvent.java
@@ -5,7 +5,7 @@
 import org.elmline.core.common.AttemptId;
 import org.elmline.core.common.Ran;
 
-/** What an engine's stream brings. Every event names its attempt, so that a crossed answer is told from one's own. */
+/** One event of an engine's stream. Every event names its attempt, so that an event of another attempt is detected. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "event")
 public sealed interface StreamEvent {
     AttemptId attempt();
@@ -14,7 +14,7 @@
     @JsonTypeName("piece")
     record Piece(AttemptId attempt, int index, String text) implements StreamEvent {}
 
-    /** The whole answer was sent: {@code count} pieces, those delivered by earlier attempts included. */
+    /** The answer is complete: {@code count} pieces, those delivered by earlier attempts included. */
     @JsonTypeName("end")
     record End(AttemptId attempt, int count, FinishReason reason) implements StreamEvent {}
 
--- a/elmline-core/src/main/java/org/elmline/core/engine/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/engine/package-info.java
@@ -1,2 +1,2 @@
-/** What elmline asks of a model engine, as one small plug-in interface. */
+/** The interface to model engines, implemented by one plug-in for each engine protocol. */
 package org.elmline.core.engine;
--- a/elmline-core/src/main/java/org/elmline/core/route/AuditRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/AuditRequest.java
@@ -6,7 +6,7 @@
 import org.elmline.core.common.HostId;
 import org.elmline.core.common.Incarnation;
 
-/** An owner asks an entry about attempts that an engine holds in its name and for which the owner has no grant. */
+/** Sent by an owner to an entry: attempts that an engine holds for the entry and for which the owner has no grant. */
 public record AuditRequest(HostId host, Incarnation incarnation, List<AttemptId> attempts) {
     public AuditRequest {
         attempts = List.copyOf(attempts);
--- a/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
@@ -11,8 +11,9 @@
 import org.elmline.core.control.HostRecord;
 
 /**
- * Which entries a caller is told to use. The first is drawn evenly from the live ones of the caller's region, so callers
- * spread without a balancer; the next is of another failure domain, so a lost domain leaves each caller an address.
+ * Selects the entries that a caller should use. The first is drawn uniformly from the live entries of the caller's
+ * region, which spreads callers without a load balancer; the next is in another failure domain, so that the loss of one
+ * domain leaves each caller an address.
  */
 public final class EntryHostChoice {
     private EntryHostChoice() {}
@@ -36,7 +37,7 @@
         return chosen;
     }
 
-    /** Takes one after another, each of another failure domain than the one before while there is any. */
+    /** Adds entries at random, each from another failure domain than the one before while there is one. */
     private static void addAlternatingDomains(List<HostRecord> from, List<HostRecord> chosen, int most) {
         List<HostRecord> left = new ArrayList<>(from);
         while (chosen.size() < most && !left.isEmpty()) {
@@ -57,7 +58,10 @@
         return 0;
     }
 
-    /** A region of one failure domain would leave its callers without an address when that is lost. */
+    /**
+     * Replaces the last entry by one of another region when all chosen ones are in one failure domain: if that domain
+     * is lost, the caller would have no address left.
+     */
     private static void ensureTwoDomains(List<HostRecord> chosen, List<HostRecord> far) {
         long domains = chosen.stream().map(HostRecord::failureDomain).distinct().count();
         if (domains == 1 && chosen.size() > 1 && !far.isEmpty()) {
--- a/elmline-core/src/main/java/org/elmline/core/route/Grant.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/Grant.java
@@ -9,17 +9,17 @@
 import org.elmline.core.common.OrganisationId;
 
 /**
- * The right to run one attempt on one engine, with its memory reserved by the owner until released. It carries all that
- * a new owner needs to reserve the same again.
+ * The right to run one attempt on one engine, with its memory reserved by the owner until released. It carries
+ * everything that a new owner needs to make the same reservation.
  *
- * @param host host whose entry runs the attempt; when that incarnation is gone, the owner frees the grant
+ * @param host host whose entry runs the attempt; once that incarnation has ended, the owner frees the grant
  * @param server engine to use, under its incarnation at the time
  * @param protocol name of the engine plug-in
  * @param kvTokens tokens reserved: prompt and longest answer
- * @param cachedTokens leading prompt tokens that the engine is believed to hold
- * @param predictedFirstTokenMillis milliseconds from the grant to the first token, as the owner expects
- * @param remainingMillis milliseconds from the grant to the request's deadline; the owner reclaims the grant when its
- *     entry is silent past it
+ * @param cachedTokens leading prompt tokens estimated to be in the engine's prefix cache
+ * @param predictedFirstTokenMillis predicted milliseconds from the grant to the first token
+ * @param remainingMillis milliseconds from the grant to the request's deadline; the owner reclaims a grant that its
+ *     entry has not released some time after it
  * @param awaitingFirstToken whether the prompt still counts as prefill backlog
  */
 public record Grant(
@@ -38,7 +38,7 @@
         long predictedFirstTokenMillis,
         long remainingMillis,
         boolean awaitingFirstToken) {
-    /** The same grant once its first token has come. */
+    /** Returns this grant as it stands after the first token. */
     public Grant afterFirstToken() {
         return new Grant(
                 attempt,
--- a/elmline-core/src/main/java/org/elmline/core/route/GrantReport.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/GrantReport.java
@@ -9,8 +9,8 @@
 /**
  * What happened to an entry's grants since its last report; repeated until the owner answers.
  *
- * @param begun segments whose turn to be read has come, see {@link PlaceMode#SEGMENT}
- * @param firstTokens prompts that were read; for a segment, that its KV is ready
+ * @param begun segments whose prefill may begin, see {@link PlaceMode#SEGMENT}
+ * @param firstTokens prompts whose prefill has ended; for a segment, its KV is ready
  */
 public record GrantReport(
         HostId host,
--- a/elmline-core/src/main/java/org/elmline/core/route/ModelSummary.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/ModelSummary.java
@@ -6,15 +6,15 @@
 import org.elmline.core.common.ModelName;
 
 /**
- * What an owner says of its engines of one model.
+ * State of an owner's engines of one model.
  *
  * @param readyReplicas engines that take new work
- * @param waitMillis milliseconds until the best engine would begin to read a prompt, one for each {@link LengthClass} in
- *     its order
+ * @param waitMillis milliseconds until the best engine would begin the prefill of a prompt, one for each {@link
+ *     LengthClass} in its order
  * @param prefillTokensPerSecond measured speed of a typical engine
  * @param freeKvTokens largest free memory on any one engine, in tokens
  * @param groupKvTokens free memory of all its engines together, in tokens
- * @param prefixes first-block hashes believed cached on some engine, shortened to 32 bits
+ * @param prefixes first-block hashes estimated to be cached on some engine, shortened to 32 bits
  */
 public record ModelSummary(
         ModelName model,
@@ -29,7 +29,7 @@
         prefixes = List.copyOf(prefixes);
     }
 
-    /** The 32 bits that stand for a prefix block's hash in {@link #prefixes}. */
+    /** Shortens a prefix block's hash to the 32 bits used in {@link #prefixes}. */
     public static int shortHash(long blockHash) {
         return (int) (blockHash ^ (blockHash >>> Integer.SIZE));
     }
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnedServers.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnedServers.java
@@ -4,9 +4,9 @@
 
 import org.elmline.core.common.HostId;
 
-/** How many backend servers each owner has, as its summaries say. */
+/** The backend servers of each owner, according to its summary. */
 @FunctionalInterface
 public interface OwnedServers {
-    /** Ids of the owned servers, shortened by {@link Ownership#shortHash}; empty for an owner not heard of. */
+    /** Ids of the owned servers, shortened by {@link Ownership#shortHash}; empty for an owner without a summary. */
     List<Integer> serverHashes(HostId owner);
 }
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnerPlaceAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnerPlaceAnswer.java
@@ -8,10 +8,10 @@
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 public sealed interface OwnerPlaceAnswer {
     /**
-     * Memory is reserved; the asking entry must release it.
+     * Memory is reserved; the requesting entry must release it.
      *
-     * @param summary as in {@link Refused}: it rides along for free, so summaries on a slow beat do no harm where there
-     *     is traffic
+     * @param summary as in {@link Refused}; it keeps an entry with traffic up to date although summaries are sent at
+     *     long intervals
      */
     @JsonTypeName("placed")
     record Placed(Grant grant, ModelSummary summary) implements OwnerPlaceAnswer {
@@ -23,8 +23,8 @@
     /**
      * Nothing is reserved and nothing ran.
      *
-     * @param summary the owner's state of the model now, so that the next choice is not made on an older one; null when
-     *     it has no engine of the model
+     * @param summary the owner's current state of the model, so that the entry's next choice is not made on an older
+     *     one; null when the owner has no engine of the model
      */
     @JsonTypeName("refused")
     record Refused(Refusal refusal, ModelSummary summary) implements OwnerPlaceAnswer {}
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnerSummary.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnerSummary.java
@@ -6,7 +6,8 @@
 import org.elmline.core.common.Incarnation;
 
 /**
- * What an owner tells every entry, on change and at a slow beat. A hint: only the owner's answer decides.
+ * State that an owner sends to every entry, on change and at a long interval. Only a hint: the owner's answer to a
+ * request decides.
  *
  * @param sequence rises with each summary of one incarnation; an older one that arrives late is dropped
  * @param servers ids of the owned backend servers, shortened to 32 bits, so that a gateway finds the owner of a grant
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
@@ -18,10 +18,11 @@
 import org.elmline.core.placement.Demand;
 
 /**
- * What this entry knows of the owners, and its choice among them. Every entry chooses on summaries of about the same
- * age; if each took the best one, all would send to the same owner until the next summary. So an entry looks at a few
- * owners drawn at random ("the power of two choices", Mitzenmacher, 1996), counts what it sent itself since their last
- * summary, and draws among those that are about equal. All methods may be called from any thread.
+ * Holds the last summary of each owner and chooses the owner for a request. All entries choose on summaries of about
+ * the same age; if each took the best owner, all would send to the same one until the next summary. Therefore an entry
+ * compares a few owners drawn at random ("the power of two choices", Mitzenmacher, 1996), adds the work that it has
+ * sent itself since their last summary, and draws among those that are about equal. All methods may be called from any
+ * thread.
  */
 public final class OwnerTable implements OwnedServers {
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -42,14 +43,16 @@
         this.settings = settings;
     }
 
-    /** The live entries; summaries of all others are dropped. */
+    /** Sets the live entries; summaries of all others are dropped. */
     public synchronized void members(Collection<HostRecord> live) {
         members.clear();
         live.forEach(each -> members.put(each.id(), each));
         owners.values().removeIf(each -> !isLive(each.summary));
     }
 
-    /** False for a summary older than the one held, or of an incarnation that a later start replaced. */
+    /**
+     * Stores a summary; the answer is false for one older than the one held, or of an earlier incarnation than that.
+     */
     public synchronized SummaryAnswer accept(OwnerSummary summary, long now) {
         OwnerState known = owners.get(summary.owner());
         if (known != null && !isNewer(summary, known.summary)) {
@@ -59,7 +62,7 @@
         return new SummaryAnswer(true);
     }
 
-    /** Takes in the summary that an owner's answer carried; null when it has no engine of the model any more. */
+    /** Updates a model's state from an owner's answer; null when the owner has no engine of the model any more. */
     public synchronized void refresh(HostId owner, Demand demand, ModelSummary summary) {
         OwnerState known = owners.get(owner);
         if (known != null) {
@@ -68,7 +71,7 @@
     }
 
     /**
-     * The owner to ask for a demand; empty when none that was not asked yet is known to serve its model.
+     * Chooses the owner to send a demand to; empty when no untried owner is known to serve its model.
      *
      * @param tried owners that refused this request already
      */
@@ -102,7 +105,7 @@
         return Optional.of(choice);
     }
 
-    /** The engines that owners are believed to have free for segments of a prompt larger than one engine. */
+    /** Engines estimated to be free for segments of a prompt larger than one engine. */
     public synchronized List<GroupSlot> groupSlots(ModelName model, long now) {
         List<GroupSlot> slots = new ArrayList<>();
         for (OwnerState each : owners.values()) {
@@ -115,7 +118,7 @@
         return slots;
     }
 
-    /** A summary tells the largest free memory and the sum; the rest is taken as spread evenly. */
+    /** A summary gives the largest free memory and the sum; the rest is assumed to be spread evenly. */
     private static void addGroupSlots(HostId owner, ModelSummary summary, List<GroupSlot> slots) {
         double speed = Math.max(1, summary.prefillTokensPerSecond());
         int others = summary.readyReplicas() - 1;
@@ -126,7 +129,7 @@
         }
     }
 
-    /** The owner that says it has a backend server; the latest to say so when two do. */
+    /** The owner whose summary lists a backend server; the one with the latest summary when two do. */
     public synchronized Optional<HostRecord> ownerOf(BackendServerId server) {
         int key = Ownership.shortHash(server);
         OwnerState latest = null;
@@ -184,7 +187,7 @@
         return order > 0 || order == 0 && next.sequence() > held.sequence();
     }
 
-    /** A few at random, and those that may have the prompt's prefix cached. */
+    /** Draws a few owners at random and adds those that may have the prompt's prefix cached. */
     private List<OwnerState> sample(List<OwnerState> able, Demand demand, RandomGenerator random) {
         if (able.size() <= SAMPLE_SIZE) {
             return able;
@@ -220,7 +223,7 @@
         return model.waitMillis(demand.lengthClass()) + penalty + Math.round((own + sent) * MILLIS_PER_SECOND);
     }
 
-    /** One owner's last summary, with what was sent to it since. */
+    /** One owner's last summary, with the work sent to it since. */
     private static final class OwnerState {
         private final OwnerSummary summary;
         private final long receivedAtNanos;
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnerTableSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnerTableSettings.java
@@ -3,13 +3,13 @@
 import org.elmline.core.placement.PrefillCost;
 
 /**
- * Dials of an entry's choice of owner.
+ * Settings of an entry's choice of owner.
  *
- * @param maxAgeMillis milliseconds after which a summary counts for nothing; several beats of {@link SummarySchedule}
- * @param otherRegionMillis milliseconds that a request to another region costs
+ * @param maxAgeMillis milliseconds after which a summary is ignored; several intervals of {@link SummarySchedule}
+ * @param otherRegionMillis milliseconds that a request to another region takes longer
  * @param blockTokens tokens in one block of the prefix cache
  */
 public record OwnerTableSettings(long maxAgeMillis, long otherRegionMillis, PrefillCost cost, int blockTokens) {
-    /** For one region of up to some twenty entries. */
+    /** Suits one region of up to about twenty entries. */
     public static final OwnerTableSettings DEFAULT = new OwnerTableSettings(10_000, 60, PrefillCost.DEFAULT, 512);
 }
--- a/elmline-core/src/main/java/org/elmline/core/route/Ownership.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/Ownership.java
@@ -15,13 +15,16 @@
 import org.elmline.core.control.HostRecord;
 
 /**
- * Which entry owns a backend server: rendezvous hashing ("highest random weight", Thaler and Ravishankar, 1998) over the
- * live entries that are not leaving; those of the server's failure domain come first, then its region's, then all
- * others. The order depends on the members alone, so each host computes the same one. A candidate that already owns its
- * bound of servers passes a new one to the next candidate, see {@link #maxServersPerOwner}.
+ * Determines which entry owns a backend server: rendezvous hashing ("highest random weight", Thaler and Ravishankar,
+ * 1998) over the live entries that are not leaving; those of the server's failure domain come first, then its region's,
+ * then all others. The order depends on the members alone, so every host computes the same one. When a candidate
+ * already owns its maximum of servers, a new one goes to the next candidate, see {@link #maxServersPerOwner}.
+ * Immutable.
  */
 public final class Ownership {
-    /** No owner holds more than this multiple of the mean; 1.25 moves about one server in twenty off its first choice. */
+    /**
+     * No owner holds more than this multiple of the mean; 1.25 moves about one server in twenty from its first choice.
+     */
     private static final double LOAD_FACTOR = 1.25;
 
     private static final long MULTIPLIER_1 = 0xbf58476d1ce4e5b9L;
@@ -41,7 +44,7 @@
         candidates = List.copyOf(found);
     }
 
-    /** The first choice of a server that announced itself; empty when no entry is live. */
+    /** The first candidate of a server that announced itself; empty when no entry is live. */
     public Optional<HostRecord> owner(Announcement server) {
         return owner(server.id(), server.failureDomain(), server.region());
     }
@@ -96,10 +99,10 @@
     }
 
     /**
-     * The owner of a server when owners tell how many they have. An unowned server goes to its first candidate below the
-     * bound. An owned one stays, but moves up to an earlier candidate that has less than the mean, and moves on when it
-     * is among those that its owner has above the bound.
-     * Between mean and bound nothing moves, so servers that stay keep their owner while others come and go.
+     * The owner of a server, given how many servers the owners have. An unowned server goes to its first candidate
+     * below the bound. An owned one stays, but moves to an earlier candidate that has less than the mean, and moves to
+     * a later one when it is among those that its owner has above the bound. Between mean and bound nothing moves, so
+     * servers that stay keep their owner while others come and go.
      */
     public Optional<HostRecord> owner(Announcement server, OwnedServers loads) {
         List<HostRecord> near = nearestCandidates(server);
@@ -128,7 +131,7 @@
         return Optional.of(near.get(0));
     }
 
-    /** The candidates as near to the server as any, best first. */
+    /** The candidates at the smallest distance from the server, best first. */
     private List<HostRecord> nearestCandidates(Announcement server) {
         List<Candidate> near = new ArrayList<>();
         int nearest = Integer.MAX_VALUE;
@@ -145,7 +148,7 @@
         return rank(near, server.id(), server.failureDomain(), server.region());
     }
 
-    /** Whether the server is among the first {@code bound} of its owner's. */
+    /** Whether the server ranks among the first {@code bound} servers of its owner. */
     private static boolean isWithinBound(int bound, HostRecord owner, List<Integer> servers, int key) {
         if (servers.size() <= bound) {
             return true;
@@ -162,12 +165,12 @@
         return host.region().equals(region) ? 1 : 2;
     }
 
-    /** Most servers that one of {@code owners} entries may own out of {@code servers}. */
+    /** The maximum number of servers that one of {@code owners} entries may own out of {@code servers}. */
     public static int maxServersPerOwner(int servers, int owners) {
         return owners == 0 ? 0 : (int) Math.ceil(LOAD_FACTOR * servers / owners);
     }
 
-    /** The 32 bits that stand for a backend server in an {@link OwnerSummary}. */
+    /** Hashes a backend server's id to the 32 bits used in an {@link OwnerSummary}. */
     public static int shortHash(BackendServerId server) {
         return (int) (hash(server.value()) >>> Integer.SIZE);
     }
--- a/elmline-core/src/main/java/org/elmline/core/route/PlaceRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/PlaceRequest.java
@@ -7,10 +7,10 @@
 import org.elmline.core.placement.Demand;
 
 /**
- * An entry asks an owner to place one attempt. Asking again for the same attempt brings the same grant, so a lost answer
- * reserves nothing twice.
+ * Sent by an entry to an owner to place one attempt. Idempotent: a repeated request for the same attempt returns the
+ * same grant, so a lost answer reserves nothing twice.
  *
- * @param host host whose entry asks and will run the attempt
+ * @param host host whose entry sends the request and will run the attempt
  * @param contextTokens tokens before a segment that the engine attends to through imports; 0 for a whole prompt
  */
 public record PlaceRequest(
@@ -25,7 +25,7 @@
         mode = mode == null ? PlaceMode.WHOLE : mode;
     }
 
-    /** Asks for a whole prompt's place. */
+    /** Requests placement of a whole prompt. */
     public PlaceRequest(
             AttemptId attempt, HostId host, Incarnation incarnation, OrganisationId organisation, Demand demand) {
         this(attempt, host, incarnation, organisation, demand, PlaceMode.WHOLE, 0);
--- a/elmline-core/src/main/java/org/elmline/core/route/Release.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/Release.java
@@ -2,5 +2,5 @@
 
 import org.elmline.core.common.AttemptId;
 
-/** An entry gives one grant back. Repeating it changes nothing more. */
+/** Returns one grant to its owner. Idempotent. */
 public record Release(AttemptId attempt, ReleaseCause cause) {}
--- a/elmline-core/src/main/java/org/elmline/core/route/ReleaseCause.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/ReleaseCause.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** Why an entry gives a grant back. Sent only once the engine holds nothing for the attempt any more. */
+/** Why an entry releases a grant. Sent only once the engine holds nothing for the attempt any more. */
 public enum ReleaseCause {
     /** The engine sent the whole answer. */
     @JsonProperty("finished")
@@ -10,10 +10,10 @@
     /** The engine acknowledged the cancel. */
     @JsonProperty("cancelled")
     CANCELLED(false),
-    /** The engine was never asked, or refused before it ran. */
+    /** The attempt was never sent to the engine, or the engine refused it before it ran. */
     @JsonProperty("not-started")
     NOT_STARTED(false),
-    /** The engine broke off or could not be reached. */
+    /** The engine broke the stream off or could not be reached. */
     @JsonProperty("engine-failed")
     ENGINE_FAILED(true);
 
@@ -23,7 +23,7 @@
         this.engineFault = engineFault;
     }
 
-    /** Whether it speaks against the engine. */
+    /** Whether the release counts as a fault of the engine. */
     public boolean engineFault() {
         return engineFault;
     }
--- a/elmline-core/src/main/java/org/elmline/core/route/RouteChannels.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/RouteChannels.java
@@ -8,7 +8,7 @@
 
 /** The calls between a gateway entry and an owner entry. */
 public final class RouteChannels {
-    /** Gateway to owner; answered when the owner has decided, at the latest at the request's deadline. */
+    /** Gateway to owner; answered when the owner has decided, at the request's deadline at the latest. */
     public static final Channel<PlaceRequest, OwnerPlaceAnswer> PLACE =
             new Channel<>("route.place", PlaceRequest.class, OwnerPlaceAnswer.class);
 
@@ -20,7 +20,7 @@
     public static final Channel<OwnerSummary, SummaryAnswer> SUMMARY =
             new Channel<>("route.summary", OwnerSummary.class, SummaryAnswer.class);
 
-    /** The entry that a backend server announced itself to, to the owner. */
+    /** From the entry that a backend server announced itself to, to the server's owner. */
     public static final Channel<Announcement, AnnounceAnswer> ANNOUNCE =
             new Channel<>("route.announce", Announcement.class, AnnounceAnswer.class);
 
@@ -28,7 +28,7 @@
     public static final Channel<RegisterGrants, RegisterAnswer> REGISTER =
             new Channel<>("route.register", RegisterGrants.class, RegisterAnswer.class);
 
-    /** Owner to the entry in whose name an engine holds something. */
+    /** Owner to the entry for which an engine holds a stream or an export without a grant. */
     public static final Channel<AuditRequest, AuditAnswer> AUDIT =
             new Channel<>("route.audit", AuditRequest.class, AuditAnswer.class);
 
--- a/elmline-core/src/main/java/org/elmline/core/route/SummarySchedule.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/SummarySchedule.java
@@ -12,9 +12,10 @@
 import org.elmline.core.control.HostRecord;
 
 /**
- * When an owner sends its summary to which entry: on a change that would alter a choice, and at a slow beat, never above
- * a byte budget. With more entries than the budget carries, each hears more rarely, those of the owner's region first;
- * entries with traffic hear in the answers to their requests anyway. Not thread-safe.
+ * Decides when an owner sends its summary to which entry: on a change that could alter a choice, and at a fixed
+ * interval, within a byte budget. With more entries than the budget covers, each receives fewer summaries, those of the
+ * owner's region first; entries with traffic receive the state in the answers to their requests anyway. Not
+ * thread-safe.
  */
 public final class SummarySchedule {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -41,7 +42,7 @@
     }
 
     /**
-     * The entries to send the summary to now.
+     * Returns the entries to send the summary to now and records them as sent.
      *
      * @param bytes size of the summary on the wire
      */
@@ -65,7 +66,7 @@
         return targets;
     }
 
-    /** Whether a choice between owners could come out differently. */
+    /** Whether the change could alter a choice between owners. */
     static boolean hasChanged(OwnerSummary before, OwnerSummary after) {
         if (!before.servers().equals(after.servers()) || !before.services().equals(after.services())) {
             return true;
@@ -114,7 +115,10 @@
         return due;
     }
 
-    /** Without this, entries of other regions would hear nothing while the near ones use up the budget. */
+    /**
+     * Whether the entry comes before those of the owner's region: otherwise entries of other regions would receive no
+     * summary while the near ones use up the budget.
+     */
     private boolean isStarved(HostRecord host, long now) {
         LastSend last = lastSends.get(host.id());
         return last != null && now - last.atNanos() >= STARVATION_INTERVALS * intervalNanos;
--- a/elmline-core/src/main/java/org/elmline/core/route/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Who places a request: which entry owns a backend server, what owners tell the other entries, and how an entry picks
- * an owner. An owner answers with a {@link org.elmline.core.route.Grant}; the caller's entry then talks to the engine
- * itself.
+ * Placement between entries: which entry owns a backend server, what owners report to the other entries, and how an
+ * entry chooses an owner. An owner answers with a {@link org.elmline.core.route.Grant}; the caller's entry then
+ * connects to the engine itself.
  */
 package org.elmline.core.route;
--- a/elmline-core/src/test/java/org/elmline/core/route/GatewayChoiceTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/route/GatewayChoiceTest.java
@@ -22,7 +22,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** The choices of a caller's entry: which owner to ask, whom to tell of own engines, which entries callers get. */
+/**
+ * Choices of a gateway: the owner for a request, the receivers of its own summaries, and the entries given to callers.
+ */
 class GatewayChoiceTest {
     private static final int OWNERS = 18;
 
@@ -38,8 +40,8 @@
     }
 
     /**
-     * All owners have sent a summary at the same time, and one looks a little better. If each of many entries sent all
-     * its requests there until the next summary, that owner would drown. No owner may get more than three times its
+     * Guards against overloading the owner that looks slightly better in summaries of the same age: without spreading,
+     * every entry would send all its requests there until the next summary. No owner may get more than three times its
      * even share.
      */
     @Test
@@ -58,7 +60,7 @@
         assertTrue(Collections.max(asked.values()) <= 3 * requests / OWNERS, asked.toString());
     }
 
-    /** The same with the first few requests of many entries, when none has yet sent much itself. */
+    /** The same for the first requests of many entries, none of which has yet sent much work itself. */
     @Test
     void firstRequestsOfManyEntriesDoNotHerd() {
         int asked = 0;
@@ -97,17 +99,17 @@
                     .id();
             prefixHits += chosen.equals(HostId.of("owner-17")) ? 1 : 0;
         }
-        assertTrue(prefixHits > 0, "the owner with the prefix is looked at");
+        assertTrue(prefixHits > 0, "the owner with the cached prefix is among the candidates");
         assertTrue(
                 table.choose(demand(2_000, List.of()), Set.of(), random, 10_000 * MILLI)
                         .isEmpty(),
-                "aged out");
+                "summaries above the maximum age are ignored");
     }
 
     @Test
     void olderSummariesAndGoneOwnersDoNotCount() {
         assertTrue(table.accept(summary(1, 5, 10), 0).newer());
-        assertFalse(table.accept(summary(1, 4, 10), 0).newer(), "overtaken on the network");
+        assertFalse(table.accept(summary(1, 4, 10), 0).newer(), "an older sequence number");
         assertEquals(
                 HostId.of("owner-1"),
                 table.ownerOf(OwnerFixture.engine("engine-1", 1, 1, false).id())
@@ -119,7 +121,9 @@
         assertEquals(0, table.size());
     }
 
-    /** 370 entries and a summary that changes all the time: no second costs more than the budget, none hears nothing. */
+    /**
+     * With 370 entries and a summary that changes all the time, the budget holds and every entry receives summaries.
+     */
     @Test
     void summariesKeepToTheirBudgetAndReachEveryEntry() {
         List<HostRecord> many = new ArrayList<>();
@@ -141,7 +145,8 @@
         }
         assertEquals(369, heard.size());
         assertTrue(sent <= budget * (seconds + 2), sent + " bytes");
-        assertTrue(heard.values().stream().allMatch(each -> each >= 2), "each hears about every 45 s");
+        assertTrue(
+                heard.values().stream().allMatch(each -> each >= 2), "each entry receives a summary about every 45 s");
     }
 
     @Test
@@ -163,7 +168,7 @@
             assertTrue(chosen.stream().map(HostRecord::failureDomain).distinct().count() >= 2);
             first.merge(chosen.get(0).id(), 1, Integer::sum);
         }
-        assertEquals(OWNERS - 1, first.size(), "all but the one that leaves");
+        assertEquals(OWNERS - 1, first.size(), "all but the leaving entry");
         assertTrue(first.values().stream().allMatch(each -> each > 120 && each < 300), first.toString());
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/route/OwnershipTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/route/OwnershipTest.java
@@ -56,7 +56,7 @@
         }
     }
 
-    /** A host that joins takes over only from owners, moves nothing between them; one that leaves moves only its own. */
+    /** Without the bound, a joining host only takes servers over; nothing moves between the other hosts. */
     @Test
     void unboundedOrderMovesOnlyWhatMust() {
         Ownership before = new Ownership(hosts(HOSTS));
@@ -71,7 +71,10 @@
         assertTrue(moved > 0 && moved <= 2 * SERVERS / (HOSTS + 1), moved + " moved");
     }
 
-    /** Announcements come round after round, each judged on the loads of that moment, as entries do. */
+    /**
+     * Servers announce themselves in rounds; each announcement is judged on the current numbers of servers, as entries
+     * do.
+     */
     @Test
     void noOwnerAboveItsBoundAndChangesMoveLittle() {
         List<HostRecord> members = new ArrayList<>(hosts(HOSTS));
@@ -79,7 +82,7 @@
         int bound = Ownership.maxServersPerOwner(SERVERS, HOSTS);
         assertEquals(25, bound);
         assertTrue(loads.values().stream().allMatch(each -> each.size() <= bound));
-        assertEquals(0, round(members), "settled: nothing moves any more");
+        assertEquals(0, round(members), "stable: nothing moves any more");
 
         members.add(OwnerFixture.host("host-" + HOSTS, "a"));
         int joined = settle(members);
@@ -95,7 +98,7 @@
         assertTrue(loads.values().stream().allMatch(each -> each.size() <= lastBound));
     }
 
-    /** Engines go and others come all day; the ones that stay must hardly ever change their owner for it. */
+    /** Engines come and go continually; the ones that stay must hardly ever change their owner because of that. */
     @Test
     void serversThatStayKeepTheirOwnerWhileOthersComeAndGo() {
         List<HostRecord> members = hosts(HOSTS);
@@ -112,7 +115,10 @@
         assertTrue(moved <= 28, moved + " moves of servers that stayed, over 400 changes");
     }
 
-    /** All servers announce on the counts of the round before, so a host with room is seen by all at once. */
+    /**
+     * All servers announce themselves on the counts of the round before, so all see the same host with free capacity at
+     * once.
+     */
     @Test
     void countsThatLagDoNotSendServersBackAndForth() {
         List<HostRecord> members = new ArrayList<>(hosts(HOSTS));
@@ -122,7 +128,7 @@
         Map<Announcement, Integer> moves = new HashMap<>();
         int moved = 1;
         for (int round = 0; moved > 0; round++) {
-            assertTrue(round < 10, "still moving " + moved);
+            assertTrue(round < 10, "not stable after 10 rounds, servers moved in the last one: " + moved);
             moved = 0;
             Map<HostId, List<Integer>> lagging = new HashMap<>(loads);
             for (Announcement each : servers()) {
@@ -138,7 +144,7 @@
         int moved = 0;
         int last = 1;
         for (int round = 0; last > 0; round++) {
-            assertTrue(round < 10, "doesn't settle");
+            assertTrue(round < 10, "not stable after 10 rounds");
             last = round(members);
             moved += last;
         }
