--- a/elmline-core/src/main/java/org/elmline/core/owner/LostHosts.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/LostHosts.java
@@ -12,9 +12,10 @@
 import org.elmline.core.stream.LiveHosts;
 
 /**
- * The starts of hosts that hold grants here and have been missing from the member list for a time. Missing for a moment
- * proves nothing: an entry may place a request before the list that shows it arrives here, and cancelling then would
- * break a live caller's stream. A list that shows it comes with the next renewal of this host's lease.
+ * Host incarnations that hold grants here and have been missing from the member list for the grace period. A short
+ * absence is no loss: an entry may place a request before a member list that includes it arrives here, and cancelling
+ * then would break a live caller's stream. A list that includes it comes with the next renewal of this host's lease.
+ * Not thread-safe.
  */
 final class LostHosts {
     private final long graceNanos;
@@ -25,7 +26,7 @@
         this.graceNanos = graceNanos;
     }
 
-    /** Looks again which of the starts that hold grants are missing. */
+    /** Determines which of the incarnations that hold grants are missing. */
     void update(Collection<HostIncarnation> holders, LiveHosts live, long now) {
         Set<HostIncarnation> missing = new HashSet<>();
         for (HostIncarnation each : holders) {
@@ -51,6 +52,6 @@
         return lost.contains(new HostIncarnation(grant.host(), grant.incarnation()));
     }
 
-    /** One start of a host. */
+    /** One incarnation of a host. */
     record HostIncarnation(HostId host, Incarnation incarnation) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
@@ -27,9 +27,10 @@
 import org.elmline.core.route.PlaceRequest;
 
 /**
- * Admits and places the requests for one model. A request is placed when an engine has its memory and little enough to
- * read first; else it waits here, where its turn still depends on its priority and organisation, in place of in an
- * engine, where it would not. One that can't meet its deadline is refused as soon as that shows.
+ * Admits and places the requests for one model. A request is placed when an engine has free memory for it and a short
+ * enough prefill backlog; otherwise it is queued here, where its turn still depends on its priority and organisation,
+ * rather than in an engine, where it would not. One that can't meet its deadline is refused as soon as this is
+ * predicted. Not thread-safe.
  */
 final class ModelPlacer {
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -63,7 +64,7 @@
         this.queue = new AdmissionQueue(settings.queueCapacity());
     }
 
-    /** Takes a request in; its answer, if there is one yet, is among {@link #drainDecisions}. */
+    /** Adds a request; its answer, if it is decided at once, is among {@link #drainDecisions}. */
     void add(PlaceRequest request, int weight, long now) {
         ledger.advanceClock(model, now);
         Demand demand = request.demand();
@@ -87,7 +88,7 @@
         return queue.find(attempt).isPresent();
     }
 
-    /** The caller left before its request was placed. */
+    /** Removes a queued request whose caller disconnected; false when it is not queued. */
     boolean withdraw(AttemptId attempt) {
         Optional<QueuedRequest> waiting = queue.find(attempt);
         waiting.ifPresent(this::removeAndRefund);
@@ -98,7 +99,7 @@
         queue.find(attempt).ifPresent(each -> refuse(each, deadlineRefusal(), now));
     }
 
-    /** Places what has room now, in order. */
+    /** Places the requests that have capacity now, in queue order. */
     void place(long now) {
         ledger.advanceClock(model, now);
         Set<AdmissionQueue.QueueKey> blocked = new HashSet<>();
@@ -114,7 +115,7 @@
         }
     }
 
-    /** Refuses every waiting request that can no longer meet its deadline, so that its caller can go elsewhere. */
+    /** Refuses every queued request that can no longer meet its deadline, so that its caller can use another owner. */
     void refuseInfeasible(long now) {
         long[] work = new long[LengthClass.values().length];
         for (QueuedRequest each : queue.inPlacementOrder()) {
@@ -164,7 +165,9 @@
                 new ModelSummary(model, ready.size(), waits(ready), speed, mostFree, allFree, List.copyOf(prefixes)));
     }
 
-    /** A summary looks at every engine; made for each answer, it would cost more than placing. */
+    /**
+     * Cached, because a summary visits every engine: computing it for each answer would cost more than the placement.
+     */
     private ModelSummary recentSummary(long now) {
         if (!summaryCached || now - cachedSummaryAtNanos >= SUMMARY_CACHE_NANOS) {
             cachedSummary = summary(now).orElse(null);
@@ -192,7 +195,7 @@
         return waits;
     }
 
-    /** True when the request got an answer, false when it must wait. */
+    /** True when the request was answered, false when it stays queued. */
     private boolean tryPlace(QueuedRequest waiting, long now) {
         Demand demand = waiting.request().demand();
         if (waiting.remainingMillis(now) <= 0) {
@@ -250,7 +253,8 @@
                 waiting.remainingMillis(now),
                 request.mode().startsPrefillOnGrant());
         if (!ledger.reserve(grant, demand.prefixHashes(), request.contextTokens(), now)) {
-            throw new IllegalStateException("attempt " + request.attempt() + " waits though the ledger knows it");
+            throw new IllegalStateException(
+                    "attempt " + request.attempt() + " is queued, but the ledger rejected its reservation");
         }
         queue.remove(waiting);
         counters.recordServed(waiting.virtualStart());
@@ -274,7 +278,7 @@
         return best;
     }
 
-    /** Empty when an engine rests so shortly that waiting for it beats trying elsewhere. */
+    /** Empty when an engine's cooldown is so short that waiting for it is better than another owner. */
     private Optional<Refusal> noEngineRefusal(Demand demand, long now) {
         long rest = Long.MAX_VALUE;
         for (EngineLedger each : ledger.engines(model)) {
@@ -294,7 +298,7 @@
         return engine.hasAdapter(demand.adapter()) && !demand.excluded().contains(engine.id());
     }
 
-    /** Why no engine here could serve the demand even when idle. */
+    /** The refusal when no engine here could serve the demand even when idle. */
     private static Optional<Refusal> tooLargeRefusal(Demand demand, List<EngineLedger> ready) {
         for (EngineLedger each : ready) {
             if (each.capacityKvTokens() >= demand.kvTokens()) {
--- a/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
@@ -57,7 +57,7 @@
  * One entry as the owner of its backend servers. All methods may be called from any thread; one lock guards all state,
  * is held for microseconds, and no other lock is taken under it. Times are nanoseconds of one monotonic clock.
  *
- * <p>Call {@link #advance} several times a second, and after each report, to learn the answers of waiting requests.
+ * <p>Call {@link #advance} several times a second, and after each report, to receive the answers of queued requests.
  */
 public final class Owner {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -105,18 +105,21 @@
         this.orphans = new OrphanFinder(settings.orphanGraceMillis() * NANOS_PER_MILLI);
     }
 
-    /** Places nothing from this time on; an owner begins without a lease and so places nothing until told. */
+    /**
+     * Sets the end of this host's lease, after which the owner places nothing. An owner starts without a lease and
+     * places nothing until this method is called.
+     */
     public synchronized void leaseUntil(long nanos) {
         leaseUntil = nanos;
         leaseHeld = true;
     }
 
-    /** Weights of organisations from now on. */
+    /** Sets the configuration, which holds the organisations' weights. */
     public synchronized void configure(Configuration next) {
         configuration = next;
     }
 
-    /** The live entries. Grants of a host that stays missing are cancelled on their engines, then freed. */
+    /** Sets the live entries. Grants of a host that stays missing are cancelled on their engines, then freed. */
     public synchronized void members(Collection<HostRecord> members, long now) {
         ownership = new Ownership(members);
         hosts = new LiveHosts(members);
@@ -124,7 +127,7 @@
         reclaimFromLostHosts(now);
     }
 
-    /** Refuses new work from now on; open grants go on. */
+    /** Refuses new work from now on; open grants continue. */
     public synchronized void leave(long now) {
         leaving = true;
         Refusal refusal = Refusal.retryLater(RefusalReason.LEAVING, "this entry is stopping", NO_LEASE_RETRY_MILLIS);
@@ -147,7 +150,10 @@
                 settings.announceIntervalMillis(), settings.leaseMillis(), announceAddresses(announcement));
     }
 
-    /** Empty when the request waits; its answer then comes from {@link #advance}, at the latest at its deadline. */
+    /**
+     * Places a request. Empty when it is queued; its answer then comes from {@link #advance}, at its deadline at the
+     * latest.
+     */
     public synchronized Optional<OwnerPlaceAnswer> place(PlaceRequest request, long now) {
         if (waiting.containsKey(request.attempt())) {
             return Optional.empty();
@@ -169,7 +175,7 @@
         return Optional.empty();
     }
 
-    /** First tokens and releases; a release of a request that still waits withdraws it. */
+    /** Records segments begun, first tokens and releases; a release of a queued request removes it from the queue. */
     public synchronized GrantReportAnswer report(GrantReport report, long now) {
         int unknown = 0;
         for (AttemptId each : report.begun()) {
@@ -185,7 +191,7 @@
         return new GrantReportAnswer(unknown);
     }
 
-    /** Reserves again what another owner granted before this one took over. */
+    /** Reserves what another owner granted before this one took over its engine. */
     public synchronized RegisterAnswer register(RegisterGrants request, long now) {
         List<AttemptId> notOwned = new ArrayList<>();
         for (Grant each : request.grants()) {
@@ -197,7 +203,10 @@
         return new RegisterAnswer(notOwned);
     }
 
-    /** Moves time on: ends leases, expires and places waiting requests. Returns the answers that became known. */
+    /**
+     * Advances the clock: expires leases and queued requests, and places requests. Returns the answers decided since
+     * the last call.
+     */
     public synchronized List<OwnerDecision> advance(long now) {
         for (Announcement each : servers.expire(now)) {
             ledger.markUnreachable(each.id());
@@ -221,9 +230,9 @@
     }
 
     /**
-     * What an engine holds now, as it says itself; shows what a dead entry left there. Returns what to ask live entries
-     * about: a call that an entry gave up may still have reached the engine, after the cancel did. Their answers go to
-     * {@link #onAuditAnswer}.
+     * Processes an engine's own listing of what it holds, which shows what a lost entry left there. Returns the
+     * requests to send to live entries: a call cancelled by its entry may still have reached the engine, after the
+     * cancel did. Their answers go to {@link #onAuditAnswer}.
      */
     public synchronized List<AuditRequest> onEngineListing(
             BackendServerId server, List<StreamInfo> streams, List<KvExport> exports, long now) {
@@ -238,7 +247,7 @@
         return pendingAudits.createRequests(found.unregistered());
     }
 
-    /** An entry says which attempts it is not running. */
+    /** Processes an entry's answer with the attempts that it is not running. */
     public synchronized void onAuditAnswer(AuditRequest request, AuditAnswer answer, long now) {
         for (Cancel each : pendingAudits.resolve(request, answer)) {
             if (ledger.grant(each.attempt()).isEmpty()) {
@@ -247,12 +256,12 @@
         }
     }
 
-    /** Cancels to send to engines now; each comes again until {@link #onCancelAcknowledged}. */
+    /** Returns the cancels to send to engines now; each is repeated until {@link #onCancelAcknowledged}. */
     public synchronized List<Cancel> cancels(long now) {
         return cancels.due(now);
     }
 
-    /** The engine holds nothing for it any more. */
+    /** Records that the engine holds nothing for the cancel any more. */
     public synchronized void onCancelAcknowledged(Cancel cancel, long now) {
         if (cancels.acknowledge(cancel) && !cancel.targetsExport()) {
             ledger.release(cancel.attempt(), false, now);
@@ -263,7 +272,7 @@
         ledger.applyCacheEvents(server, events);
     }
 
-    /** The state to send to every entry. */
+    /** Returns the summary to send to every entry. */
     public synchronized OwnerSummary summary(long now) {
         List<ModelSummary> models = new ArrayList<>();
         for (ModelName each : ledger.models()) {
@@ -287,7 +296,7 @@
         return servers.all();
     }
 
-    /** Sequence number of the last cache event taken in from an engine. */
+    /** Sequence number of the last cache event applied for an engine; 0 for an unknown engine. */
     public synchronized long lastCacheSequence(BackendServerId server) {
         return ledger.engine(server).map(EngineLedger::lastCacheSequence).orElse(0L);
     }
@@ -316,7 +325,8 @@
         if (ledger.wasReleased(attempt)) {
             return refused(Refusal.didNotRun(RefusalReason.DEADLINE, "the attempt was released already"), request, now);
         }
-        // A host cut off from the control hosts may be the second owner of an engine; it must not fill it.
+        // A host partitioned from the control hosts may no longer be an engine's only owner; two that place on it would
+        // overfill it.
         if (!leaseHeld || now - leaseUntil >= 0) {
             String why = "this entry holds no lease";
             return refused(Refusal.retryLater(RefusalReason.NO_LEASE, why, NO_LEASE_RETRY_MILLIS), request, now);
@@ -359,8 +369,9 @@
     }
 
     /**
-     * After a change of owner the engine still serves what the old owner granted. Without counting it, the new owner
-     * would fill memory that is taken. Exports of live hosts are left out: segments reserve their imports.
+     * KV tokens of an engine's streams and exports without a grant here. After a change of owner the engine still
+     * serves what the old owner granted; without counting it, the new owner would promise memory that is taken. Exports
+     * of live hosts are left out: segments reserve their imports.
      */
     private long unregisteredKvTokens(
             List<StreamInfo> streams, List<KvExport> exports, Predicate<AttemptId> registered) {
@@ -404,7 +415,7 @@
         }
     }
 
-    /** Their memory stays reserved until the engine has acknowledged the cancel. */
+    /** Cancels grants on their engines. Their memory stays reserved until the engine has acknowledged the cancel. */
     private void reclaim(List<Grant> grants, long now) {
         for (Grant each : grants) {
             Cancel cancel = Cancel.stream(each.server(), each.attempt());
--- a/elmline-core/src/main/java/org/elmline/core/owner/OwnerCounts.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/OwnerCounts.java
@@ -5,13 +5,13 @@
 /**
  * An owner's figures for operators.
  *
- * @param engines engines known, those fallen silent included
+ * @param engines engines known, those with an expired lease included
  * @param openGrants grants reserved now
  * @param waiting requests waiting to be placed now
  * @param openCancels cancels that no engine has acknowledged yet
  * @param placed grants given since the start
  * @param refused requests refused since the start
- * @param reclaimed grants taken back because their entry was gone or silent past the deadline
+ * @param reclaimed grants reclaimed because their entry was lost or did not release them after the deadline
  * @param unknownReports first tokens and releases for grants not held: late, repeated, or after a loss
  */
 public record OwnerCounts(
--- a/elmline-core/src/main/java/org/elmline/core/owner/OwnerSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/OwnerSettings.java
@@ -2,7 +2,7 @@
 
 import org.elmline.core.ledger.LedgerSettings;
 
-/** Dials of an owner; every time is in milliseconds. */
+/** Settings of an owner; every time is in milliseconds. */
 public final class OwnerSettings {
     private final long announceIntervalMillis;
     private final long leaseMillis;
@@ -30,27 +30,27 @@
         return announceIntervalMillis;
     }
 
-    /** Silence after which a backend server gets no new work. */
+    /** Time without an announcement after which a backend server gets no new work. */
     public long leaseMillis() {
         return leaseMillis;
     }
 
-    /** Requests that may wait for one model. */
+    /** Maximum number of requests that wait for one model. */
     public int queueCapacity() {
         return queueCapacity;
     }
 
-    /** Prompt work that an engine may hold ahead of a request; beyond it the request waits at the owner. */
+    /** Prefill backlog that an engine may hold ahead of a request; above it the request waits at the owner. */
     public long engineQueueMillis() {
         return engineQueueMillis;
     }
 
-    /** Time past its deadline after which a grant is cancelled on the engine in its entry's place. */
+    /** Time after a grant's deadline at which the owner cancels it on the engine, in place of its entry. */
     public long reclaimGraceMillis() {
         return reclaimGraceMillis;
     }
 
-    /** Time between two listings that must both show a stray stream. */
+    /** Minimum time between two listings that must both show an orphaned stream before it is cancelled. */
     public long orphanGraceMillis() {
         return orphanGraceMillis;
     }
@@ -59,7 +59,7 @@
         return ledger;
     }
 
-    /** Starts from the values that suit one region of fast links. */
+    /** Starts from values for one region with fast links. */
     public static final class Builder {
         private long announceIntervalMillis = 1_000;
         private long leaseMillis = 4_000;
--- a/elmline-core/src/main/java/org/elmline/core/owner/PendingAudits.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/PendingAudits.java
@@ -15,11 +15,14 @@
 import org.elmline.core.stream.Cancel;
 import org.elmline.core.stream.OrphanFinder.UnregisteredHolding;
 
-/** What engines hold in the name of live entries without a grant, until those entries have said whether they run it. */
+/**
+ * Streams and exports that engines hold for live entries without a grant, until those entries report whether they run
+ * the attempts. Not thread-safe.
+ */
 final class PendingAudits {
     private final Map<AttemptId, Set<Cancel>> cancelsByAttempt = new HashMap<>();
 
-    /** One request for each entry that is named. */
+    /** Records the holdings and returns one request for each entry named in them. */
     List<AuditRequest> createRequests(List<UnregisteredHolding> doubts) {
         Map<HostId, List<UnregisteredHolding>> byHost = new HashMap<>();
         for (UnregisteredHolding each : doubts) {
@@ -39,7 +42,7 @@
         return requests;
     }
 
-    /** What to cancel after an entry's answer. */
+    /** Returns the cancels that follow from an entry's answer. */
     List<Cancel> resolve(AuditRequest request, AuditAnswer answer) {
         List<Cancel> cancels = new ArrayList<>();
         for (AttemptId each : answer.notRunning()) {
@@ -51,7 +54,7 @@
         return cancels;
     }
 
-    /** A new listing of the server replaces what its last one showed. */
+    /** Removes what the server's last listing showed; its new listing replaces it. */
     void removeServer(BackendServerId server) {
         cancelsByAttempt
                 .values()
--- a/elmline-core/src/test/java/org/elmline/core/owner/AnswerInTimeTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/AnswerInTimeTest.java
@@ -23,9 +23,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Far more requests arrive than the engines can read, engines restart, leave and fall silent, callers leave, and entries
- * repeat their calls. Each request must get exactly one answer no later than its deadline (and one tick of the wheel),
- * and once all grants are released the engines' memory is whole again.
+ * Requests arrive faster than the engines can read prompts, engines restart, leave and stop announcing themselves,
+ * callers disconnect, and entries repeat their calls. Each request must get exactly one answer no later than its
+ * deadline plus one tick of the timing wheel, and once all grants are released the engines' memory must be free again.
  */
 class AnswerInTimeTest {
     private static final int ENGINES = 3;
@@ -40,7 +40,7 @@
     private final long[] incarnations = new long[ENGINES];
     private final boolean[] silent = new boolean[ENGINES];
 
-    /** All tries share this object. */
+    /** All tries share this instance. */
     @BeforeTry
     void startAnew() {
         fixture = new OwnerFixture(OwnerSettings.builder().queueCapacity(20).build());
--- a/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
@@ -21,7 +21,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** An engine changes its owner with streams open. */
+/** An engine changes its owner with streams open, or the entry of an open stream is lost. */
 class HandOverTest {
     private static final long CAPACITY = 100_000;
     private static final BackendServerId ENGINE = BackendServerId.of("engine-0");
@@ -30,9 +30,9 @@
     private final OwnerFixture after = new OwnerFixture().engines(1, CAPACITY);
 
     /**
-     * The old owner dies while an answer streams. The new one knows nothing of it and would promise its memory again.
-     * From the engine's listing it counts it as taken; once the gateway has registered, exactly the grant is reserved,
-     * and its release frees it once.
+     * The old owner is lost while an answer streams. The new one has no grant for it and would promise its memory
+     * again. It must count the memory from the engine's listing as taken; once the gateway has registered, exactly the
+     * grant is reserved, and its release frees it once.
      */
     @Test
     void registeredGrantsAreReservedOnceAndReleasedOnce() {
@@ -42,22 +42,26 @@
         assertEquals(CAPACITY - 30_000, after.freeTokens());
         assertEquals(List.of(grant.attempt()), audits.get(0).attempts());
         after.owner.onAuditAnswer(audits.get(0), new AuditAnswer(List.of()), after.now);
-        assertEquals(List.of(), after.owner.cancels(after.now), "the gateway runs it");
+        assertEquals(List.of(), after.owner.cancels(after.now), "the gateway still runs the attempt");
 
         RegisterGrants registration =
                 new RegisterGrants(OwnerFixture.GATEWAY, OwnerFixture.FIRST, List.of(grant.afterFirstToken()));
         assertEquals(List.of(), after.owner.register(registration, after.now).notOwned());
-        assertEquals(List.of(), after.owner.register(registration, after.now).notOwned(), "repeated");
+        assertEquals(List.of(), after.owner.register(registration, after.now).notOwned(), "repeated registration");
         after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(CAPACITY - 40_000, after.freeTokens());
 
         assertEquals(0, after.release(grant.attempt(), ReleaseCause.FINISHED));
-        assertEquals(List.of(), after.owner.register(registration, after.now).notOwned(), "late, after the release");
+        assertEquals(
+                List.of(), after.owner.register(registration, after.now).notOwned(), "registration after the release");
         after.owner.onEngineListing(ENGINE, List.of(), List.of(), after.now);
         assertEquals(CAPACITY, after.freeTokens());
     }
 
-    /** The gateway gave a call up, and it reached the engine after the cancel: only the gateway knows that it is over. */
+    /**
+     * A gateway cancelled a call that reached the engine after the cancel: only the gateway can report that it has
+     * ended.
+     */
     @Test
     void whatItsEntryDoesNotRunIsCancelled() {
         AttemptId lost = AttemptId.of("given-up");
@@ -76,7 +80,7 @@
         assertEquals(List.of(), after.owner.cancels(after.now));
     }
 
-    /** Neither the old entry nor anybody else registers: after two listings the engine is told to free it. */
+    /** No entry registers the stream: after two listings its engine receives a cancel. */
     @Test
     void streamsOfADeadEntryAreSweptByTheNewOwner() {
         List<StreamInfo> streams = List.of(stream(AttemptId.of("orphan"), HostId.of("dead"), 20_000));
@@ -86,14 +90,14 @@
         after.advance(3_000);
         after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(List.of(Cancel.stream(ENGINE, AttemptId.of("orphan"))), after.owner.cancels(after.now));
-        assertEquals(CAPACITY - 20_000, after.freeTokens(), "taken until the engine says otherwise");
+        assertEquals(CAPACITY - 20_000, after.freeTokens(), "counted as taken until a listing no longer shows it");
         after.owner.onEngineListing(ENGINE, List.of(), List.of(), after.now);
         assertEquals(CAPACITY, after.freeTokens());
     }
 
     /**
-     * A gateway restarts and places a request before this owner's member list shows its new start; then a change of some
-     * other host brings a list that still lacks it. Its stream must not be cancelled: the next list has it.
+     * A gateway restarts and places a request before this owner's member list shows its new incarnation; then a change
+     * of another host brings a list that still lacks it. Its stream must not be cancelled: the next list includes it.
      */
     @Test
     void grantsOfAnEntryThatTheListLacksForAMomentStay() {
@@ -106,7 +110,9 @@
         assertEquals(List.of(), before.owner.cancels(before.now));
     }
 
-    /** The gateway froze past its request's deadline. Its grant must not hold memory for as long as it sleeps. */
+    /**
+     * A gateway is suspended beyond its request's deadline. Its grant must not hold memory for the whole suspension.
+     */
     @Test
     void grantsOfASilentEntryAreReclaimedAfterTheDeadline() {
         Grant grant = granted(before, 9_900);
@@ -117,7 +123,8 @@
         assertEquals(List.of(Cancel.stream(ENGINE, grant.attempt())), cancels);
         before.owner.onCancelAcknowledged(cancels.get(0), before.now);
         assertEquals(CAPACITY, before.freeTokens());
-        assertEquals(1, before.release(grant.attempt(), ReleaseCause.FINISHED), "the late end finds nothing");
+        assertEquals(
+                1, before.release(grant.attempt(), ReleaseCause.FINISHED), "the late release names an unknown grant");
         assertEquals(CAPACITY, before.freeTokens());
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/owner/OwnerFixture.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/OwnerFixture.java
@@ -30,7 +30,7 @@
 import org.elmline.core.route.Release;
 import org.elmline.core.route.ReleaseCause;
 
-/** One owner with engines of 10,000 tokens a second, driven by a clock that the test moves. */
+/** One owner with engines that read 10,000 tokens a second, driven by a clock that the test advances. */
 public final class OwnerFixture {
     public static final ModelName MODEL = ModelName.of("elm-small");
     public static final HostId GATEWAY = HostId.of("gateway");
@@ -111,12 +111,12 @@
         return owner.advance(now);
     }
 
-    /** Free memory of all engines together, as the owner tells other entries. */
+    /** Free memory of all engines together in tokens, as the owner reports it to other entries. */
     public long freeTokens() {
         return owner.summary(MODEL, now).orElseThrow().groupKvTokens();
     }
 
-    /** Keeps the engines' leases alive over a long time. */
+    /** Advances the clock in steps of 500 ms and renews the engines' leases at each step. */
     public List<OwnerDecision> advanceWithBeats(long millis, int engines, long capacity) {
         List<OwnerDecision> decided = new ArrayList<>();
         for (long passed = 0; passed < millis; passed += 500) {
--- a/elmline-core/src/test/java/org/elmline/core/owner/OwnerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/OwnerTest.java
@@ -23,10 +23,13 @@
         fixture.engines(2, CAPACITY);
         PlaceRequest request = fixture.request("org", 1_900, 0, 10_000);
         Grant grant = granted(request);
-        assertEquals(grant, granted(request), "asked again, the same grant");
+        assertEquals(grant, granted(request), "a repeated request gets the same grant");
         assertEquals(2 * CAPACITY - 2_000, fixture.freeTokens());
         assertEquals(0, fixture.release(request.attempt(), ReleaseCause.FINISHED));
-        assertEquals(1, fixture.release(request.attempt(), ReleaseCause.FINISHED), "the second release finds nothing");
+        assertEquals(
+                1,
+                fixture.release(request.attempt(), ReleaseCause.FINISHED),
+                "the second release names an unknown grant");
         assertEquals(2 * CAPACITY, fixture.freeTokens());
     }
 
@@ -54,21 +57,22 @@
     }
 
     /**
-     * The caller's entry dies with a read in flight. Nobody releases the grant, and the engine goes on holding its
-     * memory. The owner must cancel on the engine, again until acknowledged, and only then count the memory as free.
+     * The caller's entry is lost while its request runs. Nobody releases the grant, and the engine still holds its
+     * memory. The owner must cancel on the engine, repeatedly until acknowledged, and only then count the memory as
+     * free.
      */
     @Test
     void grantsOfALostEntryAreCancelledUntilAcknowledgedAndFreed() {
         fixture.engines(1, CAPACITY);
         granted(fixture.request("org", 49_900, 0, 60_000));
         fixture.owner.members(List.of(OwnerFixture.host("owner", "a")), fixture.now);
-        assertEquals(List.of(), fixture.owner.cancels(fixture.now), "the list may lag for a moment");
+        assertEquals(List.of(), fixture.owner.cancels(fixture.now), "the member list may lag");
         fixture.advanceWithBeats(3_000, 1, CAPACITY);
         var first = fixture.owner.cancels(fixture.now);
         assertEquals(1, first.size());
         fixture.engines(1, CAPACITY);
         fixture.advance(500);
-        assertEquals(first, fixture.owner.cancels(fixture.now), "sent again while nobody acknowledged it");
+        assertEquals(first, fixture.owner.cancels(fixture.now), "repeated while not acknowledged");
         assertEquals(CAPACITY - 50_000, fixture.freeTokens());
         fixture.owner.onCancelAcknowledged(first.get(0), fixture.now);
         assertEquals(CAPACITY, fixture.freeTokens());
@@ -77,8 +81,9 @@
     }
 
     /**
-     * The only engine breaks one attempt off and rests for a second. A caller that asks in that second would get 503 for
-     * nothing: it waits and is placed. After repeated failures the rest is long, and the caller is told to come back.
+     * The only engine breaks an attempt off and is in cooldown for a second. A request in that second must wait and be
+     * placed, rather than be refused with 503 needlessly. After repeated failures the cooldown is long, and the request
+     * is refused with a time to retry after.
      */
     @Test
     void shortRestOfTheOnlyEngineIsWaitedOut() {
