--- a/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
@@ -17,7 +17,10 @@
 import org.elmline.core.placement.WaitPredictor;
 import org.elmline.core.route.Grant;
 
-/** What one engine holds for its owner's grants, and how fast it has proved to be. Changed through {@link Ledger} only. */
+/**
+ * What one engine holds for its owner's grants, and its measured prefill speed. Changed only through {@link Ledger}.
+ * Not thread-safe.
+ */
 public final class EngineLedger implements Replica {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final double NANOS_PER_SECOND = 1e9;
@@ -54,7 +57,7 @@
         updateAnnouncement(announcement);
     }
 
-    /** The time that the views of backlog and speed are of. */
+    /** Sets the time at which backlog and speed are estimated. */
     void advanceClock(long now) {
         clockNanos = now;
     }
@@ -107,7 +110,7 @@
         consecutiveFaults = 0;
     }
 
-    /** A segment's turn to be read has come. */
+    /** Makes a segment eligible for prefill. */
     void beginPrefill(LedgerEntry entry, long now) {
         if (!entry.beginPrefill(now, finishedWork)) {
             return;
@@ -115,7 +118,7 @@
         startPrefill(entry, now);
     }
 
-    /** Memory that the engine holds for streams and exports without a grant here, by its last listing. */
+    /** Sets the memory that the engine holds for streams and exports without a grant here, by its last listing. */
     void unregisteredKvTokens(long kvTokens) {
         unregisteredKvTokens = kvTokens;
     }
@@ -125,10 +128,10 @@
     }
 
     /**
-     * Takes the answers that are owed into account. While one prompt waits, the engine can't have done more than all the
-     * work that was open when it could begin to read that prompt, or was placed since; that over the time waited is an
-     * upper bound of its speed, in whatever order it reads. It shows an engine that has become slow before the first late
-     * answer comes.
+     * Limits the estimated speed by the first tokens that are overdue. While one prompt waits, the engine can't have
+     * done more than all the work that was open when it could begin to read that prompt, or was placed since; that work
+     * divided by the time waited is an upper bound of its speed, in whatever order it reads. The bound shows a slow
+     * engine before its first late answer arrives.
      */
     void updateSpeedBound(long now) {
         maxTokensPerSecond = Double.MAX_VALUE;
@@ -165,17 +168,17 @@
         return adapter == null || adapter.isEmpty() || announcement.adapters().contains(adapter);
     }
 
-    /** Whether it may get new work: it announces itself, is not leaving and has not just failed. */
+    /** Whether it may get new work: its lease is valid, it is not leaving and not in cooldown after a failure. */
     public boolean acceptsWork(long now) {
         return isAvailable() && now - cooldownUntilNanos >= 0;
     }
 
-    /** Whether it announces itself and is not leaving, though it may rest after a failure. */
+    /** Whether its lease is valid and it is not leaving; it may be in cooldown after a failure. */
     public boolean isAvailable() {
         return reachable && !announcement.leaving();
     }
 
-    /** Milliseconds that it still rests after a failure; 0 or less when it doesn't. */
+    /** Milliseconds of cooldown left after a failure; 0 or less when it is not in cooldown. */
     public long cooldownMillis(long now) {
         return (cooldownUntilNanos - now) / NANOS_PER_MILLI;
     }
@@ -184,7 +187,7 @@
         return reachable;
     }
 
-    /** Whether each of its grants is past its deadline by more than {@code graceNanos}; true when it has none. */
+    /** Whether each of its grants is past its deadline by at least {@code graceNanos}; true when it has none. */
     public boolean areAllGrantsOverdue(long now, long graceNanos) {
         for (LedgerEntry each : entries.values()) {
             if (now - each.deadlineNanos() < graceNanos) {
@@ -194,7 +197,7 @@
         return true;
     }
 
-    /** Sequence number of the last cache event taken in. */
+    /** Sequence number of the last cache event applied. */
     public long lastCacheSequence() {
         return prefixes.lastSequence();
     }
@@ -203,7 +206,7 @@
         return prefixes.inSync();
     }
 
-    /** Prompt work in the engine that it reads before a new prompt of the class. */
+    /** Prompt work in tokens that the engine reads before a new prompt of the class. */
     public long workAhead(LengthClass lengthClass) {
         long work = 0;
         int own = settings.placement().priority(lengthClass);
@@ -213,17 +216,17 @@
         return work;
     }
 
-    /** Milliseconds until the engine would begin to read a new prompt of the class. */
+    /** Predicted milliseconds until the engine would begin the prefill of a new prompt of the class. */
     public long waitMillis(LengthClass lengthClass) {
         return Math.round(workAhead(lengthClass) * MILLIS_PER_SECOND / prefillTokensPerSecond());
     }
 
-    /** Milliseconds until the first token of a demand that is placed here now. */
+    /** Predicted milliseconds until the first token of a demand placed here now. */
     public long firstTokenMillis(Demand demand) {
         return Math.round(predictor.secondsToFirstToken(demand, this) * MILLIS_PER_SECOND);
     }
 
-    /** Prompt tokens placed here, and begun where they are a segment, whose first answer token has not come. */
+    /** Prompt tokens placed here whose first answer token has not come; a segment counts once its prefill has begun. */
     public long pendingPrefillTokens(LengthClass lengthClass) {
         return pendingPrefillTokens[lengthClass.ordinal()];
     }
@@ -278,12 +281,12 @@
         return (int) Math.min((long) leading * settings.blockTokens(), demand.promptTokens() - 1L);
     }
 
-    /** Whether the engine is believed to cache the first block of a prompt. */
+    /** Whether the first block of a prompt is estimated to be in the engine's cache. */
     public boolean cachesBlock(long blockHash) {
         return prefixes.leadingBlocks(List.of(blockHash)) == 1;
     }
 
-    /** First blocks of prompts read here lately, newest first. */
+    /** First blocks of the prompts most recently read here, newest first. */
     public List<Long> recentFirstBlocks(int most) {
         return prefixes.recentFirstBlocks(most);
     }
@@ -307,7 +310,10 @@
         return announced > 0 ? announced : DEFAULT_TOKENS_PER_SECOND;
     }
 
-    /** An engine that refuses each attempt at once looks idle and would draw all work to itself, so it rests first. */
+    /**
+     * Excludes a faulty engine for a time: one that refuses each attempt at once has no backlog and would otherwise
+     * attract all work. The time doubles with each consecutive fault.
+     */
     private void startCooldown(long now) {
         int doublings = Math.min(consecutiveFaults, MAX_COOLDOWN_DOUBLINGS);
         cooldownUntilNanos = now + (INITIAL_COOLDOWN_NANOS << doublings);
--- a/elmline-core/src/main/java/org/elmline/core/ledger/Ledger.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/Ledger.java
@@ -21,7 +21,8 @@
 
 /**
  * All grants of one owner. A grant lives from {@link #reserve} to the first {@link #release}, the restart of its engine
- * or the removal of a lost engine; whatever comes later for it finds nothing and changes nothing. Not thread-safe.
+ * or the removal of a lost engine; later calls for it change nothing. Times are nanoseconds of one monotonic clock. Not
+ * thread-safe.
  */
 public final class Ledger {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -42,7 +43,10 @@
         this.settings = settings;
     }
 
-    /** Takes in what an engine says of itself. A later start begins with an empty account: its memory began empty. */
+    /**
+     * Adds or updates an engine from its announcement. A later incarnation begins without grants, since its memory is
+     * empty at its start.
+     */
     public void announce(Announcement announcement, long now) {
         EngineLedger known = engines.get(announcement.id());
         if (known != null && !known.announcement().incarnation().equals(announcement.incarnation())) {
@@ -61,7 +65,7 @@
         }
     }
 
-    /** Stops new work on an engine that fell silent; its grants stay until their entries release them. */
+    /** Stops new work on an engine whose lease expired; its grants stay until their entries release them. */
     public void markUnreachable(BackendServerId server) {
         EngineLedger engine = engines.get(server);
         if (engine != null) {
@@ -69,7 +73,7 @@
         }
     }
 
-    /** Forgets an engine with all its grants and returns those. */
+    /** Removes an engine with all its grants and returns those. */
     public List<Grant> removeEngine(BackendServerId server) {
         EngineLedger engine = engines.remove(server);
         if (engine == null) {
@@ -88,7 +92,7 @@
     /**
      * Reserves a grant's memory and counts its prompt as backlog.
      *
-     * @param contextTokens imported tokens before a segment; they make reading it dearer
+     * @param contextTokens imported tokens before a segment; they raise the cost of its prefill
      * @return false when the attempt is known or was released before, or its engine's incarnation is not owned
      */
     public boolean reserve(Grant grant, List<Long> prefixHashes, int contextTokens, long now) {
@@ -96,7 +100,7 @@
         if (engine == null || !engine.announcement().incarnation().equals(grant.serverIncarnation())) {
             return false;
         }
-        // A request that overtakes its own release on the network would otherwise hold memory that nobody frees.
+        // A request delivered after its own release would otherwise reserve memory that is never released.
         if (engineByAttempt.containsKey(grant.attempt()) || tombstones.containsKey(grant.attempt())) {
             return false;
         }
@@ -108,7 +112,7 @@
         return true;
     }
 
-    /** Gives a grant back. Empty when it is not held, which is no fault: ends come late, twice and after a loss. */
+    /** Releases a grant. Empty when it is not held, which is no error: releases arrive late, twice and after a loss. */
     public Optional<Grant> release(AttemptId attempt, boolean engineFault, long now) {
         tombstones.put(attempt, Boolean.TRUE);
         EngineLedger engine = engineByAttempt.remove(attempt);
@@ -118,7 +122,7 @@
         return Optional.ofNullable(engine.release(attempt, engineFault, now)).map(LedgerEntry::grant);
     }
 
-    /** The prompt was read: it no longer counts as backlog. False when the grant is not held. */
+    /** Records that the prompt was read: it no longer counts as backlog. False when the grant is not held. */
     public boolean onFirstToken(AttemptId attempt, long now) {
         EngineLedger engine = engineByAttempt.get(attempt);
         if (engine == null) {
@@ -128,7 +132,9 @@
         return true;
     }
 
-    /** A segment's turn to be read has come: from now on it counts as backlog. False when the grant is not held. */
+    /**
+     * Records that a segment's prefill may begin: from now on it counts as backlog. False when the grant is not held.
+     */
     public boolean beginPrefill(AttemptId attempt, long now) {
         EngineLedger engine = engineByAttempt.get(attempt);
         if (engine == null) {
@@ -166,7 +172,7 @@
         }
     }
 
-    /** Grants whose deadline passed more than {@code graceNanos} ago: their entry should have released them. */
+    /** Grants whose deadline passed at least {@code graceNanos} ago without a release by their entry. */
     public List<Grant> overdueGrants(long now, long graceNanos) {
         List<Grant> found = new ArrayList<>();
         for (EngineLedger engine : engines.values()) {
@@ -179,7 +185,10 @@
         return found;
     }
 
-    /** Takes in how much memory an engine holds for what has no grant here; a listing comes again, so it ends. */
+    /**
+     * Sets the memory that an engine holds without a grant here. Each listing replaces the value, so no release is
+     * needed.
+     */
     public void updateUnregisteredKvTokens(BackendServerId server, long kvTokens) {
         EngineLedger engine = engines.get(server);
         if (engine != null) {
@@ -194,14 +203,14 @@
         }
     }
 
-    /** Lets every engine take the answers that it owes into account; call several times a second. */
+    /** Updates every engine's speed bound from its overdue first tokens; call several times a second. */
     public void updateSpeedBounds(long now) {
         for (EngineLedger each : engines.values()) {
             each.updateSpeedBound(now);
         }
     }
 
-    /** Moves the views of all engines of a model to a time; call before predicting with them. */
+    /** Sets the time for the backlog and speed estimates of a model's engines; call before predicting with them. */
     public void advanceClock(ModelName model, long now) {
         for (EngineLedger each : engines(model)) {
             each.advanceClock(now);
--- a/elmline-core/src/main/java/org/elmline/core/ledger/LedgerEntry.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/LedgerEntry.java
@@ -6,7 +6,7 @@
 import org.elmline.core.placement.PrefillBacklog;
 import org.elmline.core.route.Grant;
 
-/** One open grant on one engine. Changed by its {@link EngineLedger} only. */
+/** One open grant on one engine. Changed only by its {@link EngineLedger}. */
 final class LedgerEntry {
     private Grant grant;
     private final LengthClass lengthClass;
@@ -42,12 +42,12 @@
         return prefixHashes;
     }
 
-    /** Work of reading the prompt, see {@link org.elmline.core.placement.PrefillCost}. */
+    /** Prefill work of the prompt in tokens, see {@link org.elmline.core.placement.PrefillCost}. */
     long cost() {
         return cost;
     }
 
-    /** When the engine could begin to read the prompt. */
+    /** Time from which the engine may begin the prefill. */
     long eligibleAtNanos() {
         return eligibleAtNanos;
     }
@@ -56,7 +56,7 @@
         return deadlineNanos;
     }
 
-    /** Work that the engine had finished, of all ever placed, when it could begin to read this prompt. */
+    /** Work, of all ever placed on the engine, that was finished when it could begin this prefill. */
     long finishedWorkBefore() {
         return finishedWorkBefore;
     }
@@ -65,7 +65,7 @@
         return awaitingFirstToken;
     }
 
-    /** The engine may read it from now on; false when it may already, or has. */
+    /** Makes the prompt eligible for prefill; false when it is eligible already or its prefill has ended. */
     boolean beginPrefill(long now, long finishedWork) {
         if (awaitingFirstToken || prefillFinished) {
             return false;
@@ -76,7 +76,7 @@
         return true;
     }
 
-    /** Its place in the engine's estimated backlog; null for one that is not read yet. */
+    /** Its position in the engine's estimated backlog; null while its prefill has not begun. */
     PrefillBacklog.Prefill prefill() {
         return prefill;
     }
--- a/elmline-core/src/main/java/org/elmline/core/ledger/LedgerSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/LedgerSettings.java
@@ -4,9 +4,10 @@
 import org.elmline.core.placement.PrefillCost;
 
 /**
- * What an owner takes for granted of its engines.
+ * What an owner assumes about its engines.
  *
- * @param placement how engines order and pay for prompts; the policies predict with the same
+ * @param placement how engines order prompts and what reading them costs; placement policies predict with the same
+ *     values
  * @param blockTokens tokens in one block of the prefix cache
  */
 public record LedgerSettings(PlacementSettings placement, int blockTokens) {
--- a/elmline-core/src/main/java/org/elmline/core/ledger/PrefixCacheEstimate.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/PrefixCacheEstimate.java
@@ -11,9 +11,9 @@
 import org.elmline.core.engine.CacheEvents;
 
 /**
- * The prompt blocks that an engine is believed to cache. Events are late and have gaps, so this is a hint: a wrong one
- * costs a slow prefill, never a wrong answer. After a gap nothing is believed until a batch without one arrives.
- * Bounded: the blocks unused longest are forgotten first.
+ * Estimates which prompt blocks an engine caches. Cache events are late and have gaps, so this is a hint: a wrong one
+ * costs a slow prefill, never a wrong answer. After a gap the estimate is empty until a batch without one arrives.
+ * Bounded: the least recently used blocks are evicted first. Not thread-safe.
  */
 final class PrefixCacheEstimate {
     private static final int MAX_BLOCKS = 4_096;
@@ -31,7 +31,7 @@
     private long lastSequence;
     private boolean inSync = true;
 
-    /** Sequence number to ask for events after. */
+    /** Sequence number of the last event applied; the next events to fetch come after it. */
     long lastSequence() {
         return lastSequence;
     }
@@ -44,7 +44,7 @@
         return blocks.size();
     }
 
-    /** Leading blocks believed cached. */
+    /** Number of leading blocks estimated to be cached. */
     int leadingBlocks(List<Long> prefixHashes) {
         if (!inSync) {
             return 0;
@@ -59,14 +59,14 @@
         return leading;
     }
 
-    /** First blocks of the prompts read here last, newest first. */
+    /** First blocks of the prompts most recently read here, newest first. */
     List<Long> recentFirstBlocks(int most) {
         List<Long> newest = new ArrayList<>(recentFirstBlocks);
         Collections.reverse(newest);
         return newest.subList(0, Math.min(most, newest.size()));
     }
 
-    /** A prompt was read here, so its blocks were stored; they also count as used now. */
+    /** Records that a prompt was read here: its blocks are cached and count as used now. */
     void recordStored(List<Long> prefixHashes) {
         if (prefixHashes.isEmpty()) {
             return;
@@ -82,7 +82,7 @@
         }
     }
 
-    /** Takes in the events after {@link #lastSequence()}. */
+    /** Applies the events after {@link #lastSequence()}. */
     void apply(CacheEvents events) {
         if (events.lastSequence() <= lastSequence) {
             return;
@@ -93,7 +93,7 @@
                 apply(each);
             }
         }
-        // A batch whose tail is missing hides evictions: prompts would be sent here for a cache that is gone.
+        // A batch without its last events hides evictions: prompts would be sent here for blocks no longer cached.
         if (lastSequence < events.lastSequence()) {
             reset();
             lastSequence = events.lastSequence();
--- a/elmline-core/src/main/java/org/elmline/core/ledger/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The exact account of what an owner placed on each of its engines: memory reserved, prompts not yet read, streams open.
+ * Exact accounting of what an owner placed on each of its engines: memory reserved, prompts not yet read, streams open.
  * Each grant is reserved once and released once, whatever happens in between. Nothing here is thread-safe; the owner's
  * lock guards it.
  */
--- a/elmline-core/src/test/java/org/elmline/core/ledger/EngineLedgerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/ledger/EngineLedgerTest.java
@@ -16,14 +16,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What an owner learns of its engines from their answers and cache events. */
+/** How an owner estimates its engines' speed and cache contents from their answers and cache events. */
 class EngineLedgerTest {
     private static final long CAPACITY = 1_000_000;
     private static final int ANNOUNCED = 10_000;
 
     /**
-     * An engine runs at a tenth of its speed and reports no load. It owes the first token of a 4,000-token prompt, which
-     * should take 0.4 s, for 2 s. Nothing it says shows it; the answer it owes must.
+     * An engine runs at a tenth of its speed and reports no load. The first token of a 4,000-token prompt, which should
+     * take 0.4 s, has not come after 2 s. No report of the engine shows that it is slow; the overdue first token must.
      */
     @Test
     void overdueAnswerShowsASlowEngine() {
@@ -31,7 +31,7 @@
         fixture.place(fixture.request("org", 4_000, 0, 60_000));
         int before = speed(fixture);
         fixture.advanceWithBeats(2_000, 1, CAPACITY);
-        assertTrue(speed(fixture) < before / 3, "still believed at " + speed(fixture));
+        assertTrue(speed(fixture) < before / 3, "tokens a second estimated: " + speed(fixture));
     }
 
     @Test
@@ -45,9 +45,9 @@
             fixture.firstToken(request.attempt());
             fixture.release(request.attempt(), ReleaseCause.FINISHED);
         }
-        assertTrue(speed(fixture) < 0.2 * ANNOUNCED, "believed at " + speed(fixture));
+        assertTrue(speed(fixture) < 0.2 * ANNOUNCED, "tokens a second estimated: " + speed(fixture));
         fixture.advanceWithBeats(120_000, 1, CAPACITY);
-        assertTrue(speed(fixture) > 0.8 * ANNOUNCED, "after two idle minutes it is tried again");
+        assertTrue(speed(fixture) > 0.8 * ANNOUNCED, "the estimate recovers after two idle minutes");
     }
 
     @Test
@@ -91,7 +91,7 @@
         assertEquals(16, belief.recentFirstBlocks(100).size());
     }
 
-    /** Stores block 10 + sequence for each number. */
+    /** Events that store block 10 + sequence for each sequence number. */
     private static CacheEvents events(long last, long... sequences) {
         List<CacheEvents.Event> events = java.util.Arrays.stream(sequences)
                 .mapToObj(each -> new CacheEvents.Event(each, 10 + each, true))
--- a/elmline-core/src/test/java/org/elmline/core/ledger/LedgerRecountTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/ledger/LedgerRecountTest.java
@@ -23,8 +23,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /**
- * An engine would lose memory for good if any path reserved a grant without releasing it, or fill up beyond its memory
- * if any released one twice. Paths cross: ends come late, twice, before the request or after a restart; so random
+ * An engine would lose memory permanently if any path reserved a grant without releasing it, or be overfilled if any
+ * released one twice. Paths overlap: releases come late, twice, before the request or after a restart. So random
  * sequences of all of them run against a plain list of the open grants that is counted anew after every step.
  */
 class LedgerRecountTest {
@@ -37,7 +37,7 @@
     private final Set<AttemptId> ended = new HashSet<>();
     private final Map<BackendServerId, Long> incarnations = new LinkedHashMap<>();
 
-    /** All tries share this object. */
+    /** All tries share this instance. */
     @BeforeTry
     void startAnew() {
         ledger = new Ledger(LedgerSettings.DEFAULT);
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Attempts get new names every fifty steps, so that some are new, some open and some over. */
+    /** Attempts get new names every fifty steps, so that some are new, some open and some released. */
     private static long step(long now) {
         return now / 50;
     }
