--- a/elmline-core/src/main/java/org/elmline/core/stream/AnswerAssembler.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/AnswerAssembler.java
@@ -11,12 +11,12 @@
 import org.elmline.core.engine.StreamEvent;
 
 /**
- * One caller's answer. Streams of several attempts may feed it, with pieces crossed, doubled, late, out of order or
- * missing; the caller gets each piece once, in order, and the end only with all pieces before it. Only the current
- * attempt counts. Not thread-safe.
+ * Assembles one caller's answer. Streams of several attempts may feed it, with pieces of other attempts, duplicated,
+ * late, out of order or missing; the caller gets each piece once, in order, and the end only after all pieces. Only the
+ * current attempt counts. Not thread-safe.
  */
 public final class AnswerAssembler {
-    /** Pieces held for an earlier one; beyond it the earlier one is taken for lost. */
+    /** Maximum number of pieces buffered while an earlier one is missing; above it the earlier one counts as lost. */
     private static final int MAX_BUFFERED_PIECES = 256;
 
     private static final int UNKNOWN_COUNT = -1;
@@ -32,12 +32,12 @@
         this.attempt = attempt;
     }
 
-    /** Takes an event in; every event is safe to pass, whatever its attempt or time. */
+    /** Processes an event; events of any attempt may be passed at any time. */
     public AssemblyResult accept(StreamEvent event) {
         if (finished) {
             return new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.AFTER_END);
         }
-        // A crossed piece would put another caller's text into this answer, with nothing to show it.
+        // A piece of another attempt would put another caller's text into this answer without any error.
         if (!event.attempt().equals(attempt)) {
             return new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.OTHER_ATTEMPT);
         }
@@ -51,7 +51,7 @@
         return new AssemblyResult.Broken(failed.ran(), failed.why());
     }
 
-    /** From now on only the given attempt counts; it continues from {@link #delivered}. */
+    /** Switches to another attempt, which continues from {@link #delivered}; events of earlier attempts are ignored. */
     public void continueWith(AttemptId next) {
         attempt = next;
         buffered.clear();
@@ -63,12 +63,12 @@
         return attempt;
     }
 
-    /** Pieces that the caller has; their number is the offset to resume from. */
+    /** Pieces delivered to the caller; their number is the offset to resume from. */
     public List<String> delivered() {
         return List.copyOf(delivered);
     }
 
-    /** Number of the piece to ask for when the stream is resumed. */
+    /** Index of the first piece to request when the stream is resumed. */
     public int resumeOffset() {
         return delivered.size();
     }
@@ -77,7 +77,7 @@
         return finished;
     }
 
-    /** Whether the end has come but pieces before it have not: resume from {@link #resumeOffset}. */
+    /** Whether the end or a later piece has come but pieces before it have not: resume from {@link #resumeOffset}. */
     public boolean isMissingPieces() {
         return !finished && (expectedCount != UNKNOWN_COUNT || !buffered.isEmpty());
     }
--- a/elmline-core/src/main/java/org/elmline/core/stream/AssemblyResult.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/AssemblyResult.java
@@ -5,29 +5,29 @@
 import org.elmline.core.common.Ran;
 import org.elmline.core.engine.FinishReason;
 
-/** What one stream event means for the caller. */
+/** What to do after one stream event. */
 public sealed interface AssemblyResult {
-    /** Pieces to pass on now, in order; the answer goes on. */
+    /** Pieces to deliver now, in order; the answer continues. */
     record Deliver(List<String> pieces) implements AssemblyResult {}
 
-    /** The last pieces to pass on; with them the caller has the whole answer. */
+    /** The last pieces to deliver; they complete the answer. */
     record Complete(List<String> pieces, FinishReason reason) implements AssemblyResult {}
 
-    /** Nothing to pass on. */
+    /** Nothing to deliver. */
     record Ignored(IgnoreReason reason) implements AssemblyResult {}
 
-    /** The stream can't be completed as it is: resume it by offset, or continue elsewhere. */
+    /** The stream can't be completed as it is: resume it by offset, or continue on another engine. */
     record Broken(Ran ran, String why) implements AssemblyResult {}
 
-    /** Why an event passes nothing on; counted by the daemon. */
+    /** Why an event delivers nothing; counted by the daemon. */
     enum IgnoreReason {
-        /** Of another attempt: a crossed answer, or one that came after its attempt was given up. */
+        /** Event of another attempt: of another caller's, or of one that was replaced before the event came. */
         OTHER_ATTEMPT,
-        /** A piece that the caller has, or that is held already. */
+        /** A piece that was delivered or buffered already, or a second end. */
         DUPLICATE,
-        /** A piece, or the end, that came before an earlier piece. */
+        /** A piece, or the end, that came before an earlier piece and is buffered. */
         HELD,
-        /** The answer is complete. */
+        /** An event after the end of the answer. */
         AFTER_END
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/stream/CancelQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/CancelQueue.java
@@ -9,9 +9,9 @@
 import org.elmline.core.common.BackendServerId;
 
 /**
- * Cancels that no engine has acknowledged yet. One lost on its way would leave the engine's memory taken for good, so
- * each is repeated, at doubling intervals, until it is acknowledged or its engine's incarnation is gone. Not
- * thread-safe.
+ * Cancels that no engine has acknowledged yet. A lost cancel would leave the engine's memory reserved permanently, so
+ * each is repeated at doubling intervals until it is acknowledged or its engine's incarnation has ended. Times are
+ * nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class CancelQueue {
     private static final long INITIAL_RETRY_INTERVAL_NANOS = 200_000_000L;
@@ -27,7 +27,7 @@
         }
     }
 
-    /** The cancels to send now; each stays open until acknowledged. */
+    /** Returns the cancels to send now and schedules their next repetition; each stays open until acknowledged. */
     public List<Cancel> due(long now) {
         List<Cancel> due = new ArrayList<>();
         for (Map.Entry<Cancel, ResendSchedule> each : unacknowledged.entrySet()) {
@@ -39,7 +39,7 @@
         return due;
     }
 
-    /** The engine holds nothing for it any more. False when it was not open. */
+    /** Removes a cancel that the engine acknowledged. False when it was not open. */
     public boolean acknowledge(Cancel cancel) {
         boolean removed = unacknowledged.remove(cancel) != null;
         if (removed) {
@@ -48,7 +48,7 @@
         return removed;
     }
 
-    /** The engine's incarnation is gone and its memory with it. */
+    /** Removes a server's cancels once its incarnation has ended and its memory is freed. */
     public void removeServer(BackendServerId server) {
         if (countByServer.remove(server) != null) {
             unacknowledged.keySet().removeIf(each -> each.server().equals(server));
--- a/elmline-core/src/main/java/org/elmline/core/stream/LiveHosts.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/LiveHosts.java
@@ -8,7 +8,7 @@
 import org.elmline.core.common.Incarnation;
 import org.elmline.core.control.HostRecord;
 
-/** The incarnations that hold a lease, as the member list says. Immutable. */
+/** The host incarnations that hold a lease according to the member list. Immutable. */
 public final class LiveHosts {
     private final Map<HostId, Incarnation> incarnations = new HashMap<>();
 
@@ -19,7 +19,8 @@
     }
 
     /**
-     * Whether this start of the host is over. A start later than the listed one is not over: the list lags behind it.
+     * Whether this incarnation of the host has ended. One later than the listed one has not: the member list lags
+     * behind it.
      */
     public boolean hasEnded(HostId host, Incarnation incarnation) {
         Incarnation live = incarnations.get(host);
--- a/elmline-core/src/main/java/org/elmline/core/stream/OrphanFinder.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/OrphanFinder.java
@@ -16,9 +16,9 @@
 import org.elmline.core.engine.StreamInfo;
 
 /**
- * Finds streams and exports that an engine holds for an entry that is gone. One is a stray only when two listings at
- * least {@code graceNanos} apart show it with its host gone in both: a host that joined a moment ago may be missing
- * from this process's member list. Not thread-safe.
+ * Finds streams and exports that an engine holds for a lost entry. One is an orphan only when two listings at least
+ * {@code graceNanos} apart show it with its host missing in both: a host that has just joined may be missing from this
+ * process's member list. Not thread-safe.
  */
 public final class OrphanFinder {
     private final long graceNanos;
@@ -29,9 +29,9 @@
     }
 
     /**
-     * Judges one engine's listing.
+     * Classifies the streams and exports in one engine's listing.
      *
-     * @param registered attempts that a live entry has registered
+     * @param registered whether this owner holds a grant for an attempt
      */
     public Findings find(
             BackendServerId server,
@@ -78,19 +78,20 @@
         return found;
     }
 
-    /** Forgets what was seen on a server that this owner no longer owns. */
+    /** Removes what was recorded for a server that this owner no longer owns or that restarted. */
     public void removeServer(BackendServerId server) {
         firstSeenNanos.keySet().removeIf(each -> each.server().equals(server));
     }
 
     /**
-     * What a listing showed.
+     * Findings from one listing.
      *
      * @param orphans to cancel now
-     * @param unregistered held in the name of live entries, which alone know whether they still run it
+     * @param unregistered held for live entries without a grant; only those entries can report whether they still run
+     *     it
      */
     public record Findings(List<Cancel> orphans, List<UnregisteredHolding> unregistered) {}
 
-    /** One thing an engine holds without a grant. */
+    /** One stream or export that an engine holds without a grant. */
     public record UnregisteredHolding(Cancel cancel, HostId host, Incarnation incarnation) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/stream/RetryBudget.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/RetryBudget.java
@@ -1,8 +1,8 @@
 package org.elmline.core.stream;
 
 /**
- * Bounds retries to a share of first tries, so that failing engines can't multiply the load on the rest: over any time
- * at most {@code share} times the first tries, plus {@code burst}. Thread-safe.
+ * Limits retries to a share of first attempts, so that failing engines can't multiply the load on the others: over any
+ * period at most {@code share} times the first attempts, plus {@code burst}. Thread-safe.
  */
 public final class RetryBudget {
     private final double retryRatio;
@@ -10,8 +10,8 @@
     private double availableRetries;
 
     /**
-     * @param share retries allowed for each first try, for example 0.1
-     * @param burst retries that may be saved up while nothing fails
+     * @param share retries allowed for each first attempt, for example 0.1
+     * @param burst retries that may accumulate while nothing fails
      */
     public RetryBudget(double share, double burst) {
         if (share < 0 || burst < 0) {
--- a/elmline-core/src/main/java/org/elmline/core/stream/RetryDecision.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/RetryDecision.java
@@ -4,20 +4,20 @@
 
 /** What to do after an attempt failed. */
 public enum RetryDecision {
-    /** Read the same attempt again from the first missing piece; costs no engine any new work. */
+    /** Read the same attempt again from the first missing piece; gives no engine new work. */
     RESUME,
-    /** Start a new attempt elsewhere. */
+    /** Start a new attempt on another engine. */
     RETRY,
-    /** Start a new attempt elsewhere with the pieces that the caller has. */
+    /** Start a new attempt on another engine that continues after the pieces already delivered. */
     CONTINUE,
-    /** Tell the caller that it failed, with what is known of whether it ran. */
+    /** Report the failure to the caller, with what is known of whether the request ran. */
     FAIL;
 
     private static final int MAX_RESUMES = 3;
     private static final int MAX_ATTEMPTS = 4;
     private static final long MIN_REMAINING_MILLIS = 50;
 
-    /** Decides, and takes a retry out of the budget where one is spent. */
+    /** Decides, and takes a retry from the budget where one is used. */
     public static RetryDecision of(StreamFailure failure, RetryBudget budget) {
         if (failure.remainingMillis() < MIN_REMAINING_MILLIS) {
             return FAIL;
@@ -26,7 +26,7 @@
         if (mayStillRun && failure.engineReachable() && failure.resumes() < MAX_RESUMES) {
             return RESUME;
         }
-        // What may have run and must not run twice ends here: a second try could charge a caller again.
+        // A request that may have run and must not run twice fails here: a second attempt could charge a caller again.
         if (mayStillRun && !failure.repeatable()) {
             return FAIL;
         }
--- a/elmline-core/src/main/java/org/elmline/core/stream/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * One caller's answer put together from the streams of one or more attempts, and what follows a failure: resume,
- * retry, cancel, and the sweep of streams whose entry is gone.
+ * Assembly of one caller's answer from the streams of one or more attempts, and the handling of failures: resume,
+ * retry, cancel, and detection of streams whose entry is lost.
  */
 package org.elmline.core.stream;
--- a/elmline-core/src/test/java/org/elmline/core/stream/AnswerAssemblerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/stream/AnswerAssemblerTest.java
@@ -22,9 +22,9 @@
     private static final AttemptId CROSSED = AttemptId.of("other");
 
     /**
-     * Pieces of the right stream come out of order, doubled and with losses; between them come pieces and ends of
-     * another caller's attempt, and late ones of attempts given up. The stream breaks now and then, is read again from
-     * the offset, or continues on another engine. The caller must see pieces 0 to n, each once, and then the end.
+     * Pieces of the current attempt come out of order, duplicated and with losses, mixed with pieces and ends of
+     * another caller's attempt and late ones of replaced attempts. The stream breaks at times and is resumed from the
+     * offset, or continues on another engine. The caller must get pieces 0 to n, each once, and then the end.
      */
     @Property(tries = 500, seed = "5004")
     void callerGetsEachPieceOnceInOrder(@ForAll long seed) {
@@ -34,7 +34,7 @@
         List<String> caller = new ArrayList<>();
         List<StreamEvent> late = new ArrayList<>();
         for (int read = 0; !assembler.finished(); read++) {
-            assertTrue(read < 500, "never completes");
+            assertTrue(read < 500, "not complete after 500 reads");
             List<StreamEvent> events = events(assembler, count, random, read > 400);
             events.addAll(late);
             Collections.shuffle(events, random);
@@ -77,7 +77,7 @@
             assertEquals(count, caller.size(), "ended before all pieces came");
             assertEquals(FinishReason.STOP, complete.reason());
         }
-        assertTrue(!(assembled instanceof AssemblyResult.Broken), () -> "broke on " + assembled);
+        assertTrue(!(assembled instanceof AssemblyResult.Broken), () -> "stream broken: " + assembled);
     }
 
     @Test
@@ -117,7 +117,7 @@
         assembler.accept(piece(FIRST, 0));
         assertEquals(
                 new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.DUPLICATE), assembler.accept(piece(FIRST, 0)));
-        assertTrue(!assembler.isMissingPieces(), "would be resumed for nothing");
+        assertTrue(!assembler.isMissingPieces(), "would be resumed needlessly");
     }
 
     private static StreamEvent piece(AttemptId attempt, int index) {
--- a/elmline-core/src/test/java/org/elmline/core/stream/FailureTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/stream/FailureTest.java
@@ -18,7 +18,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Retries, cancels and the sweep. */
+/** Retry decisions, retry budget, repeated cancels and detection of orphaned streams. */
 class FailureTest {
     private static final BackendServerId ENGINE = BackendServerId.of("engine");
     private static final long SECOND = 1_000_000_000L;
@@ -26,7 +26,7 @@
     @Test
     void decisions() {
         Object[][] cases = {
-            // ran, repeatable, reachable, delivered, resumes, tries, remaining
+            // ran, repeatable, reachable, delivered, resumes, attempts, remaining
             {Ran.NO, false, true, 0, 0, 1, 1_000L, RetryDecision.RETRY},
             {Ran.NO, true, true, 0, 0, 1, 1_000L, RetryDecision.RETRY},
             {Ran.UNKNOWN, false, false, 0, 0, 1, 1_000L, RetryDecision.FAIL},
@@ -56,7 +56,7 @@
 
     /**
      * Half the engines refuse every attempt at once. Without a budget each request would be tried up to four times, and
-     * the other half, loaded already, would get close to twice the requests. The budget bounds all tries.
+     * the other half, loaded already, would get close to twice the requests. The budget bounds all attempts.
      */
     @Property(tries = 20, seed = "5005")
     void retriesStayAShareOfFirstTries(@ForAll long seed) {
@@ -74,7 +74,7 @@
             }
             tries += own;
         }
-        assertTrue(tries <= 1.1 * requests + 10, tries + " tries for " + requests + " requests");
+        assertTrue(tries <= 1.1 * requests + 10, tries + " attempts for " + requests + " requests");
         assertTrue(tries > 1.09 * requests, "the budget is used");
     }
 
@@ -82,7 +82,7 @@
         return RetryDecision.of(new StreamFailure(Ran.NO, true, false, 0, 0, tries, 60_000), budget);
     }
 
-    /** The network loses cancels; the engine's memory stays taken until one arrives and is acknowledged. */
+    /** The network loses cancels; the engine's memory stays reserved until one arrives and is acknowledged. */
     @Test
     void cancelsAreRepeatedUntilAcknowledged() {
         CancelQueue queue = new CancelQueue();
@@ -102,9 +102,9 @@
     }
 
     /**
-     * An entry restarts; its engine still computes the old start's answer. The new owner lists the engine's streams: the
-     * dead start's are cancelled, but only when a second listing shows them, and never those of a live start, of one
-     * newer than the member list, or of a registered attempt.
+     * An entry restarts while its engine still computes an answer for the old incarnation. The new owner lists the
+     * engine's streams: those of the ended incarnation are cancelled, but only when a second listing shows them, and
+     * never those of a live incarnation, of one newer than the member list, or of a registered attempt.
      */
     @Test
     void onlyStreamsOfGoneStartsAreStrays() {
@@ -121,7 +121,7 @@
         var first =
                 finder.find(ENGINE, streams, exports, hosts, id -> id.value().equals("registered"), 0);
         assertEquals(List.of(), first.orphans());
-        assertEquals(2, first.unregistered().size(), "the live starts are asked");
+        assertEquals(2, first.unregistered().size(), "those of live incarnations are reported for an audit");
         var second =
                 finder.find(ENGINE, streams, exports, hosts, id -> id.value().equals("registered"), 3 * SECOND);
         assertEquals(3, second.orphans().size());
