--- a/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
@@ -287,8 +287,8 @@
     }
 
     /** First blocks of the prompts most recently read here, newest first. */
-    public List<Long> recentFirstBlocks(int most) {
-        return prefixes.recentFirstBlocks(most);
+    public List<Long> recentFirstBlocks(int limit) {
+        return prefixes.recentFirstBlocks(limit);
     }
 
     Grant grant(AttemptId attempt) {
--- a/elmline-core/src/main/java/org/elmline/core/ledger/PrefixCacheEstimate.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/PrefixCacheEstimate.java
@@ -60,10 +60,10 @@
     }
 
     /** First blocks of the prompts most recently read here, newest first. */
-    List<Long> recentFirstBlocks(int most) {
+    List<Long> recentFirstBlocks(int limit) {
         List<Long> newest = new ArrayList<>(recentFirstBlocks);
         Collections.reverse(newest);
-        return newest.subList(0, Math.min(most, newest.size()));
+        return newest.subList(0, Math.min(limit, newest.size()));
     }
 
     /** Records that a prompt was read here: its blocks are cached and count as used now. */
--- a/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
@@ -76,15 +76,15 @@
         Optional<QueuedRequest> shed = queue.add(waiting);
         shed.ifPresent(each -> refuse(each, overloadedRefusal(each, "queue is full", now), now));
         place(now);
-        if (waits(request.attempt()) && !request.mode().mayWait()) {
+        if (isQueued(request.attempt()) && !request.mode().mayWait()) {
             refuse(waiting, overloadedRefusal(waiting, "no engine has the memory now", now), now);
         }
-        if (waits(request.attempt())) {
+        if (isQueued(request.attempt())) {
             refuseIfInfeasible(waiting, queue.costTokensAhead(waiting), now);
         }
     }
 
-    boolean waits(AttemptId attempt) {
+    boolean isQueued(AttemptId attempt) {
         return queue.find(attempt).isPresent();
     }
 
@@ -121,7 +121,7 @@
         for (QueuedRequest each : queue.inPlacementOrder()) {
             int index = each.lengthClass().ordinal();
             refuseIfInfeasible(each, Arrays.stream(work, 0, index + 1).sum(), now);
-            work[index] += waits(each.request().attempt()) ? each.costTokens() : 0;
+            work[index] += isQueued(each.request().attempt()) ? each.costTokens() : 0;
         }
     }
 
@@ -132,9 +132,9 @@
     }
 
     List<OwnerDecision> drainDecisions() {
-        List<OwnerDecision> taken = List.copyOf(decisions);
+        List<OwnerDecision> drained = List.copyOf(decisions);
         decisions.clear();
-        return taken;
+        return drained;
     }
 
     int queueSize() {
@@ -148,12 +148,12 @@
         if (ready.isEmpty()) {
             return Optional.empty();
         }
-        long mostFree = 0;
-        long allFree = 0;
+        long maxFreeKvTokens = 0;
+        long totalFreeKvTokens = 0;
         Set<Integer> prefixes = new HashSet<>();
         for (EngineLedger each : ready) {
-            mostFree = Math.max(mostFree, each.freeKvTokens());
-            allFree += Math.max(0, each.freeKvTokens());
+            maxFreeKvTokens = Math.max(maxFreeKvTokens, each.freeKvTokens());
+            totalFreeKvTokens += Math.max(0, each.freeKvTokens());
             for (Long hash : each.recentFirstBlocks(MAX_SUMMARY_PREFIXES)) {
                 if (prefixes.size() < MAX_SUMMARY_PREFIXES) {
                     prefixes.add(ModelSummary.shortHash(hash));
@@ -161,8 +161,14 @@
             }
         }
         int speed = (int) Math.round(totalTokensPerSecond(ready) / ready.size());
-        return Optional.of(
-                new ModelSummary(model, ready.size(), waits(ready), speed, mostFree, allFree, List.copyOf(prefixes)));
+        return Optional.of(new ModelSummary(
+                model,
+                ready.size(),
+                waitMillisByClass(ready),
+                speed,
+                maxFreeKvTokens,
+                totalFreeKvTokens,
+                List.copyOf(prefixes)));
     }
 
     /**
@@ -177,22 +183,23 @@
         return cachedSummary;
     }
 
-    private List<Integer> waits(List<EngineLedger> ready) {
-        long[] queued = new long[LengthClass.values().length];
+    private List<Integer> waitMillisByClass(List<EngineLedger> ready) {
+        long[] queuedTokens = new long[LengthClass.values().length];
         for (QueuedRequest each : queue.inPlacementOrder()) {
-            queued[each.lengthClass().ordinal()] += each.costTokens();
+            queuedTokens[each.lengthClass().ordinal()] += each.costTokens();
         }
         double speed = totalTokensPerSecond(ready);
-        List<Integer> waits = new ArrayList<>();
+        List<Integer> waitMillis = new ArrayList<>();
         for (LengthClass each : LengthClass.values()) {
             long shortest = ready.stream()
                     .mapToLong(engine -> engine.waitMillis(each))
                     .min()
                     .orElse(0);
-            double behind = Arrays.stream(queued, 0, each.ordinal() + 1).sum() * MILLIS_PER_SECOND / speed;
-            waits.add((int) Math.min(Integer.MAX_VALUE, shortest + Math.round(behind)));
+            double queuedMillis =
+                    Arrays.stream(queuedTokens, 0, each.ordinal() + 1).sum() * MILLIS_PER_SECOND / speed;
+            waitMillis.add((int) Math.min(Integer.MAX_VALUE, shortest + Math.round(queuedMillis)));
         }
-        return waits;
+        return waitMillis;
     }
 
     /** True when the request was answered, false when it stays queued. */
@@ -280,16 +287,16 @@
 
     /** Empty when an engine's cooldown is so short that waiting for it is better than another owner. */
     private Optional<Refusal> noEngineRefusal(Demand demand, long now) {
-        long rest = Long.MAX_VALUE;
+        long shortestCooldown = Long.MAX_VALUE;
         for (EngineLedger each : ledger.engines(model)) {
             if (each.isAvailable() && canServe(each, demand)) {
-                rest = Math.min(rest, each.cooldownMillis(now));
+                shortestCooldown = Math.min(shortestCooldown, each.cooldownMillis(now));
             }
         }
-        if (rest <= MAX_COOLDOWN_WAIT_MILLIS) {
+        if (shortestCooldown <= MAX_COOLDOWN_WAIT_MILLIS) {
             return Optional.empty();
         }
-        long retryMillis = rest == Long.MAX_VALUE ? NO_ENGINE_RETRY_MILLIS : rest;
+        long retryMillis = shortestCooldown == Long.MAX_VALUE ? NO_ENGINE_RETRY_MILLIS : shortestCooldown;
         String why = "no engine takes work for " + model;
         return Optional.of(Refusal.retryLater(RefusalReason.NO_BACKEND_SERVER, why, retryMillis));
     }
@@ -347,8 +354,8 @@
 
     private Refusal overloadedRefusal(QueuedRequest waiting, String why, long now) {
         long predicted = predictedMillis(waiting, queue.costTokensAhead(waiting), now);
-        long late = predicted - Math.max(0, waiting.remainingMillis(now));
-        return Refusal.retryLater(RefusalReason.OVERLOADED, why, Math.max(MIN_RETRY_MILLIS, late));
+        long excessMillis = predicted - Math.max(0, waiting.remainingMillis(now));
+        return Refusal.retryLater(RefusalReason.OVERLOADED, why, Math.max(MIN_RETRY_MILLIS, excessMillis));
     }
 
     private static Refusal deadlineRefusal() {
--- a/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
@@ -224,9 +224,9 @@
             each.refuseInfeasible(now);
             collectDecisions(each);
         }
-        List<OwnerDecision> taken = List.copyOf(undeliveredDecisions);
+        List<OwnerDecision> decided = List.copyOf(undeliveredDecisions);
         undeliveredDecisions.clear();
-        return taken;
+        return decided;
     }
 
     /**
@@ -380,8 +380,8 @@
             tokens += registered.test(each.attempt()) ? 0 : each.kvTokens();
         }
         for (KvExport each : exports) {
-            boolean stray = hosts.hasEnded(each.host(), each.incarnation()) && !registered.test(each.attempt());
-            tokens += stray ? each.tokens() : 0;
+            boolean orphaned = hosts.hasEnded(each.host(), each.incarnation()) && !registered.test(each.attempt());
+            tokens += orphaned ? each.tokens() : 0;
         }
         return tokens;
     }
--- a/elmline-core/src/main/java/org/elmline/core/owner/PendingAudits.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/PendingAudits.java
@@ -23,9 +23,9 @@
     private final Map<AttemptId, Set<Cancel>> cancelsByAttempt = new HashMap<>();
 
     /** Records the holdings and returns one request for each entry named in them. */
-    List<AuditRequest> createRequests(List<UnregisteredHolding> doubts) {
+    List<AuditRequest> createRequests(List<UnregisteredHolding> unregistered) {
         Map<HostId, List<UnregisteredHolding>> byHost = new HashMap<>();
-        for (UnregisteredHolding each : doubts) {
+        for (UnregisteredHolding each : unregistered) {
             cancelsByAttempt
                     .computeIfAbsent(each.cancel().attempt(), id -> new HashSet<>())
                     .add(each.cancel());
@@ -34,7 +34,7 @@
         List<AuditRequest> requests = new ArrayList<>();
         for (Map.Entry<HostId, List<UnregisteredHolding>> each : byHost.entrySet()) {
             List<AttemptId> attempts = each.getValue().stream()
-                    .map(doubt -> doubt.cancel().attempt())
+                    .map(holding -> holding.cancel().attempt())
                     .distinct()
                     .toList();
             requests.add(new AuditRequest(each.getKey(), each.getValue().get(0).incarnation(), attempts));
--- a/elmline-core/src/test/java/org/elmline/core/ledger/EngineLedgerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/ledger/EngineLedgerTest.java
@@ -26,44 +26,44 @@
      * take 0.4 s, has not come after 2 s. No report of the engine shows that it is slow; the overdue first token must.
      */
     @Test
-    void overdueAnswerShowsASlowEngine() {
+    void overdueFirstTokenLowersEstimatedSpeed() {
         OwnerFixture fixture = new OwnerFixture().engines(1, CAPACITY);
         fixture.place(fixture.request("org", 4_000, 0, 60_000));
         int before = speed(fixture);
-        fixture.advanceWithBeats(2_000, 1, CAPACITY);
+        fixture.advanceWithAnnouncements(2_000, 1, CAPACITY);
         assertTrue(speed(fixture) < before / 3, "tokens a second estimated: " + speed(fixture));
     }
 
     @Test
-    void answersGivenLateShowASlowEngine() {
+    void lateFirstTokensLowerEstimatedSpeed() {
         OwnerFixture fixture = new OwnerFixture().engines(1, CAPACITY);
         assertEquals(ANNOUNCED, speed(fixture));
         for (int i = 0; i < 10; i++) {
             PlaceRequest request = fixture.request("org", ANNOUNCED / 10, 0, 60_000);
             fixture.place(request);
-            fixture.advanceWithBeats(1_000, 1, CAPACITY);
+            fixture.advanceWithAnnouncements(1_000, 1, CAPACITY);
             fixture.firstToken(request.attempt());
             fixture.release(request.attempt(), ReleaseCause.FINISHED);
         }
         assertTrue(speed(fixture) < 0.2 * ANNOUNCED, "tokens a second estimated: " + speed(fixture));
-        fixture.advanceWithBeats(120_000, 1, CAPACITY);
+        fixture.advanceWithAnnouncements(120_000, 1, CAPACITY);
         assertTrue(speed(fixture) > 0.8 * ANNOUNCED, "the estimate recovers after two idle minutes");
     }
 
     @Test
-    void abandonedPromptsLeaveNoBoundBehind() {
+    void cancelledPromptNoLongerBoundsSpeed() {
         OwnerFixture fixture = new OwnerFixture().engines(1, CAPACITY);
         PlaceRequest request = fixture.request("org", 4_000, 0, 60_000);
         fixture.place(request);
-        fixture.advanceWithBeats(5_000, 1, CAPACITY);
+        fixture.advanceWithAnnouncements(5_000, 1, CAPACITY);
         int slow = speed(fixture);
         fixture.release(request.attempt(), ReleaseCause.CANCELLED);
-        fixture.advanceWithBeats(120_000, 1, CAPACITY);
+        fixture.advanceWithAnnouncements(120_000, 1, CAPACITY);
         assertTrue(speed(fixture) > slow);
     }
 
     @Test
-    void cacheIsBelievedFromWhatWasReadAndForgottenAfterAGap() {
+    void cacheEstimateFollowsEventsAndIsClearedAfterGap() {
         Ledger ledger = new Ledger(LedgerSettings.DEFAULT);
         BackendServerId id = BackendServerId.of("engine-0");
         ledger.announce(OwnerFixture.engine("engine-0", 1, CAPACITY, false), 0);
@@ -81,14 +81,14 @@
     }
 
     @Test
-    void beliefIsBounded() {
-        PrefixCacheEstimate belief = new PrefixCacheEstimate();
+    void cacheEstimateIsBounded() {
+        PrefixCacheEstimate estimate = new PrefixCacheEstimate();
         for (long i = 0; i < 20_000; i += 4) {
-            belief.recordStored(List.of(i, i + 1, i + 2, i + 3));
+            estimate.recordStored(List.of(i, i + 1, i + 2, i + 3));
         }
-        assertEquals(4_096, belief.size());
-        assertEquals(4, belief.leadingBlocks(List.of(19_996L, 19_997L, 19_998L, 19_999L)));
-        assertEquals(16, belief.recentFirstBlocks(100).size());
+        assertEquals(4_096, estimate.size());
+        assertEquals(4, estimate.leadingBlocks(List.of(19_996L, 19_997L, 19_998L, 19_999L)));
+        assertEquals(16, estimate.recentFirstBlocks(100).size());
     }
 
     /** Events that store block 10 + sequence for each sequence number. */
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void tombstoneForestallsALateRequest() {
+    void releaseBeforeReservationIsRecorded() {
         Ledger ledger = new Ledger(LedgerSettings.DEFAULT);
         AttemptId attempt = AttemptId.of("late");
         ledger.release(attempt, false, 0);
--- a/elmline-core/src/test/java/org/elmline/core/ledger/LedgerRecountTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/ledger/LedgerRecountTest.java
@@ -39,7 +39,7 @@
 
     /** All tries share this instance. */
     @BeforeTry
-    void startAnew() {
+    void reset() {
         ledger = new Ledger(LedgerSettings.DEFAULT);
         open.clear();
         ended.clear();
@@ -47,7 +47,7 @@
     }
 
     @Property(tries = 300, seed = "5001")
-    void equalsARecountAfterAnySequence(@ForAll long seed) {
+    void countsEqualRecountAfterAnySequence(@ForAll long seed) {
         Random random = new Random(seed);
         for (int step = 0; step < 200; step++) {
             step(random, step);
@@ -57,7 +57,7 @@
 
     private void step(Random random, long now) {
         BackendServerId server = BackendServerId.of("engine-" + random.nextInt(ENGINES));
-        AttemptId attempt = AttemptId.of("attempt-" + random.nextInt(ATTEMPTS) + "-" + step(now));
+        AttemptId attempt = AttemptId.of("attempt-" + random.nextInt(ATTEMPTS) + "-" + nameSuffix(now));
         switch (random.nextInt(8)) {
             case 0 -> announce(server, incarnations.getOrDefault(server, 0L) + random.nextInt(2), now);
             case 1, 2, 3 -> reserve(server, attempt, random, now);
@@ -68,7 +68,7 @@
     }
 
     /** Attempts get new names every fifty steps, so that some are new, some open and some released. */
-    private static long step(long now) {
+    private static long nameSuffix(long now) {
         return now / 50;
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/owner/AnswerInTimeTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/AnswerInTimeTest.java
@@ -38,27 +38,28 @@
     private final Set<AttemptId> answered = new HashSet<>();
     private final List<AttemptId> granted = new ArrayList<>();
     private final long[] incarnations = new long[ENGINES];
-    private final boolean[] silent = new boolean[ENGINES];
+    private final boolean[] unannounced = new boolean[ENGINES];
 
     /** All tries share this instance. */
     @BeforeTry
-    void startAnew() {
+    void reset() {
         fixture = new OwnerFixture(OwnerSettings.builder().queueCapacity(20).build());
         waiting.clear();
         answered.clear();
         granted.clear();
         Arrays.fill(incarnations, 0);
-        Arrays.fill(silent, false);
+        Arrays.fill(unannounced, false);
     }
 
     @Property(tries = 60, seed = "5003")
     void everyRequestIsAnsweredOnceByItsDeadline(@ForAll long seed) {
         Random random = new Random(seed);
         for (int step = 0; step < 400; step++) {
-            engines(random);
-            arrivals(random);
-            ends(random);
-            fixture.advance(STEP_MILLIS).forEach(each -> take(each.request().attempt(), each.answer()));
+            updateEngines(random);
+            placeRequests(random);
+            endRequests(random);
+            fixture.advance(STEP_MILLIS)
+                    .forEach(each -> recordAnswer(each.request().attempt(), each.answer()));
             for (Map.Entry<AttemptId, Long> each : waiting.entrySet()) {
                 assertTrue(each.getValue() + TICK_MILLIS * OwnerFixture.MILLI > fixture.now, each + " is unanswered");
             }
@@ -67,24 +68,24 @@
         new ArrayList<>(granted).forEach(each -> fixture.release(each, ReleaseCause.FINISHED));
         waiting.keySet().forEach(each -> fixture.release(each, ReleaseCause.NOT_STARTED));
         for (int i = 0; i < ENGINES; i++) {
-            silent[i] = false;
+            unannounced[i] = false;
         }
-        engines(new Random(0));
+        updateEngines(new Random(0));
         fixture.advance(40_000);
         assertEquals(0, fixture.owner.counts().openGrants());
         assertEquals(0, fixture.owner.counts().waiting());
     }
 
-    private void engines(Random random) {
+    private void updateEngines(Random random) {
         int one = random.nextInt(ENGINES);
         if (random.nextInt(40) == 0) {
             incarnations[one]++;
         }
         if (random.nextInt(60) == 0) {
-            silent[one] = !silent[one];
+            unannounced[one] = !unannounced[one];
         }
         for (int i = 0; i < ENGINES; i++) {
-            if (!silent[i]) {
+            if (!unannounced[i]) {
                 boolean leaving = random.nextInt(50) == 0;
                 fixture.owner.announce(
                         OwnerFixture.engine("engine-" + i, incarnations[i], CAPACITY, leaving), fixture.now);
@@ -92,20 +93,20 @@
         }
     }
 
-    private void arrivals(Random random) {
+    private void placeRequests(Random random) {
         for (int i = random.nextInt(4); i > 0; i--) {
             int prompt = random.nextInt(30) == 0 ? 100_000 + random.nextInt(250_000) : 500 + random.nextInt(8_000);
             PlaceRequest request =
                     fixture.request("org-" + random.nextInt(5), prompt, random.nextInt(3), 1 + random.nextInt(4_000));
             waiting.put(request.attempt(), fixture.now + request.demand().remainingMillis() * OwnerFixture.MILLI);
-            fixture.place(request).ifPresent(answer -> take(request.attempt(), answer));
+            fixture.place(request).ifPresent(answer -> recordAnswer(request.attempt(), answer));
             if (random.nextInt(5) == 0 && waiting.containsKey(request.attempt())) {
-                fixture.place(request).ifPresent(answer -> take(request.attempt(), answer));
+                fixture.place(request).ifPresent(answer -> recordAnswer(request.attempt(), answer));
             }
         }
     }
 
-    private void ends(Random random) {
+    private void endRequests(Random random) {
         List<AttemptId> some = new ArrayList<>(granted);
         for (AttemptId each : some) {
             if (random.nextInt(12) == 0) {
@@ -127,7 +128,7 @@
         }
     }
 
-    private void take(AttemptId attempt, OwnerPlaceAnswer answer) {
+    private void recordAnswer(AttemptId attempt, OwnerPlaceAnswer answer) {
         waiting.remove(attempt);
         assertTrue(answered.add(attempt), attempt + " was answered twice");
         if (answer instanceof OwnerPlaceAnswer.Placed) {
--- a/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
@@ -63,14 +63,14 @@
      * ended.
      */
     @Test
-    void whatItsEntryDoesNotRunIsCancelled() {
+    void cancelsHoldingsThatTheEntryDoesNotRun() {
         AttemptId lost = AttemptId.of("given-up");
         KvExport export = new KvExport("kv", lost, OwnerFixture.GATEWAY, OwnerFixture.FIRST, 500);
         List<StreamInfo> streams = List.of(stream(lost, OwnerFixture.GATEWAY, 1_000));
         AuditRequest audit = after.owner
                 .onEngineListing(ENGINE, streams, List.of(export), after.now)
                 .get(0);
-        after.owner.onAuditAnswer(audit, new AuditAnswer(List.of(lost, AttemptId.of("never-asked"))), after.now);
+        after.owner.onAuditAnswer(audit, new AuditAnswer(List.of(lost, AttemptId.of("not-in-request"))), after.now);
         List<Cancel> cancels = new ArrayList<>(after.owner.cancels(after.now));
         assertEquals(2, cancels.size());
         assertTrue(
@@ -82,8 +82,8 @@
 
     /** No entry registers the stream: after two listings its engine receives a cancel. */
     @Test
-    void streamsOfADeadEntryAreSweptByTheNewOwner() {
-        List<StreamInfo> streams = List.of(stream(AttemptId.of("orphan"), HostId.of("dead"), 20_000));
+    void newOwnerCancelsStreamsOfALostEntry() {
+        List<StreamInfo> streams = List.of(stream(AttemptId.of("orphan"), HostId.of("lost"), 20_000));
         after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(List.of(), after.owner.cancels(after.now));
         after.engines(1, CAPACITY);
@@ -100,13 +100,13 @@
      * of another host brings a list that still lacks it. Its stream must not be cancelled: the next list includes it.
      */
     @Test
-    void grantsOfAnEntryThatTheListLacksForAMomentStay() {
+    void keepsGrantsOfAnEntryBrieflyMissingFromTheMemberList() {
         granted(before, 9_900);
         before.owner.members(List.of(OwnerFixture.host("owner", "a")), before.now);
         before.advance(1_000);
         assertEquals(List.of(), before.owner.cancels(before.now));
         before.owner.members(List.of(OwnerFixture.host("owner", "a"), OwnerFixture.host("gateway", "b")), before.now);
-        before.advanceWithBeats(6_000, 1, CAPACITY);
+        before.advanceWithAnnouncements(6_000, 1, CAPACITY);
         assertEquals(List.of(), before.owner.cancels(before.now));
     }
 
@@ -114,11 +114,11 @@
      * A gateway is suspended beyond its request's deadline. Its grant must not hold memory for the whole suspension.
      */
     @Test
-    void grantsOfASilentEntryAreReclaimedAfterTheDeadline() {
+    void reclaimsGrantsOfAnUnresponsiveEntryAfterTheDeadline() {
         Grant grant = granted(before, 9_900);
-        before.advanceWithBeats(10_000 + 4_500, 1, CAPACITY);
+        before.advanceWithAnnouncements(10_000 + 4_500, 1, CAPACITY);
         assertEquals(List.of(), before.owner.cancels(before.now));
-        before.advanceWithBeats(1_000, 1, CAPACITY);
+        before.advanceWithAnnouncements(1_000, 1, CAPACITY);
         List<Cancel> cancels = before.owner.cancels(before.now);
         assertEquals(List.of(Cancel.stream(ENGINE, grant.attempt())), cancels);
         before.owner.onCancelAcknowledged(cancels.get(0), before.now);
--- a/elmline-core/src/test/java/org/elmline/core/owner/OwnerFixture.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/OwnerFixture.java
@@ -117,7 +117,7 @@
     }
 
     /** Advances the clock in steps of 500 ms and renews the engines' leases at each step. */
-    public List<OwnerDecision> advanceWithBeats(long millis, int engines, long capacity) {
+    public List<OwnerDecision> advanceWithAnnouncements(long millis, int engines, long capacity) {
         List<OwnerDecision> decided = new ArrayList<>();
         for (long passed = 0; passed < millis; passed += 500) {
             engines(engines, capacity);
--- a/elmline-core/src/test/java/org/elmline/core/owner/OwnerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/OwnerTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void silentEngineGetsNoNewWorkAfterItsLease() {
+    void engineGetsNoNewWorkAfterItsLeaseExpires() {
         fixture.engines(1, CAPACITY);
         fixture.advance(3_999);
         granted(fixture.request("org", 1_000, 0, 10_000));
@@ -62,12 +62,12 @@
      * free.
      */
     @Test
-    void grantsOfALostEntryAreCancelledUntilAcknowledgedAndFreed() {
+    void cancelsGrantsOfALostEntryUntilAcknowledgedThenFreesThem() {
         fixture.engines(1, CAPACITY);
         granted(fixture.request("org", 49_900, 0, 60_000));
         fixture.owner.members(List.of(OwnerFixture.host("owner", "a")), fixture.now);
         assertEquals(List.of(), fixture.owner.cancels(fixture.now), "the member list may lag");
-        fixture.advanceWithBeats(3_000, 1, CAPACITY);
+        fixture.advanceWithAnnouncements(3_000, 1, CAPACITY);
         var first = fixture.owner.cancels(fixture.now);
         assertEquals(1, first.size());
         fixture.engines(1, CAPACITY);
@@ -76,7 +76,7 @@
         assertEquals(CAPACITY - 50_000, fixture.freeTokens());
         fixture.owner.onCancelAcknowledged(first.get(0), fixture.now);
         assertEquals(CAPACITY, fixture.freeTokens());
-        fixture.advanceWithBeats(5_000, 1, CAPACITY);
+        fixture.advanceWithAnnouncements(5_000, 1, CAPACITY);
         assertTrue(fixture.owner.cancels(fixture.now).isEmpty());
     }
 
@@ -86,7 +86,7 @@
      * is refused with a time to retry after.
      */
     @Test
-    void shortRestOfTheOnlyEngineIsWaitedOut() {
+    void requestWaitsForShortCooldownOfTheOnlyEngine() {
         fixture.engines(1, CAPACITY);
         PlaceRequest failed = fixture.request("org", 1_000, 0, 10_000);
         granted(failed);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void refusesAtOnceWhatCannotMeetItsDeadline() {
+    void refusesAtOnceRequestThatCannotMeetItsDeadline() {
         fixture.engines(1, CAPACITY);
         PlaceRequest request = fixture.request("org", 60_000, 0, 3_000);
         OwnerPlaceAnswer.Refused answer = assertInstanceOf(
