--- a/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
@@ -20,38 +20,38 @@
 
     /** Up to {@code most} entries, best first; fewer when fewer are live. */
     public static List<HostRecord> choose(
-            Collection<HostRecord> members, Region callerRegion, int most, Random random) {
-        List<HostRecord> near = new ArrayList<>();
-        List<HostRecord> far = new ArrayList<>();
+            Collection<HostRecord> members, Region callerRegion, int limit, Random random) {
+        List<HostRecord> sameRegion = new ArrayList<>();
+        List<HostRecord> otherRegions = new ArrayList<>();
         for (HostRecord each : members) {
             if (!each.leaving()) {
-                (each.region().equals(callerRegion) ? near : far).add(each);
+                (each.region().equals(callerRegion) ? sameRegion : otherRegions).add(each);
             }
         }
-        Collections.shuffle(near, random);
-        Collections.shuffle(far, random);
+        Collections.shuffle(sameRegion, random);
+        Collections.shuffle(otherRegions, random);
         List<HostRecord> chosen = new ArrayList<>();
-        addAlternatingDomains(near, chosen, most);
-        addAlternatingDomains(far, chosen, most);
-        ensureTwoDomains(chosen, far);
+        addAlternatingDomains(sameRegion, chosen, limit);
+        addAlternatingDomains(otherRegions, chosen, limit);
+        ensureTwoDomains(chosen, otherRegions);
         return chosen;
     }
 
     /** Adds entries at random, each from another failure domain than the one before while there is one. */
-    private static void addAlternatingDomains(List<HostRecord> from, List<HostRecord> chosen, int most) {
-        List<HostRecord> left = new ArrayList<>(from);
-        while (chosen.size() < most && !left.isEmpty()) {
-            chosen.add(left.remove(indexOfOtherDomain(left, chosen)));
+    private static void addAlternatingDomains(List<HostRecord> from, List<HostRecord> chosen, int limit) {
+        List<HostRecord> remaining = new ArrayList<>(from);
+        while (chosen.size() < limit && !remaining.isEmpty()) {
+            chosen.add(remaining.remove(indexOfOtherDomain(remaining, chosen)));
         }
     }
 
-    private static int indexOfOtherDomain(List<HostRecord> left, List<HostRecord> chosen) {
+    private static int indexOfOtherDomain(List<HostRecord> remaining, List<HostRecord> chosen) {
         if (chosen.isEmpty()) {
             return 0;
         }
         FailureDomain last = chosen.get(chosen.size() - 1).failureDomain();
-        for (int i = 0; i < left.size(); i++) {
-            if (!left.get(i).failureDomain().equals(last)) {
+        for (int i = 0; i < remaining.size(); i++) {
+            if (!remaining.get(i).failureDomain().equals(last)) {
                 return i;
             }
         }
@@ -62,10 +62,10 @@
      * Replaces the last entry by one of another region when all chosen ones are in one failure domain: if that domain
      * is lost, the caller would have no address left.
      */
-    private static void ensureTwoDomains(List<HostRecord> chosen, List<HostRecord> far) {
+    private static void ensureTwoDomains(List<HostRecord> chosen, List<HostRecord> otherRegions) {
         long domains = chosen.stream().map(HostRecord::failureDomain).distinct().count();
-        if (domains == 1 && chosen.size() > 1 && !far.isEmpty()) {
-            chosen.set(chosen.size() - 1, far.get(0));
+        if (domains == 1 && chosen.size() > 1 && !otherRegions.isEmpty()) {
+            chosen.set(chosen.size() - 1, otherRegions.get(0));
         }
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/route/ModelSummary.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/ModelSummary.java
@@ -9,8 +9,8 @@
  * State of an owner's engines of one model.
  *
  * @param readyReplicas engines that take new work
- * @param waitMillis milliseconds until the best engine would begin the prefill of a prompt, one for each {@link
- *     LengthClass} in its order
+ * @param waitMillis milliseconds until the best engine would begin the prefill of a prompt, one value for each
+ *     {@link LengthClass} in its order
  * @param prefillTokensPerSecond measured speed of a typical engine
  * @param freeKvTokens largest free memory on any one engine, in tokens
  * @param groupKvTokens free memory of all its engines together, in tokens
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
@@ -77,28 +77,28 @@
      */
     public synchronized Optional<OwnerChoice> choose(
             Demand demand, Set<HostId> tried, RandomGenerator random, long now) {
-        List<OwnerState> able = new ArrayList<>();
+        List<OwnerState> candidates = new ArrayList<>();
         for (OwnerState each : owners.values()) {
             boolean fresh = now - each.receivedAtNanos < settings.maxAgeMillis() * NANOS_PER_MILLI;
             if (fresh && !tried.contains(each.summary.owner()) && serves(each, demand)) {
-                able.add(each);
+                candidates.add(each);
             }
         }
-        List<OwnerState> drawn = sample(able, demand, random);
-        long best = drawn.stream()
+        List<OwnerState> sampled = sample(candidates, demand, random);
+        long best = sampled.stream()
                 .mapToLong(each -> predictFirstTokenMillis(each, demand))
                 .min()
                 .orElse(0);
-        List<OwnerState> equal = new ArrayList<>();
-        for (OwnerState each : drawn) {
+        List<OwnerState> nearBest = new ArrayList<>();
+        for (OwnerState each : sampled) {
             if (predictFirstTokenMillis(each, demand) <= Math.max(best * NEAR_BEST_FACTOR, best + NEAR_BEST_MILLIS)) {
-                equal.add(each);
+                nearBest.add(each);
             }
         }
-        if (equal.isEmpty()) {
+        if (nearBest.isEmpty()) {
             return Optional.empty();
         }
-        OwnerState chosen = equal.get(random.nextInt(equal.size()));
+        OwnerState chosen = nearBest.get(random.nextInt(nearBest.size()));
         OwnerChoice choice =
                 new OwnerChoice(members.get(chosen.summary.owner()), predictFirstTokenMillis(chosen, demand));
         chosen.addSentWork(demand, settings.cost().costTokens(demand.promptTokens(), 0));
@@ -188,32 +188,32 @@
     }
 
     /** Draws a few owners at random and adds those that may have the prompt's prefix cached. */
-    private List<OwnerState> sample(List<OwnerState> able, Demand demand, RandomGenerator random) {
-        if (able.size() <= SAMPLE_SIZE) {
-            return able;
+    private List<OwnerState> sample(List<OwnerState> candidates, Demand demand, RandomGenerator random) {
+        if (candidates.size() <= SAMPLE_SIZE) {
+            return candidates;
         }
-        List<OwnerState> drawn = new ArrayList<>();
+        List<OwnerState> sampled = new ArrayList<>();
         for (int i = 0; i < SAMPLE_SIZE; i++) {
-            int j = i + random.nextInt(able.size() - i);
-            OwnerState picked = able.get(j);
-            able.set(j, able.get(i));
-            able.set(i, picked);
-            drawn.add(picked);
+            int j = i + random.nextInt(candidates.size() - i);
+            OwnerState picked = candidates.get(j);
+            candidates.set(j, candidates.get(i));
+            candidates.set(i, picked);
+            sampled.add(picked);
         }
-        for (OwnerState each : able.subList(SAMPLE_SIZE, able.size())) {
+        for (OwnerState each : candidates.subList(SAMPLE_SIZE, candidates.size())) {
             if (each.mayHavePrefixCached(demand)) {
-                drawn.add(each);
+                sampled.add(each);
             }
         }
-        return drawn;
+        return sampled;
     }
 
     private long predictFirstTokenMillis(OwnerState known, Demand demand) {
         ModelSummary model = known.model(demand);
         double speed = Math.max(1, model.prefillTokensPerSecond());
-        long believed = (long) demand.prefixHashes().size() * settings.blockTokens();
+        long prefixTokens = (long) demand.prefixHashes().size() * settings.blockTokens();
         int cached = known.mayHavePrefixCached(demand)
-                ? (int) (PREFIX_HIT_PROBABILITY * Math.min(believed, demand.promptTokens()))
+                ? (int) (PREFIX_HIT_PROBABILITY * Math.min(prefixTokens, demand.promptTokens()))
                 : 0;
         double own = settings.cost().costTokens(demand.promptTokens(), cached) / speed;
         double sent = known.sentWork(demand) / (speed * model.readyReplicas());
@@ -230,9 +230,9 @@
         private final Map<String, ModelSummary> models = new HashMap<>();
         private final Map<String, Long> sentWork = new HashMap<>();
 
-        OwnerState(OwnerSummary summary, long heardAt) {
+        OwnerState(OwnerSummary summary, long receivedAtNanos) {
             this.summary = summary;
-            this.receivedAtNanos = heardAt;
+            this.receivedAtNanos = receivedAtNanos;
             summary.models().forEach(each -> models.put(each.model().value(), each));
         }
 
--- a/elmline-core/src/main/java/org/elmline/core/route/SummarySchedule.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/SummarySchedule.java
@@ -35,9 +35,9 @@
     private long refilledAtNanos;
     private boolean budgetInitialised;
 
-    public SummarySchedule(HostRecord self, long beatMillis, double bytesPerSecond) {
+    public SummarySchedule(HostRecord self, long intervalMillis, double bytesPerSecond) {
         this.self = self;
-        this.intervalNanos = beatMillis * NANOS_PER_MILLI;
+        this.intervalNanos = intervalMillis * NANOS_PER_MILLI;
         this.bytesPerSecond = bytesPerSecond;
     }
 
@@ -125,10 +125,10 @@
     }
 
     private void refillBudget(long now) {
-        double most = bytesPerSecond * BURST_SECONDS;
+        double maxBytes = bytesPerSecond * BURST_SECONDS;
         budgetBytes = !budgetInitialised
-                ? most
-                : Math.min(most, budgetBytes + (now - refilledAtNanos) / NANOS_PER_SECOND * bytesPerSecond);
+                ? maxBytes
+                : Math.min(maxBytes, budgetBytes + (now - refilledAtNanos) / NANOS_PER_SECOND * bytesPerSecond);
         refilledAtNanos = now;
         budgetInitialised = true;
     }
--- a/elmline-core/src/test/java/org/elmline/core/route/GatewayChoiceTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/route/GatewayChoiceTest.java
@@ -45,25 +45,25 @@
      * even share.
      */
     @Test
-    void requestsBetweenTwoSummariesDoNotHerd() {
+    void spreadsRequestsBetweenTwoSummariesOverOwners() {
         for (int i = 0; i < OWNERS; i++) {
             table.accept(summary(i, 1, i == 3 ? 0 : 40), 0);
         }
-        Map<HostId, Integer> asked = new HashMap<>();
+        Map<HostId, Integer> requestsByOwner = new HashMap<>();
         int requests = 1_800;
         for (int i = 0; i < requests; i++) {
             OwnerChoice choice =
                     table.choose(demand(2_000, List.of()), Set.of(), random, 0).orElseThrow();
-            asked.merge(choice.owner().id(), 1, Integer::sum);
+            requestsByOwner.merge(choice.owner().id(), 1, Integer::sum);
         }
-        assertEquals(OWNERS, asked.size());
-        assertTrue(Collections.max(asked.values()) <= 3 * requests / OWNERS, asked.toString());
+        assertEquals(OWNERS, requestsByOwner.size());
+        assertTrue(Collections.max(requestsByOwner.values()) <= 3 * requests / OWNERS, requestsByOwner.toString());
     }
 
     /** The same for the first requests of many entries, none of which has yet sent much work itself. */
     @Test
-    void firstRequestsOfManyEntriesDoNotHerd() {
-        int asked = 0;
+    void spreadsFirstRequestsOfManyEntriesOverOwners() {
+        int sentToOne = 0;
         int entries = 90;
         for (int entry = 0; entry < entries; entry++) {
             OwnerTable own = new OwnerTable(OwnerFixture.host("entry-" + entry, "a"), OwnerTableSettings.DEFAULT);
@@ -75,13 +75,13 @@
                     .orElseThrow()
                     .owner()
                     .id();
-            asked += chosen.equals(HostId.of("owner-3")) ? 1 : 0;
+            sentToOne += chosen.equals(HostId.of("owner-3")) ? 1 : 0;
         }
-        assertTrue(asked > 0 && asked <= 7 * entries / OWNERS, asked + " of " + entries + " to one owner");
+        assertTrue(sentToOne > 0 && sentToOne <= 7 * entries / OWNERS, sentToOne + " of " + entries + " to one owner");
     }
 
     @Test
-    void clearlyBetterOwnersAndPrefixesArePreferredAndTriedOnesAreNot() {
+    void prefersClearlyBetterOwnersAndCachedPrefixesAndSkipsTriedOwners() {
         for (int i = 0; i < OWNERS; i++) {
             table.accept(summary(i, 1, i < 9 ? 5_000 : 10), 0);
         }
@@ -107,7 +107,7 @@
     }
 
     @Test
-    void olderSummariesAndGoneOwnersDoNotCount() {
+    void ignoresOlderSummariesAndLostOwners() {
         assertTrue(table.accept(summary(1, 5, 10), 0).newer());
         assertFalse(table.accept(summary(1, 4, 10), 0).newer(), "an older sequence number");
         assertEquals(
@@ -125,7 +125,7 @@
      * With 370 entries and a summary that changes all the time, the budget holds and every entry receives summaries.
      */
     @Test
-    void summariesKeepToTheirBudgetAndReachEveryEntry() {
+    void summariesStayWithinBudgetAndReachEveryEntry() {
         List<HostRecord> many = new ArrayList<>();
         for (int i = 0; i < 370; i++) {
             many.add(OwnerFixture.host("entry-" + i, "a"));
@@ -133,24 +133,25 @@
         int bytes = 300;
         double budget = 2_500;
         SummarySchedule schedule = new SummarySchedule(many.get(0), 2_000, budget);
-        Map<HostId, Integer> heard = new HashMap<>();
+        Map<HostId, Integer> received = new HashMap<>();
         int sent = 0;
         int seconds = 120;
         for (int tenth = 0; tenth < 10 * seconds; tenth++) {
             OwnerSummary summary = summary(1, tenth, tenth % 2 == 0 ? 0 : 1_000);
             for (HostRecord each : schedule.targets(summary, bytes, many, tenth * 100 * MILLI)) {
-                heard.merge(each.id(), 1, Integer::sum);
+                received.merge(each.id(), 1, Integer::sum);
                 sent += bytes;
             }
         }
-        assertEquals(369, heard.size());
+        assertEquals(369, received.size());
         assertTrue(sent <= budget * (seconds + 2), sent + " bytes");
         assertTrue(
-                heard.values().stream().allMatch(each -> each >= 2), "each entry receives a summary about every 45 s");
+                received.values().stream().allMatch(each -> each >= 2),
+                "each entry receives a summary about every 45 s");
     }
 
     @Test
-    void callersAreSpreadOverLiveEntriesOfTwoDomains() {
+    void spreadsCallersOverLiveEntriesOfTwoFailureDomains() {
         HostRecord last = members.remove(OWNERS - 1);
         members.add(new HostRecord(
                 last.id(),
--- a/elmline-core/src/test/java/org/elmline/core/route/OwnershipTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/route/OwnershipTest.java
@@ -25,7 +25,7 @@
     private final Map<Announcement, HostId> owners = new HashMap<>();
 
     @Test
-    void everyHostComputesTheSameWhateverTheOrderOfItsMemberList() {
+    void ownerDoesNotDependOnOrderOfMemberList() {
         List<HostRecord> members = hosts(HOSTS);
         List<HostRecord> shuffled = new ArrayList<>(members);
         Collections.shuffle(shuffled, new Random(3));
@@ -37,7 +37,7 @@
     }
 
     @Test
-    void ownDomainFirstThenRegionAndNeverALeavingHost() {
+    void prefersOwnFailureDomainThenRegionAndSkipsLeavingHosts() {
         HostRecord same = OwnerFixture.host("same", "a");
         HostRecord region = OwnerFixture.host("region", "b");
         HostRecord leaving = new HostRecord(
@@ -56,9 +56,12 @@
         }
     }
 
-    /** Without the bound, a joining host only takes servers over; nothing moves between the other hosts. */
+    /**
+     * Without the bound, a joining host only takes servers over and nothing moves between the other hosts; so a leaving
+     * host moves only its own.
+     */
     @Test
-    void unboundedOrderMovesOnlyWhatMust() {
+    void joiningHostMovesServersOnlyToItselfWithoutBound() {
         Ownership before = new Ownership(hosts(HOSTS));
         Ownership after = new Ownership(hosts(HOSTS + 1));
         int moved = 0;
@@ -76,23 +79,23 @@
      * do.
      */
     @Test
-    void noOwnerAboveItsBoundAndChangesMoveLittle() {
+    void ownersStayWithinBoundAndMembershipChangesMoveFewServers() {
         List<HostRecord> members = new ArrayList<>(hosts(HOSTS));
-        settle(members);
+        announceUntilStable(members);
         int bound = Ownership.maxServersPerOwner(SERVERS, HOSTS);
         assertEquals(25, bound);
         assertTrue(loads.values().stream().allMatch(each -> each.size() <= bound));
-        assertEquals(0, round(members), "stable: nothing moves any more");
+        assertEquals(0, announceAll(members), "stable: nothing moves any more");
 
         members.add(OwnerFixture.host("host-" + HOSTS, "a"));
-        int joined = settle(members);
+        int joined = announceUntilStable(members);
         assertTrue(joined <= 2 * SERVERS / HOSTS, joined + " moved on a join");
         assertTrue(loads.get(HostId.of("host-" + HOSTS)).size() >= SERVERS / HOSTS / 2, "the new host gets a share");
 
         HostRecord lost = members.remove(4);
         int own = loads.get(lost.id()).size();
         loads.put(lost.id(), List.of());
-        int left = settle(members);
+        int left = announceUntilStable(members);
         assertTrue(left <= own + SERVERS / HOSTS, left + " moved when a host with " + own + " left");
         int lastBound = Ownership.maxServersPerOwner(SERVERS, members.size());
         assertTrue(loads.values().stream().allMatch(each -> each.size() <= lastBound));
@@ -100,17 +103,17 @@
 
     /** Engines come and go continually; the ones that stay must hardly ever change their owner because of that. */
     @Test
-    void serversThatStayKeepTheirOwnerWhileOthersComeAndGo() {
+    void remainingServersRarelyChangeOwnerWhileOthersComeAndGo() {
         List<HostRecord> members = hosts(HOSTS);
-        settle(members);
+        announceUntilStable(members);
         Random random = new Random(5);
         int moved = 0;
         for (int change = 0; change < 400; change++) {
-            Announcement gone = servers.remove(random.nextInt(servers.size()));
-            HostId owner = owners.remove(gone);
-            loads.put(owner, without(loads.get(owner), Ownership.shortHash(gone.id())));
+            Announcement removed = servers.remove(random.nextInt(servers.size()));
+            HostId owner = owners.remove(removed);
+            loads.put(owner, without(loads.get(owner), Ownership.shortHash(removed.id())));
             servers.add(OwnerFixture.engine("later-" + change, 1, 1_000, false));
-            moved += round(members) - 1;
+            moved += announceAll(members) - 1;
         }
         assertTrue(moved <= 28, moved + " moves of servers that stayed, over 400 changes");
     }
@@ -120,9 +123,9 @@
      * once.
      */
     @Test
-    void countsThatLagDoNotSendServersBackAndForth() {
+    void laggingCountsDoNotMoveServersRepeatedly() {
         List<HostRecord> members = new ArrayList<>(hosts(HOSTS));
-        settle(members);
+        announceUntilStable(members);
         members.add(OwnerFixture.host("host-" + HOSTS, "a"));
         Ownership ownership = new Ownership(members);
         Map<Announcement, Integer> moves = new HashMap<>();
@@ -140,18 +143,18 @@
         assertTrue(Collections.max(moves.values()) <= 2, "one server moved " + Collections.max(moves.values()));
     }
 
-    private int settle(List<HostRecord> members) {
+    private int announceUntilStable(List<HostRecord> members) {
         int moved = 0;
         int last = 1;
         for (int round = 0; last > 0; round++) {
             assertTrue(round < 10, "not stable after 10 rounds");
-            last = round(members);
+            last = announceAll(members);
             moved += last;
         }
         return moved;
     }
 
-    private int round(List<HostRecord> members) {
+    private int announceAll(List<HostRecord> members) {
         Ownership ownership = new Ownership(members);
         int moved = 0;
         for (Announcement each : servers) {
