--- a/elmline-core/src/main/java/org/elmline/core/stream/OrphanFinder.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/OrphanFinder.java
@@ -41,23 +41,23 @@
             Predicate<AttemptId> registered,
             long now) {
         Set<Cancel> suspects = new HashSet<>();
-        List<UnregisteredHolding> doubts = new ArrayList<>();
+        List<UnregisteredHolding> heldForLiveHosts = new ArrayList<>();
         for (UnregisteredHolding each : findUnregistered(server, streams, exports, registered)) {
             if (hosts.hasEnded(each.host(), each.incarnation())) {
                 suspects.add(each.cancel());
             } else {
-                doubts.add(each);
+                heldForLiveHosts.add(each);
             }
         }
         firstSeenNanos.keySet().removeIf(each -> each.server().equals(server) && !suspects.contains(each));
-        List<Cancel> strays = new ArrayList<>();
+        List<Cancel> orphans = new ArrayList<>();
         for (Cancel each : suspects) {
             long since = firstSeenNanos.computeIfAbsent(each, key -> now);
             if (now - since >= graceNanos) {
-                strays.add(each);
+                orphans.add(each);
             }
         }
-        return new Findings(strays, doubts);
+        return new Findings(orphans, heldForLiveHosts);
     }
 
     private static List<UnregisteredHolding> findUnregistered(
--- a/elmline-core/src/main/java/org/elmline/core/stream/RetryBudget.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/RetryBudget.java
@@ -2,7 +2,7 @@
 
 /**
  * Limits retries to a share of first attempts, so that failing engines can't multiply the load on the others: over any
- * period at most {@code share} times the first attempts, plus {@code burst}. Thread-safe.
+ * period at most {@code retryRatio} times the first attempts, plus {@code burst}. Thread-safe.
  */
 public final class RetryBudget {
     private final double retryRatio;
@@ -10,14 +10,14 @@
     private double availableRetries;
 
     /**
-     * @param share retries allowed for each first attempt, for example 0.1
+     * @param retryRatio retries allowed for each first attempt, for example 0.1
      * @param burst retries that may accumulate while nothing fails
      */
-    public RetryBudget(double share, double burst) {
-        if (share < 0 || burst < 0) {
-            throw new IllegalArgumentException("share and burst must not be negative");
+    public RetryBudget(double retryRatio, double burst) {
+        if (retryRatio < 0 || burst < 0) {
+            throw new IllegalArgumentException("retryRatio and burst must not be negative");
         }
-        this.retryRatio = share;
+        this.retryRatio = retryRatio;
         this.burst = burst;
         this.availableRetries = burst;
     }
--- a/elmline-core/src/test/java/org/elmline/core/stream/AnswerAssemblerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/stream/AnswerAssemblerTest.java
@@ -50,10 +50,10 @@
         assertInstanceOf(AssemblyResult.Ignored.class, assembler.accept(piece(assembler.attempt(), 0)));
     }
 
-    private static List<StreamEvent> events(AnswerAssembler assembler, int count, Random random, boolean kind) {
+    private static List<StreamEvent> events(AnswerAssembler assembler, int count, Random random, boolean reliable) {
         List<StreamEvent> events = new ArrayList<>();
         for (int i = assembler.resumeOffset(); i < count; i++) {
-            int copies = kind ? 1 : random.nextInt(3);
+            int copies = reliable ? 1 : random.nextInt(3);
             for (int copy = 0; copy < copies; copy++) {
                 events.add(piece(assembler.attempt(), i));
             }
@@ -61,7 +61,7 @@
                 events.add(new StreamEvent.Piece(CROSSED, i, "crossed"));
             }
         }
-        if (kind || random.nextBoolean()) {
+        if (reliable || random.nextBoolean()) {
             events.add(new StreamEvent.End(assembler.attempt(), count, FinishReason.STOP));
         }
         events.add(new StreamEvent.End(CROSSED, random.nextInt(count + 1), FinishReason.LENGTH));
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void contradictionsBreakTheStream() {
+    void contradictoryEventsBreakTheStream() {
         StreamEvent[][] cases = {
             {piece(FIRST, 3), new StreamEvent.End(FIRST, 2, FinishReason.STOP)},
             {new StreamEvent.End(FIRST, 2, FinishReason.STOP), piece(FIRST, 2)},
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void holdsABoundedNumberOfPieces() {
+    void buffersBoundedNumberOfPieces() {
         AnswerAssembler assembler = new AnswerAssembler(FIRST);
         for (int i = 1; i <= 256; i++) {
             assembler.accept(piece(FIRST, i));
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void doubledPieceIsNotHeldForLater() {
+    void duplicatePieceIsNotBuffered() {
         AnswerAssembler assembler = new AnswerAssembler(FIRST);
         assembler.accept(piece(FIRST, 0));
         assertEquals(
--- a/elmline-core/src/test/java/org/elmline/core/stream/FailureTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/stream/FailureTest.java
@@ -24,7 +24,7 @@
     private static final long SECOND = 1_000_000_000L;
 
     @Test
-    void decisions() {
+    void decidesByOutcomeRepeatabilityAttemptsAndTimeLeft() {
         Object[][] cases = {
             // ran, repeatable, reachable, delivered, resumes, attempts, remaining
             {Ran.NO, false, true, 0, 0, 1, 1_000L, RetryDecision.RETRY},
@@ -59,7 +59,7 @@
      * the other half, loaded already, would get close to twice the requests. The budget bounds all attempts.
      */
     @Property(tries = 20, seed = "5005")
-    void retriesStayAShareOfFirstTries(@ForAll long seed) {
+    void retriesStayWithinBudget(@ForAll long seed) {
         Random random = new Random(seed);
         RetryBudget budget = new RetryBudget(0.1, 10);
         int requests = 5_000;
@@ -107,14 +107,14 @@
      * never those of a live incarnation, of one newer than the member list, or of a registered attempt.
      */
     @Test
-    void onlyStreamsOfGoneStartsAreStrays() {
+    void onlyHoldingsOfEndedIncarnationsAreOrphans() {
         LiveHosts hosts = new LiveHosts(List.of(OwnerFixture.host("live", "a")));
         OrphanFinder finder = new OrphanFinder(3 * SECOND);
         List<StreamInfo> streams = List.of(
-                stream("dead-start", "live", 0),
+                stream("ended-incarnation", "live", 0),
                 stream("current", "live", 1),
                 stream("newer-than-list", "live", 2),
-                stream("dead-host", "gone", 1),
+                stream("lost-host", "gone", 1),
                 stream("registered", "gone", 1));
         List<KvExport> exports =
                 List.of(new KvExport("kv", AttemptId.of("export"), HostId.of("gone"), Incarnation.of(1), 10));
@@ -126,8 +126,8 @@
                 finder.find(ENGINE, streams, exports, hosts, id -> id.value().equals("registered"), 3 * SECOND);
         assertEquals(3, second.orphans().size());
         assertTrue(second.orphans().contains(Cancel.export(ENGINE, AttemptId.of("export"), "kv")));
-        assertTrue(second.orphans().contains(Cancel.stream(ENGINE, AttemptId.of("dead-start"))));
-        assertTrue(second.orphans().contains(Cancel.stream(ENGINE, AttemptId.of("dead-host"))));
+        assertTrue(second.orphans().contains(Cancel.stream(ENGINE, AttemptId.of("ended-incarnation"))));
+        assertTrue(second.orphans().contains(Cancel.stream(ENGINE, AttemptId.of("lost-host"))));
     }
 
     private static StreamInfo stream(String attempt, String host, long incarnation) {
