--- a/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/EngineLedger.java
@@ -312,7 +312,7 @@
 
     /**
      * Excludes a faulty engine for a time: one that refuses each attempt at once has no backlog and would otherwise
-     * attract all work. The time doubles with each consecutive fault.
+     * attract all work. The time doubles with each consecutive fault, up to a limit.
      */
     private void startCooldown(long now) {
         int doublings = Math.min(consecutiveFaults, MAX_COOLDOWN_DOUBLINGS);
--- a/elmline-core/src/main/java/org/elmline/core/ledger/LedgerEntry.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/LedgerEntry.java
@@ -76,7 +76,7 @@
         return true;
     }
 
-    /** Its position in the engine's estimated backlog; null while its prefill has not begun. */
+    /** Its position in the engine's estimated backlog; null until it is eligible for prefill. */
     PrefillBacklog.Prefill prefill() {
         return prefill;
     }
--- a/elmline-core/src/main/java/org/elmline/core/ledger/PrefixCacheEstimate.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/PrefixCacheEstimate.java
@@ -12,8 +12,8 @@
 
 /**
  * Estimates which prompt blocks an engine caches. Cache events are late and have gaps, so this is a hint: a wrong one
- * costs a slow prefill, never a wrong answer. After a gap the estimate is empty until a batch without one arrives.
- * Bounded: the least recently used blocks are evicted first. Not thread-safe.
+ * costs a slow prefill, never a wrong answer. A gap clears the estimate, which then counts as empty until a batch
+ * without one arrives. Bounded: the least recently used blocks are evicted first. Not thread-safe.
  */
 final class PrefixCacheEstimate {
     private static final int MAX_BLOCKS = 4_096;
--- a/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
@@ -305,7 +305,7 @@
         return engine.hasAdapter(demand.adapter()) && !demand.excluded().contains(engine.id());
     }
 
-    /** The refusal when no engine here could serve the demand even when idle. */
+    /** The refusal when no engine here has enough memory for the demand, even when idle; empty otherwise. */
     private static Optional<Refusal> tooLargeRefusal(Demand demand, List<EngineLedger> ready) {
         for (EngineLedger each : ready) {
             if (each.capacityKvTokens() >= demand.kvTokens()) {
--- a/elmline-core/src/main/java/org/elmline/core/stream/CancelQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/CancelQueue.java
@@ -10,8 +10,8 @@
 
 /**
  * Cancels that no engine has acknowledged yet. A lost cancel would leave the engine's memory reserved permanently, so
- * each is repeated at doubling intervals until it is acknowledged or its engine's incarnation has ended. Times are
- * nanoseconds of one monotonic clock. Not thread-safe.
+ * each is repeated, at intervals that double up to a limit, until it is acknowledged or its engine's incarnation has
+ * ended. Times are nanoseconds of one monotonic clock. Not thread-safe.
  */
 public final class CancelQueue {
     private static final long INITIAL_RETRY_INTERVAL_NANOS = 200_000_000L;
