--- a/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
@@ -27,9 +27,10 @@
 import org.elmline.core.route.PlaceRequest;
 
 /**
- * Admits and places the requests for one model. A request is placed when an engine has its memory and little enough to
- * read first; else it waits here, where its turn still depends on its priority and organisation, in place of in an
- * engine, where it would not. One that can't meet its deadline is refused as soon as that shows.
+ * Admits and places the requests for one model. A request is placed when an engine has free memory for it and a short
+ * enough prefill backlog; otherwise it is queued here, where its turn still depends on its priority and organisation,
+ * rather than in an engine, where it would not. One that can't meet its deadline is refused as soon as this is
+ * predicted. Not thread-safe.
  */
 final class ModelPlacer {
     private static final double MILLIS_PER_SECOND = 1_000;
@@ -63,7 +64,7 @@
         this.queue = new AdmissionQueue(settings.queueCapacity());
     }
 
-    /** Takes a request in; its answer, if there is one yet, is among {@link #drainDecisions}. */
+    /** Adds a request; its answer, if it is decided at once, is among {@link #drainDecisions}. */
     void add(PlaceRequest request, int weight, long now) {
         ledger.advanceClock(model, now);
         Demand demand = request.demand();
@@ -75,19 +76,19 @@
         Optional<QueuedRequest> shed = queue.add(waiting);
         shed.ifPresent(each -> refuse(each, overloadedRefusal(each, "queue is full", now), now));
         place(now);
-        if (waits(request.attempt()) && !request.mode().mayWait()) {
+        if (isQueued(request.attempt()) && !request.mode().mayWait()) {
             refuse(waiting, overloadedRefusal(waiting, "no engine has the memory now", now), now);
         }
-        if (waits(request.attempt())) {
+        if (isQueued(request.attempt())) {
             refuseIfInfeasible(waiting, queue.costTokensAhead(waiting), now);
         }
     }
 
-    boolean waits(AttemptId attempt) {
+    boolean isQueued(AttemptId attempt) {
         return queue.find(attempt).isPresent();
     }
 
-    /** The caller left before its request was placed. */
+    /** Removes a queued request whose caller disconnected; false when it is not queued. */
     boolean withdraw(AttemptId attempt) {
         Optional<QueuedRequest> waiting = queue.find(attempt);
         waiting.ifPresent(this::removeAndRefund);
@@ -98,7 +99,7 @@
         queue.find(attempt).ifPresent(each -> refuse(each, deadlineRefusal(), now));
     }
 
-    /** Places what has room now, in order. */
+    /** Places the requests that have capacity now, in queue order. */
     void place(long now) {
         ledger.advanceClock(model, now);
         Set<AdmissionQueue.QueueKey> blocked = new HashSet<>();
@@ -114,13 +115,13 @@
         }
     }
 
-    /** Refuses every waiting request that can no longer meet its deadline, so that its caller can go elsewhere. */
+    /** Refuses every queued request that can no longer meet its deadline, so that its caller can use another owner. */
     void refuseInfeasible(long now) {
         long[] work = new long[LengthClass.values().length];
         for (QueuedRequest each : queue.inPlacementOrder()) {
             int index = each.lengthClass().ordinal();
             refuseIfInfeasible(each, Arrays.stream(work, 0, index + 1).sum(), now);
-            work[index] += waits(each.request().attempt()) ? each.costTokens() : 0;
+            work[index] += isQueued(each.request().attempt()) ? each.costTokens() : 0;
         }
     }
 
@@ -131,9 +132,9 @@
     }
 
     List<OwnerDecision> drainDecisions() {
-        List<OwnerDecision> taken = List.copyOf(decisions);
+        List<OwnerDecision> drained = List.copyOf(decisions);
         decisions.clear();
-        return taken;
+        return drained;
     }
 
     int queueSize() {
@@ -147,12 +148,12 @@
         if (ready.isEmpty()) {
             return Optional.empty();
         }
-        long mostFree = 0;
-        long allFree = 0;
+        long maxFreeKvTokens = 0;
+        long totalFreeKvTokens = 0;
         Set<Integer> prefixes = new HashSet<>();
         for (EngineLedger each : ready) {
-            mostFree = Math.max(mostFree, each.freeKvTokens());
-            allFree += Math.max(0, each.freeKvTokens());
+            maxFreeKvTokens = Math.max(maxFreeKvTokens, each.freeKvTokens());
+            totalFreeKvTokens += Math.max(0, each.freeKvTokens());
             for (Long hash : each.recentFirstBlocks(MAX_SUMMARY_PREFIXES)) {
                 if (prefixes.size() < MAX_SUMMARY_PREFIXES) {
                     prefixes.add(ModelSummary.shortHash(hash));
@@ -160,11 +161,19 @@
             }
         }
         int speed = (int) Math.round(totalTokensPerSecond(ready) / ready.size());
-        return Optional.of(
-                new ModelSummary(model, ready.size(), waits(ready), speed, mostFree, allFree, List.copyOf(prefixes)));
+        return Optional.of(new ModelSummary(
+                model,
+                ready.size(),
+                waitMillisByClass(ready),
+                speed,
+                maxFreeKvTokens,
+                totalFreeKvTokens,
+                List.copyOf(prefixes)));
     }
 
-    /** A summary looks at every engine; made for each answer, it would cost more than placing. */
+    /**
+     * Cached, because a summary visits every engine: computing it for each answer would cost more than the placement.
+     */
     private ModelSummary recentSummary(long now) {
         if (!summaryCached || now - cachedSummaryAtNanos >= SUMMARY_CACHE_NANOS) {
             cachedSummary = summary(now).orElse(null);
@@ -174,25 +183,26 @@
         return cachedSummary;
     }
 
-    private List<Integer> waits(List<EngineLedger> ready) {
-        long[] queued = new long[LengthClass.values().length];
+    private List<Integer> waitMillisByClass(List<EngineLedger> ready) {
+        long[] queuedTokens = new long[LengthClass.values().length];
         for (QueuedRequest each : queue.inPlacementOrder()) {
-            queued[each.lengthClass().ordinal()] += each.costTokens();
+            queuedTokens[each.lengthClass().ordinal()] += each.costTokens();
         }
         double speed = totalTokensPerSecond(ready);
-        List<Integer> waits = new ArrayList<>();
+        List<Integer> waitMillis = new ArrayList<>();
         for (LengthClass each : LengthClass.values()) {
             long shortest = ready.stream()
                     .mapToLong(engine -> engine.waitMillis(each))
                     .min()
                     .orElse(0);
-            double behind = Arrays.stream(queued, 0, each.ordinal() + 1).sum() * MILLIS_PER_SECOND / speed;
-            waits.add((int) Math.min(Integer.MAX_VALUE, shortest + Math.round(behind)));
+            double queuedMillis =
+                    Arrays.stream(queuedTokens, 0, each.ordinal() + 1).sum() * MILLIS_PER_SECOND / speed;
+            waitMillis.add((int) Math.min(Integer.MAX_VALUE, shortest + Math.round(queuedMillis)));
         }
-        return waits;
+        return waitMillis;
     }
 
-    /** True when the request got an answer, false when it must wait. */
+    /** True when the request was answered, false when it stays queued. */
     private boolean tryPlace(QueuedRequest waiting, long now) {
         Demand demand = waiting.request().demand();
         if (waiting.remainingMillis(now) <= 0) {
@@ -250,7 +260,8 @@
                 waiting.remainingMillis(now),
                 request.mode().startsPrefillOnGrant());
         if (!ledger.reserve(grant, demand.prefixHashes(), request.contextTokens(), now)) {
-            throw new IllegalStateException("attempt " + request.attempt() + " waits though the ledger knows it");
+            throw new IllegalStateException(
+                    "attempt " + request.attempt() + " is queued, but the ledger rejected its reservation");
         }
         queue.remove(waiting);
         counters.recordServed(waiting.virtualStart());
@@ -274,18 +285,18 @@
         return best;
     }
 
-    /** Empty when an engine rests so shortly that waiting for it beats trying elsewhere. */
+    /** Empty when an engine's cooldown is so short that waiting for it is better than another owner. */
     private Optional<Refusal> noEngineRefusal(Demand demand, long now) {
-        long rest = Long.MAX_VALUE;
+        long shortestCooldown = Long.MAX_VALUE;
         for (EngineLedger each : ledger.engines(model)) {
             if (each.isAvailable() && canServe(each, demand)) {
-                rest = Math.min(rest, each.cooldownMillis(now));
+                shortestCooldown = Math.min(shortestCooldown, each.cooldownMillis(now));
             }
         }
-        if (rest <= MAX_COOLDOWN_WAIT_MILLIS) {
+        if (shortestCooldown <= MAX_COOLDOWN_WAIT_MILLIS) {
             return Optional.empty();
         }
-        long retryMillis = rest == Long.MAX_VALUE ? NO_ENGINE_RETRY_MILLIS : rest;
+        long retryMillis = shortestCooldown == Long.MAX_VALUE ? NO_ENGINE_RETRY_MILLIS : shortestCooldown;
         String why = "no engine takes work for " + model;
         return Optional.of(Refusal.retryLater(RefusalReason.NO_BACKEND_SERVER, why, retryMillis));
     }
@@ -294,7 +305,7 @@
         return engine.hasAdapter(demand.adapter()) && !demand.excluded().contains(engine.id());
     }
 
-    /** Why no engine here could serve the demand even when idle. */
+    /** The refusal when no engine here has enough memory for the demand, even when idle; empty otherwise. */
     private static Optional<Refusal> tooLargeRefusal(Demand demand, List<EngineLedger> ready) {
         for (EngineLedger each : ready) {
             if (each.capacityKvTokens() >= demand.kvTokens()) {
@@ -343,8 +354,8 @@
 
     private Refusal overloadedRefusal(QueuedRequest waiting, String why, long now) {
         long predicted = predictedMillis(waiting, queue.costTokensAhead(waiting), now);
-        long late = predicted - Math.max(0, waiting.remainingMillis(now));
-        return Refusal.retryLater(RefusalReason.OVERLOADED, why, Math.max(MIN_RETRY_MILLIS, late));
+        long excessMillis = predicted - Math.max(0, waiting.remainingMillis(now));
+        return Refusal.retryLater(RefusalReason.OVERLOADED, why, Math.max(MIN_RETRY_MILLIS, excessMillis));
     }
 
     private static Refusal deadlineRefusal() {
--- a/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
@@ -11,57 +11,61 @@
 import org.elmline.core.control.HostRecord;
 
 /**
- * Which entries a caller is told to use. The first is drawn evenly from the live ones of the caller's region, so callers
- * spread without a balancer; the next is of another failure domain, so a lost domain leaves each caller an address.
+ * Selects the entries that a caller should use. The first is drawn uniformly from the live entries of the caller's
+ * region, which spreads callers without a load balancer; the next is in another failure domain, so that the loss of one
+ * domain leaves each caller an address.
  */
 public final class EntryHostChoice {
     private EntryHostChoice() {}
 
     /** Up to {@code most} entries, best first; fewer when fewer are live. */
     public static List<HostRecord> choose(
-            Collection<HostRecord> members, Region callerRegion, int most, Random random) {
-        List<HostRecord> near = new ArrayList<>();
-        List<HostRecord> far = new ArrayList<>();
+            Collection<HostRecord> members, Region callerRegion, int limit, Random random) {
+        List<HostRecord> sameRegion = new ArrayList<>();
+        List<HostRecord> otherRegions = new ArrayList<>();
         for (HostRecord each : members) {
             if (!each.leaving()) {
-                (each.region().equals(callerRegion) ? near : far).add(each);
+                (each.region().equals(callerRegion) ? sameRegion : otherRegions).add(each);
             }
         }
-        Collections.shuffle(near, random);
-        Collections.shuffle(far, random);
+        Collections.shuffle(sameRegion, random);
+        Collections.shuffle(otherRegions, random);
         List<HostRecord> chosen = new ArrayList<>();
-        addAlternatingDomains(near, chosen, most);
-        addAlternatingDomains(far, chosen, most);
-        ensureTwoDomains(chosen, far);
+        addAlternatingDomains(sameRegion, chosen, limit);
+        addAlternatingDomains(otherRegions, chosen, limit);
+        ensureTwoDomains(chosen, otherRegions);
         return chosen;
     }
 
-    /** Takes one after another, each of another failure domain than the one before while there is any. */
-    private static void addAlternatingDomains(List<HostRecord> from, List<HostRecord> chosen, int most) {
-        List<HostRecord> left = new ArrayList<>(from);
-        while (chosen.size() < most && !left.isEmpty()) {
-            chosen.add(left.remove(indexOfOtherDomain(left, chosen)));
+    /** Adds entries at random, each from another failure domain than the one before while there is one. */
+    private static void addAlternatingDomains(List<HostRecord> from, List<HostRecord> chosen, int limit) {
+        List<HostRecord> remaining = new ArrayList<>(from);
+        while (chosen.size() < limit && !remaining.isEmpty()) {
+            chosen.add(remaining.remove(indexOfOtherDomain(remaining, chosen)));
         }
     }
 
-    private static int indexOfOtherDomain(List<HostRecord> left, List<HostRecord> chosen) {
+    private static int indexOfOtherDomain(List<HostRecord> remaining, List<HostRecord> chosen) {
         if (chosen.isEmpty()) {
             return 0;
         }
         FailureDomain last = chosen.get(chosen.size() - 1).failureDomain();
-        for (int i = 0; i < left.size(); i++) {
-            if (!left.get(i).failureDomain().equals(last)) {
+        for (int i = 0; i < remaining.size(); i++) {
+            if (!remaining.get(i).failureDomain().equals(last)) {
                 return i;
             }
         }
         return 0;
     }
 
-    /** A region of one failure domain would leave its callers without an address when that is lost. */
-    private static void ensureTwoDomains(List<HostRecord> chosen, List<HostRecord> far) {
+    /**
+     * Replaces the last entry by one of another region when all chosen ones are in one failure domain: if that domain
+     * is lost, the caller would have no address left.
+     */
+    private static void ensureTwoDomains(List<HostRecord> chosen, List<HostRecord> otherRegions) {
         long domains = chosen.stream().map(HostRecord::failureDomain).distinct().count();
-        if (domains == 1 && chosen.size() > 1 && !far.isEmpty()) {
-            chosen.set(chosen.size() - 1, far.get(0));
+        if (domains == 1 && chosen.size() > 1 && !otherRegions.isEmpty()) {
+            chosen.set(chosen.size() - 1, otherRegions.get(0));
         }
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/ledger/LedgerRecountTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/ledger/LedgerRecountTest.java
@@ -23,8 +23,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 /**
- * An engine would lose memory for good if any path reserved a grant without releasing it, or fill up beyond its memory
- * if any released one twice. Paths cross: ends come late, twice, before the request or after a restart; so random
+ * An engine would lose memory permanently if any path reserved a grant without releasing it, or be overfilled if any
+ * released one twice. Paths overlap: releases come late, twice, before the request or after a restart. So random
  * sequences of all of them run against a plain list of the open grants that is counted anew after every step.
  */
 class LedgerRecountTest {
@@ -37,9 +37,9 @@
     private final Set<AttemptId> ended = new HashSet<>();
     private final Map<BackendServerId, Long> incarnations = new LinkedHashMap<>();
 
-    /** All tries share this object. */
+    /** All tries share this instance. */
     @BeforeTry
-    void startAnew() {
+    void reset() {
         ledger = new Ledger(LedgerSettings.DEFAULT);
         open.clear();
         ended.clear();
@@ -47,7 +47,7 @@
     }
 
     @Property(tries = 300, seed = "5001")
-    void equalsARecountAfterAnySequence(@ForAll long seed) {
+    void countsEqualRecountAfterAnySequence(@ForAll long seed) {
         Random random = new Random(seed);
         for (int step = 0; step < 200; step++) {
             step(random, step);
@@ -57,7 +57,7 @@
 
     private void step(Random random, long now) {
         BackendServerId server = BackendServerId.of("engine-" + random.nextInt(ENGINES));
-        AttemptId attempt = AttemptId.of("attempt-" + random.nextInt(ATTEMPTS) + "-" + step(now));
+        AttemptId attempt = AttemptId.of("attempt-" + random.nextInt(ATTEMPTS) + "-" + nameSuffix(now));
         switch (random.nextInt(8)) {
             case 0 -> announce(server, incarnations.getOrDefault(server, 0L) + random.nextInt(2), now);
             case 1, 2, 3 -> reserve(server, attempt, random, now);
@@ -67,8 +67,8 @@
         }
     }
 
-    /** Attempts get new names every fifty steps, so that some are new, some open and some over. */
-    private static long step(long now) {
+    /** Attempts get new names every fifty steps, so that some are new, some open and some released. */
+    private static long nameSuffix(long now) {
         return now / 50;
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
@@ -21,7 +21,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** An engine changes its owner with streams open. */
+/** An engine changes its owner with streams open, or the entry of an open stream is lost. */
 class HandOverTest {
     private static final long CAPACITY = 100_000;
     private static final BackendServerId ENGINE = BackendServerId.of("engine-0");
@@ -30,9 +30,9 @@
     private final OwnerFixture after = new OwnerFixture().engines(1, CAPACITY);
 
     /**
-     * The old owner dies while an answer streams. The new one knows nothing of it and would promise its memory again.
-     * From the engine's listing it counts it as taken; once the gateway has registered, exactly the grant is reserved,
-     * and its release frees it once.
+     * The old owner is lost while an answer streams. The new one has no grant for it and would promise its memory
+     * again. It must count the memory from the engine's listing as taken; once the gateway has registered, exactly the
+     * grant is reserved, and its release frees it once.
      */
     @Test
     void registeredGrantsAreReservedOnceAndReleasedOnce() {
@@ -42,31 +42,35 @@
         assertEquals(CAPACITY - 30_000, after.freeTokens());
         assertEquals(List.of(grant.attempt()), audits.get(0).attempts());
         after.owner.onAuditAnswer(audits.get(0), new AuditAnswer(List.of()), after.now);
-        assertEquals(List.of(), after.owner.cancels(after.now), "the gateway runs it");
+        assertEquals(List.of(), after.owner.cancels(after.now), "the gateway still runs the attempt");
 
         RegisterGrants registration =
                 new RegisterGrants(OwnerFixture.GATEWAY, OwnerFixture.FIRST, List.of(grant.afterFirstToken()));
         assertEquals(List.of(), after.owner.register(registration, after.now).notOwned());
-        assertEquals(List.of(), after.owner.register(registration, after.now).notOwned(), "repeated");
+        assertEquals(List.of(), after.owner.register(registration, after.now).notOwned(), "repeated registration");
         after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(CAPACITY - 40_000, after.freeTokens());
 
         assertEquals(0, after.release(grant.attempt(), ReleaseCause.FINISHED));
-        assertEquals(List.of(), after.owner.register(registration, after.now).notOwned(), "late, after the release");
+        assertEquals(
+                List.of(), after.owner.register(registration, after.now).notOwned(), "registration after the release");
         after.owner.onEngineListing(ENGINE, List.of(), List.of(), after.now);
         assertEquals(CAPACITY, after.freeTokens());
     }
 
-    /** The gateway gave a call up, and it reached the engine after the cancel: only the gateway knows that it is over. */
+    /**
+     * A gateway cancelled a call that reached the engine after the cancel: only the gateway can report that it has
+     * ended.
+     */
     @Test
-    void whatItsEntryDoesNotRunIsCancelled() {
+    void cancelsHoldingsThatTheEntryDoesNotRun() {
         AttemptId lost = AttemptId.of("given-up");
         KvExport export = new KvExport("kv", lost, OwnerFixture.GATEWAY, OwnerFixture.FIRST, 500);
         List<StreamInfo> streams = List.of(stream(lost, OwnerFixture.GATEWAY, 1_000));
         AuditRequest audit = after.owner
                 .onEngineListing(ENGINE, streams, List.of(export), after.now)
                 .get(0);
-        after.owner.onAuditAnswer(audit, new AuditAnswer(List.of(lost, AttemptId.of("never-asked"))), after.now);
+        after.owner.onAuditAnswer(audit, new AuditAnswer(List.of(lost, AttemptId.of("not-in-request"))), after.now);
         List<Cancel> cancels = new ArrayList<>(after.owner.cancels(after.now));
         assertEquals(2, cancels.size());
         assertTrue(
@@ -76,48 +80,51 @@
         assertEquals(List.of(), after.owner.cancels(after.now));
     }
 
-    /** Neither the old entry nor anybody else registers: after two listings the engine is told to free it. */
+    /** No entry registers the stream: after two listings its engine receives a cancel. */
     @Test
-    void streamsOfADeadEntryAreSweptByTheNewOwner() {
-        List<StreamInfo> streams = List.of(stream(AttemptId.of("orphan"), HostId.of("dead"), 20_000));
+    void newOwnerCancelsStreamsOfALostEntry() {
+        List<StreamInfo> streams = List.of(stream(AttemptId.of("orphan"), HostId.of("lost"), 20_000));
         after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(List.of(), after.owner.cancels(after.now));
         after.engines(1, CAPACITY);
         after.advance(3_000);
         after.owner.onEngineListing(ENGINE, streams, List.of(), after.now);
         assertEquals(List.of(Cancel.stream(ENGINE, AttemptId.of("orphan"))), after.owner.cancels(after.now));
-        assertEquals(CAPACITY - 20_000, after.freeTokens(), "taken until the engine says otherwise");
+        assertEquals(CAPACITY - 20_000, after.freeTokens(), "counted as taken until a listing no longer shows it");
         after.owner.onEngineListing(ENGINE, List.of(), List.of(), after.now);
         assertEquals(CAPACITY, after.freeTokens());
     }
 
     /**
-     * A gateway restarts and places a request before this owner's member list shows its new start; then a change of some
-     * other host brings a list that still lacks it. Its stream must not be cancelled: the next list has it.
+     * A gateway restarts and places a request before this owner's member list shows its new incarnation; then a change
+     * of another host brings a list that still lacks it. Its stream must not be cancelled: the next list includes it.
      */
     @Test
-    void grantsOfAnEntryThatTheListLacksForAMomentStay() {
+    void keepsGrantsOfAnEntryBrieflyMissingFromTheMemberList() {
         granted(before, 9_900);
         before.owner.members(List.of(OwnerFixture.host("owner", "a")), before.now);
         before.advance(1_000);
         assertEquals(List.of(), before.owner.cancels(before.now));
         before.owner.members(List.of(OwnerFixture.host("owner", "a"), OwnerFixture.host("gateway", "b")), before.now);
-        before.advanceWithBeats(6_000, 1, CAPACITY);
+        before.advanceWithAnnouncements(6_000, 1, CAPACITY);
         assertEquals(List.of(), before.owner.cancels(before.now));
     }
 
-    /** The gateway froze past its request's deadline. Its grant must not hold memory for as long as it sleeps. */
+    /**
+     * A gateway is suspended beyond its request's deadline. Its grant must not hold memory for the whole suspension.
+     */
     @Test
-    void grantsOfASilentEntryAreReclaimedAfterTheDeadline() {
+    void reclaimsGrantsOfAnUnresponsiveEntryAfterTheDeadline() {
         Grant grant = granted(before, 9_900);
-        before.advanceWithBeats(10_000 + 4_500, 1, CAPACITY);
+        before.advanceWithAnnouncements(10_000 + 4_500, 1, CAPACITY);
         assertEquals(List.of(), before.owner.cancels(before.now));
-        before.advanceWithBeats(1_000, 1, CAPACITY);
+        before.advanceWithAnnouncements(1_000, 1, CAPACITY);
         List<Cancel> cancels = before.owner.cancels(before.now);
         assertEquals(List.of(Cancel.stream(ENGINE, grant.attempt())), cancels);
         before.owner.onCancelAcknowledged(cancels.get(0), before.now);
         assertEquals(CAPACITY, before.freeTokens());
-        assertEquals(1, before.release(grant.attempt(), ReleaseCause.FINISHED), "the late end finds nothing");
+        assertEquals(
+                1, before.release(grant.attempt(), ReleaseCause.FINISHED), "the late release names an unknown grant");
         assertEquals(CAPACITY, before.freeTokens());
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/route/GatewayChoiceTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/route/GatewayChoiceTest.java
@@ -22,7 +22,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** The choices of a caller's entry: which owner to ask, whom to tell of own engines, which entries callers get. */
+/**
+ * Choices of a gateway: the owner for a request, the receivers of its own summaries, and the entries given to callers.
+ */
 class GatewayChoiceTest {
     private static final int OWNERS = 18;
 
@@ -38,30 +40,30 @@
     }
 
     /**
-     * All owners have sent a summary at the same time, and one looks a little better. If each of many entries sent all
-     * its requests there until the next summary, that owner would drown. No owner may get more than three times its
+     * Guards against overloading the owner that looks slightly better in summaries of the same age: without spreading,
+     * every entry would send all its requests there until the next summary. No owner may get more than three times its
      * even share.
      */
     @Test
-    void requestsBetweenTwoSummariesDoNotHerd() {
+    void spreadsRequestsBetweenTwoSummariesOverOwners() {
         for (int i = 0; i < OWNERS; i++) {
             table.accept(summary(i, 1, i == 3 ? 0 : 40), 0);
         }
-        Map<HostId, Integer> asked = new HashMap<>();
+        Map<HostId, Integer> requestsByOwner = new HashMap<>();
         int requests = 1_800;
         for (int i = 0; i < requests; i++) {
             OwnerChoice choice =
                     table.choose(demand(2_000, List.of()), Set.of(), random, 0).orElseThrow();
-            asked.merge(choice.owner().id(), 1, Integer::sum);
+            requestsByOwner.merge(choice.owner().id(), 1, Integer::sum);
         }
-        assertEquals(OWNERS, asked.size());
-        assertTrue(Collections.max(asked.values()) <= 3 * requests / OWNERS, asked.toString());
+        assertEquals(OWNERS, requestsByOwner.size());
+        assertTrue(Collections.max(requestsByOwner.values()) <= 3 * requests / OWNERS, requestsByOwner.toString());
     }
 
-    /** The same with the first few requests of many entries, when none has yet sent much itself. */
+    /** The same for the first requests of many entries, none of which has yet sent much work itself. */
     @Test
-    void firstRequestsOfManyEntriesDoNotHerd() {
-        int asked = 0;
+    void spreadsFirstRequestsOfManyEntriesOverOwners() {
+        int sentToOne = 0;
         int entries = 90;
         for (int entry = 0; entry < entries; entry++) {
             OwnerTable own = new OwnerTable(OwnerFixture.host("entry-" + entry, "a"), OwnerTableSettings.DEFAULT);
@@ -73,13 +75,13 @@
                     .orElseThrow()
                     .owner()
                     .id();
-            asked += chosen.equals(HostId.of("owner-3")) ? 1 : 0;
+            sentToOne += chosen.equals(HostId.of("owner-3")) ? 1 : 0;
         }
-        assertTrue(asked > 0 && asked <= 7 * entries / OWNERS, asked + " of " + entries + " to one owner");
+        assertTrue(sentToOne > 0 && sentToOne <= 7 * entries / OWNERS, sentToOne + " of " + entries + " to one owner");
     }
 
     @Test
-    void clearlyBetterOwnersAndPrefixesArePreferredAndTriedOnesAreNot() {
+    void prefersClearlyBetterOwnersAndCachedPrefixesAndSkipsTriedOwners() {
         for (int i = 0; i < OWNERS; i++) {
             table.accept(summary(i, 1, i < 9 ? 5_000 : 10), 0);
         }
@@ -97,17 +99,17 @@
                     .id();
             prefixHits += chosen.equals(HostId.of("owner-17")) ? 1 : 0;
         }
-        assertTrue(prefixHits > 0, "the owner with the prefix is looked at");
+        assertTrue(prefixHits > 0, "the owner with the cached prefix is among the candidates");
         assertTrue(
                 table.choose(demand(2_000, List.of()), Set.of(), random, 10_000 * MILLI)
                         .isEmpty(),
-                "aged out");
+                "summaries above the maximum age are ignored");
     }
 
     @Test
-    void olderSummariesAndGoneOwnersDoNotCount() {
+    void ignoresOlderSummariesAndLostOwners() {
         assertTrue(table.accept(summary(1, 5, 10), 0).newer());
-        assertFalse(table.accept(summary(1, 4, 10), 0).newer(), "overtaken on the network");
+        assertFalse(table.accept(summary(1, 4, 10), 0).newer(), "an older sequence number");
         assertEquals(
                 HostId.of("owner-1"),
                 table.ownerOf(OwnerFixture.engine("engine-1", 1, 1, false).id())
@@ -119,9 +121,11 @@
         assertEquals(0, table.size());
     }
 
-    /** 370 entries and a summary that changes all the time: no second costs more than the budget, none hears nothing. */
+    /**
+     * With 370 entries and a summary that changes all the time, the budget holds and every entry receives summaries.
+     */
     @Test
-    void summariesKeepToTheirBudgetAndReachEveryEntry() {
+    void summariesStayWithinBudgetAndReachEveryEntry() {
         List<HostRecord> many = new ArrayList<>();
         for (int i = 0; i < 370; i++) {
             many.add(OwnerFixture.host("entry-" + i, "a"));
@@ -129,23 +133,25 @@
         int bytes = 300;
         double budget = 2_500;
         SummarySchedule schedule = new SummarySchedule(many.get(0), 2_000, budget);
-        Map<HostId, Integer> heard = new HashMap<>();
+        Map<HostId, Integer> received = new HashMap<>();
         int sent = 0;
         int seconds = 120;
         for (int tenth = 0; tenth < 10 * seconds; tenth++) {
             OwnerSummary summary = summary(1, tenth, tenth % 2 == 0 ? 0 : 1_000);
             for (HostRecord each : schedule.targets(summary, bytes, many, tenth * 100 * MILLI)) {
-                heard.merge(each.id(), 1, Integer::sum);
+                received.merge(each.id(), 1, Integer::sum);
                 sent += bytes;
             }
         }
-        assertEquals(369, heard.size());
+        assertEquals(369, received.size());
         assertTrue(sent <= budget * (seconds + 2), sent + " bytes");
-        assertTrue(heard.values().stream().allMatch(each -> each >= 2), "each hears about every 45 s");
+        assertTrue(
+                received.values().stream().allMatch(each -> each >= 2),
+                "each entry receives a summary about every 45 s");
     }
 
     @Test
-    void callersAreSpreadOverLiveEntriesOfTwoDomains() {
+    void spreadsCallersOverLiveEntriesOfTwoFailureDomains() {
         HostRecord last = members.remove(OWNERS - 1);
         members.add(new HostRecord(
                 last.id(),
@@ -163,7 +169,7 @@
             assertTrue(chosen.stream().map(HostRecord::failureDomain).distinct().count() >= 2);
             first.merge(chosen.get(0).id(), 1, Integer::sum);
         }
-        assertEquals(OWNERS - 1, first.size(), "all but the one that leaves");
+        assertEquals(OWNERS - 1, first.size(), "all but the leaving entry");
         assertTrue(first.values().stream().allMatch(each -> each > 120 && each < 300), first.toString());
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/stream/AnswerAssemblerTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/stream/AnswerAssemblerTest.java
@@ -22,9 +22,9 @@
     private static final AttemptId CROSSED = AttemptId.of("other");
 
     /**
-     * Pieces of the right stream come out of order, doubled and with losses; between them come pieces and ends of
-     * another caller's attempt, and late ones of attempts given up. The stream breaks now and then, is read again from
-     * the offset, or continues on another engine. The caller must see pieces 0 to n, each once, and then the end.
+     * Pieces of the current attempt come out of order, duplicated and with losses, mixed with pieces and ends of
+     * another caller's attempt and late ones of replaced attempts. The stream breaks at times and is resumed from the
+     * offset, or continues on another engine. The caller must get pieces 0 to n, each once, and then the end.
      */
     @Property(tries = 500, seed = "5004")
     void callerGetsEachPieceOnceInOrder(@ForAll long seed) {
@@ -34,7 +34,7 @@
         List<String> caller = new ArrayList<>();
         List<StreamEvent> late = new ArrayList<>();
         for (int read = 0; !assembler.finished(); read++) {
-            assertTrue(read < 500, "never completes");
+            assertTrue(read < 500, "not complete after 500 reads");
             List<StreamEvent> events = events(assembler, count, random, read > 400);
             events.addAll(late);
             Collections.shuffle(events, random);
@@ -50,10 +50,10 @@
         assertInstanceOf(AssemblyResult.Ignored.class, assembler.accept(piece(assembler.attempt(), 0)));
     }
 
-    private static List<StreamEvent> events(AnswerAssembler assembler, int count, Random random, boolean kind) {
+    private static List<StreamEvent> events(AnswerAssembler assembler, int count, Random random, boolean reliable) {
         List<StreamEvent> events = new ArrayList<>();
         for (int i = assembler.resumeOffset(); i < count; i++) {
-            int copies = kind ? 1 : random.nextInt(3);
+            int copies = reliable ? 1 : random.nextInt(3);
             for (int copy = 0; copy < copies; copy++) {
                 events.add(piece(assembler.attempt(), i));
             }
@@ -61,7 +61,7 @@
                 events.add(new StreamEvent.Piece(CROSSED, i, "crossed"));
             }
         }
-        if (kind || random.nextBoolean()) {
+        if (reliable || random.nextBoolean()) {
             events.add(new StreamEvent.End(assembler.attempt(), count, FinishReason.STOP));
         }
         events.add(new StreamEvent.End(CROSSED, random.nextInt(count + 1), FinishReason.LENGTH));
@@ -77,11 +77,11 @@
             assertEquals(count, caller.size(), "ended before all pieces came");
             assertEquals(FinishReason.STOP, complete.reason());
         }
-        assertTrue(!(assembled instanceof AssemblyResult.Broken), () -> "broke on " + assembled);
+        assertTrue(!(assembled instanceof AssemblyResult.Broken), () -> "stream broken: " + assembled);
     }
 
     @Test
-    void contradictionsBreakTheStream() {
+    void contradictoryEventsBreakTheStream() {
         StreamEvent[][] cases = {
             {piece(FIRST, 3), new StreamEvent.End(FIRST, 2, FinishReason.STOP)},
             {new StreamEvent.End(FIRST, 2, FinishReason.STOP), piece(FIRST, 2)},
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void holdsABoundedNumberOfPieces() {
+    void buffersBoundedNumberOfPieces() {
         AnswerAssembler assembler = new AnswerAssembler(FIRST);
         for (int i = 1; i <= 256; i++) {
             assembler.accept(piece(FIRST, i));
@@ -112,12 +112,12 @@
     }
 
     @Test
-    void doubledPieceIsNotHeldForLater() {
+    void duplicatePieceIsNotBuffered() {
         AnswerAssembler assembler = new AnswerAssembler(FIRST);
         assembler.accept(piece(FIRST, 0));
         assertEquals(
                 new AssemblyResult.Ignored(AssemblyResult.IgnoreReason.DUPLICATE), assembler.accept(piece(FIRST, 0)));
-        assertTrue(!assembler.isMissingPieces(), "would be resumed for nothing");
+        assertTrue(!assembler.isMissingPieces(), "would be resumed needlessly");
     }
 
     private static StreamEvent piece(AttemptId attempt, int index) {
