--- a/elmline-core/src/main/java/org/elmline/core/placement/Demand.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/Demand.java
@@ -8,11 +8,11 @@
 import org.elmline.core.common.ModelName;
 
 /**
- * What one request asks of the replica that will serve it.
+ * Placement requirements of one request.
  *
- * @param prefixHashes chained hash of each leading block of the prompt, first block first
+ * @param prefixHashes chained hash of each leading block of the prompt, first block first; may be empty
  * @param remainingMillis milliseconds until the request's deadline
- * @param excluded replicas that have failed this request already
+ * @param excluded replicas that must not be chosen because they already failed this request
  */
 public record Demand(
         ModelName model,
@@ -28,7 +28,7 @@
         excluded = Set.copyOf(excluded);
     }
 
-    /** KV tokens to reserve: the prompt and the longest answer. */
+    /** KV tokens to reserve: the prompt and the longest possible output. */
     public long kvTokens() {
         return (long) promptTokens + maxOutputTokens;
     }
--- a/elmline-core/src/main/java/org/elmline/core/placement/Eligibility.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/Eligibility.java
@@ -1,6 +1,6 @@
 package org.elmline.core.placement;
 
-/** The one rule that every policy keeps: a replica is used only where the whole reservation fits. */
+/** The check that every policy applies: a replica is chosen only if it can hold the whole KV reservation. */
 final class Eligibility {
     private Eligibility() {}
 
--- a/elmline-core/src/main/java/org/elmline/core/placement/FixedSplit.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/FixedSplit.java
@@ -4,7 +4,10 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Baseline: a fixed part of the replicas is for long work, the rest for all other; fewest requests within a part. */
+/**
+ * Baseline: a fixed part of the replicas serves prompts over 32k tokens, the rest all others; within a part, the
+ * replica with the fewest open streams is chosen. Thread-safe.
+ */
 public final class FixedSplit implements PlacementPolicy {
     private static final double LONG_REPLICA_FRACTION = 0.5;
 
--- a/elmline-core/src/main/java/org/elmline/core/placement/LeastRequests.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/LeastRequests.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Baseline: the replica with the fewest open streams, the first of several in an order that starts anywhere. */
+/** Baseline: the replica with the fewest open streams; ties go to the first one after a random starting index. */
 public final class LeastRequests implements PlacementPolicy {
     @Override
     public String name() {
--- a/elmline-core/src/main/java/org/elmline/core/placement/LongReplicaLimit.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/LongReplicaLimit.java
@@ -2,18 +2,20 @@
 
 import org.elmline.core.common.LengthClass;
 
-/** How far from the long end long work may reach. */
+/** Number of replicas, counted from the long end of their order, that long prompts may use. */
 final class LongReplicaLimit {
     private LongReplicaLimit() {}
 
-    /** Prompts over 32k tokens: each takes an engine for seconds to minutes. */
+    /** Whether the prompt is over 32k tokens; each of these occupies an engine for seconds to minutes. */
     static boolean isLong(Demand demand) {
         return demand.lengthClass().compareTo(LengthClass.LONG) >= 0;
     }
 
     /**
-     * Number of replicas, counted from the long end, that long work may use. With two or more replicas one is always
-     * left over: were long work on all of them, a short request would find no engine whose steps are short.
+     * Number of replicas, counted from the long end, that long prompts may use. With two or more replicas at least one
+     * is excluded: with long prefills on every replica, a short request would always run on an engine with long steps.
+     *
+     * @param maxLongShare largest share of the replicas, 0 to 1
      */
     static int replicasForLong(int replicas, double maxLongShare) {
         if (replicas < 2) {
--- a/elmline-core/src/main/java/org/elmline/core/placement/PlacementPolicies.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PlacementPolicies.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 import java.util.ServiceLoader;
 
-/** Finds the registered policies by name. */
+/** Looks up registered policies by name. */
 public final class PlacementPolicies {
-    /** The policy used where settings name none. */
+    /** The policy used if the settings name none. */
     public static final String DEFAULT = "shortest-wait";
 
     private PlacementPolicies() {}
 
-    /** A new policy of that name with these weights, or empty when none is registered. */
+    /** A new policy of that name with these settings, or empty if none is registered. */
     public static Optional<PlacementPolicy> named(String name, PlacementSettings settings) {
         for (PlacementPolicy each : ServiceLoader.load(PlacementPolicy.class)) {
             if (each.name().equals(name)) {
--- a/elmline-core/src/main/java/org/elmline/core/placement/PlacementPolicy.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PlacementPolicy.java
@@ -5,21 +5,21 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Chooses one replica for a request. Implementations register by {@link java.util.ServiceLoader} and keep no state of
- * engines themselves: all they may use is passed in.
+ * Chooses one replica for a request. Implementations are registered with {@link java.util.ServiceLoader} and hold no
+ * engine state of their own; they decide from the arguments alone.
  */
 public interface PlacementPolicy {
     /** The name used in settings and on the command line, for example {@code two-ended}. */
     String name();
 
     /**
-     * The replica to use, or empty when none fits.
+     * Returns the replica to use, or empty if none is eligible.
      *
      * @param replicas ready replicas of the model, ordered by id, none of them excluded by the demand
      */
     Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random);
 
-    /** This policy under other weights; policies without weights are returned as they are. */
+    /** Returns this policy with other settings; a policy that uses none returns itself. */
     default PlacementPolicy with(PlacementSettings settings) {
         return this;
     }
--- a/elmline-core/src/main/java/org/elmline/core/placement/PlacementSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PlacementSettings.java
@@ -2,7 +2,7 @@
 
 import org.elmline.core.common.LengthClass;
 
-/** Weights of the policies that predict; see docs/POLICY.md for how to choose them. */
+/** Parameters of the policies that predict waits; docs/POLICY.md explains how to choose them. Immutable. */
 public final class PlacementSettings {
     private final double shortSlowdownWeight;
     private final double displacementWeight;
@@ -28,32 +28,38 @@
         return builder().build();
     }
 
-    /** Seconds of own wait that a read accepts for each second in which it would slow short requests down. */
+    /**
+     * Seconds of additional wait that a request above the shortest class accepts for each second in which its prefill
+     * would slow short requests down.
+     */
     public double shortSlowdownWeight() {
         return shortSlowdownWeight;
     }
 
-    /** Seconds of own wait that a request accepts for each second by which it would hold up a longer prefill. */
+    /** Seconds of additional wait that a request accepts for each second by which it would delay a longer prefill. */
     public double displacementWeight() {
         return displacementWeight;
     }
 
-    /** Largest share of a model's replicas that prompts over 32k tokens may use, 0 to 1; one is always left to short work. */
+    /**
+     * Largest share of a model's replicas that prompts over 32k tokens may use, 0 to 1. With two or more replicas, one
+     * is always left to shorter prompts.
+     */
     public double maxLongShare() {
         return maxLongShare;
     }
 
-    /** Context length at which attention has doubled the time of one prefilled token. */
+    /** Context length in tokens at which attention doubles the prefill time of one token. */
     public double attentionDoublingTokens() {
         return attentionDoublingTokens;
     }
 
-    /** Seconds of own wait that a request accepts to stay off an engine that prefills a prompt over 128k tokens. */
+    /** Seconds of additional wait that a request accepts to avoid an engine that prefills a prompt over 128k tokens. */
     public double longStepSeconds() {
         return longStepSeconds;
     }
 
-    /** Priority under which engines are asked to serve a class; 0 is the most urgent. */
+    /** Engine priority of a length class; 0 is the most urgent. */
     public int priority(LengthClass lengthClass) {
         return priorities[lengthClass.ordinal()];
     }
@@ -94,7 +100,7 @@
             return this;
         }
 
-        /** Engine priority of each class, the shortest class first; all equal where engines honour none. */
+        /** Engine priority of each class, the shortest class first; all equal if engines ignore priorities. */
         public Builder priorities(int... value) {
             priorities = value.clone();
             return this;
--- a/elmline-core/src/main/java/org/elmline/core/placement/PowerOfTwo.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PowerOfTwo.java
@@ -5,8 +5,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Baseline: of two replicas drawn at random the one with fewer open streams (Mitzenmacher 1996). Falls back to any
- * with room when neither has it.
+ * Baseline: of two replicas drawn at random, the one with fewer open streams (Mitzenmacher 1996). A draw that is not
+ * eligible is replaced by the next eligible replica.
  */
 public final class PowerOfTwo implements PlacementPolicy {
     private final RandomReplica randomReplica = new RandomReplica();
--- a/elmline-core/src/main/java/org/elmline/core/placement/PrefillBacklog.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PrefillBacklog.java
@@ -8,14 +8,14 @@
 import org.elmline.core.common.LengthClass;
 
 /**
- * Estimates what prefill work is left on one engine, from placements and first tokens alone. Work drains at the engine's
- * measured speed, the shortest class first and each class in its order; a first token says for certain that one is
- * done. Without the draining, a read of a minute would count whole until its end and keep others away from an engine
- * that is almost free. Cost is in tokens of a short prompt, so that attention's growth with length is in it. Not
- * thread-safe.
+ * Estimates the prefill work that remains on one engine, from placements and first tokens alone. Work is drained at
+ * the engine's measured speed, the shortest class first and in order of placement within a class; a first token removes
+ * its prefill entirely. Without draining, a prefill of one minute would count in full until its end and divert requests
+ * from an engine that is almost idle. Costs are in tokens of a short prompt and so include the growth of attention with
+ * length. Not thread-safe.
  */
 public final class PrefillBacklog {
-    /** A prefill whose first token hasn't come keeps this share of its cost, however long ago it should have. */
+    /** Share of its cost that a prefill keeps until its first token arrives, however long overdue that is. */
     private static final double MIN_REMAINING_FRACTION = 0.05;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -27,7 +27,7 @@
     private final List<Deque<Prefill>> queues = new ArrayList<>();
     private long lastDrainNanos;
 
-    /** One prefill that is placed and has no first token yet. */
+    /** One prefill that was placed and has not produced its first token. */
     public static final class Prefill {
         private final LengthClass lengthClass;
         private final double minRemainingTokens;
@@ -52,10 +52,10 @@
     }
 
     /**
-     * Notes a placement.
+     * Records a placement.
      *
      * @param costTokens see {@link WaitPredictor#costTokens}
-     * @param predictedSeconds until its first token
+     * @param predictedSeconds predicted seconds to its first token
      */
     public Prefill recordPlacement(LengthClass lengthClass, double costTokens, double predictedSeconds, long nowNanos) {
         drain(nowNanos);
@@ -66,7 +66,7 @@
         return prefill;
     }
 
-    /** The first token came; a second call does nothing. */
+    /** Records the first token of a prefill; a second call does nothing. */
     public void recordFirstToken(Prefill prefill, long nowNanos) {
         if (prefill.isOpen) {
             speedEstimator.recordFirstToken(prefill.speedSample, nowNanos);
@@ -74,7 +74,7 @@
         }
     }
 
-    /** The prefill was given up or lost; a second call does nothing. */
+    /** Removes a prefill that was cancelled or lost; a second call does nothing. */
     public void cancel(Prefill prefill, long nowNanos) {
         if (prefill.isOpen) {
             speedEstimator.cancel(prefill.speedSample);
@@ -82,13 +82,13 @@
         }
     }
 
-    /** Cost tokens left of one class. */
+    /** Remaining work of one class, in cost tokens. */
     public double remainingTokens(LengthClass lengthClass, long nowNanos) {
         drain(nowNanos);
         return remainingTokensByClass[lengthClass.ordinal()];
     }
 
-    /** Measured speed, in cost tokens a second. */
+    /** Measured speed, in cost tokens per second. */
     public double tokensPerSecond(long nowNanos) {
         return announcedTokensPerSecond * speedEstimator.speedFactor(nowNanos);
     }
--- a/elmline-core/src/main/java/org/elmline/core/placement/PrefillCost.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PrefillCost.java
@@ -1,21 +1,22 @@
 package org.elmline.core.placement;
 
 /**
- * The work of reading a prompt, in tokens of an empty context. Attention over what was read before makes later tokens
- * dearer: the cost of one token doubles at a context of {@code doublingTokens}, so a prompt of a million tokens costs
- * several times its length.
+ * Cost of prefilling a prompt, in tokens at an empty context. Attention over the preceding tokens makes later tokens
+ * more expensive, so a prompt of a million tokens costs several times its length.
+ *
+ * @param attentionDoublingTokens context length in tokens at which the cost of one token has doubled
  */
 public record PrefillCost(double attentionDoublingTokens) {
-    /** Close to a mid-size model on one accelerator; operators set what they measure. */
+    /** Approximates a mid-size model on one accelerator; operators set the value they measure. */
     public static final PrefillCost DEFAULT = new PrefillCost(200_000);
 
     public PrefillCost {
         if (!(attentionDoublingTokens > 0)) {
-            throw new IllegalArgumentException("doublingTokens must be above 0: " + attentionDoublingTokens);
+            throw new IllegalArgumentException("attentionDoublingTokens must be above 0: " + attentionDoublingTokens);
         }
     }
 
-    /** Cost of reading the tokens from {@code cachedTokens} to {@code promptTokens}. */
+    /** Cost of prefilling the tokens from {@code cachedTokens} to {@code promptTokens}. */
     public long costTokens(int promptTokens, int cachedTokens) {
         double uncached = Math.max(0, promptTokens - cachedTokens);
         double meanContext = (promptTokens + (double) cachedTokens) / 2;
--- a/elmline-core/src/main/java/org/elmline/core/placement/PrefillSpeedEstimator.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PrefillSpeedEstimator.java
@@ -1,10 +1,10 @@
 package org.elmline.core.placement;
 
 /**
- * Measures an engine's speed against the announced one from first tokens alone: each shows how long a prefill took
- * against its prediction, and one that is overdue counts before it comes. So an engine that runs at a tenth of its
- * speed while it reports no load stands out within seconds. Without new evidence the measure goes back towards 1, so
- * that a mended engine is tried again. Not thread-safe.
+ * Estimates the ratio of an engine's speed to its announced speed, from first tokens alone: each gives one sample of
+ * predicted against actual time, and an overdue first token lowers the estimate before it arrives. An engine that runs
+ * at a tenth of its speed while it reports no load is thus detected within seconds. Without new samples the estimate
+ * returns towards 1, so that an engine that recovered receives requests again. Not thread-safe.
  */
 public final class PrefillSpeedEstimator {
     private static final double SMOOTHING = 0.1;
@@ -24,7 +24,7 @@
     private long cachedFactorNanos;
     private boolean isCachedFactorValid;
 
-    /** One prefill under way, linked to those placed before and after it. */
+    /** One prefill in flight; a node of the list of prefills in order of placement. */
     public static final class InFlightPrefill {
         private final long startNanos;
         private final double predictedSeconds;
@@ -52,7 +52,7 @@
         }
     }
 
-    /** Notes a placement with its predicted seconds to the first token. */
+    /** Records a placement with its predicted seconds to the first token. */
     public InFlightPrefill recordPlacement(double predictedSeconds, long nowNanos) {
         InFlightPrefill prefill = new InFlightPrefill(nowNanos, Math.max(1e-3, predictedSeconds));
         prefill.previous = sentinel.previous;
@@ -73,13 +73,16 @@
         isCachedFactorValid = false;
     }
 
-    /** Forgets a prefill that was given up. */
+    /** Removes a prefill that was cancelled, without taking a sample. */
     public void cancel(InFlightPrefill prefill) {
         prefill.unlink();
         isCachedFactorValid = false;
     }
 
-    /** Speed now as a share of the announced speed; up to 10 ms old, as a decision asks for it of every replica. */
+    /**
+     * Current speed as a share of the announced speed. The value is cached for 10 ms, since each placement decision
+     * reads it for every replica.
+     */
     public double speedFactor(long nowNanos) {
         if (isCachedFactorValid && nowNanos - cachedFactorNanos < CACHED_FACTOR_NANOS) {
             return cachedFactor;
--- a/elmline-core/src/main/java/org/elmline/core/placement/RandomReplica.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/RandomReplica.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Baseline: any replica with room. */
+/** Baseline: the first eligible replica after a random starting index. */
 public final class RandomReplica implements PlacementPolicy {
     @Override
     public String name() {
--- a/elmline-core/src/main/java/org/elmline/core/placement/ReplicaOrder.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/ReplicaOrder.java
@@ -7,9 +7,9 @@
 import org.elmline.core.common.ModelName;
 
 /**
- * The order in which long and short work fill a model's replicas from opposite ends. It follows from the model's name
- * and the replicas' ids alone, so every host derives the same one; a replica that joins or leaves moves no other past
- * its neighbours (rendezvous hashing, Thaler and Ravishankar 1998).
+ * The order in which long and short prompts fill a model's replicas from opposite ends. It depends only on the model's
+ * name and the replicas' ids, so every host computes the same order; a replica that joins or leaves does not change the
+ * relative order of the others (rendezvous hashing, Thaler and Ravishankar 1998). Immutable.
  */
 final class ReplicaOrder {
     private static final long MIX_MULTIPLIER = 0x9e3779b97f4a7c15L;
@@ -42,7 +42,7 @@
         return new ReplicaOrder(ids, ranks);
     }
 
-    /** Whether this order was made for just these replicas. */
+    /** Whether this order was computed for exactly these replicas, in the same list order. */
     boolean matches(List<Replica> replicas) {
         if (ids.length != replicas.size()) {
             return false;
@@ -56,7 +56,7 @@
         return true;
     }
 
-    /** Rank of the replica at a list index: 0 at the long end. */
+    /** Rank of the replica at a list index; 0 is the long end. */
     int rank(int index) {
         return rankOfIndex[index];
     }
--- a/elmline-core/src/main/java/org/elmline/core/placement/ReplicaOrderCache.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/ReplicaOrderCache.java
@@ -6,7 +6,7 @@
 
 import org.elmline.core.common.ModelName;
 
-/** Keeps each model's latest order, since its replicas change far more seldom than requests come. */
+/** Caches each model's latest order, since replicas change far less often than requests arrive. Thread-safe. */
 final class ReplicaOrderCache {
     private final Map<ModelName, ReplicaOrder> latestByModel = new ConcurrentHashMap<>();
 
--- a/elmline-core/src/main/java/org/elmline/core/placement/RoundRobin.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/RoundRobin.java
@@ -5,7 +5,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.random.RandomGenerator;
 
-/** Baseline: one replica after another, passing over those without room. */
+/** Baseline: replicas in turn, skipping those that are not eligible. Thread-safe. */
 public final class RoundRobin implements PlacementPolicy {
     private final AtomicInteger next = new AtomicInteger();
 
--- a/elmline-core/src/main/java/org/elmline/core/placement/ShortestWait.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/ShortestWait.java
@@ -4,7 +4,10 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Takes the replica with the least predicted time to first token; knows lengths but keeps no work apart. */
+/**
+ * Chooses the replica with the shortest predicted time to first token. Predictions account for prompt lengths, but long
+ * and short prompts share all replicas. Thread-safe.
+ */
 public final class ShortestWait implements PlacementPolicy {
     private final WaitPredictor predictor;
 
--- a/elmline-core/src/main/java/org/elmline/core/placement/TwoEnded.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/TwoEnded.java
@@ -7,10 +7,10 @@
 import org.elmline.core.common.LengthClass;
 
 /**
- * Long work fills a model's replicas from one end of their order and leaves the other end to short work, so that the
- * boundary moves with the load. Each request takes the replica with the least sum of its own predicted time to first
- * token and the weighted harm that it does to others there. A cached prefix shortens the prediction, and so is followed
- * only as long as waiting for it pays.
+ * Long prompts fill a model's replicas from one end of their order and leave the other end to short prompts, so that
+ * the boundary moves with the load. Each request takes the replica with the least sum of its own predicted time to
+ * first token and the weighted delay that it causes to other requests there. A cached prefix shortens the prediction,
+ * so the replica that holds it is preferred only while its queue costs less than the cache saves. Thread-safe.
  */
 public final class TwoEnded implements PlacementPolicy {
     private final PlacementSettings settings;
@@ -60,7 +60,7 @@
         return Optional.ofNullable(best);
     }
 
-    /** Seconds; {@code position} runs from 0 at the long end to 1 at the short end. */
+    /** Score in seconds, lower is better; {@code position} runs from 0 at the long end to 1 at the short end. */
     private double score(Demand demand, Replica replica, double position) {
         double own = predictor.prefillSeconds(demand, replica);
         double wait = predictor.secondsToFirstToken(demand, replica, own);
@@ -69,7 +69,7 @@
             weight += settings.displacementWeight();
         }
         if (demand.lengthClass() != LengthClass.SHORT) {
-            // Short requests come to a replica the more, the nearer it is to their end.
+            // The nearer a replica is to the short end, the more short requests it receives.
             weight += settings.shortSlowdownWeight() * position;
         }
         return wait + weight * own;
--- a/elmline-core/src/main/java/org/elmline/core/placement/WaitPredictor.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/WaitPredictor.java
@@ -2,10 +2,10 @@
 
 import org.elmline.core.common.LengthClass;
 
-/** Predicts from a replica's ledger when a request placed there would have its first token. Allocates nothing. */
+/** Predicts, from a replica's ledger, the time to first token of a request placed there. Allocates nothing. */
 public final class WaitPredictor {
     private static final LengthClass[] CLASSES = LengthClass.values();
-    /** Share by which each open stream's decoding slows a step. */
+    /** Share by which the decoding of each open stream slows a step. */
     private static final double SLOWDOWN_PER_STREAM = 0.003;
 
     private static final double MEDIUM_STEP_FACTOR = 0.1;
@@ -17,23 +17,23 @@
         this.settings = settings;
     }
 
-    /** Seconds until the first token: the work that the engine does before, and the prompt's own prefill. */
+    /** Seconds until the first token: the prefills that the engine runs before, and the prompt's own. */
     public double secondsToFirstToken(Demand demand, Replica replica) {
         return secondsToFirstToken(demand, replica, prefillSeconds(demand, replica));
     }
 
-    /** The same, for a caller that has {@link #prefillSeconds} already. */
+    /** The same, for a caller that has already computed {@link #prefillSeconds}. */
     double secondsToFirstToken(Demand demand, Replica replica, double ownSeconds) {
         double alone = ownSeconds + queuedSeconds(demand.lengthClass(), replica);
         return alone * (1 + replica.openStreams() * SLOWDOWN_PER_STREAM);
     }
 
-    /** Seconds of prefill that the demand asks of the replica, cached prefix subtracted. */
+    /** Seconds of prefill that the demand needs on the replica, without its cached prefix. */
     public double prefillSeconds(Demand demand, Replica replica) {
         return costTokens(demand.promptTokens(), replica.cachedTokens(demand)) / prefillRate(replica);
     }
 
-    /** Cost of a prefill in tokens of a short prompt: attention makes each token dearer, the more come before it. */
+    /** Cost of a prefill in tokens of a short prompt; attention makes tokens with a longer context more expensive. */
     public double costTokens(int promptTokens, int cachedTokens) {
         int uncached = Math.max(1, promptTokens - cachedTokens);
         double meanContext = (promptTokens + (double) cachedTokens) / 2;
@@ -51,11 +51,11 @@
             }
             tokens += backlog;
         }
-        // A longer prefill gives way only between steps, and its chunks make those steps long.
+        // A less urgent prefill is preempted only between steps, and its chunks make those steps long.
         return tokens / prefillRate(replica) + step;
     }
 
-    /** Whether prefills of a less urgent class are under way on the replica; they give way to the demand. */
+    /** Whether the replica has prefills of a less urgent class, which the demand would preempt. */
     boolean hasLessUrgentPrefill(Demand demand, Replica replica) {
         int own = settings.priority(demand.lengthClass());
         for (LengthClass each : CLASSES) {
@@ -66,7 +66,7 @@
         return false;
     }
 
-    /** Longer prefills attend to more, and make longer steps. */
+    /** Duration of a step that prefills a class; a longer context takes more attention and makes a longer step. */
     private double stepSeconds(LengthClass present) {
         return switch (present) {
             case SHORT, MEDIUM -> settings.longStepSeconds() * MEDIUM_STEP_FACTOR;
--- a/elmline-core/src/main/java/org/elmline/core/placement/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/package-info.java
@@ -1,2 +1,2 @@
-/** Chooses the backend server for a request; policies are plug-ins. */
+/** Chooses the engine for a request; policies are plug-ins. */
 package org.elmline.core.placement;
--- a/elmline-core/src/test/java/org/elmline/core/placement/FakeReplica.java
+++ b/elmline-core/src/test/java/org/elmline/core/placement/FakeReplica.java
@@ -5,7 +5,7 @@
 import org.elmline.core.common.BackendServerId;
 import org.elmline.core.common.LengthClass;
 
-/** A replica whose ledger is set by hand. */
+/** A replica with fixed ledger values. */
 record FakeReplica(
         BackendServerId id, long capacity, long reserved, long[] backlog, int[] streams, double rate, int cached)
         implements Replica {
--- a/elmline-core/src/test/java/org/elmline/core/placement/PlacementPoliciesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/placement/PlacementPoliciesTest.java
@@ -74,7 +74,7 @@
             if (!splits && chosen.isEmpty()) {
                 assertTrue(
                         fleet.stream().noneMatch(r -> Eligibility.isEligible(r, demand)),
-                        name + " missed a replica with room");
+                        name + " missed an eligible replica");
             }
         }
     }
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Whatever the ledgers say, long work leaves one and the same replica free of it: the refuge of short work. */
+    /** Whatever the ledgers contain, at least one replica, always the same, receives no long prompts. */
     @Property(tries = 60, seed = "103")
     void longWorkNeverTakesTheRefuge(
             @ForAll @IntRange(min = 2, max = 30) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
@@ -117,7 +117,7 @@
                 .isPresent());
     }
 
-    /** Against a plain search that scores every replica by the formula written out. */
+    /** Compares with an exhaustive search that scores every replica by the formula written out. */
     @Property(tries = 500, seed = "104")
     void twoEndedEqualsANaiveSearch(
             @ForAll @IntRange(max = 1_000_000) int seed,
@@ -172,7 +172,10 @@
         return wait + harm * own;
     }
 
-    /** A cached prefix is worth its prefill, no more: the engine that holds it is left once its queue costs more. */
+    /**
+     * A cached prefix is worth only the prefill that it saves: once the queue of the engine that holds it costs more,
+     * another engine is chosen.
+     */
     @Test
     void prefixAffinityYieldsToLoad() {
         FakeReplica holder = FakeReplica.idle("engine-1").withCached(20_000);
--- a/elmline-core/src/test/java/org/elmline/core/placement/PrefillBacklogTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/placement/PrefillBacklogTest.java
@@ -26,7 +26,7 @@
         assertEquals(91_900, backlog.remainingTokens(LengthClass.HUGE, SECOND), 1);
     }
 
-    /** An engine runs at a tenth of its speed and reports nothing: its overdue first tokens tell within seconds. */
+    /** An engine at a tenth of its speed that reports no load is detected within seconds by overdue first tokens. */
     @Test
     void aSlowEngineShowsBeforeItsFirstTokensCome() {
         PrefillBacklog backlog = new PrefillBacklog(10_000, 0);
