--- a/elmline-core/src/main/java/org/elmline/core/placement/FixedSplit.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/FixedSplit.java
@@ -21,14 +21,14 @@
     @Override
     public Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random) {
         int size = replicas.size();
-        int forLong = LongReplicaLimit.replicasForLong(size, LONG_REPLICA_FRACTION);
+        int longReplicas = LongReplicaLimit.replicasForLong(size, LONG_REPLICA_FRACTION);
         boolean isLong = LongReplicaLimit.isLong(demand);
         ReplicaOrder order = orders.orderFor(demand.model(), replicas);
         Replica best = null;
         for (int i = 0; i < size; i++) {
-            boolean ownPart = size < 2 || order.rank(i) < forLong == isLong;
+            boolean isInOwnPart = size < 2 || order.rank(i) < longReplicas == isLong;
             Replica each = replicas.get(i);
-            if (!ownPart || !Eligibility.isEligible(each, demand)) {
+            if (!isInOwnPart || !Eligibility.isEligible(each, demand)) {
                 continue;
             }
             if (best == null || each.openStreams() < best.openStreams()) {
--- a/elmline-core/src/main/java/org/elmline/core/placement/LongReplicaLimit.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/LongReplicaLimit.java
@@ -21,7 +21,7 @@
         if (replicas < 2) {
             return replicas;
         }
-        int share = (int) Math.round(replicas * maxLongShare);
-        return Math.max(1, Math.min(replicas - 1, share));
+        int rounded = (int) Math.round(replicas * maxLongShare);
+        return Math.max(1, Math.min(replicas - 1, rounded));
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/placement/PrefillBacklog.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PrefillBacklog.java
@@ -35,9 +35,9 @@
         private double remainingTokens;
         private boolean isOpen = true;
 
-        private Prefill(LengthClass lengthClass, double cost, PrefillSpeedEstimator.InFlightPrefill timing) {
+        private Prefill(LengthClass lengthClass, double cost, PrefillSpeedEstimator.InFlightPrefill sample) {
             this.lengthClass = lengthClass;
-            this.speedSample = timing;
+            this.speedSample = sample;
             remainingTokens = cost;
             minRemainingTokens = cost * MIN_REMAINING_FRACTION;
         }
@@ -107,15 +107,15 @@
         if (nowNanos <= lastDrainNanos) {
             return;
         }
-        double budget = (nowNanos - lastDrainNanos) / NANOS_PER_SECOND * tokensPerSecond(lastDrainNanos);
+        double drainableTokens = (nowNanos - lastDrainNanos) / NANOS_PER_SECOND * tokensPerSecond(lastDrainNanos);
         lastDrainNanos = nowNanos;
-        for (int i = 0; i < CLASSES.length && budget > 0; i++) {
+        for (int i = 0; i < CLASSES.length && drainableTokens > 0; i++) {
             for (Prefill each : queues.get(i)) {
-                double done = Math.min(budget, Math.max(0, each.remainingTokens - each.minRemainingTokens));
-                each.remainingTokens -= done;
-                remainingTokensByClass[i] -= done;
-                budget -= done;
-                if (budget <= 0) {
+                double drained = Math.min(drainableTokens, Math.max(0, each.remainingTokens - each.minRemainingTokens));
+                each.remainingTokens -= drained;
+                remainingTokensByClass[i] -= drained;
+                drainableTokens -= drained;
+                if (drainableTokens <= 0) {
                     return;
                 }
             }
--- a/elmline-core/src/main/java/org/elmline/core/placement/PrefillSpeedEstimator.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PrefillSpeedEstimator.java
@@ -87,16 +87,16 @@
         if (isCachedFactorValid && nowNanos - cachedFactorNanos < CACHED_FACTOR_NANOS) {
             return cachedFactor;
         }
-        double now = recoveredFactor(nowNanos);
+        double factor = recoveredFactor(nowNanos);
         InFlightPrefill each = sentinel.next;
         for (int i = 0; i < MAX_OVERDUE_CHECKS && each != sentinel; i++) {
             double elapsed = each.elapsedSeconds(nowNanos);
             if (elapsed > OVERDUE_SECONDS + OVERDUE_RATIO * each.predictedSeconds) {
-                now = Math.min(now, OVERDUE_RATIO * each.predictedSeconds / elapsed);
+                factor = Math.min(factor, OVERDUE_RATIO * each.predictedSeconds / elapsed);
             }
             each = each.next;
         }
-        cachedFactor = clamp(now);
+        cachedFactor = clamp(factor);
         cachedFactorNanos = nowNanos;
         isCachedFactorValid = true;
         return cachedFactor;
--- a/elmline-core/src/main/java/org/elmline/core/placement/ShortestWait.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/ShortestWait.java
@@ -32,14 +32,14 @@
     @Override
     public Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random) {
         Replica best = null;
-        double least = Double.POSITIVE_INFINITY;
+        double shortestSeconds = Double.POSITIVE_INFINITY;
         for (Replica each : replicas) {
             if (!Eligibility.isEligible(each, demand)) {
                 continue;
             }
             double wait = predictor.secondsToFirstToken(demand, each);
-            if (wait < least) {
-                least = wait;
+            if (wait < shortestSeconds) {
+                shortestSeconds = wait;
                 best = each;
             }
         }
--- a/elmline-core/src/main/java/org/elmline/core/placement/TwoEnded.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/TwoEnded.java
@@ -40,20 +40,20 @@
     public Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random) {
         int size = replicas.size();
         ReplicaOrder order = orders.orderFor(demand.model(), replicas);
-        int reach = LongReplicaLimit.isLong(demand)
+        int rankLimit = LongReplicaLimit.isLong(demand)
                 ? LongReplicaLimit.replicasForLong(size, settings.maxLongShare())
                 : size;
         Replica best = null;
-        double least = Double.POSITIVE_INFINITY;
+        double lowestScore = Double.POSITIVE_INFINITY;
         for (int i = 0; i < size; i++) {
             Replica each = replicas.get(i);
             int rank = order.rank(i);
-            if (rank >= reach || !Eligibility.isEligible(each, demand)) {
+            if (rank >= rankLimit || !Eligibility.isEligible(each, demand)) {
                 continue;
             }
             double score = score(demand, each, (rank + 0.5) / size);
-            if (score < least) {
-                least = score;
+            if (score < lowestScore) {
+                lowestScore = score;
                 best = each;
             }
         }
@@ -62,16 +62,16 @@
 
     /** Score in seconds, lower is better; {@code position} runs from 0 at the long end to 1 at the short end. */
     private double score(Demand demand, Replica replica, double position) {
-        double own = predictor.prefillSeconds(demand, replica);
-        double wait = predictor.secondsToFirstToken(demand, replica, own);
-        double weight = 0;
+        double ownPrefillSeconds = predictor.prefillSeconds(demand, replica);
+        double wait = predictor.secondsToFirstToken(demand, replica, ownPrefillSeconds);
+        double delayWeight = 0;
         if (predictor.hasLessUrgentPrefill(demand, replica)) {
-            weight += settings.displacementWeight();
+            delayWeight += settings.displacementWeight();
         }
         if (demand.lengthClass() != LengthClass.SHORT) {
             // The nearer a replica is to the short end, the more short requests it receives.
-            weight += settings.shortSlowdownWeight() * position;
+            delayWeight += settings.shortSlowdownWeight() * position;
         }
-        return wait + weight * own;
+        return wait + delayWeight * ownPrefillSeconds;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/placement/WaitPredictor.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/WaitPredictor.java
@@ -24,8 +24,8 @@
 
     /** The same, for a caller that has already computed {@link #prefillSeconds}. */
     double secondsToFirstToken(Demand demand, Replica replica, double ownSeconds) {
-        double alone = ownSeconds + queuedSeconds(demand.lengthClass(), replica);
-        return alone * (1 + replica.openStreams() * SLOWDOWN_PER_STREAM);
+        double unslowedSeconds = ownSeconds + queuedSeconds(demand.lengthClass(), replica);
+        return unslowedSeconds * (1 + replica.openStreams() * SLOWDOWN_PER_STREAM);
     }
 
     /** Seconds of prefill that the demand needs on the replica, without its cached prefix. */
@@ -67,8 +67,8 @@
     }
 
     /** Duration of a step that prefills a class; a longer context takes more attention and makes a longer step. */
-    private double stepSeconds(LengthClass present) {
-        return switch (present) {
+    private double stepSeconds(LengthClass prefilling) {
+        return switch (prefilling) {
             case SHORT, MEDIUM -> settings.longStepSeconds() * MEDIUM_STEP_FACTOR;
             case LONG -> settings.longStepSeconds() * LONG_STEP_FACTOR;
             case HUGE -> settings.longStepSeconds();
--- a/elmline-core/src/test/java/org/elmline/core/placement/PlacementPoliciesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/placement/PlacementPoliciesTest.java
@@ -26,12 +26,12 @@
         return new Demand(MODEL, "", promptTokens, 256, List.of(), 0, 10_000, excluded);
     }
 
-    private static List<Replica> fleet(int size, Random random) {
-        List<Replica> fleet = new ArrayList<>();
+    private static List<Replica> replicas(int size, Random random) {
+        List<Replica> replicas = new ArrayList<>();
         for (int i = 0; i < size; i++) {
-            fleet.add(FakeReplica.random("engine-" + i, random));
+            replicas.add(FakeReplica.random("engine-" + i, random));
         }
-        return fleet;
+        return replicas;
     }
 
     private static PlacementPolicy policy(String name) {
@@ -55,17 +55,17 @@
     }
 
     @Property(tries = 400, seed = "101")
-    void neverAnExcludedOrOverfullReplica(
+    void neverChoosesExcludedOrFullReplica(
             @ForAll @IntRange(max = 1_000_000) int seed,
             @ForAll @IntRange(max = 12) int size,
             @ForAll @IntRange(min = 1, max = 500_000) int promptTokens) {
         Random random = new Random(seed);
-        List<Replica> fleet = fleet(size, random);
+        List<Replica> replicas = replicas(size, random);
         Set<BackendServerId> excluded = new HashSet<>();
-        fleet.stream().filter(r -> random.nextInt(4) == 0).forEach(r -> excluded.add(r.id()));
+        replicas.stream().filter(r -> random.nextInt(4) == 0).forEach(r -> excluded.add(r.id()));
         Demand demand = demand(promptTokens, excluded);
         for (String name : PlacementPolicies.names()) {
-            Optional<Replica> chosen = policy(name).choose(demand, fleet, random);
+            Optional<Replica> chosen = policy(name).choose(demand, replicas, random);
             chosen.ifPresent(replica -> {
                 assertFalse(excluded.contains(replica.id()), name);
                 assertTrue(replica.freeKvTokens() >= demand.kvTokens(), name);
@@ -73,33 +73,33 @@
             boolean splits = name.equals("two-ended") || name.equals("fixed-split");
             if (!splits && chosen.isEmpty()) {
                 assertTrue(
-                        fleet.stream().noneMatch(r -> Eligibility.isEligible(r, demand)),
+                        replicas.stream().noneMatch(r -> Eligibility.isEligible(r, demand)),
                         name + " missed an eligible replica");
             }
         }
     }
 
     @Property(tries = 200, seed = "102")
-    void sameSeedSameChoice(@ForAll @IntRange(max = 1_000_000) int seed) {
-        List<Replica> fleet = fleet(9, new Random(seed));
+    void sameSeedGivesSameChoice(@ForAll @IntRange(max = 1_000_000) int seed) {
+        List<Replica> replicas = replicas(9, new Random(seed));
         Demand demand = demand(1 + seed % 90_000, Set.of());
         for (String name : PlacementPolicies.names()) {
             assertEquals(
-                    policy(name).choose(demand, fleet, new Random(seed)),
-                    policy(name).choose(demand, fleet, new Random(seed)),
+                    policy(name).choose(demand, replicas, new Random(seed)),
+                    policy(name).choose(demand, replicas, new Random(seed)),
                     name);
         }
     }
 
     /** Whatever the ledgers contain, at least one replica, always the same, receives no long prompts. */
     @Property(tries = 60, seed = "103")
-    void longWorkNeverTakesTheRefuge(
+    void longPromptsLeaveOneReplicaUnused(
             @ForAll @IntRange(min = 2, max = 30) int size, @ForAll @IntRange(max = 1_000_000) int seed) {
         Random random = new Random(seed);
         PlacementPolicy policy = policy("two-ended");
         Set<BackendServerId> used = new HashSet<>();
         for (int i = 0; i < 300; i++) {
-            policy.choose(demand(33_000 + random.nextInt(200_000), Set.of()), fleet(size, random), random)
+            policy.choose(demand(33_000 + random.nextInt(200_000), Set.of()), replicas(size, random), random)
                     .ifPresent(r -> used.add(r.id()));
         }
         assertTrue(used.size() <= LongReplicaLimit.replicasForLong(size, 0.95));
@@ -119,38 +119,38 @@
 
     /** Compares with an exhaustive search that scores every replica by the formula written out. */
     @Property(tries = 500, seed = "104")
-    void twoEndedEqualsANaiveSearch(
+    void twoEndedMatchesExhaustiveSearch(
             @ForAll @IntRange(max = 1_000_000) int seed,
             @ForAll @IntRange(min = 1, max = 8) int size,
             @ForAll @IntRange(min = 1_000, max = 400_000) int promptTokens) {
-        List<Replica> fleet = fleet(size, new Random(seed));
+        List<Replica> replicas = replicas(size, new Random(seed));
         Demand demand = demand(promptTokens, Set.of());
-        Optional<Replica> chosen = policy("two-ended").choose(demand, fleet, new Random(seed));
-        assertEquals(naive(demand, fleet), chosen);
+        Optional<Replica> chosen = policy("two-ended").choose(demand, replicas, new Random(seed));
+        assertEquals(exhaustiveSearch(demand, replicas), chosen);
     }
 
-    private static Optional<Replica> naive(Demand demand, List<Replica> fleet) {
-        ReplicaOrder order = ReplicaOrder.of(MODEL, fleet);
-        int size = fleet.size();
+    private static Optional<Replica> exhaustiveSearch(Demand demand, List<Replica> replicas) {
+        ReplicaOrder order = ReplicaOrder.of(MODEL, replicas);
+        int size = replicas.size();
         boolean isLong = demand.promptTokens() > 32_000;
-        int reach = isLong && size > 1 ? Math.min(size - 1, Math.max(1, (int) Math.round(size * 0.95))) : size;
+        int rankLimit = isLong && size > 1 ? Math.min(size - 1, Math.max(1, (int) Math.round(size * 0.95))) : size;
         Replica best = null;
-        double least = Double.MAX_VALUE;
+        double lowestScore = Double.MAX_VALUE;
         for (int i = 0; i < size; i++) {
-            Replica each = fleet.get(i);
-            if (order.rank(i) >= reach || each.reservedKvTokens() + demand.kvTokens() > each.capacityKvTokens()) {
+            Replica each = replicas.get(i);
+            if (order.rank(i) >= rankLimit || each.reservedKvTokens() + demand.kvTokens() > each.capacityKvTokens()) {
                 continue;
             }
-            double score = naiveScore(demand, each, (order.rank(i) + 0.5) / size);
-            if (score < least - 1e-9) {
-                least = score;
+            double score = expectedScore(demand, each, (order.rank(i) + 0.5) / size);
+            if (score < lowestScore - 1e-9) {
+                lowestScore = score;
                 best = each;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    private static double naiveScore(Demand demand, Replica replica, double position) {
+    private static double expectedScore(Demand demand, Replica replica, double position) {
         int[] priorities = {0, 1, 2, 2};
         double[] steps = {0.015, 0.015, 0.045, 0.15};
         int cached = replica.cachedTokens(demand);
@@ -168,8 +168,8 @@
             }
         }
         double wait = (own + ahead + step) * (1 + 0.003 * replica.openStreams());
-        double harm = (step > 0 ? 0.5 : 0) + (ownClass > 0 ? 0.2 * position : 0);
-        return wait + harm * own;
+        double delayWeight = (step > 0 ? 0.5 : 0) + (ownClass > 0 ? 0.2 * position : 0);
+        return wait + delayWeight * own;
     }
 
     /**
@@ -190,19 +190,19 @@
     }
 
     @Test
-    void orderIsAPermutationThatKeepsNeighboursWhenAReplicaLeaves() {
-        List<Replica> fleet = fleet(50, new Random(1));
-        ReplicaOrder order = ReplicaOrder.of(MODEL, fleet);
+    void orderIsAPermutationAndKeepsRelativeOrderWhenAReplicaLeaves() {
+        List<Replica> replicas = replicas(50, new Random(1));
+        ReplicaOrder order = ReplicaOrder.of(MODEL, replicas);
         Set<Integer> ranks = new HashSet<>();
-        for (int i = 0; i < fleet.size(); i++) {
+        for (int i = 0; i < replicas.size(); i++) {
             ranks.add(order.rank(i));
         }
         assertEquals(50, ranks.size());
-        ReplicaOrder without = ReplicaOrder.of(MODEL, fleet.subList(1, 50));
+        ReplicaOrder without = ReplicaOrder.of(MODEL, replicas.subList(1, 50));
         for (int i = 1; i < 50; i++) {
             int expected = order.rank(i) - (order.rank(i) > order.rank(0) ? 1 : 0);
             assertEquals(expected, without.rank(i - 1));
         }
-        assertFalse(order.matches(fleet.subList(1, 50)));
+        assertFalse(order.matches(replicas.subList(1, 50)));
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/placement/PrefillBacklogTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/placement/PrefillBacklogTest.java
@@ -28,7 +28,7 @@
 
     /** An engine at a tenth of its speed that reports no load is detected within seconds by overdue first tokens. */
     @Test
-    void aSlowEngineShowsBeforeItsFirstTokensCome() {
+    void overdueFirstTokensLowerMeasuredSpeed() {
         PrefillBacklog backlog = new PrefillBacklog(10_000, 0);
         for (int i = 0; i < 5; i++) {
             backlog.recordPlacement(LengthClass.SHORT, 2_000, 0.2 * (i + 1), 0);
@@ -38,7 +38,7 @@
     }
 
     @Test
-    void aMendedEngineIsTriedAgain() {
+    void measuredSpeedRecoversWithoutNewSamples() {
         PrefillBacklog backlog = new PrefillBacklog(10_000, 0);
         long now = 0;
         for (int i = 0; i < 40; i++) {
@@ -52,7 +52,7 @@
     }
 
     @Property(tries = 300, seed = "77")
-    void neverNegativeAndEmptyOnceAllAreClosed(@ForAll @IntRange(max = 1_000_000) int seed) {
+    void isNeverNegativeAndEmptyOnceAllPrefillsAreClosed(@ForAll @IntRange(max = 1_000_000) int seed) {
         Random random = new Random(seed);
         PrefillBacklog backlog = new PrefillBacklog(10_000, 0);
         List<PrefillBacklog.Prefill> open = new ArrayList<>();
