--- a/elmline-core/src/main/java/org/elmline/core/admission/AdmissionQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/admission/AdmissionQueue.java
@@ -14,9 +14,9 @@
 import org.elmline.core.common.OrganisationId;
 
 /**
- * The requests that wait for one model at one owner. Each length class and adapter has its own line, so a
- * long prompt that finds no memory keeps no short one waiting, nor a rare adapter the others. Bounded: when it is full,
- * one request is shed.
+ * The queued requests of one model at one owner. Each pair of length class and adapter has its own queue, so a long
+ * prompt that does not fit into memory does not block short ones, nor a rare adapter the others. Bounded: adding to a
+ * full queue sheds one request. Not thread-safe.
  */
 public final class AdmissionQueue {
     private final int capacity;
@@ -29,7 +29,7 @@
         this.capacity = capacity;
     }
 
-    /** Adds a request and returns the one that had to go for it, which may be the request itself. */
+    /** Adds a request. If the queue was full, returns the request that was shed, which may be the added one. */
     public Optional<QueuedRequest> add(QueuedRequest waiting) {
         queuesByKey
                 .computeIfAbsent(QueueKey.of(waiting), line -> new TreeSet<>(QueuedRequest.PLACEMENT_ORDER))
@@ -65,7 +65,7 @@
         return Optional.ofNullable(byAttempt.get(attempt));
     }
 
-    /** The request to place next among the lines that are not blocked. */
+    /** The request to place next, from the queues that are not blocked. */
     public Optional<QueuedRequest> next(Set<QueueKey> blocked) {
         QueuedRequest best = null;
         for (Map.Entry<QueueKey, TreeSet<QueuedRequest>> each : queuesByKey.entrySet()) {
@@ -80,7 +80,7 @@
         return Optional.ofNullable(best);
     }
 
-    /** Prompt work of the requests that will be read before this one: those ahead in the lines up to its own. */
+    /** Prefill cost of the requests ahead of this one in the queues of its own and of shorter length classes. */
     public long costTokensAhead(QueuedRequest waiting) {
         long work = 0;
         for (Map.Entry<QueueKey, TreeSet<QueuedRequest>> each : queuesByKey.entrySet()) {
@@ -94,7 +94,7 @@
         return work;
     }
 
-    /** All requests in the order in which they should be placed. */
+    /** All requests, in placement order. */
     public List<QueuedRequest> inPlacementOrder() {
         List<QueuedRequest> all = new ArrayList<>(byAttempt.values());
         all.sort(QueuedRequest.PLACEMENT_ORDER);
@@ -106,9 +106,9 @@
     }
 
     /**
-     * Lowest priority first; among equals, from an organisation that holds more than its share of the queue; then the
-     * longest, then the newest. Without the share, an organisation that fills the queue with short prompts would push
-     * out every other one's longer prompts.
+     * Sheds the lowest priority first; among equals, from an organisation that exceeds its weighted share of the queue;
+     * then the longest, then the newest. Without the share, an organisation that fills the queue with short prompts
+     * would displace the longer prompts of all others.
      */
     private QueuedRequest selectToShed() {
         int totalWeight = weights.values().stream().mapToInt(Integer::intValue).sum();
@@ -125,7 +125,7 @@
         return count * totalWeight > (long) byAttempt.size() * waiting.weight();
     }
 
-    /** Requests that wait for the same kind of room. */
+    /** Identifies a queue: its requests wait for the same kind of capacity. */
     public record QueueKey(LengthClass lengthClass, String adapter) {
         public static QueueKey of(QueuedRequest waiting) {
             String adapter = waiting.request().demand().adapter();
--- a/elmline-core/src/main/java/org/elmline/core/admission/QueuedRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/admission/QueuedRequest.java
@@ -6,13 +6,14 @@
 import org.elmline.core.route.PlaceRequest;
 
 /**
- * A request that has not been placed yet.
+ * A request that has not been placed yet. Immutable.
  *
  * @param weight weight of its organisation
- * @param costTokens prompt work, see {@link org.elmline.core.placement.PrefillCost}
- * @param chargedTokens what its organisation was charged
- * @param virtualStart its virtual start, see {@link org.elmline.core.fairness.VirtualCounters}
- * @param arrivalOrder order of arrival at this owner
+ * @param costTokens prefill cost, see {@link org.elmline.core.placement.PrefillCost}
+ * @param chargedTokens tokens that its organisation was charged
+ * @param virtualStart virtual start time, see {@link org.elmline.core.fairness.VirtualCounters}
+ * @param deadlineNanos deadline on the monotonic clock
+ * @param arrivalOrder sequence number of arrival at this owner
  */
 public record QueuedRequest(
         PlaceRequest request,
@@ -22,7 +23,7 @@
         double virtualStart,
         long deadlineNanos,
         long arrivalOrder) {
-    /** Most urgent priority first; then the organisation that had least; then the earliest deadline. */
+    /** Most urgent priority first; then the least virtual start; then the earliest deadline; then the first arrival. */
     static final Comparator<QueuedRequest> PLACEMENT_ORDER = Comparator.comparingInt(QueuedRequest::priority)
             .thenComparingDouble(QueuedRequest::virtualStart)
             .thenComparingLong(QueuedRequest::deadlineNanos)
@@ -36,7 +37,7 @@
         return request.demand().lengthClass();
     }
 
-    /** Milliseconds left until its deadline; negative once it is past. */
+    /** Milliseconds until the deadline; negative once it has passed. */
     public long remainingMillis(long now) {
         return (deadlineNanos - now) / 1_000_000L;
     }
--- a/elmline-core/src/main/java/org/elmline/core/admission/TimingWheel.java
+++ b/elmline-core/src/main/java/org/elmline/core/admission/TimingWheel.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 
 /**
- * A hashed timing wheel (Varghese and Lauck, 1987): setting and clearing a deadline take constant time, however many
- * there are. A deadline expires at most one tick late and never early. Not thread-safe.
+ * A hashed timing wheel (Varghese and Lauck, 1987): setting and cancelling a deadline take constant time, independent
+ * of their number. A deadline expires at most one tick late and never early. Times are in nanoseconds. Not thread-safe.
  *
- * @param <K> what waits
+ * @param <K> key of a deadline
  */
 public final class TimingWheel<K> {
     private final long tickNanos;
@@ -22,7 +22,8 @@
 
     public TimingWheel(long tickNanos, int slotCount) {
         if (tickNanos < 1 || slotCount < 1) {
-            throw new IllegalArgumentException("a wheel needs a tick and slots");
+            throw new IllegalArgumentException(
+                    "tickNanos and slotCount must be at least 1, got " + tickNanos + " and " + slotCount);
         }
         this.tickNanos = tickNanos;
         this.slots = new ArrayList<>(slotCount);
@@ -31,7 +32,7 @@
         }
     }
 
-    /** Sets or moves a deadline; one that is past already expires at the next tick. */
+    /** Sets or moves a deadline; one that has already passed expires at the next tick. */
     public void set(K key, long deadline, long now) {
         cancel(key);
         start(now);
@@ -40,7 +41,7 @@
         slot(effective).put(key, effective);
     }
 
-    /** Forgets a deadline; false when there is none. */
+    /** Removes a deadline; returns false if there is none. */
     public boolean cancel(K key) {
         Long deadline = deadlines.remove(key);
         if (deadline == null) {
@@ -50,12 +51,12 @@
         return true;
     }
 
-    /** Removes and returns what is past its deadline, in order of the ticks. */
+    /** Removes and returns the keys whose deadline has passed, in order of ticks. */
     public List<K> expire(long now) {
         List<K> expired = new ArrayList<>();
         start(now);
         long lastTick = Math.floorDiv(now, tickNanos);
-        // After a long pause each slot needs one visit only.
+        // After a pause longer than one turn of the wheel, each slot needs only one visit.
         long firstTick = Math.max(nextTick, lastTick - slots.size());
         for (long tick = firstTick; tick <= lastTick; tick++) {
             expireSlot(tick, now, expired);
--- a/elmline-core/src/test/java/org/elmline/core/admission/DeadlinesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/admission/DeadlinesTest.java
@@ -15,7 +15,10 @@
 class DeadlinesTest {
     private static final long TICK = 10;
 
-    /** Against a plain map: nothing expires early, nothing later than the first call after its deadline and a tick. */
+    /**
+     * Compares the wheel with a map of deadlines: nothing expires early, and nothing later than the first call one tick
+     * after its deadline.
+     */
     @Property(tries = 300, seed = "5002")
     void expiresLikeAPlainMap(@ForAll long seed) {
         Random random = new Random(seed);
@@ -41,6 +44,7 @@
         for (Integer each : expired) {
             assertTrue(plain.remove(each) <= now, "expired early");
         }
-        assertTrue(plain.values().stream().allMatch(each -> each + TICK > now), "kept past its deadline and a tick");
+        assertTrue(
+                plain.values().stream().allMatch(each -> each + TICK > now), "not expired one tick after its deadline");
     }
 }
