--- a/elmline-core/src/main/java/org/elmline/core/fairness/LimitDecision.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/LimitDecision.java
@@ -1,6 +1,6 @@
 package org.elmline.core.fairness;
 
-/** Whether a request fits in its organisation's limits. */
+/** Whether a request is within its organisation's limits. */
 public enum LimitDecision {
     ADMITTED,
     /** Too many requests in flight on this entry. */
@@ -8,8 +8,8 @@
     /** Too many tokens in the last minute on this entry. */
     TOO_MANY_TOKENS,
     /**
-     * No share is held, or it is too small and old enough to ask again: ask with {@link OrganisationLimits#shareRequest},
-     * then try once more.
+     * No share is held, or the share is too small and may be requested again: send
+     * {@link OrganisationLimits#shareRequest}, then retry once.
      */
     NO_SHARE
 }
--- a/elmline-core/src/main/java/org/elmline/core/fairness/LimitShareAllocator.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/LimitShareAllocator.java
@@ -9,12 +9,15 @@
 import org.elmline.core.config.Organisation;
 
 /**
- * Splits organisations' limits among the entries that use them, on the one entry that rendezvous hashing names for each
- * organisation. Shares are leases that follow recent use: what an entry holds counts against all others until it renews
- * with less or its lease ends, so the shares never sum to more than the limit. (A fixed split would refuse an
- * organisation whose callers use few entries at a fraction of its limit; shares worked out by each entry from lagged
- * reports can sum to several times it.) When another entry takes over, both may hand out shares for one lease: at most
- * twice the limit for that time. An entry that can't renew keeps what it has in flight, and may exceed its share by it. All methods may be called from any thread.
+ * Splits organisations' limits among the entries that use them. Runs on one entry per organisation, selected by
+ * rendezvous hashing. Shares are leases sized by recent use: what an entry holds counts against all others until it
+ * renews with less or its lease ends, so the shares never sum to more than the limit.
+ *
+ * <p>Alternatives fail: a fixed split would refuse an organisation whose callers use few entries at a fraction of its
+ * limit; shares computed by each entry from lagged reports can sum to several times the limit.
+ *
+ * <p>When another entry takes over, both may grant shares for one lease: at most twice the limit for that time. An
+ * entry that cannot renew keeps its requests in flight, and may exceed its share by them. Thread-safe.
  */
 public final class LimitShareAllocator {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -29,7 +32,8 @@
     /**
      * Grants or renews a share.
      *
-     * @param entries live entries that may ask
+     * @param entries number of live entries that may request a share
+     * @param now nanoseconds on the monotonic clock
      */
     public synchronized ShareAnswer renew(Organisation organisation, ShareRequest request, int entries, long now) {
         Map<HostId, GrantedShare> held = shares.computeIfAbsent(organisation.id(), id -> new HashMap<>());
@@ -57,7 +61,7 @@
         return new ShareAnswer(organisation.id(), (int) share.grantedRequests, share.grantedTokens, leaseMillis);
     }
 
-    /** Forgets what ran out, so that organisations no longer active cost nothing. */
+    /** Removes expired shares, so that inactive organisations take no memory. */
     public synchronized void expire(long now) {
         Iterator<Map<HostId, GrantedShare>> each = shares.values().iterator();
         while (each.hasNext()) {
@@ -74,16 +78,17 @@
     }
 
     /**
-     * What is wanted and an even part of the rest; in proportion to what is wanted while that is more than the limit;
-     * never more than the others leave. The rest isn't given whole to whoever asks first: all others would have to refuse
-     * until that entry renews.
+     * Grants the wanted amount and an even part of the remainder, or, while more is wanted than the limit, a part of
+     * the limit in proportion to what is wanted; never more than the other shares leave. The first entry to request is
+     * not granted the whole remainder: all others would refuse requests until that entry renews.
      */
     private static long allocate(
             int entries, long limit, long inUse, long wanted, long wantedByOthers, long heldByOthers) {
         long all = wanted + wantedByOthers;
         long fair =
                 all <= limit ? wanted + (limit - all) / Math.max(1, entries) : (long) ((double) limit * wanted / all);
-        // What runs can't be taken back; and a limit of few requests must be usable on whichever entry is called.
+        // Requests in flight cannot be revoked, and a limit of few requests must be usable on whichever entry is
+        // called.
         long least = Math.max(inUse, Math.min(1, limit));
         return Math.max(0, Math.min(Math.max(fair, least), limit - heldByOthers));
     }
--- a/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
@@ -11,10 +11,11 @@
 import org.elmline.core.config.Organisation;
 
 /**
- * Holds organisations to their limits on one entry, within the shares that {@link LimitShareAllocator} grants it. A limit of 0 is
- * none and needs no share. Tokens run through a bucket of ten seconds' worth that a request may overdraw once, so that
- * one longer than the bucket can run at all: over any minute an entry admits at most its share, the bucket and one
- * request. All methods may be called from any thread.
+ * Enforces organisations' limits on one entry, within the shares that {@link LimitShareAllocator} grants it. A limit of
+ * 0 means no limit and needs no share. Tokens are limited by a token bucket of ten seconds' worth of the share. One
+ * request may overdraw the bucket, since otherwise a request larger than the bucket could never run: over any minute an
+ * entry admits at most its share, the bucket and one request. Times are nanoseconds on the monotonic clock.
+ * Thread-safe.
  */
 public final class OrganisationLimits {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -33,9 +34,9 @@
     }
 
     /**
-     * Admits a request or says why not; each admitted one must be {@link #release}.
+     * Admits a request or returns why not. Each admitted request must be released with {@link #release}.
      *
-     * @param tokens its prompt and longest answer
+     * @param tokens tokens of its prompt and longest possible output
      */
     public synchronized LimitDecision admit(Organisation organisation, long tokens, long now) {
         boolean limitsRequests = organisation.maxConcurrentRequests() > 0;
@@ -51,7 +52,7 @@
         } else if (limitsTokens && use.bucketTokens <= 0) {
             answer = LimitDecision.TOO_MANY_TOKENS;
         }
-        // A share follows use with a lag; refusing by an old one would refuse what the limit has room for.
+        // Shares lag behind use: refusing by an old share would refuse requests that are within the limit.
         if (answer != LimitDecision.ADMITTED && now - use.lastShareRequestNanos >= MIN_SHARE_REQUEST_INTERVAL_NANOS) {
             answer = LimitDecision.NO_SHARE;
         }
@@ -59,7 +60,7 @@
         return answer;
     }
 
-    /** An admitted request ended, however it did. */
+    /** Records the end of an admitted request, whatever its outcome. */
     public synchronized void release(OrganisationId organisation) {
         Usage use = usages.get(organisation);
         if (use == null || use.inFlight == 0) {
@@ -68,7 +69,7 @@
         use.inFlight--;
     }
 
-    /** What to ask {@link LimitShareAllocator} for. */
+    /** Builds the request to {@link LimitShareAllocator} and restarts the measurement of use. */
     public synchronized ShareRequest shareRequest(OrganisationId organisation, long now) {
         Usage use = usages.computeIfAbsent(organisation, id -> new Usage(now));
         long wantedTokens = use.wantedTokensPerMinute(now);
@@ -80,7 +81,7 @@
         return request;
     }
 
-    /** Takes a share in; its lease counts from {@code askedAt}, when the request was sent. */
+    /** Applies a granted share; its lease counts from the time at which the request was sent. */
     public synchronized void applyShare(ShareAnswer answer, long askedAt, long now) {
         Usage use = usages.computeIfAbsent(answer.organisation(), id -> new Usage(askedAt));
         long until = askedAt + answer.leaseMillis() * NANOS_PER_MILLI;
@@ -95,7 +96,7 @@
         use.renewAtNanos = askedAt + (until - askedAt) / 2;
     }
 
-    /** Organisations in use whose share should be renewed now, before it runs out. */
+    /** Organisations in use whose share should be renewed now, before its lease ends. */
     public synchronized List<OrganisationId> dueRenewals(long now) {
         List<OrganisationId> due = new ArrayList<>();
         usages.values().removeIf(each -> each.inFlight == 0 && now - each.lastUsedNanos >= IDLE_NANOS);
--- a/elmline-core/src/main/java/org/elmline/core/fairness/ShareRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/ShareRequest.java
@@ -5,11 +5,11 @@
 import org.elmline.core.common.OrganisationId;
 
 /**
- * An entry asks for its share of an organisation's limits.
+ * An entry's request for a share of an organisation's limits.
  *
- * @param inFlight requests in flight now; its share is never less
- * @param requests requests in flight that it could use, those it just refused included
- * @param tokensPerMinute tokens a minute that it could use
+ * @param inFlight requests in flight now; the share is at least this, as far as the other shares leave it
+ * @param requests requests in flight that the entry could use, including those it has just refused
+ * @param tokensPerMinute tokens per minute that the entry could use
  */
 public record ShareRequest(
         HostId host,
--- a/elmline-core/src/main/java/org/elmline/core/fairness/VirtualCounters.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/VirtualCounters.java
@@ -6,11 +6,11 @@
 import org.elmline.core.common.OrganisationId;
 
 /**
- * A virtual token counter for each organisation, after start-time fair queueing (Goyal, Vin, Cheng, 1996) with the
- * tokens of a request as its length. A request starts at the larger of its organisation's counter and the counter of
- * the request served last, so an organisation that was idle gains no credit from it; its counter then grows by tokens
- * over weight. Serving by least start keeps any two waiting organisations within one longest request each, over
- * weights. Not thread-safe.
+ * Start-time fair queueing (Goyal, Vin, Cheng, 1996) with one virtual token counter per organisation and the tokens of
+ * a request as its length. A request's virtual start is the larger of its organisation's counter and the start of the
+ * request served last, so an idle organisation gains no credit; the counter then grows by tokens divided by weight. If
+ * requests are served in order of virtual start, the tokens per weight of any two organisations with queued requests
+ * differ by at most one longest request of each, divided by its weight. Not thread-safe.
  */
 public final class VirtualCounters {
     private static final int MIN_PRUNE_SIZE = 256;
@@ -19,7 +19,7 @@
     private double virtualTime;
     private int pruneThreshold = MIN_PRUNE_SIZE;
 
-    /** Charges a request and returns its start. */
+    /** Charges a request to its organisation and returns its virtual start. */
     public double charge(OrganisationId organisation, int weight, long tokens) {
         double start = Math.max(virtualTime, virtualFinishes.getOrDefault(organisation, virtualTime));
         virtualFinishes.put(organisation, start + (double) tokens / weight);
@@ -27,17 +27,20 @@
         return start;
     }
 
-    /** Takes a charge back, for a request that was never served. */
+    /** Refunds the charge of a request that was never served. */
     public void refund(OrganisationId organisation, int weight, long tokens) {
         virtualFinishes.computeIfPresent(organisation, (id, finish) -> finish - (double) tokens / weight);
     }
 
-    /** A request with this start begins to be served. */
+    /** Records that a request with this virtual start begins to be served. */
     public void recordServed(double start) {
         virtualTime = Math.max(virtualTime, start);
     }
 
-    /** Nobody waits: all had what they asked for, so nobody owes or is owed. Ends what the counters remember. */
+    /**
+     * Clears all counters. For use when no request is queued: every organisation was served in full, so none has a
+     * debt.
+     */
     public void reset() {
         virtualFinishes.clear();
         virtualTime = 0;
@@ -47,7 +50,10 @@
         return virtualFinishes.size();
     }
 
-    /** A counter that fell behind the served one says the same as none; without this each name ever seen would stay. */
+    /**
+     * Removes counters at or below the virtual time, which are equivalent to no counter. Without this, the map would
+     * keep every organisation ever seen.
+     */
     private void prune() {
         if (virtualFinishes.size() < pruneThreshold) {
             return;
--- a/elmline-core/src/main/java/org/elmline/core/fairness/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/package-info.java
@@ -1,2 +1,4 @@
-/** How organisations share the fleet: weighted token fairness while there is contention, and limits at all times. */
+/**
+ * Sharing of capacity among organisations: weighted fair queueing by tokens under contention, and limits at all times.
+ */
 package org.elmline.core.fairness;
--- a/elmline-core/src/test/java/org/elmline/core/fairness/FairnessTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/fairness/FairnessTest.java
@@ -36,8 +36,8 @@
     private static final int MOST_TOKENS = 5_000;
 
     /**
-     * Organisations with weights 1 to 4 always have requests waiting. At any moment, what two of them got, each over its
-     * weight, differs by no more than one longest request of each over its weight.
+     * Organisations with weights 1 to 4 always have requests queued. At any time the served tokens per weight of two of
+     * them differ by no more than one longest request of each, divided by its weight.
      */
     @Property(tries = 100, seed = "5006")
     void sharesUnderContentionStayWithinOneRequestEach(@ForAll long seed) {
@@ -73,7 +73,9 @@
         for (int i = 0; i < 100; i++) {
             counters.recordServed(counters.charge(id(1), 1, 1_000));
         }
-        assertTrue(counters.charge(id(2), 1, 1_000) >= 99_000, "starts where the busy one is served, not at zero");
+        assertTrue(
+                counters.charge(id(2), 1, 1_000) >= 99_000,
+                "must start at the virtual time of the busy organisation, not at zero");
     }
 
     @Test
@@ -83,7 +85,7 @@
             counters.recordServed(counters.charge(id(i), 1, 1));
             counters.recordServed(counters.charge(OrganisationId.of("always-busy"), 1, 1));
         }
-        assertTrue(counters.size() <= 1_400, counters.size() + " counters kept in a busy time");
+        assertTrue(counters.size() <= 1_400, counters.size() + " counters kept under continuous load");
         for (int i = 0; i < 20_000; i++) {
             counters.recordServed(counters.charge(id(i), 1, 1));
         }
@@ -92,28 +94,28 @@
     }
 
     /**
-     * A greedy organisation keeps the queue full with 50 requests a step; a small one, of the same weight, sends one
-     * request at a time, longer than the greedy one's. The small one's requests must all be served.
+     * One organisation ("greedy") keeps the queue full with 50 requests per step; another ("small") of the same weight
+     * sends one request at a time, longer than those of the first. All requests of the second must be served.
      */
     @Test
     void greedyOrganisationCannotStarveASmallOne() {
         Contest contest = new Contest(1);
         contest.run(1_000);
-        assertTrue(contest.served[0] > 500_000, "the greedy one uses what is left: " + contest.served[0]);
+        assertTrue(contest.served[0] > 500_000, "tokens served for the greedy organisation: " + contest.served[0]);
         assertTrue(contest.smallSent > 50, contest.smallSent + " sent");
         assertEquals(0, contest.smallRefused);
     }
 
-    /** The small one has eight requests waiting at all times: equal weights, so equal tokens, not 56 to 8. */
+    /** The small organisation always has eight requests queued: equal weights must give equal tokens, not 56 to 8. */
     @Test
     void organisationsOfEqualWeightGetEqualTokensUnderContention() {
         Contest contest = new Contest(8);
         contest.run(1_000);
         double ratio = (double) contest.served[0] / contest.served[1];
-        assertTrue(ratio > 0.9 && ratio < 1.1, "greedy over small: " + ratio);
+        assertTrue(ratio > 0.9 && ratio < 1.1, "tokens of greedy divided by tokens of small: " + ratio);
     }
 
-    /** One engine, a greedy organisation (index 0) and a small one (index 1). */
+    /** Simulates one engine under load from a greedy organisation (index 0) and a small one (index 1). */
     private static final class Contest {
         private final OwnerFixture fixture = new OwnerFixture(
                 OwnerSettings.builder().queueCapacity(64).engineQueueMillis(200).build());
@@ -146,7 +148,7 @@
             }
         }
 
-        /** The engine reads 1,000 tokens in 100 ms, one prompt after another. */
+        /** The engine prefills 1,000 tokens in 100 ms, one prompt after another. */
         private void read() {
             readTokens += 1_000;
             while (!reading.isEmpty() && reading.peek().demand().promptTokens() <= readTokens) {
@@ -173,7 +175,10 @@
         }
     }
 
-    /** Entries renew with changing wishes, late or not at all; the shares in force never sum to more than the limit. */
+    /**
+     * Entries renew with changing amounts, late or not at all; the sum of the shares in force must never exceed the
+     * limit.
+     */
     @Property(tries = 200, seed = "5007")
     void sharesNeverSumToMoreThanTheLimit(@ForAll long seed) {
         Random random = new Random(seed);
@@ -198,7 +203,7 @@
                     random.nextInt(100_000));
             held.put(entry, shares.renew(organisation, request, 18, now));
             until.put(entry, now + 2 * SECOND);
-            assertTrue(held.get(entry).maxRequests() >= use, "what runs can't be taken back");
+            assertTrue(held.get(entry).maxRequests() >= use, "share below the requests in flight");
             long time = now;
             held.keySet().removeIf(each -> until.get(each) <= time);
             assertTrue(held.values().stream().mapToInt(ShareAnswer::maxRequests).sum() <= limit);
@@ -230,8 +235,8 @@
     }
 
     /**
-     * An organisation far below its limit calls many entries one after another. The first must not take the whole limit:
-     * each later entry would refuse the caller until the first renews.
+     * An organisation far below its limit calls many entries one after another. The first entry must not be granted the
+     * whole limit: each later entry would refuse the caller until the first renews.
      */
     @Test
     void everyEntryGetsAPartOfWhatIsSpare() {
@@ -244,7 +249,7 @@
         }
     }
 
-    /** Over any minute an entry admits at most its share, ten seconds' worth of it, and one request. */
+    /** Over any minute an entry admits at most its share, the bucket of ten seconds' worth, and one request. */
     @Test
     void tokensAMinuteStayWithinTheStatedBound() {
         Organisation organisation = organisation(0, 600_000);
@@ -267,8 +272,8 @@
             for (int i = from; i < from + 60; i++) {
                 sum += admitted[i];
             }
-            assertTrue(sum <= 600_000 + 100_000 + 100_000, sum + " tokens in a minute");
-            assertTrue(sum >= 450_000, "the limit is used: " + sum);
+            assertTrue(sum <= 600_000 + 100_000 + 100_000, sum + " tokens admitted in a minute");
+            assertTrue(sum >= 450_000, "tokens admitted in a minute, below the share: " + sum);
         }
     }
 
@@ -283,11 +288,14 @@
         assertEquals(LimitDecision.ADMITTED, limits.admit(organisation("other", 1, 0), 1, 0));
         assertEquals(LimitDecision.TOO_MANY_REQUESTS, limits.admit(organisation("other", 1, 0), 1, 0));
         long later = SECOND / 10;
-        assertEquals(LimitDecision.NO_SHARE, limits.admit(organisation("other", 1, 0), 1, later), "worth asking again");
+        assertEquals(
+                LimitDecision.NO_SHARE,
+                limits.admit(organisation("other", 1, 0), 1, later),
+                "a new share may be requested");
         assertEquals(
                 5,
                 limits.shareRequest(OrganisationId.of("other"), later).requests(),
-                "one runs, three were refused, one more");
+                "one in flight, three refused and one more");
         assertEquals(LimitDecision.TOO_MANY_REQUESTS, limits.admit(organisation("other", 1, 0), 1, later));
     }
 
