--- a/elmline-core/src/main/java/org/elmline/core/admission/AdmissionQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/admission/AdmissionQueue.java
@@ -32,7 +32,7 @@
     /** Adds a request. If the queue was full, returns the request that was shed, which may be the added one. */
     public Optional<QueuedRequest> add(QueuedRequest waiting) {
         queuesByKey
-                .computeIfAbsent(QueueKey.of(waiting), line -> new TreeSet<>(QueuedRequest.PLACEMENT_ORDER))
+                .computeIfAbsent(QueueKey.of(waiting), key -> new TreeSet<>(QueuedRequest.PLACEMENT_ORDER))
                 .add(waiting);
         byAttempt.put(waiting.request().attempt(), waiting);
         countByOrganisation.merge(waiting.request().organisation(), 1, Integer::sum);
@@ -49,9 +49,9 @@
         if (byAttempt.remove(waiting.request().attempt()) == null) {
             return;
         }
-        TreeSet<QueuedRequest> line = queuesByKey.get(QueueKey.of(waiting));
-        line.remove(waiting);
-        if (line.isEmpty()) {
+        TreeSet<QueuedRequest> queue = queuesByKey.get(QueueKey.of(waiting));
+        queue.remove(waiting);
+        if (queue.isEmpty()) {
             queuesByKey.remove(QueueKey.of(waiting));
         }
         OrganisationId organisation = waiting.request().organisation();
@@ -82,16 +82,16 @@
 
     /** Prefill cost of the requests ahead of this one in the queues of its own and of shorter length classes. */
     public long costTokensAhead(QueuedRequest waiting) {
-        long work = 0;
+        long costTokens = 0;
         for (Map.Entry<QueueKey, TreeSet<QueuedRequest>> each : queuesByKey.entrySet()) {
             if (each.getKey().lengthClass().compareTo(waiting.lengthClass()) > 0) {
                 continue;
             }
             for (QueuedRequest ahead : each.getValue().headSet(waiting)) {
-                work += ahead.costTokens();
+                costTokens += ahead.costTokens();
             }
         }
-        return work;
+        return costTokens;
     }
 
     /** All requests, in placement order. */
--- a/elmline-core/src/test/java/org/elmline/core/admission/DeadlinesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/admission/DeadlinesTest.java
@@ -20,31 +20,32 @@
      * after its deadline.
      */
     @Property(tries = 300, seed = "5002")
-    void expiresLikeAPlainMap(@ForAll long seed) {
+    void expiresWithinOneTickOfDeadline(@ForAll long seed) {
         Random random = new Random(seed);
         TimingWheel<Integer> wheel = new TimingWheel<>(TICK, 8);
-        Map<Integer, Long> plain = new HashMap<>();
+        Map<Integer, Long> deadlines = new HashMap<>();
         long now = random.nextInt(1_000) - 500;
         for (int step = 0; step < 200; step++) {
             int key = random.nextInt(20);
             if (random.nextInt(4) == 0) {
-                assertEquals(plain.remove(key) != null, wheel.cancel(key));
+                assertEquals(deadlines.remove(key) != null, wheel.cancel(key));
             } else if (random.nextBoolean()) {
                 long deadline = now + random.nextInt(300) - 20;
                 wheel.set(key, deadline, now);
-                plain.put(key, deadline);
+                deadlines.put(key, deadline);
             }
             now += random.nextInt(random.nextInt(10) == 0 ? 500 : 15);
-            check(new HashSet<>(wheel.expire(now)), plain, now);
-            assertEquals(plain.size(), wheel.size());
+            assertExpired(new HashSet<>(wheel.expire(now)), deadlines, now);
+            assertEquals(deadlines.size(), wheel.size());
         }
     }
 
-    private static void check(Set<Integer> expired, Map<Integer, Long> plain, long now) {
+    private static void assertExpired(Set<Integer> expired, Map<Integer, Long> deadlines, long now) {
         for (Integer each : expired) {
-            assertTrue(plain.remove(each) <= now, "expired early");
+            assertTrue(deadlines.remove(each) <= now, "expired early");
         }
         assertTrue(
-                plain.values().stream().allMatch(each -> each + TICK > now), "not expired one tick after its deadline");
+                deadlines.values().stream().allMatch(each -> each + TICK > now),
+                "not expired one tick after its deadline");
     }
 }
