--- a/elmline-core/src/main/java/org/elmline/core/fairness/LimitShareAllocator.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/LimitShareAllocator.java
@@ -84,13 +84,14 @@
      */
     private static long allocate(
             int entries, long limit, long inUse, long wanted, long wantedByOthers, long heldByOthers) {
-        long all = wanted + wantedByOthers;
-        long fair =
-                all <= limit ? wanted + (limit - all) / Math.max(1, entries) : (long) ((double) limit * wanted / all);
+        long totalWanted = wanted + wantedByOthers;
+        long fairShare = totalWanted <= limit
+                ? wanted + (limit - totalWanted) / Math.max(1, entries)
+                : (long) ((double) limit * wanted / totalWanted);
         // Requests in flight cannot be revoked, and a limit of few requests must be usable on whichever entry is
         // called.
-        long least = Math.max(inUse, Math.min(1, limit));
-        return Math.max(0, Math.min(Math.max(fair, least), limit - heldByOthers));
+        long minimum = Math.max(inUse, Math.min(1, limit));
+        return Math.max(0, Math.min(Math.max(fairShare, minimum), limit - heldByOthers));
     }
 
     private static final class GrantedShare {
--- a/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
@@ -41,78 +41,83 @@
     public synchronized LimitDecision admit(Organisation organisation, long tokens, long now) {
         boolean limitsRequests = organisation.maxConcurrentRequests() > 0;
         boolean limitsTokens = organisation.maxTokensPerMinute() > 0;
-        Usage use = usages.computeIfAbsent(organisation.id(), id -> new Usage(now));
-        use.refill(now);
-        use.lastUsedNanos = now;
+        Usage usage = usages.computeIfAbsent(organisation.id(), id -> new Usage(now));
+        usage.refill(now);
+        usage.lastUsedNanos = now;
         LimitDecision answer = LimitDecision.ADMITTED;
-        if ((limitsRequests || limitsTokens) && now - use.shareExpiresAtNanos >= 0) {
+        if ((limitsRequests || limitsTokens) && now - usage.shareExpiresAtNanos >= 0) {
             answer = LimitDecision.NO_SHARE;
-        } else if (limitsRequests && use.inFlight >= use.maxRequests) {
+        } else if (limitsRequests && usage.inFlight >= usage.maxRequests) {
             answer = LimitDecision.TOO_MANY_REQUESTS;
-        } else if (limitsTokens && use.bucketTokens <= 0) {
+        } else if (limitsTokens && usage.bucketTokens <= 0) {
             answer = LimitDecision.TOO_MANY_TOKENS;
         }
         // Shares lag behind use: refusing by an old share would refuse requests that are within the limit.
-        if (answer != LimitDecision.ADMITTED && now - use.lastShareRequestNanos >= MIN_SHARE_REQUEST_INTERVAL_NANOS) {
+        if (answer != LimitDecision.ADMITTED && now - usage.lastShareRequestNanos >= MIN_SHARE_REQUEST_INTERVAL_NANOS) {
             answer = LimitDecision.NO_SHARE;
         }
-        use.record(answer, tokens);
+        usage.record(answer, tokens);
         return answer;
     }
 
     /** Records the end of an admitted request, whatever its outcome. */
     public synchronized void release(OrganisationId organisation) {
-        Usage use = usages.get(organisation);
-        if (use == null || use.inFlight == 0) {
+        Usage usage = usages.get(organisation);
+        if (usage == null || usage.inFlight == 0) {
             throw new IllegalStateException("organisation " + organisation + " has no request in flight");
         }
-        use.inFlight--;
+        usage.inFlight--;
     }
 
     /** Builds the request to {@link LimitShareAllocator} and restarts the measurement of use. */
     public synchronized ShareRequest shareRequest(OrganisationId organisation, long now) {
-        Usage use = usages.computeIfAbsent(organisation, id -> new Usage(now));
-        long wantedTokens = use.wantedTokensPerMinute(now);
+        Usage usage = usages.computeIfAbsent(organisation, id -> new Usage(now));
+        long wantedTokens = usage.wantedTokensPerMinute(now);
         ShareRequest request = new ShareRequest(
-                host, incarnation, organisation, use.inFlight, use.inFlight + use.refusedRequests + 1, wantedTokens);
-        use.refusedRequests = 0;
-        use.requestedTokens = 0;
-        use.lastShareRequestNanos = now;
+                host,
+                incarnation,
+                organisation,
+                usage.inFlight,
+                usage.inFlight + usage.refusedRequests + 1,
+                wantedTokens);
+        usage.refusedRequests = 0;
+        usage.requestedTokens = 0;
+        usage.lastShareRequestNanos = now;
         return request;
     }
 
     /** Applies a granted share; its lease counts from the time at which the request was sent. */
-    public synchronized void applyShare(ShareAnswer answer, long askedAt, long now) {
-        Usage use = usages.computeIfAbsent(answer.organisation(), id -> new Usage(askedAt));
-        long until = askedAt + answer.leaseMillis() * NANOS_PER_MILLI;
-        use.refill(now);
-        use.maxRequests = answer.maxRequests();
-        if (!use.hasReceivedShare) {
-            use.bucketTokens = answer.maxTokensPerMinute() * BUCKET_MINUTES;
-            use.hasReceivedShare = true;
+    public synchronized void applyShare(ShareAnswer answer, long requestedAtNanos, long now) {
+        Usage usage = usages.computeIfAbsent(answer.organisation(), id -> new Usage(requestedAtNanos));
+        long expiresAtNanos = requestedAtNanos + answer.leaseMillis() * NANOS_PER_MILLI;
+        usage.refill(now);
+        usage.maxRequests = answer.maxRequests();
+        if (!usage.hasReceivedShare) {
+            usage.bucketTokens = answer.maxTokensPerMinute() * BUCKET_MINUTES;
+            usage.hasReceivedShare = true;
         }
-        use.tokensPerMinute = answer.maxTokensPerMinute();
-        use.shareExpiresAtNanos = until;
-        use.renewAtNanos = askedAt + (until - askedAt) / 2;
+        usage.tokensPerMinute = answer.maxTokensPerMinute();
+        usage.shareExpiresAtNanos = expiresAtNanos;
+        usage.renewAtNanos = requestedAtNanos + (expiresAtNanos - requestedAtNanos) / 2;
     }
 
     /** Organisations in use whose share should be renewed now, before its lease ends. */
     public synchronized List<OrganisationId> dueRenewals(long now) {
-        List<OrganisationId> due = new ArrayList<>();
+        List<OrganisationId> dueOrganisations = new ArrayList<>();
         usages.values().removeIf(each -> each.inFlight == 0 && now - each.lastUsedNanos >= IDLE_NANOS);
         for (Map.Entry<OrganisationId, Usage> each : usages.entrySet()) {
-            Usage use = each.getValue();
-            boolean inUse = use.inFlight > 0 || use.refusedRequests > 0 || use.requestedTokens > 0;
-            if (use.hasReceivedShare && inUse && now - use.renewAtNanos >= 0) {
-                due.add(each.getKey());
+            Usage usage = each.getValue();
+            boolean inUse = usage.inFlight > 0 || usage.refusedRequests > 0 || usage.requestedTokens > 0;
+            if (usage.hasReceivedShare && inUse && now - usage.renewAtNanos >= 0) {
+                dueOrganisations.add(each.getKey());
             }
         }
-        return due;
+        return dueOrganisations;
     }
 
     public synchronized int inFlight(OrganisationId organisation) {
-        Usage use = usages.get(organisation);
-        return use == null ? 0 : use.inFlight;
+        Usage usage = usages.get(organisation);
+        return usage == null ? 0 : usage.inFlight;
     }
 
     private static final class Usage {
--- a/elmline-core/src/test/java/org/elmline/core/fairness/FairnessTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/fairness/FairnessTest.java
@@ -33,7 +33,7 @@
 
 class FairnessTest {
     private static final long SECOND = 1_000_000_000L;
-    private static final int MOST_TOKENS = 5_000;
+    private static final int MAX_REQUEST_TOKENS = 5_000;
 
     /**
      * Organisations with weights 1 to 4 always have requests queued. At any time the served tokens per weight of two of
@@ -48,20 +48,20 @@
         long[] tokens = new long[organisations];
         double[] served = new double[organisations];
         for (int i = 0; i < organisations; i++) {
-            tokens[i] = 1 + random.nextInt(MOST_TOKENS);
+            tokens[i] = 1 + random.nextInt(MAX_REQUEST_TOKENS);
             starts[i] = counters.charge(id(i), i + 1, tokens[i]);
         }
         for (int step = 0; step < 500; step++) {
-            int least = 0;
+            int next = 0;
             for (int i = 1; i < organisations; i++) {
-                least = starts[i] < starts[least] ? i : least;
+                next = starts[i] < starts[next] ? i : next;
             }
-            counters.recordServed(starts[least]);
-            served[least] += (double) tokens[least] / (least + 1);
-            tokens[least] = 1 + random.nextInt(MOST_TOKENS);
-            starts[least] = counters.charge(id(least), least + 1, tokens[least]);
+            counters.recordServed(starts[next]);
+            served[next] += (double) tokens[next] / (next + 1);
+            tokens[next] = 1 + random.nextInt(MAX_REQUEST_TOKENS);
+            starts[next] = counters.charge(id(next), next + 1, tokens[next]);
             for (int i = 1; i < organisations; i++) {
-                double bound = MOST_TOKENS + (double) MOST_TOKENS / (i + 1);
+                double bound = MAX_REQUEST_TOKENS + (double) MAX_REQUEST_TOKENS / (i + 1);
                 assertTrue(Math.abs(served[0] - served[i]) <= bound, "organisations 0 and " + i);
             }
         }
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void countersOfIdleOrganisationsAreForgotten() {
+    void countersOfIdleOrganisationsArePruned() {
         VirtualCounters counters = new VirtualCounters();
         for (int i = 0; i < 20_000; i++) {
             counters.recordServed(counters.charge(id(i), 1, 1));
@@ -99,35 +99,35 @@
      */
     @Test
     void greedyOrganisationCannotStarveASmallOne() {
-        Contest contest = new Contest(1);
-        contest.run(1_000);
-        assertTrue(contest.served[0] > 500_000, "tokens served for the greedy organisation: " + contest.served[0]);
-        assertTrue(contest.smallSent > 50, contest.smallSent + " sent");
-        assertEquals(0, contest.smallRefused);
+        ContentionScenario scenario = new ContentionScenario(1);
+        scenario.run(1_000);
+        assertTrue(scenario.served[0] > 500_000, "tokens served for the greedy organisation: " + scenario.served[0]);
+        assertTrue(scenario.smallSent > 50, scenario.smallSent + " sent");
+        assertEquals(0, scenario.smallRefused);
     }
 
     /** The small organisation always has eight requests queued: equal weights must give equal tokens, not 56 to 8. */
     @Test
     void organisationsOfEqualWeightGetEqualTokensUnderContention() {
-        Contest contest = new Contest(8);
-        contest.run(1_000);
-        double ratio = (double) contest.served[0] / contest.served[1];
+        ContentionScenario scenario = new ContentionScenario(8);
+        scenario.run(1_000);
+        double ratio = (double) scenario.served[0] / scenario.served[1];
         assertTrue(ratio > 0.9 && ratio < 1.1, "tokens of greedy divided by tokens of small: " + ratio);
     }
 
     /** Simulates one engine under load from a greedy organisation (index 0) and a small one (index 1). */
-    private static final class Contest {
+    private static final class ContentionScenario {
         private final OwnerFixture fixture = new OwnerFixture(
                 OwnerSettings.builder().queueCapacity(64).engineQueueMillis(200).build());
         private final Set<AttemptId> smallWaiting = new HashSet<>();
-        private final Deque<PlaceRequest> reading = new ArrayDeque<>();
-        private long readTokens;
+        private final Deque<PlaceRequest> prefilling = new ArrayDeque<>();
+        private long prefilledTokens;
         private final int outstanding;
         private final long[] served = new long[2];
         private int smallSent;
         private int smallRefused;
 
-        Contest(int outstanding) {
+        ContentionScenario(int outstanding) {
             this.outstanding = outstanding;
         }
 
@@ -143,31 +143,31 @@
                     smallWaiting.add(request.attempt());
                     send(request);
                 }
-                fixture.advance(100).forEach(each -> take(each.request(), each.answer()));
-                read();
+                fixture.advance(100).forEach(each -> recordAnswer(each.request(), each.answer()));
+                prefill();
             }
         }
 
         /** The engine prefills 1,000 tokens in 100 ms, one prompt after another. */
-        private void read() {
-            readTokens += 1_000;
-            while (!reading.isEmpty() && reading.peek().demand().promptTokens() <= readTokens) {
-                PlaceRequest next = reading.poll();
-                readTokens -= next.demand().promptTokens();
+        private void prefill() {
+            prefilledTokens += 1_000;
+            while (!prefilling.isEmpty() && prefilling.peek().demand().promptTokens() <= prefilledTokens) {
+                PlaceRequest next = prefilling.poll();
+                prefilledTokens -= next.demand().promptTokens();
                 fixture.firstToken(next.attempt());
                 fixture.release(next.attempt(), ReleaseCause.FINISHED);
             }
-            readTokens = reading.isEmpty() ? 0 : readTokens;
+            prefilledTokens = prefilling.isEmpty() ? 0 : prefilledTokens;
         }
 
         private void send(PlaceRequest request) {
-            fixture.place(request).ifPresent(answer -> take(request, answer));
+            fixture.place(request).ifPresent(answer -> recordAnswer(request, answer));
         }
 
-        private void take(PlaceRequest request, OwnerPlaceAnswer answer) {
+        private void recordAnswer(PlaceRequest request, OwnerPlaceAnswer answer) {
             boolean small = smallWaiting.remove(request.attempt());
             if (answer instanceof OwnerPlaceAnswer.Placed) {
-                reading.add(request);
+                prefilling.add(request);
                 served[small ? 1 : 0] += request.demand().kvTokens();
             } else {
                 smallRefused += small ? 1 : 0;
@@ -186,26 +186,26 @@
         Organisation organisation = organisation(limit, 60_000L);
         LimitShareAllocator shares = new LimitShareAllocator(2_000);
         Map<Integer, ShareAnswer> held = new HashMap<>();
-        Map<Integer, Long> until = new HashMap<>();
+        Map<Integer, Long> expiresAtNanos = new HashMap<>();
         long now = 0;
         for (int step = 0; step < 300; step++) {
             now += random.nextInt(300) * 1_000_000L;
             int entry = random.nextInt(18);
-            int use = held.containsKey(entry) && until.get(entry) > now
+            int inFlight = held.containsKey(entry) && expiresAtNanos.get(entry) > now
                     ? random.nextInt(held.get(entry).maxRequests() + 1)
                     : 0;
             ShareRequest request = new ShareRequest(
                     HostId.of("entry-" + entry),
                     Incarnation.of(1),
                     organisation.id(),
-                    use,
-                    use + random.nextInt(20),
+                    inFlight,
+                    inFlight + random.nextInt(20),
                     random.nextInt(100_000));
             held.put(entry, shares.renew(organisation, request, 18, now));
-            until.put(entry, now + 2 * SECOND);
-            assertTrue(held.get(entry).maxRequests() >= use, "share below the requests in flight");
+            expiresAtNanos.put(entry, now + 2 * SECOND);
+            assertTrue(held.get(entry).maxRequests() >= inFlight, "share below the requests in flight");
             long time = now;
-            held.keySet().removeIf(each -> until.get(each) <= time);
+            held.keySet().removeIf(each -> expiresAtNanos.get(each) <= time);
             assertTrue(held.values().stream().mapToInt(ShareAnswer::maxRequests).sum() <= limit);
             assertTrue(held.values().stream()
                             .mapToLong(ShareAnswer::maxTokensPerMinute)
@@ -217,21 +217,25 @@
     }
 
     @Test
-    void oneEntryOfManyGetsTheWholeLimitAndHandsItOver() {
+    void firstEntryGetsWholeLimitAndReturnsHalfOnRenewal() {
         Organisation organisation = organisation(10, 0);
         LimitShareAllocator shares = new LimitShareAllocator(2_000);
         assertEquals(
                 10,
-                shares.renew(organisation, ask("a", organisation, 0, 20), 18, 0).maxRequests());
+                shares.renew(organisation, shareRequest("a", organisation, 0, 20), 18, 0)
+                        .maxRequests());
         assertEquals(
                 0,
-                shares.renew(organisation, ask("b", organisation, 0, 20), 18, 1).maxRequests());
+                shares.renew(organisation, shareRequest("b", organisation, 0, 20), 18, 1)
+                        .maxRequests());
         assertEquals(
                 5,
-                shares.renew(organisation, ask("a", organisation, 2, 20), 18, 2).maxRequests());
+                shares.renew(organisation, shareRequest("a", organisation, 2, 20), 18, 2)
+                        .maxRequests());
         assertEquals(
                 5,
-                shares.renew(organisation, ask("b", organisation, 0, 20), 18, 3).maxRequests());
+                shares.renew(organisation, shareRequest("b", organisation, 0, 20), 18, 3)
+                        .maxRequests());
     }
 
     /**
@@ -239,11 +243,12 @@
      * whole limit: each later entry would refuse the caller until the first renews.
      */
     @Test
-    void everyEntryGetsAPartOfWhatIsSpare() {
+    void everyEntryGetsPartOfTheSpareLimit() {
         Organisation organisation = organisation(40, 180_000);
         LimitShareAllocator shares = new LimitShareAllocator(2_000);
         for (int entry = 0; entry < 18; entry++) {
-            ShareAnswer answer = shares.renew(organisation, ask("entry-" + entry, organisation, 0, 1), 18, entry);
+            ShareAnswer answer =
+                    shares.renew(organisation, shareRequest("entry-" + entry, organisation, 0, 1), 18, entry);
             assertTrue(answer.maxRequests() >= 2, "entry " + entry + " got " + answer);
             assertTrue(answer.maxTokensPerMinute() >= 10_000, "entry " + entry + " got " + answer);
         }
@@ -251,7 +256,7 @@
 
     /** Over any minute an entry admits at most its share, the bucket of ten seconds' worth, and one request. */
     @Test
-    void tokensAMinuteStayWithinTheStatedBound() {
+    void tokensPerMinuteStayWithinShareBucketAndOneRequest() {
         Organisation organisation = organisation(0, 600_000);
         OrganisationLimits limits = new OrganisationLimits(HostId.of("a"), Incarnation.of(1));
         Random random = new Random(9);
@@ -278,7 +283,7 @@
     }
 
     @Test
-    void zeroIsNoLimitAndNeedsNoShare() {
+    void zeroLimitAdmitsRequestsWithoutShare() {
         OrganisationLimits limits = new OrganisationLimits(HostId.of("a"), Incarnation.of(1));
         for (int i = 0; i < 1_000; i++) {
             assertEquals(LimitDecision.ADMITTED, limits.admit(organisation(0, 0), 1_000_000, 0));
@@ -312,7 +317,7 @@
                         instanceof OwnerPlaceAnswer.Placed);
     }
 
-    private static ShareRequest ask(String host, Organisation organisation, int inFlight, int wanted) {
+    private static ShareRequest shareRequest(String host, Organisation organisation, int inFlight, int wanted) {
         return new ShareRequest(HostId.of(host), Incarnation.of(1), organisation.id(), inFlight, wanted, 0);
     }
 
