--- a/elmline-core/src/main/java/org/elmline/core/routing/BatchTiming.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/BatchTiming.java
@@ -42,9 +42,10 @@
     }
 
     /** Milliseconds of one decoding pass without prefill. */
-    public double passMillis(int writers, long contextTokens) {
-        double step =
-                stepMillis + writers * perDecodingRequestMillis + contextTokens / THOUSAND * perThousandContextMillis;
+    public double passMillis(int decodingRequests, long contextTokens) {
+        double step = stepMillis
+                + decodingRequests * perDecodingRequestMillis
+                + contextTokens / THOUSAND * perThousandContextMillis;
         return stepsPerPass * step;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/routing/CallRoute.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/CallRoute.java
@@ -61,10 +61,10 @@
 
     /** Chooses the service for a call by weight; {@code draw} is a uniform random number in [0, 1). */
     public ServiceName chooseService(double draw) {
-        double left = draw * totalWeight();
+        double remaining = draw * totalWeight();
         for (WeightedService each : weightedServices) {
-            left -= each.weight();
-            if (left < 0) {
+            remaining -= each.weight();
+            if (remaining < 0) {
                 return each.service();
             }
         }
--- a/elmline-core/src/main/java/org/elmline/core/routing/RouteMatch.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/RouteMatch.java
@@ -6,8 +6,8 @@
     record Allowed(CallRoute route, KeyHolder caller) implements RouteMatch {
         /** The organisation's priority if it has one, else the route's. */
         public int priority() {
-            boolean own = caller != null && caller.priority() != null;
-            return own ? caller.priority() : route.priority();
+            boolean hasCallerPriority = caller != null && caller.priority() != null;
+            return hasCallerPriority ? caller.priority() : route.priority();
         }
     }
 
--- a/elmline-core/src/main/java/org/elmline/core/routing/RoutingTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/RoutingTable.java
@@ -19,16 +19,16 @@
     private final boolean requiresKey;
     private final CallerLimits limits;
 
-    private RoutingTable(Builder parts) {
-        version = parts.version;
-        limits = parts.limits;
-        requiresKey = parts.requiresKey;
+    private RoutingTable(Builder builder) {
+        version = builder.version;
+        limits = builder.limits;
+        requiresKey = builder.requiresKey;
         services = new HashMap<>();
-        parts.services.forEach(each -> services.put(each.name(), each));
+        builder.services.forEach(each -> services.put(each.name(), each));
         keyHolders = new HashMap<>();
-        parts.keyHolders.forEach(holder -> holder.keys().forEach(key -> keyHolders.put(key, holder)));
+        builder.keyHolders.forEach(holder -> holder.keys().forEach(key -> keyHolders.put(key, holder)));
         routesByHost = new HashMap<>();
-        for (CallRoute each : parts.routes) {
+        for (CallRoute each : builder.routes) {
             routesByHost.computeIfAbsent(each.host(), host -> new ArrayList<>()).add(each);
         }
         Comparator<CallRoute> longestFirst =
@@ -128,8 +128,8 @@
 
         /** Returns the table, or the first reason why the parts are invalid. */
         public BuildResult build() {
-            Optional<String> fault = new RoutingTableValidator(routes, services, keyHolders).firstError();
-            return fault.<BuildResult>map(BuildResult.Invalid::new)
+            Optional<String> error = new RoutingTableValidator(routes, services, keyHolders).firstError();
+            return error.<BuildResult>map(BuildResult.Invalid::new)
                     .orElseGet(() -> new BuildResult.Valid(new RoutingTable(this)));
         }
     }
--- a/elmline-core/src/main/java/org/elmline/core/routing/RoutingTableValidator.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/RoutingTableValidator.java
@@ -38,24 +38,24 @@
     }
 
     private Optional<String> routeError() {
-        Set<ServiceName> known = new HashSet<>();
-        services.forEach(each -> known.add(each.name()));
-        Set<String> places = new HashSet<>();
+        Set<ServiceName> knownServices = new HashSet<>();
+        services.forEach(each -> knownServices.add(each.name()));
+        Set<String> hostsAndPaths = new HashSet<>();
         for (CallRoute each : routes) {
-            if (!places.add(each.host() + each.pathPrefix())) {
+            if (!hostsAndPaths.add(each.host() + each.pathPrefix())) {
                 return Optional.of("two routes share " + each.host() + each.pathPrefix());
             }
-            Optional<String> fault = routeError(each, known);
-            if (fault.isPresent()) {
-                return fault;
+            Optional<String> error = routeError(each, knownServices);
+            if (error.isPresent()) {
+                return error;
             }
         }
         return Optional.empty();
     }
 
-    private static Optional<String> routeError(CallRoute route, Set<ServiceName> known) {
+    private static Optional<String> routeError(CallRoute route, Set<ServiceName> knownServices) {
         for (WeightedService each : route.weightedServices()) {
-            if (!known.contains(each.service())) {
+            if (!knownServices.contains(each.service())) {
                 return Optional.of("route " + route.name() + " names the unknown service " + each.service());
             }
         }
@@ -65,17 +65,19 @@
         if (route.timeoutMillis() < 1) {
             return Optional.of("route " + route.name() + " has no timeout");
         }
-        boolean slashes =
+        boolean hasSlashes =
                 route.pathPrefix().startsWith("/") && route.pathPrefix().endsWith("/");
-        return slashes ? Optional.empty() : Optional.of("the prefix of route " + route.name() + " needs its slashes");
+        return hasSlashes
+                ? Optional.empty()
+                : Optional.of("the prefix of route " + route.name() + " needs its slashes");
     }
 
     /** Rejects a key that two organisations share, since their callers could not be told apart. */
     private Optional<String> keyError() {
-        Map<String, OrganisationId> owners = new HashMap<>();
+        Map<String, OrganisationId> organisationByKey = new HashMap<>();
         for (KeyHolder each : keyHolders) {
             for (String key : each.keys()) {
-                OrganisationId other = owners.put(key, each.organisation());
+                OrganisationId other = organisationByKey.put(key, each.organisation());
                 if (other != null && !other.equals(each.organisation())) {
                     return Optional.of(each.organisation() + " and " + other + " share a key");
                 }
--- a/elmline-core/src/test/java/org/elmline/core/routing/RoutingTableTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/routing/RoutingTableTest.java
@@ -63,7 +63,7 @@
     }
 
     @Test
-    void aKeyIsNeededUnlessTheRouteIsOpen() {
+    void requiresKeyUnlessRouteAllowsAnonymous() {
         KeyHolder guides = new KeyHolder(OrganisationId.of("guides"), List.of("k1", "k2"), 3);
         RoutingTable table = table(builder()
                 .requiresKey(true)
@@ -79,7 +79,7 @@
     }
 
     @Test
-    void unfitTablesAreRefused() {
+    void rejectsInvalidTables() {
         assertInvalid(builder()
                 .route(route("/a/").build())
                 .route(route("/a/").timeoutMillis(5).build()));
@@ -100,7 +100,7 @@
     }
 
     @Property(tries = 200, seed = "7")
-    void aServiceWithoutWeightIsNeverDrawn(@ForAll @DoubleRange(min = 0, max = 0.99) double draw) {
+    void neverChoosesServiceWithZeroWeight(@ForAll @DoubleRange(min = 0, max = 0.99) double draw) {
         CallRoute split = route("/a/")
                 .weightedServices(List.of(new WeightedService(BOOKING, 0), new WeightedService(DESK, 3)))
                 .build();
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void onlyWhatMayRunTwiceIsRepeated() {
+    void retriesOnlyIdempotentAndResumableCalls() {
         assertTrue(CallKind.IDEMPOTENT.mayRetry(false));
         assertNotEquals(true, CallKind.NOT_IDEMPOTENT.mayRetry(true));
         assertTrue(CallKind.STREAMING.mayRetry(true));
@@ -123,7 +123,7 @@
      * 210 thousand tokens take 0.82 s for the tokens and 2.02 s for their pairs with the figures of the users' engines.
      */
     @Test
-    void readingGrowsWithThePairsOfTokens() {
+    void prefillTimeIncludesPairsOfTokens() {
         BatchTiming timing = new BatchTiming(11, 450_000, 46, 0.925, 0.007, 0.00254, 256, 0.0917, 2048, 0.1);
         assertEquals(2_842, timing.prefillMillis(210_000), 1);
         assertEquals(46 * (0.925 + 2 * 0.007 + 10 * 0.00254), timing.passMillis(2, 10_000), 1e-9);
