--- a/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
@@ -10,16 +10,16 @@
 import org.elmline.core.route.GroupSlot;
 
 /**
- * How a prompt is cut over engines. It uses as few engines as can hold it, since each one more adds imports, and asks for
- * them in the order of their owners' ids, as every other group does.
+ * How a prompt is split over engines. A plan uses the fewest engines that can hold the prompt, since each additional
+ * one adds imports, and lists them in the order of their owners' ids, in which every group reserves. Immutable.
  *
- * @param predictedFirstTokenMillis milliseconds to the first token once reserved: the segments are read one after another
+ * @param predictedFirstTokenMillis milliseconds from reservation to the first token; segments are prefilled in sequence
  */
 public record GroupPlan(List<Segment> segments, long predictedFirstTokenMillis) {
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final int MAX_SEGMENTS = 16;
     private static final int MIN_SEGMENT_TOKENS = PromptBlocks.BLOCK_TOKENS;
-    /** Summaries lag, so a plan leaves a tenth of the free memory that they tell. */
+    /** A plan leaves a tenth of the free memory unused, since the summaries that report it lag. */
     private static final double USABLE_MEMORY_SHARE = 0.9;
 
     public GroupPlan {
@@ -27,9 +27,11 @@
     }
 
     /**
-     * Cuts a prompt, or says with empty that no set of up to {@value #MAX_SEGMENTS} slots holds it now.
+     * Plans a prompt over the given slots; empty if no set of up to {@value #MAX_SEGMENTS} of them can hold it now.
      *
-     * @param importShare part of a segment's memory that an import of it takes on another engine
+     * @param promptTokens length of the prompt in tokens
+     * @param maxOutputTokens longest answer in tokens, held by the last engine
+     * @param importShare share of a segment's KV memory that its import takes on another engine
      */
     public static Optional<GroupPlan> of(
             int promptTokens, int maxOutputTokens, List<GroupSlot> slots, double importShare, PrefillCost cost) {
@@ -48,7 +50,7 @@
         return Optional.empty();
     }
 
-    /** The text of each segment. */
+    /** Splits the prompt text into the texts of the segments. */
     public List<String> split(String prompt) {
         List<String> texts = new ArrayList<>();
         int from = 0;
@@ -85,7 +87,7 @@
         return whole ? Optional.of(new GroupPlan(segments, Math.round(seconds * MILLIS_PER_SECOND))) : Optional.empty();
     }
 
-    /** Leaves the segments after it something to read. */
+    /** Rounds down to whole blocks and leaves at least the minimum to the following segments. */
     private static int alignToBlocks(int tokens, int left) {
         int most = Math.min(tokens, left - MIN_SEGMENT_TOKENS);
         return Math.max(MIN_SEGMENT_TOKENS, most / PromptBlocks.BLOCK_TOKENS * PromptBlocks.BLOCK_TOKENS);
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupReservation.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupReservation.java
@@ -16,10 +16,10 @@
 import org.elmline.core.route.PlaceRequest;
 
 /**
- * Reserves the engines of one plan, all or nothing: one after another in the order of the owners' ids, and on the first
- * refusal everything is handed back. It never waits while it holds an engine, so two groups can't each hold what the
- * other needs; the common order makes one of two that meet fail at the first engine they share, not in the middle.
- * Not thread-safe.
+ * Reserves the engines of one plan, all or nothing: one after another in the order of the owners' ids; on the first
+ * refusal, all reservations are released. A group never waits for an engine while it holds another, so two groups that
+ * each hold an engine the other needs cannot deadlock. The common order makes one of two competing groups fail at the
+ * first engine that they share, before it has reserved most of its plan. Not thread-safe.
  */
 public final class GroupReservation {
     private final PlaceRequest wholeRequest;
@@ -27,7 +27,7 @@
     private final List<Grant> grants = new ArrayList<>();
     private boolean refused;
 
-    /** @param whole the request as it would be placed if an engine could hold it */
+    /** @param whole the request for the whole prompt, as it would be placed on one engine */
     public GroupReservation(PlaceRequest whole, GroupPlan plan) {
         this.wholeRequest = whole;
         this.plan = plan;
@@ -42,7 +42,7 @@
         return Optional.of(new OwnerCall(segment.owner(), segmentRequest(segment, grants.size())));
     }
 
-    /** Takes the answer to {@link #nextCall} in. */
+    /** Records the answer to {@link #nextCall}. */
     public void onAnswer(OwnerPlaceAnswer answer) {
         if (answer instanceof OwnerPlaceAnswer.Placed placed) {
             grants.add(placed.grant());
@@ -51,7 +51,7 @@
         }
     }
 
-    /** No answer came: the owner may have reserved all the same. */
+    /** Records that {@link #nextCall} was not answered; the owner may have reserved the engine nevertheless. */
     public void onNoAnswer() {
         refused = true;
     }
@@ -70,8 +70,8 @@
     }
 
     /**
-     * After a refusal, the attempts to release and their owners. The one that was refused or unanswered is among them:
-     * its grant may exist, or be made later by a request still on its way, which the release then forestalls.
+     * After a refusal, the attempts to release and their owners. They include the one that was refused or unanswered:
+     * its grant may exist already, or a request still in flight would create it later; the release prevents that.
      */
     public List<OwnerRelease> releases() {
         List<OwnerRelease> handbacks = new ArrayList<>();
@@ -81,7 +81,7 @@
         return handbacks;
     }
 
-    /** Identity of the attempt that reads one segment. */
+    /** Id of the attempt that prefills one segment. */
     public static AttemptId segmentAttempt(AttemptId whole, int segment) {
         return AttemptId.of(whole.value() + "/" + segment);
     }
@@ -108,9 +108,9 @@
                 segment.contextTokens());
     }
 
-    /** One call to an owner. */
+    /** A placement request and the owner to send it to. */
     public record OwnerCall(HostId owner, PlaceRequest request) {}
 
-    /** One grant to release at its owner. */
+    /** An attempt whose grant must be released, and its owner. */
     public record OwnerRelease(HostId owner, AttemptId attempt) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupRun.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupRun.java
@@ -19,10 +19,11 @@
 import org.elmline.core.stream.Cancel;
 
 /**
- * Runs a reserved group: for each engine in turn, import the segments before, then read the own one and keep it, or, on
- * the last engine, answer. Exports stay until the answer is complete, since later engines go on reading from them.
- * However it ends, every engine is told to free whatever it might hold, also for a call whose answer never came; a grant
- * is released only when its engine has acknowledged all of that. Not thread-safe.
+ * Runs a reserved group. Each engine in turn imports the preceding segments, then prefills its own segment and exports
+ * it; the last engine streams the answer instead. Exports are kept until the answer is complete, since later engines
+ * attend to them. When the run ends for any reason, each engine receives cancels for everything that it might hold,
+ * also for calls that were never answered; a grant is released only after its engine has acknowledged all of them. Not
+ * thread-safe.
  */
 public final class GroupRun {
     private final PlaceRequest wholeRequest;
@@ -37,7 +38,8 @@
 
     public GroupRun(PlaceRequest whole, GroupPlan plan, List<Grant> grants, String prompt) {
         if (grants.size() != plan.segments().size()) {
-            throw new IllegalArgumentException("a group runs only when all its engines are reserved");
+            throw new IllegalArgumentException("group run has " + grants.size() + " grants for "
+                    + plan.segments().size() + " segments");
         }
         this.wholeRequest = whole;
         this.plan = plan;
@@ -46,9 +48,9 @@
     }
 
     /**
-     * The call to make now; the same one until it is answered, empty once the run ended.
+     * The call to make next. Returns the same call until it is answered, and empty once the run has ended.
      *
-     * @param delivered pieces that the caller has from an earlier try
+     * @param delivered pieces that the caller has received from an earlier attempt
      */
     public Optional<GroupStep> nextStep(List<String> delivered) {
         if (ended) {
@@ -66,14 +68,14 @@
                 on, engineRequest(current, wholeRequest.demand().maxOutputTokens(), delivered)));
     }
 
-    /** The import that {@link #nextStep} asked for is done. */
+    /** Records that the import returned by {@link #nextStep} is complete. */
     public void imported() {
         if (!ended) {
             imported++;
         }
     }
 
-    /** The segment that {@link #nextStep} asked for was read and is kept. */
+    /** Records that the segment returned by {@link #nextStep} was prefilled and exported. */
     public void exported(KvExport export) {
         if (!ended) {
             exports.add(export);
@@ -82,8 +84,8 @@
     }
 
     /**
-     * The run is over: the answer is complete, a call failed, the caller left or the deadline passed. Returns what every
-     * engine must free; calling it again returns what is not acknowledged yet.
+     * Ends the run: the answer is complete, a call failed, the caller disconnected or the deadline passed. Returns the
+     * cancels for all engines; further calls return those not yet acknowledged.
      */
     public List<Cancel> end() {
         if (!ended) {
@@ -95,7 +97,7 @@
         return all;
     }
 
-    /** The engine holds nothing for it any more. Returns the grant to release when that was the engine's last. */
+    /** Records an acknowledged cancel. Returns the grant to release if this was the last cancel of its engine. */
     public Optional<Grant> freed(Cancel cancel) {
         Set<Cancel> left = unacknowledged.get(cancel.server());
         if (left == null || !left.remove(cancel) || !left.isEmpty() || !released.add(cancel.server())) {
@@ -106,7 +108,7 @@
                 .findFirst();
     }
 
-    /** The engine's incarnation is gone, and its memory with it. Returns the grant to release. */
+    /** Records that the engine's incarnation ended, and with it all its memory. Returns the grant to release. */
     public Optional<Grant> engineLost(BackendServerId server) {
         Set<Cancel> left = unacknowledged.get(server);
         if (left == null || !released.add(server)) {
@@ -116,17 +118,17 @@
         return grants.stream().filter(each -> each.server().equals(server)).findFirst();
     }
 
-    /** The group's engines, in the order of the segments. */
+    /** The grants of the group's engines, in the order of the segments. */
     public List<Grant> grants() {
         return grants;
     }
 
-    /** Whether every grant was handed out for release. */
+    /** Whether the run ended and every grant was returned for release. */
     public boolean isDone() {
         return ended && released.size() == grants.size();
     }
 
-    /** The segment that is read now, counted from 0. */
+    /** Index of the segment being prefilled, from 0. */
     public int currentSegment() {
         return exports.size();
     }
--- a/elmline-core/src/main/java/org/elmline/core/group/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Prompts larger than one engine. The prompt is cut into segments; each is read by one engine that holds its KV, and
- * later engines attend to it through imports; the last engine answers. The engines are reserved all or nothing.
+ * Serving of prompts that do not fit into one engine. The prompt is split into segments; each is prefilled by one
+ * engine, which holds its KV; later engines attend to it through imports, and the last engine streams the answer. The
+ * engines are reserved all or nothing.
  */
 package org.elmline.core.group;
--- a/elmline-core/src/test/java/org/elmline/core/group/GroupTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/group/GroupTest.java
@@ -34,7 +34,7 @@
     private static final int OWNERS = 4;
     private static final long CAPACITY = 120_000;
 
-    /** Whatever the free memory, a plan holds the whole prompt, fits each engine and is in the order of owners. */
+    /** For any free memory, a plan covers the whole prompt, fits into each engine and is ordered by owner. */
     @Property(tries = 1_000, seed = "5008")
     void plansHoldTheWholePromptAndFit(@ForAll long seed) {
         Random random = new Random(seed);
@@ -47,7 +47,9 @@
         }
         int prompt = 1 + random.nextInt(1_000_000);
         Optional<GroupPlan> plan = GroupPlan.of(prompt, 1_000, slots, IMPORT_SHARE, PrefillCost.DEFAULT);
-        assertTrue(plan.isPresent() || free < 2L * prompt + 20_000 || slots.size() < 2, "room for " + prompt);
+        assertTrue(
+                plan.isPresent() || free < 2L * prompt + 20_000 || slots.size() < 2,
+                "no plan despite enough free memory for a prompt of " + prompt + " tokens");
         plan.ifPresent(each -> check(each, prompt, slots));
     }
 
@@ -61,7 +63,7 @@
             assertTrue(each.promptTokens() > 0 && each.owner().compareTo(last) >= 0);
             assertTrue(each.extraKvTokens() >= context * IMPORT_SHARE);
             long need = (long) each.promptTokens() + each.extraKvTokens();
-            assertTrue(free.removeIf(new FirstAtLeast(need)), "no engine has " + need);
+            assertTrue(free.removeIf(new FirstAtLeast(need)), "no engine has " + need + " free tokens");
             context += each.promptTokens();
             last = each.owner();
         }
@@ -69,7 +71,7 @@
         assertEquals("x".repeat(4 * prompt), String.join("", plan.split("x".repeat(4 * prompt))));
     }
 
-    /** Matches one element only. */
+    /** Matches only the first element of at least the given value. */
     private static final class FirstAtLeast implements java.util.function.Predicate<Long> {
         private final long need;
         private boolean found;
@@ -87,10 +89,10 @@
     }
 
     /**
-     * Several prompts, each larger than any engine, reserve engines of several owners at the same time, their calls
-     * interleaved at random and some answers lost. If one held engines while it waited for others, two could wait for
-     * each other for good. Here each ends after a bounded number of calls, as complete or refused, and once the refused
-     * ones handed back, only the complete ones' memory is taken.
+     * Guards against deadlock: a group that held engines while it waited for others could wait for another group
+     * forever. Several prompts, each larger than any engine, reserve engines of several owners concurrently, with calls
+     * interleaved at random and some answers lost. Each must end after a bounded number of calls, as complete or
+     * refused. After the refused ones have released, only the memory of the complete ones may be reserved.
      */
     @Property(tries = 200, seed = "5009")
     void groupsNeverWaitForEachOther(@ForAll long seed) {
@@ -137,7 +139,7 @@
     private static void call(GroupReservation group, Map<HostId, OwnerFixture> owners, boolean answerLost) {
         GroupReservation.OwnerCall ask = group.nextCall().orElseThrow();
         Optional<OwnerPlaceAnswer> answer = owners.get(ask.owner()).place(ask.request());
-        assertTrue(answer.isPresent(), "a segment waits at its owner");
+        assertTrue(answer.isPresent(), "a segment request was queued at its owner");
         if (answerLost) {
             group.onNoAnswer();
         } else {
@@ -146,9 +148,10 @@
     }
 
     /**
-     * A run over three engines ends anywhere: complete, at a failed call, or because the caller left. Some calls reached
-     * the engine though their answer was lost. Whatever an engine may hold must be among the cancels, and each grant is
-     * released once, after its engine acknowledged them all.
+     * Guards against memory leaks on engines. A run over three engines ends at any step: complete, at a failed call, or
+     * because the caller disconnected; some calls reach the engine although their answer is lost. The cancels must
+     * cover everything that an engine may hold, and each grant must be released once, after its engine acknowledged
+     * them all.
      */
     @Property(tries = 300, seed = "5010")
     void everyEndFreesEveryEngine(@ForAll long seed) {
@@ -186,14 +189,14 @@
         assertEquals(3 * CAPACITY, fixture.freeTokens());
     }
 
-    /** Returns the tokens that the call reads for the first time. */
+    /** Performs a step and returns the number of tokens that it prefills. */
     private static int perform(GroupRun run, GroupStep step, Map<BackendServerId, Set<String>> held, boolean answered) {
         Set<String> there = held.computeIfAbsent(step.target().server(), id -> new HashSet<>());
         if (step instanceof GroupStep.ImportKv importKv) {
             assertTrue(
                     held.get(importKv.source().server())
                             .contains(importKv.export().id()),
-                    "freed too early");
+                    "export freed before a later engine imported it");
             there.add(importKv.export().id());
             if (answered) {
                 run.imported();
@@ -203,7 +206,7 @@
         EngineRequest request = step instanceof GroupStep.ExportKv export
                 ? export.request()
                 : ((GroupStep.StreamAnswer) step).request();
-        assertTrue(there.containsAll(request.kvImports()), "reads without the segments before");
+        assertTrue(there.containsAll(request.kvImports()), "prefill without an import of each preceding segment");
         assertEquals(run.currentSegment(), request.kvImports().size());
         there.add(request.attempt().value());
         if (answered && step instanceof GroupStep.ExportKv) {
@@ -233,7 +236,7 @@
             });
         }
         assertEquals(3, released.size());
-        assertTrue(held.values().stream().allMatch(Set::isEmpty), "left on an engine: " + held);
+        assertTrue(held.values().stream().allMatch(Set::isEmpty), "not freed on an engine: " + held);
         assertFalse(run.nextStep(List.of()).isPresent());
     }
 }
