--- a/elmline-core/src/main/java/org/elmline/core/backend/AnnounceAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/AnnounceAnswer.java
@@ -5,11 +5,11 @@
 import org.elmline.core.common.Address;
 
 /**
- * How often to announce and where.
+ * The answer to an announcement: how often to announce, and where. Immutable.
  *
  * @param intervalMillis milliseconds between announcements
- * @param leaseMillis milliseconds without one after which new work stops
- * @param announceTo addresses to use next, best first: the owner entry, then others to fall back on
+ * @param leaseMillis milliseconds without an announcement after which the server receives no new work
+ * @param announceTo addresses for further announcements, preferred first: the owner entry, then alternatives
  */
 public record AnnounceAnswer(long intervalMillis, long leaseMillis, List<Address> announceTo) {
     public AnnounceAnswer {
--- a/elmline-core/src/main/java/org/elmline/core/backend/AnnounceCounts.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/AnnounceCounts.java
@@ -1,6 +1,6 @@
 package org.elmline.core.backend;
 
-/** Announcements taken and refused since the start, for the daemon's counters. */
+/** Number of announcements accepted and rejected since the start of the process, for its metrics. Immutable. */
 public record AnnounceCounts(long accepted, long staleIncarnation, long invalid) {
     AnnounceCounts plus(AnnounceResult result) {
         return new AnnounceCounts(
--- a/elmline-core/src/main/java/org/elmline/core/backend/AnnounceResult.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/AnnounceResult.java
@@ -1,17 +1,17 @@
 package org.elmline.core.backend;
 
-/** What an announcement changed. */
+/** Outcome of an announcement. */
 public enum AnnounceResult {
-    /** Not known before, or its lease had run out. */
+    /** A server not in the table, or one whose lease had expired. */
     JOINED(true),
     RENEWED(true),
-    /** A later start under the same id: what its earlier start held is gone. */
+    /** A later incarnation under the same id; the state of the earlier one is lost. */
     RESTARTED(true),
-    /** It stopped taking new work. */
+    /** The server stopped accepting new work. */
     LEAVING(true),
-    /** An earlier start than the one known, delayed on its way or still running beside it; ignored. */
+    /** An earlier incarnation than the one in the table: delayed in the network or still running; ignored. */
     STALE_INCARNATION(false),
-    /** A malformed name, names and versions that don't match up, or an engine without memory; ignored. */
+    /** A malformed name, names and versions of different number, or an engine without KV memory; ignored. */
     INVALID(false);
 
     private final boolean accepted;
--- a/elmline-core/src/main/java/org/elmline/core/backend/Announcement.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/Announcement.java
@@ -11,15 +11,15 @@
 import org.elmline.core.engine.EngineLoad;
 
 /**
- * What a backend server says of itself, every few seconds, to any entry.
+ * The description that a backend server sends to an entry every few seconds. Immutable.
  *
- * @param protocol name of the engine plug-in that speaks to it; ignored for services
+ * @param protocol name of the plug-in that implements the engine's protocol; ignored for services
  * @param names models of an engine, or services of a plain service
  * @param versions version of each of {@code names}, in the same order
  * @param capacityKvTokens memory for KV cache in tokens; 0 for services
- * @param prefillTokensPerSecond prompt tokens an idle engine reads a second; 0 when not known
- * @param checksFencing whether it refuses orders under an old fencing number
- * @param leaving true once it wants no new work
+ * @param prefillTokensPerSecond prompt tokens that an idle engine prefills per second; 0 if not known
+ * @param checksFencing whether it rejects orders with an old fencing number
+ * @param leaving true once it accepts no new work
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NONE)
 public record Announcement(
@@ -57,7 +57,7 @@
         load = load == null ? new EngineLoad(0, 0, 0) : load;
     }
 
-    /** The same server, wanting no new work. */
+    /** Returns a copy with {@code leaving} set. */
     public Announcement asLeaving() {
         return new Announcement(
                 id,
--- a/elmline-core/src/main/java/org/elmline/core/backend/ServerChangeDetector.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/ServerChangeDetector.java
@@ -10,13 +10,15 @@
 import org.elmline.core.common.Incarnation;
 import org.elmline.core.timeline.BackendEvent;
 
-/** Tells what changed between two looks at an owner's backend servers, as events for the time line. */
+/**
+ * Detects changes between successive lists of an owner's backend servers, as events for the time line. Not thread-safe.
+ */
 public final class ServerChangeDetector {
     private Map<BackendServerId, ObservedServer> previous = Map.of();
 
     private record ObservedServer(Incarnation incarnation, boolean leaving) {}
 
-    /** The changes since the last call, in the order of the servers given; lost ones come first. */
+    /** Returns the changes since the previous call: lost servers first, then the others in the order given. */
     public List<BackendEvent> detect(Collection<Announcement> servers) {
         Map<BackendServerId, ObservedServer> now = new HashMap<>();
         servers.forEach(each -> now.put(each.id(), new ObservedServer(each.incarnation(), each.leaving())));
--- a/elmline-core/src/main/java/org/elmline/core/backend/ServerTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/ServerTable.java
@@ -15,9 +15,9 @@
 import org.elmline.core.common.ModelName;
 
 /**
- * The backend servers that announced themselves to this owner. Each holds a lease counted from its last announcement on
- * the monotonic clock; there is no list of servers to compare with, so silence is the only sign of a loss. Not
- * thread-safe.
+ * The backend servers that announced themselves to this owner. Each has a lease from its last announcement, in
+ * nanoseconds on the monotonic clock. There is no configured list of servers to compare with, so the loss of a server
+ * is detected only by the expiry of its lease. Not thread-safe.
  */
 public final class ServerTable {
     private static final int MAX_LOST_INCARNATIONS = 1_024;
@@ -37,7 +37,7 @@
         this.leaseNanos = leaseMillis * NANOS_PER_MILLI;
     }
 
-    /** Takes an announcement in and says what it changed. */
+    /** Applies an announcement and returns its outcome. */
     public AnnounceResult announce(Announcement announcement, long now) {
         AnnounceResult result = classify(announcement, leasedServers.get(announcement.id()));
         counts = counts.plus(result);
@@ -48,7 +48,7 @@
         return result;
     }
 
-    /** Removes and returns the servers whose lease has run out. */
+    /** Removes and returns the servers whose lease has expired. */
     public List<Announcement> expire(long now) {
         List<Announcement> lost = new ArrayList<>();
         Iterator<LeasedServer> each = leasedServers.values().iterator();
@@ -72,12 +72,12 @@
         return Collections.unmodifiableCollection(leasedServers.keySet());
     }
 
-    /** Servers with a live lease. */
+    /** Servers that have a lease; one whose lease has expired is included until the next {@link #expire}. */
     public List<Announcement> all() {
         return leasedServers.values().stream().map(LeasedServer::announcement).toList();
     }
 
-    /** Servers of one kind with a live lease. */
+    /** Servers of one kind, as {@link #all}. */
     public List<Announcement> ofKind(BackendKind kind) {
         return leasedServers.values().stream()
                 .map(LeasedServer::announcement)
@@ -103,7 +103,8 @@
             return older ? AnnounceResult.STALE_INCARNATION : AnnounceResult.JOINED;
         }
         int order = next.incarnation().compareTo(known.announcement().incarnation());
-        // Without this check a delayed announcement of a dead start would bring back its address and its "not leaving".
+        // Without this check, a delayed announcement of an ended incarnation would restore its address and not-leaving
+        // state.
         if (order < 0) {
             return AnnounceResult.STALE_INCARNATION;
         }
--- a/elmline-core/src/test/java/org/elmline/core/backend/ServerChangesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/backend/ServerChangesTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 class ServerChangesTest {
-    /** A look is a list of servers: name, start, and {@code !} when it is leaving. Events: + joined, ! leaving, - lost. */
+    /** A snapshot lists servers as name, incarnation and {@code !} if leaving. Events: + joined, ! leaving, - lost. */
     @ParameterizedTest
     @CsvSource(
             delimiter = '|',
