--- a/elmline-core/src/main/java/org/elmline/core/peer/HandlerRegistry.java
+++ b/elmline-core/src/main/java/org/elmline/core/peer/HandlerRegistry.java
@@ -1,6 +1,6 @@
 package org.elmline.core.peer;
 
-/** Where a process registers the channels it serves. Registering one name twice is a broken invariant. */
+/** Registers the handlers of the channels that a process serves. Each channel name may be registered only once. */
 public interface HandlerRegistry {
     <Q, R> void register(Channel<Q, R> channel, PeerHandler<Q, R> handler);
 }
--- a/elmline-core/src/main/java/org/elmline/core/peer/PeerNetwork.java
+++ b/elmline-core/src/main/java/org/elmline/core/peer/PeerNetwork.java
@@ -6,8 +6,8 @@
 import org.elmline.core.common.Address;
 import org.elmline.core.common.CallResult;
 
-/** Sends typed calls to other elmline processes. Never blocks; the result always arrives within the timeout. */
+/** Sends typed calls to other elmline processes. Never blocks; every call completes within its timeout. */
 public interface PeerNetwork {
-    /** Completes normally in every case: a failure to send or a timeout is a value of {@link CallResult}. */
+    /** Always completes normally: a failure to send or a timeout is a value of {@link CallResult}. */
     <Q, R> CompletableFuture<CallResult<R>> call(Address to, Channel<Q, R> channel, Q request, Duration timeout);
 }
