--- a/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
@@ -38,8 +38,8 @@
         List<GroupSlot> largestFirst = new ArrayList<>(slots);
         largestFirst.sort(
                 Comparator.comparingLong(GroupSlot::freeKvTokens).reversed().thenComparing(GroupSlot::owner));
-        int most = Math.min(MAX_SEGMENTS, largestFirst.size());
-        for (int count = 1; count <= most; count++) {
+        int maxCount = Math.min(MAX_SEGMENTS, largestFirst.size());
+        for (int count = 1; count <= maxCount; count++) {
             List<GroupSlot> used = new ArrayList<>(largestFirst.subList(0, count));
             used.sort(Comparator.comparing(GroupSlot::owner));
             Optional<GroupPlan> plan = allocate(promptTokens, maxOutputTokens, used, importShare, cost);
@@ -70,26 +70,28 @@
         double seconds = 0;
         for (int i = 0; i < used.size(); i++) {
             GroupSlot slot = used.get(i);
-            boolean last = i == used.size() - 1;
-            int imports = (int) Math.ceil(context * importShare) + i;
-            int extra = imports + (last ? maxOutputTokens : 0);
-            long room = (long) (slot.freeKvTokens() * USABLE_MEMORY_SHARE) - extra;
-            int tokens = (int) Math.min(room, promptTokens - context);
+            boolean isLast = i == used.size() - 1;
+            int importTokens = (int) Math.ceil(context * importShare) + i;
+            int extraTokens = importTokens + (isLast ? maxOutputTokens : 0);
+            long availableTokens = (long) (slot.freeKvTokens() * USABLE_MEMORY_SHARE) - extraTokens;
+            int tokens = (int) Math.min(availableTokens, promptTokens - context);
             if (tokens < Math.min(MIN_SEGMENT_TOKENS, promptTokens)) {
                 return Optional.empty();
             }
-            tokens = last ? tokens : alignToBlocks(tokens, promptTokens - context);
-            segments.add(new Segment(slot.owner(), tokens, context, extra));
+            tokens = isLast ? tokens : alignToBlocks(tokens, promptTokens - context);
+            segments.add(new Segment(slot.owner(), tokens, context, extraTokens));
             seconds += cost.costTokens(context + tokens, context) / slot.tokensPerSecond();
             context += tokens;
         }
-        boolean whole = context == promptTokens;
-        return whole ? Optional.of(new GroupPlan(segments, Math.round(seconds * MILLIS_PER_SECOND))) : Optional.empty();
+        boolean isComplete = context == promptTokens;
+        return isComplete
+                ? Optional.of(new GroupPlan(segments, Math.round(seconds * MILLIS_PER_SECOND)))
+                : Optional.empty();
     }
 
     /** Rounds down to whole blocks and leaves at least the minimum to the following segments. */
-    private static int alignToBlocks(int tokens, int left) {
-        int most = Math.min(tokens, left - MIN_SEGMENT_TOKENS);
-        return Math.max(MIN_SEGMENT_TOKENS, most / PromptBlocks.BLOCK_TOKENS * PromptBlocks.BLOCK_TOKENS);
+    private static int alignToBlocks(int tokens, int remainingTokens) {
+        int maxTokens = Math.min(tokens, remainingTokens - MIN_SEGMENT_TOKENS);
+        return Math.max(MIN_SEGMENT_TOKENS, maxTokens / PromptBlocks.BLOCK_TOKENS * PromptBlocks.BLOCK_TOKENS);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupReservation.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupReservation.java
@@ -74,11 +74,11 @@
      * its grant may exist already, or a request still in flight would create it later; the release prevents that.
      */
     public List<OwnerRelease> releases() {
-        List<OwnerRelease> handbacks = new ArrayList<>();
+        List<OwnerRelease> releases = new ArrayList<>();
         for (int i = 0; refused && i <= grants.size() && i < plan.segments().size(); i++) {
-            handbacks.add(new OwnerRelease(plan.segments().get(i).owner(), segmentAttempt(wholeRequest.attempt(), i)));
+            releases.add(new OwnerRelease(plan.segments().get(i).owner(), segmentAttempt(wholeRequest.attempt(), i)));
         }
-        return handbacks;
+        return releases;
     }
 
     /** Id of the attempt that prefills one segment. */
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupRun.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupRun.java
@@ -56,16 +56,16 @@
         if (ended) {
             return Optional.empty();
         }
-        int current = exports.size();
-        Grant on = grants.get(current);
-        if (imported < current) {
-            return Optional.of(new GroupStep.ImportKv(on, exports.get(imported), grants.get(imported)));
+        int index = exports.size();
+        Grant grant = grants.get(index);
+        if (imported < index) {
+            return Optional.of(new GroupStep.ImportKv(grant, exports.get(imported), grants.get(imported)));
         }
-        if (current < grants.size() - 1) {
-            return Optional.of(new GroupStep.ExportKv(on, engineRequest(current, 0, List.of())));
+        if (index < grants.size() - 1) {
+            return Optional.of(new GroupStep.ExportKv(grant, engineRequest(index, 0, List.of())));
         }
         return Optional.of(new GroupStep.StreamAnswer(
-                on, engineRequest(current, wholeRequest.demand().maxOutputTokens(), delivered)));
+                grant, engineRequest(index, wholeRequest.demand().maxOutputTokens(), delivered)));
     }
 
     /** Records that the import returned by {@link #nextStep} is complete. */
@@ -99,8 +99,8 @@
 
     /** Records an acknowledged cancel. Returns the grant to release if this was the last cancel of its engine. */
     public Optional<Grant> freed(Cancel cancel) {
-        Set<Cancel> left = unacknowledged.get(cancel.server());
-        if (left == null || !left.remove(cancel) || !left.isEmpty() || !released.add(cancel.server())) {
+        Set<Cancel> pending = unacknowledged.get(cancel.server());
+        if (pending == null || !pending.remove(cancel) || !pending.isEmpty() || !released.add(cancel.server())) {
             return Optional.empty();
         }
         return grants.stream()
@@ -110,11 +110,11 @@
 
     /** Records that the engine's incarnation ended, and with it all its memory. Returns the grant to release. */
     public Optional<Grant> engineLost(BackendServerId server) {
-        Set<Cancel> left = unacknowledged.get(server);
-        if (left == null || !released.add(server)) {
+        Set<Cancel> pending = unacknowledged.get(server);
+        if (pending == null || !released.add(server)) {
             return Optional.empty();
         }
-        left.clear();
+        pending.clear();
         return grants.stream().filter(each -> each.server().equals(server)).findFirst();
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/group/GroupTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/group/GroupTest.java
@@ -36,7 +36,7 @@
 
     /** For any free memory, a plan covers the whole prompt, fits into each engine and is ordered by owner. */
     @Property(tries = 1_000, seed = "5008")
-    void plansHoldTheWholePromptAndFit(@ForAll long seed) {
+    void plansCoverWholePromptAndFitEngines(@ForAll long seed) {
         Random random = new Random(seed);
         List<GroupSlot> slots = new ArrayList<>();
         long free = 0;
@@ -95,7 +95,7 @@
      * refused. After the refused ones have released, only the memory of the complete ones may be reserved.
      */
     @Property(tries = 200, seed = "5009")
-    void groupsNeverWaitForEachOther(@ForAll long seed) {
+    void concurrentReservationsNeverDeadlock(@ForAll long seed) {
         Random random = new Random(seed);
         Map<HostId, OwnerFixture> owners = new HashMap<>();
         List<GroupSlot> slots = new ArrayList<>();
@@ -108,14 +108,14 @@
         for (int i = 0; i < 4; i++) {
             int prompt = 150_000 + random.nextInt(150_000);
             PlaceRequest whole = new OwnerFixture().request("org", prompt, 0, 600_000);
-            PlaceRequest named = new PlaceRequest(
+            PlaceRequest request = new PlaceRequest(
                     AttemptId.of("group-" + i),
                     whole.host(),
                     whole.incarnation(),
                     whole.organisation(),
                     whole.demand());
             GroupPlan.of(prompt, 100, slots, IMPORT_SHARE, PrefillCost.DEFAULT)
-                    .ifPresent(plan -> groups.add(new GroupReservation(named, plan)));
+                    .ifPresent(plan -> groups.add(new GroupReservation(request, plan)));
         }
         for (int call = 0; call < 16; call++) {
             List<GroupReservation> open =
@@ -124,21 +124,21 @@
                 call(open.get(random.nextInt(open.size())), owners, random.nextInt(10) == 0);
             }
         }
-        long taken = 0;
+        long reservedTokens = 0;
         for (GroupReservation each : groups) {
             assertTrue(each.isComplete() ^ each.refused(), "neither complete nor refused");
             each.releases().forEach(one -> owners.get(one.owner()).release(one.attempt(), ReleaseCause.NOT_STARTED));
-            taken += each.isComplete()
+            reservedTokens += each.isComplete()
                     ? each.grants().stream().mapToLong(Grant::kvTokens).sum()
                     : 0;
         }
         long free = owners.values().stream().mapToLong(OwnerFixture::freeTokens).sum();
-        assertEquals(OWNERS * CAPACITY - taken, free);
+        assertEquals(OWNERS * CAPACITY - reservedTokens, free);
     }
 
     private static void call(GroupReservation group, Map<HostId, OwnerFixture> owners, boolean answerLost) {
-        GroupReservation.OwnerCall ask = group.nextCall().orElseThrow();
-        Optional<OwnerPlaceAnswer> answer = owners.get(ask.owner()).place(ask.request());
+        GroupReservation.OwnerCall ownerCall = group.nextCall().orElseThrow();
+        Optional<OwnerPlaceAnswer> answer = owners.get(ownerCall.owner()).place(ownerCall.request());
         assertTrue(answer.isPresent(), "a segment request was queued at its owner");
         if (answerLost) {
             group.onNoAnswer();
@@ -154,7 +154,7 @@
      * them all.
      */
     @Property(tries = 300, seed = "5010")
-    void everyEndFreesEveryEngine(@ForAll long seed) {
+    void everyEndOfARunFreesAllEngines(@ForAll long seed) {
         Random random = new Random(seed);
         int prompt = 300_000;
         OwnerFixture fixture = new OwnerFixture().engines(3, CAPACITY);
@@ -173,17 +173,17 @@
         assertTrue(reservation.isComplete());
         GroupRun run = new GroupRun(whole, plan, reservation.grants(), "x".repeat(4 * prompt));
         Map<BackendServerId, Set<String>> held = new HashMap<>();
-        int readTokens = 0;
+        int prefilledTokens = 0;
         Optional<GroupStep> step = run.nextStep(List.of());
         while (step.isPresent() && random.nextInt(8) > 0) {
             boolean answered = random.nextInt(8) > 0;
-            readTokens += perform(run, step.get(), held, answered);
+            prefilledTokens += perform(run, step.get(), held, answered);
             if (!answered || step.get() instanceof GroupStep.StreamAnswer) {
                 run.end();
             }
             step = run.nextStep(List.of());
         }
-        assertTrue(readTokens <= prompt);
+        assertTrue(prefilledTokens <= prompt);
         free(run, held, fixture, random);
         assertTrue(run.isDone());
         assertEquals(3 * CAPACITY, fixture.freeTokens());
@@ -191,13 +191,13 @@
 
     /** Performs a step and returns the number of tokens that it prefills. */
     private static int perform(GroupRun run, GroupStep step, Map<BackendServerId, Set<String>> held, boolean answered) {
-        Set<String> there = held.computeIfAbsent(step.target().server(), id -> new HashSet<>());
+        Set<String> heldByTarget = held.computeIfAbsent(step.target().server(), id -> new HashSet<>());
         if (step instanceof GroupStep.ImportKv importKv) {
             assertTrue(
                     held.get(importKv.source().server())
                             .contains(importKv.export().id()),
                     "export freed before a later engine imported it");
-            there.add(importKv.export().id());
+            heldByTarget.add(importKv.export().id());
             if (answered) {
                 run.imported();
             }
@@ -206,9 +206,10 @@
         EngineRequest request = step instanceof GroupStep.ExportKv export
                 ? export.request()
                 : ((GroupStep.StreamAnswer) step).request();
-        assertTrue(there.containsAll(request.kvImports()), "prefill without an import of each preceding segment");
+        assertTrue(
+                heldByTarget.containsAll(request.kvImports()), "prefill without an import of each preceding segment");
         assertEquals(run.currentSegment(), request.kvImports().size());
-        there.add(request.attempt().value());
+        heldByTarget.add(request.attempt().value());
         if (answered && step instanceof GroupStep.ExportKv) {
             String id = request.attempt().value();
             run.exported(new KvExport(id, request.attempt(), request.host(), request.incarnation(), 1));
@@ -222,11 +223,12 @@
         while (!run.end().isEmpty()) {
             List<Cancel> open = run.end();
             Cancel one = open.get(random.nextInt(open.size()));
-            Set<String> there = held.getOrDefault(one.server(), new HashSet<>());
-            there.remove(one.targetsExport() ? one.exportId() : one.attempt().value());
+            Set<String> heldByTarget = held.getOrDefault(one.server(), new HashSet<>());
+            heldByTarget.remove(
+                    one.targetsExport() ? one.exportId() : one.attempt().value());
             boolean lost = random.nextInt(10) == 0;
             if (lost) {
-                there.clear();
+                heldByTarget.clear();
             }
             Optional<Grant> grant = lost ? run.engineLost(one.server()) : run.freed(one);
             assertEquals(Optional.empty(), run.freed(one), "acknowledged twice");
