--- a/elmline-core/src/main/java/org/elmline/core/backend/ServerChangeDetector.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/ServerChangeDetector.java
@@ -20,28 +20,28 @@
 
     /** Returns the changes since the previous call: lost servers first, then the others in the order given. */
     public List<BackendEvent> detect(Collection<Announcement> servers) {
-        Map<BackendServerId, ObservedServer> now = new HashMap<>();
-        servers.forEach(each -> now.put(each.id(), new ObservedServer(each.incarnation(), each.leaving())));
+        Map<BackendServerId, ObservedServer> current = new HashMap<>();
+        servers.forEach(each -> current.put(each.id(), new ObservedServer(each.incarnation(), each.leaving())));
         List<BackendEvent> changes = new ArrayList<>();
         for (Map.Entry<BackendServerId, ObservedServer> each : previous.entrySet()) {
-            boolean gone = !now.containsKey(each.getKey());
-            if (gone && !each.getValue().leaving()) {
+            boolean isGone = !current.containsKey(each.getKey());
+            if (isGone && !each.getValue().leaving()) {
                 changes.add(new BackendEvent.Lost(each.getKey()));
             }
         }
         for (Announcement each : servers) {
             addChanges(each, previous.get(each.id()), changes);
         }
-        previous = now;
+        previous = current;
         return changes;
     }
 
     private static void addChanges(Announcement server, ObservedServer earlier, List<BackendEvent> changes) {
-        boolean sameStart = earlier != null && earlier.incarnation().equals(server.incarnation());
-        if (!sameStart) {
+        boolean isSameIncarnation = earlier != null && earlier.incarnation().equals(server.incarnation());
+        if (!isSameIncarnation) {
             changes.add(new BackendEvent.Joined(server.id(), server.incarnation()));
         }
-        boolean wasLeaving = sameStart && earlier.leaving();
+        boolean wasLeaving = isSameIncarnation && earlier.leaving();
         if (server.leaving() && !wasLeaving) {
             changes.add(new BackendEvent.Leaving(server.id()));
         } else if (wasLeaving && !server.leaving()) {
--- a/elmline-core/src/main/java/org/elmline/core/backend/ServerTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/ServerTable.java
@@ -53,11 +53,11 @@
         List<Announcement> lost = new ArrayList<>();
         Iterator<LeasedServer> each = leasedServers.values().iterator();
         while (each.hasNext()) {
-            LeasedServer entry = each.next();
-            if (now - entry.leaseUntilNanos() >= 0) {
-                lost.add(entry.announcement());
+            LeasedServer leased = each.next();
+            if (now - leased.leaseUntilNanos() >= 0) {
+                lost.add(leased.announcement());
                 lostIncarnations.put(
-                        entry.announcement().id(), entry.announcement().incarnation());
+                        leased.announcement().id(), leased.announcement().incarnation());
                 each.remove();
             }
         }
@@ -99,8 +99,8 @@
         }
         if (known == null) {
             Incarnation lost = lostIncarnations.get(next.id());
-            boolean older = lost != null && next.incarnation().compareTo(lost) < 0;
-            return older ? AnnounceResult.STALE_INCARNATION : AnnounceResult.JOINED;
+            boolean isOlder = lost != null && next.incarnation().compareTo(lost) < 0;
+            return isOlder ? AnnounceResult.STALE_INCARNATION : AnnounceResult.JOINED;
         }
         int order = next.incarnation().compareTo(known.announcement().incarnation());
         // Without this check, a delayed announcement of an ended incarnation would restore its address and not-leaving
@@ -111,8 +111,8 @@
         if (order > 0) {
             return AnnounceResult.RESTARTED;
         }
-        boolean leavesNow = next.leaving() && !known.announcement().leaving();
-        return leavesNow ? AnnounceResult.LEAVING : AnnounceResult.RENEWED;
+        boolean startsLeaving = next.leaving() && !known.announcement().leaving();
+        return startsLeaving ? AnnounceResult.LEAVING : AnnounceResult.RENEWED;
     }
 
     private static boolean isValid(Announcement next) {
--- a/elmline-core/src/test/java/org/elmline/core/backend/ServerChangesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/backend/ServerChangesTest.java
@@ -36,14 +36,14 @@
             a1 b1       | b1!          | -a !b
             a1 b1       | c1 b2        | -a +c +b
             """)
-    void changes(String before, String now, String events) {
-        ServerChangeDetector changes = new ServerChangeDetector();
-        changes.detect(look(before));
-        assertEquals(events, String.join(" ", words(changes.detect(look(now)))));
-        assertEquals(List.of(), changes.detect(look(now)));
+    void detectsChangesBetweenSnapshots(String before, String after, String events) {
+        ServerChangeDetector detector = new ServerChangeDetector();
+        detector.detect(snapshot(before));
+        assertEquals(events, String.join(" ", words(detector.detect(snapshot(after)))));
+        assertEquals(List.of(), detector.detect(snapshot(after)));
     }
 
-    private static List<Announcement> look(String text) {
+    private static List<Announcement> snapshot(String text) {
         List<Announcement> servers = new ArrayList<>();
         for (String word : text.isEmpty() ? new String[0] : text.split(" ")) {
             Announcement server = server(word.substring(0, 1), word.charAt(1) - '0');
@@ -52,10 +52,10 @@
         return servers;
     }
 
-    private static Announcement server(String id, int start) {
+    private static Announcement server(String id, int incarnation) {
         return new Announcement(
                 BackendServerId.of(id),
-                Incarnation.of(start),
+                Incarnation.of(incarnation),
                 BackendKind.SERVICE,
                 null,
                 new Address("127.0.0.1", 9),
--- a/elmline-core/src/test/java/org/elmline/core/backend/ServerTableTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/backend/ServerTableTest.java
@@ -12,7 +12,7 @@
     private final ServerTable table = new ServerTable(4_000);
 
     @Test
-    void announcementsByIncarnationAndAge() {
+    void classifiesAnnouncementsByIncarnationAndLease() {
         Object[][] cases = {
             {1, false, 0, AnnounceResult.JOINED},
             {1, false, 1_000, AnnounceResult.RENEWED},
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void leaseEndsByAgeAlone() {
+    void leaseExpiresAfterItsDuration() {
         table.announce(OwnerFixture.engine("engine", 1, 1_000, false), 0);
         assertEquals(List.of(), table.expire(3_999 * MILLI));
         assertEquals(1, table.expire(4_000 * MILLI).size());
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void refusesAnEngineWithoutMemory() {
+    void rejectsEngineWithoutMemory() {
         assertEquals(AnnounceResult.INVALID, table.announce(OwnerFixture.engine("engine", 1, 0, false), 0));
         assertEquals(1, table.counts().invalid());
     }
