--- a/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
@@ -44,20 +44,21 @@
         Usage usage = usages.computeIfAbsent(organisation.id(), id -> new Usage(now));
         usage.refill(now);
         usage.lastUsedNanos = now;
-        LimitDecision answer = LimitDecision.ADMITTED;
+        LimitDecision decision = LimitDecision.ADMITTED;
         if ((limitsRequests || limitsTokens) && now - usage.shareExpiresAtNanos >= 0) {
-            answer = LimitDecision.NO_SHARE;
+            decision = LimitDecision.NO_SHARE;
         } else if (limitsRequests && usage.inFlight >= usage.maxRequests) {
-            answer = LimitDecision.TOO_MANY_REQUESTS;
+            decision = LimitDecision.TOO_MANY_REQUESTS;
         } else if (limitsTokens && usage.bucketTokens <= 0) {
-            answer = LimitDecision.TOO_MANY_TOKENS;
+            decision = LimitDecision.TOO_MANY_TOKENS;
         }
         // Shares lag behind use: refusing by an old share would refuse requests that are within the limit.
-        if (answer != LimitDecision.ADMITTED && now - usage.lastShareRequestNanos >= MIN_SHARE_REQUEST_INTERVAL_NANOS) {
-            answer = LimitDecision.NO_SHARE;
+        if (decision != LimitDecision.ADMITTED
+                && now - usage.lastShareRequestNanos >= MIN_SHARE_REQUEST_INTERVAL_NANOS) {
+            decision = LimitDecision.NO_SHARE;
         }
-        usage.record(answer, tokens);
-        return answer;
+        usage.record(decision, tokens);
+        return decision;
     }
 
     /** Records the end of an admitted request, whatever its outcome. */
@@ -147,9 +148,9 @@
             lastRefillNanos = now;
         }
 
-        void record(LimitDecision answer, long tokens) {
+        void record(LimitDecision decision, long tokens) {
             requestedTokens += tokens;
-            if (answer == LimitDecision.ADMITTED) {
+            if (decision == LimitDecision.ADMITTED) {
                 inFlight++;
                 bucketTokens -= tokens;
             } else {
