--- a/elmline-core/src/test/java/org/elmline/core/group/GroupTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/group/GroupTest.java
@@ -49,7 +49,7 @@
         Optional<GroupPlan> plan = GroupPlan.of(prompt, 1_000, slots, IMPORT_SHARE, PrefillCost.DEFAULT);
         assertTrue(
                 plan.isPresent() || free < 2L * prompt + 20_000 || slots.size() < 2,
-                "no plan despite enough free memory for a prompt of " + prompt + " tokens");
+                "no plan despite enough free memory, prompt tokens: " + prompt);
         plan.ifPresent(each -> check(each, prompt, slots));
     }
 
@@ -63,7 +63,7 @@
             assertTrue(each.promptTokens() > 0 && each.owner().compareTo(last) >= 0);
             assertTrue(each.extraKvTokens() >= context * IMPORT_SHARE);
             long need = (long) each.promptTokens() + each.extraKvTokens();
-            assertTrue(free.removeIf(new FirstAtLeast(need)), "no engine has " + need + " free tokens");
+            assertTrue(free.removeIf(new FirstAtLeast(need)), "no engine has the free tokens needed: " + need);
             context += each.promptTokens();
             last = each.owner();
         }
@@ -89,7 +89,7 @@
     }
 
     /**
-     * Guards against deadlock: a group that held engines while it waited for others could wait for another group
+     * Guards against deadlock: two groups that held engines while they waited for others could wait for each other
      * forever. Several prompts, each larger than any engine, reserve engines of several owners concurrently, with calls
      * interleaved at random and some answers lost. Each must end after a bounded number of calls, as complete or
      * refused. After the refused ones have released, only the memory of the complete ones may be reserved.
