--- a/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
@@ -11,10 +11,11 @@
 import org.elmline.core.config.Organisation;
 
 /**
- * Holds organisations to their limits on one entry, within the shares that {@link LimitShareAllocator} grants it. A limit of 0 is
- * none and needs no share. Tokens run through a bucket of ten seconds' worth that a request may overdraw once, so that
- * one longer than the bucket can run at all: over any minute an entry admits at most its share, the bucket and one
- * request. All methods may be called from any thread.
+ * Enforces organisations' limits on one entry, within the shares that {@link LimitShareAllocator} grants it. A limit of
+ * 0 means no limit and needs no share. Tokens are limited by a token bucket of ten seconds' worth of the share. One
+ * request may overdraw the bucket, since otherwise a request larger than the bucket could never run: over any minute an
+ * entry admits at most its share, the bucket and one request. Times are nanoseconds on the monotonic clock.
+ * Thread-safe.
  */
 public final class OrganisationLimits {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -33,85 +34,91 @@
     }
 
     /**
-     * Admits a request or says why not; each admitted one must be {@link #release}.
+     * Admits a request or returns why not. Each admitted request must be released with {@link #release}.
      *
-     * @param tokens its prompt and longest answer
+     * @param tokens tokens of its prompt and longest possible output
      */
     public synchronized LimitDecision admit(Organisation organisation, long tokens, long now) {
         boolean limitsRequests = organisation.maxConcurrentRequests() > 0;
         boolean limitsTokens = organisation.maxTokensPerMinute() > 0;
-        Usage use = usages.computeIfAbsent(organisation.id(), id -> new Usage(now));
-        use.refill(now);
-        use.lastUsedNanos = now;
-        LimitDecision answer = LimitDecision.ADMITTED;
-        if ((limitsRequests || limitsTokens) && now - use.shareExpiresAtNanos >= 0) {
-            answer = LimitDecision.NO_SHARE;
-        } else if (limitsRequests && use.inFlight >= use.maxRequests) {
-            answer = LimitDecision.TOO_MANY_REQUESTS;
-        } else if (limitsTokens && use.bucketTokens <= 0) {
-            answer = LimitDecision.TOO_MANY_TOKENS;
+        Usage usage = usages.computeIfAbsent(organisation.id(), id -> new Usage(now));
+        usage.refill(now);
+        usage.lastUsedNanos = now;
+        LimitDecision decision = LimitDecision.ADMITTED;
+        if ((limitsRequests || limitsTokens) && now - usage.shareExpiresAtNanos >= 0) {
+            decision = LimitDecision.NO_SHARE;
+        } else if (limitsRequests && usage.inFlight >= usage.maxRequests) {
+            decision = LimitDecision.TOO_MANY_REQUESTS;
+        } else if (limitsTokens && usage.bucketTokens <= 0) {
+            decision = LimitDecision.TOO_MANY_TOKENS;
         }
-        // A share follows use with a lag; refusing by an old one would refuse what the limit has room for.
-        if (answer != LimitDecision.ADMITTED && now - use.lastShareRequestNanos >= MIN_SHARE_REQUEST_INTERVAL_NANOS) {
-            answer = LimitDecision.NO_SHARE;
+        // Shares lag behind use: refusing by an old share would refuse requests that are within the limit.
+        if (decision != LimitDecision.ADMITTED
+                && now - usage.lastShareRequestNanos >= MIN_SHARE_REQUEST_INTERVAL_NANOS) {
+            decision = LimitDecision.NO_SHARE;
         }
-        use.record(answer, tokens);
-        return answer;
+        usage.record(decision, tokens);
+        return decision;
     }
 
-    /** An admitted request ended, however it did. */
+    /** Records the end of an admitted request, whatever its outcome. */
     public synchronized void release(OrganisationId organisation) {
-        Usage use = usages.get(organisation);
-        if (use == null || use.inFlight == 0) {
+        Usage usage = usages.get(organisation);
+        if (usage == null || usage.inFlight == 0) {
             throw new IllegalStateException("organisation " + organisation + " has no request in flight");
         }
-        use.inFlight--;
+        usage.inFlight--;
     }
 
-    /** What to ask {@link LimitShareAllocator} for. */
+    /** Builds the request to {@link LimitShareAllocator} and restarts the measurement of use. */
     public synchronized ShareRequest shareRequest(OrganisationId organisation, long now) {
-        Usage use = usages.computeIfAbsent(organisation, id -> new Usage(now));
-        long wantedTokens = use.wantedTokensPerMinute(now);
+        Usage usage = usages.computeIfAbsent(organisation, id -> new Usage(now));
+        long wantedTokens = usage.wantedTokensPerMinute(now);
         ShareRequest request = new ShareRequest(
-                host, incarnation, organisation, use.inFlight, use.inFlight + use.refusedRequests + 1, wantedTokens);
-        use.refusedRequests = 0;
-        use.requestedTokens = 0;
-        use.lastShareRequestNanos = now;
+                host,
+                incarnation,
+                organisation,
+                usage.inFlight,
+                usage.inFlight + usage.refusedRequests + 1,
+                wantedTokens);
+        usage.refusedRequests = 0;
+        usage.requestedTokens = 0;
+        usage.lastShareRequestNanos = now;
         return request;
     }
 
-    /** Takes a share in; its lease counts from {@code askedAt}, when the request was sent. */
-    public synchronized void applyShare(ShareAnswer answer, long askedAt, long now) {
-        Usage use = usages.computeIfAbsent(answer.organisation(), id -> new Usage(askedAt));
-        long until = askedAt + answer.leaseMillis() * NANOS_PER_MILLI;
-        use.refill(now);
-        use.maxRequests = answer.maxRequests();
-        if (!use.hasReceivedShare) {
-            use.bucketTokens = answer.maxTokensPerMinute() * BUCKET_MINUTES;
-            use.hasReceivedShare = true;
+    /** Applies a granted share; its lease counts from the time at which the request was sent. */
+    public synchronized void applyShare(ShareAnswer answer, long requestedAtNanos, long now) {
+        Usage usage = usages.computeIfAbsent(answer.organisation(), id -> new Usage(requestedAtNanos));
+        long expiresAtNanos = requestedAtNanos + answer.leaseMillis() * NANOS_PER_MILLI;
+        usage.refill(now);
+        usage.maxRequests = answer.maxRequests();
+        if (!usage.hasReceivedShare) {
+            usage.bucketTokens = answer.maxTokensPerMinute() * BUCKET_MINUTES;
+            usage.hasReceivedShare = true;
         }
-        use.tokensPerMinute = answer.maxTokensPerMinute();
-        use.shareExpiresAtNanos = until;
-        use.renewAtNanos = askedAt + (until - askedAt) / 2;
+        usage.tokensPerMinute = answer.maxTokensPerMinute();
+        usage.shareExpiresAtNanos = expiresAtNanos;
+        usage.renewAtNanos = requestedAtNanos + (expiresAtNanos - requestedAtNanos) / 2;
     }
 
-    /** Organisations in use whose share should be renewed now, before it runs out. */
+    /** Organisations in use whose share should be renewed now, before its lease ends. */
     public synchronized List<OrganisationId> dueRenewals(long now) {
-        List<OrganisationId> due = new ArrayList<>();
+        List<OrganisationId> dueOrganisations = new ArrayList<>();
         usages.values().removeIf(each -> each.inFlight == 0 && now - each.lastUsedNanos >= IDLE_NANOS);
         for (Map.Entry<OrganisationId, Usage> each : usages.entrySet()) {
-            Usage use = each.getValue();
-            boolean inUse = use.inFlight > 0 || use.refusedRequests > 0 || use.requestedTokens > 0;
-            if (use.hasReceivedShare && inUse && now - use.renewAtNanos >= 0) {
-                due.add(each.getKey());
+            Usage usage = each.getValue();
+            boolean inUse = usage.inFlight > 0 || usage.refusedRequests > 0 || usage.requestedTokens > 0;
+            if (usage.hasReceivedShare && inUse && now - usage.renewAtNanos >= 0) {
+                dueOrganisations.add(each.getKey());
             }
         }
-        return due;
+        return dueOrganisations;
     }
 
     public synchronized int inFlight(OrganisationId organisation) {
-        Usage use = usages.get(organisation);
-        return use == null ? 0 : use.inFlight;
+        Usage usage = usages.get(organisation);
+        return usage == null ? 0 : usage.inFlight;
     }
 
     private static final class Usage {
@@ -141,9 +148,9 @@
             lastRefillNanos = now;
         }
 
-        void record(LimitDecision answer, long tokens) {
+        void record(LimitDecision decision, long tokens) {
             requestedTokens += tokens;
-            if (answer == LimitDecision.ADMITTED) {
+            if (decision == LimitDecision.ADMITTED) {
                 inFlight++;
                 bucketTokens -= tokens;
             } else {
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
@@ -10,16 +10,16 @@
 import org.elmline.core.route.GroupSlot;
 
 /**
- * How a prompt is cut over engines. It uses as few engines as can hold it, since each one more adds imports, and asks for
- * them in the order of their owners' ids, as every other group does.
+ * How a prompt is split over engines. A plan uses the fewest engines that can hold the prompt, since each additional
+ * one adds imports, and lists them in the order of their owners' ids, in which every group reserves. Immutable.
  *
- * @param predictedFirstTokenMillis milliseconds to the first token once reserved: the segments are read one after another
+ * @param predictedFirstTokenMillis milliseconds from reservation to the first token; segments are prefilled in sequence
  */
 public record GroupPlan(List<Segment> segments, long predictedFirstTokenMillis) {
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final int MAX_SEGMENTS = 16;
     private static final int MIN_SEGMENT_TOKENS = PromptBlocks.BLOCK_TOKENS;
-    /** Summaries lag, so a plan leaves a tenth of the free memory that they tell. */
+    /** A plan leaves a tenth of the free memory unused, since the summaries that report it lag. */
     private static final double USABLE_MEMORY_SHARE = 0.9;
 
     public GroupPlan {
@@ -27,17 +27,19 @@
     }
 
     /**
-     * Cuts a prompt, or says with empty that no set of up to {@value #MAX_SEGMENTS} slots holds it now.
+     * Plans a prompt over the given slots; empty if no set of up to {@value #MAX_SEGMENTS} of them can hold it now.
      *
-     * @param importShare part of a segment's memory that an import of it takes on another engine
+     * @param promptTokens length of the prompt in tokens
+     * @param maxOutputTokens longest answer in tokens, held by the last engine
+     * @param importShare share of a segment's KV memory that its import takes on another engine
      */
     public static Optional<GroupPlan> of(
             int promptTokens, int maxOutputTokens, List<GroupSlot> slots, double importShare, PrefillCost cost) {
         List<GroupSlot> largestFirst = new ArrayList<>(slots);
         largestFirst.sort(
                 Comparator.comparingLong(GroupSlot::freeKvTokens).reversed().thenComparing(GroupSlot::owner));
-        int most = Math.min(MAX_SEGMENTS, largestFirst.size());
-        for (int count = 1; count <= most; count++) {
+        int maxCount = Math.min(MAX_SEGMENTS, largestFirst.size());
+        for (int count = 1; count <= maxCount; count++) {
             List<GroupSlot> used = new ArrayList<>(largestFirst.subList(0, count));
             used.sort(Comparator.comparing(GroupSlot::owner));
             Optional<GroupPlan> plan = allocate(promptTokens, maxOutputTokens, used, importShare, cost);
@@ -48,7 +50,7 @@
         return Optional.empty();
     }
 
-    /** The text of each segment. */
+    /** Splits the prompt text into the texts of the segments. */
     public List<String> split(String prompt) {
         List<String> texts = new ArrayList<>();
         int from = 0;
@@ -68,26 +70,28 @@
         double seconds = 0;
         for (int i = 0; i < used.size(); i++) {
             GroupSlot slot = used.get(i);
-            boolean last = i == used.size() - 1;
-            int imports = (int) Math.ceil(context * importShare) + i;
-            int extra = imports + (last ? maxOutputTokens : 0);
-            long room = (long) (slot.freeKvTokens() * USABLE_MEMORY_SHARE) - extra;
-            int tokens = (int) Math.min(room, promptTokens - context);
+            boolean isLast = i == used.size() - 1;
+            int importTokens = (int) Math.ceil(context * importShare) + i;
+            int extraTokens = importTokens + (isLast ? maxOutputTokens : 0);
+            long availableTokens = (long) (slot.freeKvTokens() * USABLE_MEMORY_SHARE) - extraTokens;
+            int tokens = (int) Math.min(availableTokens, promptTokens - context);
             if (tokens < Math.min(MIN_SEGMENT_TOKENS, promptTokens)) {
                 return Optional.empty();
             }
-            tokens = last ? tokens : alignToBlocks(tokens, promptTokens - context);
-            segments.add(new Segment(slot.owner(), tokens, context, extra));
+            tokens = isLast ? tokens : alignToBlocks(tokens, promptTokens - context);
+            segments.add(new Segment(slot.owner(), tokens, context, extraTokens));
             seconds += cost.costTokens(context + tokens, context) / slot.tokensPerSecond();
             context += tokens;
         }
-        boolean whole = context == promptTokens;
-        return whole ? Optional.of(new GroupPlan(segments, Math.round(seconds * MILLIS_PER_SECOND))) : Optional.empty();
+        boolean isComplete = context == promptTokens;
+        return isComplete
+                ? Optional.of(new GroupPlan(segments, Math.round(seconds * MILLIS_PER_SECOND)))
+                : Optional.empty();
     }
 
-    /** Leaves the segments after it something to read. */
-    private static int alignToBlocks(int tokens, int left) {
-        int most = Math.min(tokens, left - MIN_SEGMENT_TOKENS);
-        return Math.max(MIN_SEGMENT_TOKENS, most / PromptBlocks.BLOCK_TOKENS * PromptBlocks.BLOCK_TOKENS);
+    /** Rounds down to whole blocks and leaves at least the minimum to the following segments. */
+    private static int alignToBlocks(int tokens, int remainingTokens) {
+        int maxTokens = Math.min(tokens, remainingTokens - MIN_SEGMENT_TOKENS);
+        return Math.max(MIN_SEGMENT_TOKENS, maxTokens / PromptBlocks.BLOCK_TOKENS * PromptBlocks.BLOCK_TOKENS);
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/placement/FixedSplit.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/FixedSplit.java
@@ -4,7 +4,10 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Baseline: a fixed part of the replicas is for long work, the rest for all other; fewest requests within a part. */
+/**
+ * Baseline: a fixed part of the replicas serves prompts over 32k tokens, the rest all others; within a part, the
+ * replica with the fewest open streams is chosen. Thread-safe.
+ */
 public final class FixedSplit implements PlacementPolicy {
     private static final double LONG_REPLICA_FRACTION = 0.5;
 
@@ -18,14 +21,14 @@
     @Override
     public Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random) {
         int size = replicas.size();
-        int forLong = LongReplicaLimit.replicasForLong(size, LONG_REPLICA_FRACTION);
+        int longReplicas = LongReplicaLimit.replicasForLong(size, LONG_REPLICA_FRACTION);
         boolean isLong = LongReplicaLimit.isLong(demand);
         ReplicaOrder order = orders.orderFor(demand.model(), replicas);
         Replica best = null;
         for (int i = 0; i < size; i++) {
-            boolean ownPart = size < 2 || order.rank(i) < forLong == isLong;
+            boolean isInOwnPart = size < 2 || order.rank(i) < longReplicas == isLong;
             Replica each = replicas.get(i);
-            if (!ownPart || !Eligibility.isEligible(each, demand)) {
+            if (!isInOwnPart || !Eligibility.isEligible(each, demand)) {
                 continue;
             }
             if (best == null || each.openStreams() < best.openStreams()) {
--- a/elmline-core/src/main/java/org/elmline/core/placement/ShortestWait.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/ShortestWait.java
@@ -4,7 +4,10 @@
 import java.util.Optional;
 import java.util.random.RandomGenerator;
 
-/** Takes the replica with the least predicted time to first token; knows lengths but keeps no work apart. */
+/**
+ * Chooses the replica with the shortest predicted time to first token. Predictions account for prompt lengths, but long
+ * and short prompts share all replicas. Thread-safe.
+ */
 public final class ShortestWait implements PlacementPolicy {
     private final WaitPredictor predictor;
 
@@ -29,14 +32,14 @@
     @Override
     public Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random) {
         Replica best = null;
-        double least = Double.POSITIVE_INFINITY;
+        double shortestSeconds = Double.POSITIVE_INFINITY;
         for (Replica each : replicas) {
             if (!Eligibility.isEligible(each, demand)) {
                 continue;
             }
             double wait = predictor.secondsToFirstToken(demand, each);
-            if (wait < least) {
-                least = wait;
+            if (wait < shortestSeconds) {
+                shortestSeconds = wait;
                 best = each;
             }
         }
--- a/elmline-core/src/main/java/org/elmline/core/placement/TwoEnded.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/TwoEnded.java
@@ -7,10 +7,10 @@
 import org.elmline.core.common.LengthClass;
 
 /**
- * Long work fills a model's replicas from one end of their order and leaves the other end to short work, so that the
- * boundary moves with the load. Each request takes the replica with the least sum of its own predicted time to first
- * token and the weighted harm that it does to others there. A cached prefix shortens the prediction, and so is followed
- * only as long as waiting for it pays.
+ * Long prompts fill a model's replicas from one end of their order and leave the other end to short prompts, so that
+ * the boundary moves with the load. Each request takes the replica with the least sum of its own predicted time to
+ * first token and the weighted delay that it causes to other requests there. A cached prefix shortens the prediction,
+ * so the replica that holds it is preferred only while its queue costs less than the cache saves. Thread-safe.
  */
 public final class TwoEnded implements PlacementPolicy {
     private final PlacementSettings settings;
@@ -40,38 +40,38 @@
     public Optional<Replica> choose(Demand demand, List<Replica> replicas, RandomGenerator random) {
         int size = replicas.size();
         ReplicaOrder order = orders.orderFor(demand.model(), replicas);
-        int reach = LongReplicaLimit.isLong(demand)
+        int rankLimit = LongReplicaLimit.isLong(demand)
                 ? LongReplicaLimit.replicasForLong(size, settings.maxLongShare())
                 : size;
         Replica best = null;
-        double least = Double.POSITIVE_INFINITY;
+        double lowestScore = Double.POSITIVE_INFINITY;
         for (int i = 0; i < size; i++) {
             Replica each = replicas.get(i);
             int rank = order.rank(i);
-            if (rank >= reach || !Eligibility.isEligible(each, demand)) {
+            if (rank >= rankLimit || !Eligibility.isEligible(each, demand)) {
                 continue;
             }
             double score = score(demand, each, (rank + 0.5) / size);
-            if (score < least) {
-                least = score;
+            if (score < lowestScore) {
+                lowestScore = score;
                 best = each;
             }
         }
         return Optional.ofNullable(best);
     }
 
-    /** Seconds; {@code position} runs from 0 at the long end to 1 at the short end. */
+    /** Score in seconds, lower is better; {@code position} runs from 0 at the long end to 1 at the short end. */
     private double score(Demand demand, Replica replica, double position) {
-        double own = predictor.prefillSeconds(demand, replica);
-        double wait = predictor.secondsToFirstToken(demand, replica, own);
-        double weight = 0;
+        double ownPrefillSeconds = predictor.prefillSeconds(demand, replica);
+        double wait = predictor.secondsToFirstToken(demand, replica, ownPrefillSeconds);
+        double delayWeight = 0;
         if (predictor.hasLessUrgentPrefill(demand, replica)) {
-            weight += settings.displacementWeight();
+            delayWeight += settings.displacementWeight();
         }
         if (demand.lengthClass() != LengthClass.SHORT) {
-            // Short requests come to a replica the more, the nearer it is to their end.
-            weight += settings.shortSlowdownWeight() * position;
+            // The nearer a replica is to the short end, the more short requests it receives.
+            delayWeight += settings.shortSlowdownWeight() * position;
         }
-        return wait + weight * own;
+        return wait + delayWeight * ownPrefillSeconds;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/routing/RoutingTableValidator.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/RoutingTableValidator.java
@@ -10,7 +10,7 @@
 import org.elmline.core.common.OrganisationId;
 import org.elmline.core.common.ServiceName;
 
-/** Finds what makes a routing table unfit to be put in force. */
+/** Validates the parts of a routing table before it is put in force. */
 final class RoutingTableValidator {
     private final List<CallRoute> routes;
     private final List<RoutedService> services;
@@ -22,7 +22,7 @@
         this.keyHolders = holders;
     }
 
-    /** The first fault, in words; empty when there is none. */
+    /** The message of the first error; empty if the table is valid. */
     Optional<String> firstError() {
         return serviceError().or(this::routeError).or(this::keyError);
     }
@@ -38,24 +38,24 @@
     }
 
     private Optional<String> routeError() {
-        Set<ServiceName> known = new HashSet<>();
-        services.forEach(each -> known.add(each.name()));
-        Set<String> places = new HashSet<>();
+        Set<ServiceName> knownServices = new HashSet<>();
+        services.forEach(each -> knownServices.add(each.name()));
+        Set<String> hostsAndPaths = new HashSet<>();
         for (CallRoute each : routes) {
-            if (!places.add(each.host() + each.pathPrefix())) {
+            if (!hostsAndPaths.add(each.host() + each.pathPrefix())) {
                 return Optional.of("two routes share " + each.host() + each.pathPrefix());
             }
-            Optional<String> fault = routeError(each, known);
-            if (fault.isPresent()) {
-                return fault;
+            Optional<String> error = routeError(each, knownServices);
+            if (error.isPresent()) {
+                return error;
             }
         }
         return Optional.empty();
     }
 
-    private static Optional<String> routeError(CallRoute route, Set<ServiceName> known) {
+    private static Optional<String> routeError(CallRoute route, Set<ServiceName> knownServices) {
         for (WeightedService each : route.weightedServices()) {
-            if (!known.contains(each.service())) {
+            if (!knownServices.contains(each.service())) {
                 return Optional.of("route " + route.name() + " names the unknown service " + each.service());
             }
         }
@@ -65,17 +65,19 @@
         if (route.timeoutMillis() < 1) {
             return Optional.of("route " + route.name() + " has no timeout");
         }
-        boolean slashes =
+        boolean hasSlashes =
                 route.pathPrefix().startsWith("/") && route.pathPrefix().endsWith("/");
-        return slashes ? Optional.empty() : Optional.of("the prefix of route " + route.name() + " needs its slashes");
+        return hasSlashes
+                ? Optional.empty()
+                : Optional.of("the prefix of route " + route.name() + " needs its slashes");
     }
 
-    /** Two organisations under one key could be taken for each other. */
+    /** Rejects a key that two organisations share, since their callers could not be told apart. */
     private Optional<String> keyError() {
-        Map<String, OrganisationId> owners = new HashMap<>();
+        Map<String, OrganisationId> organisationByKey = new HashMap<>();
         for (KeyHolder each : keyHolders) {
             for (String key : each.keys()) {
-                OrganisationId other = owners.put(key, each.organisation());
+                OrganisationId other = organisationByKey.put(key, each.organisation());
                 if (other != null && !other.equals(each.organisation())) {
                     return Optional.of(each.organisation() + " and " + other + " share a key");
                 }
