--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Allocation.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Allocation.java
@@ -1,6 +1,6 @@
 package org.elmline.core.dispatch;
 
-/** What one attempt takes of one server. */
+/** Slot, prefill time and memory that one attempt takes on one server. Not safe for concurrent use. */
 final class Allocation {
     private final DispatchCall call;
     private final boolean isPrimary;
@@ -19,7 +19,7 @@
         return call;
     }
 
-    /** Whether the server answers the call itself, and so writes. */
+    /** Whether this server generates the answer; otherwise it only prefills a part of the prompt. */
     boolean isPrimary() {
         return isPrimary;
     }
@@ -40,7 +40,7 @@
         isPrefilling = false;
     }
 
-    /** Context at the middle of the answer, in tokens. */
+    /** Context length in tokens at the middle of the answer. */
     long meanContextTokens() {
         return call.promptTokens() + call.answerTokens() / 2;
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/AttemptEnd.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/AttemptEnd.java
@@ -1,24 +1,24 @@
 package org.elmline.core.dispatch;
 
-/** How one try of a call on a backend server ended, and what that says of the server. */
+/** How one attempt of a call on a backend server ended, and what that indicates about the server's health. */
 public enum AttemptEnd {
-    /** Answered, be it with a failure of the call's own. */
+    /** The server answered, possibly with an error caused by the call itself. */
     DONE(HealthSignal.SUCCESS),
-    /** Answered that it failed. */
+    /** The server answered with a failure of its own. */
     SERVER_ERROR(HealthSignal.FAILURE),
-    /** Said that it did not run the call. */
+    /** The server reported that it did not execute the call. */
     NOT_EXECUTED(HealthSignal.BUSY),
     /** Another server has the address. */
     WRONG_SERVER(HealthSignal.UNREACHABLE),
-    /** No connection could be made. */
+    /** No connection could be established. */
     NOT_SENT(HealthSignal.UNREACHABLE),
-    /** Was not sent for a reason that lies elsewhere. */
+    /** The call was not sent, for a reason unrelated to the server. */
     NOT_SENT_HERE(HealthSignal.NONE),
-    /** Broke off, or answered what can't be understood. */
+    /** The connection broke, or the answer could not be parsed. */
     BROKEN(HealthSignal.FAILURE),
-    /** Did not answer within the time expected. */
+    /** The server did not answer within the expected time. */
     SILENT(HealthSignal.TIMEOUT),
-    /** The caller left, or its time ended. */
+    /** The caller disconnected, or its deadline passed. */
     CANCELLED(HealthSignal.NONE);
 
     private final HealthSignal healthSignal;
@@ -31,7 +31,7 @@
         return healthSignal;
     }
 
-    /** Whether the server may have begun to work on the call. */
+    /** Whether the server may have started to execute the call. */
     public boolean mayHaveRun() {
         return switch (this) {
             case NOT_EXECUTED, WRONG_SERVER, NOT_SENT, NOT_SENT_HERE -> false;
@@ -39,7 +39,7 @@
         };
     }
 
-    /** What an end says of a server's health. */
+    /** What the end of an attempt indicates about the server's health. */
     enum HealthSignal {
         SUCCESS,
         FAILURE,
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/AttemptReport.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/AttemptReport.java
@@ -1,13 +1,13 @@
 package org.elmline.core.dispatch;
 
 /**
- * What became of a granted attempt.
+ * Progress or end of a granted attempt, as its entry reports it.
  *
- * @param end null at the first token, how it ended otherwise
- * @param limit what the server's answer says of the requests that it takes; null without an answer
+ * @param end null for the report of the first token, otherwise how the attempt ended
+ * @param limit request rate limit stated in the server's answer; null without an answer
  */
 public record AttemptReport(String attempt, AttemptEnd end, ServerRateLimit limit) {
-    /** Of an attempt without an answer. */
+    /** Creates a report of an attempt that has no answer. */
     public AttemptReport(String attempt, AttemptEnd end) {
         this(attempt, end, null);
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
@@ -1,13 +1,22 @@
 package org.elmline.core.dispatch;
 
-/** What a read on an engine does to the answers that are written there: each pass lasts longer by what is read in it. */
+/**
+ * Predicts how a prefill on an engine delays the answers that are decoded there: each pass takes longer by the prefill
+ * done in it. Times are in milliseconds unless a name says otherwise.
+ */
 final class DecodeInterference {
-    /** Part of an allowed pause that a pass may fill: the model does not know when a pass began. */
+    /**
+     * Part of an allowed gap that a pass may fill; the rest is a margin, as the model does not know when the running
+     * pass began.
+     */
     static final double MAX_GAP_FRACTION = 0.85;
 
     private DecodeInterference() {}
 
-    /** Longest reading, in milliseconds, that stretches no answer's pauses there too far; without answers there is no end. */
+    /**
+     * Longest prefill, in milliseconds, that keeps all answers there within their allowed gaps; {@link
+     * Double#MAX_VALUE} if no answer there limits its gap.
+     */
     static double maxPrefillMillis(ServerLoad server, long now) {
         int gap = server.shortestGapMillis();
         return gap == Integer.MAX_VALUE
@@ -15,13 +24,13 @@
                 : MAX_GAP_FRACTION * gap - predictedGapMillis(server, 0, now);
     }
 
-    /** Whether reading so long would stretch the pauses of an answer there too far. */
+    /** Whether a prefill of this length would exceed the allowed gap of an answer there. */
     static boolean exceedsGap(ServerLoad server, double readMillis, long now) {
         int gap = server.shortestGapMillis();
         return gap != Integer.MAX_VALUE && predictedGapMillis(server, readMillis, now) > MAX_GAP_FRACTION * gap;
     }
 
-    /** Sizes, in tokens, of all answers there whose pauses would be stretched too far. */
+    /** Sum of the work, in tokens, of all answers there whose allowed gap would be exceeded. */
     static long affectedWorkTokens(ServerLoad server, double readMillis, long now) {
         double pause = predictedGapMillis(server, readMillis, now);
         long size = 0;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchAnswer.java
@@ -7,16 +7,16 @@
 import org.elmline.core.common.Address;
 import org.elmline.core.common.BackendServerId;
 
-/** What a dispatcher answers to a {@link DispatchCall}. */
+/** A dispatcher's answer to a {@link DispatchCall}. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 public sealed interface DispatchAnswer {
     /**
-     * The call may be sent.
+     * The call may be sent to the server.
      *
      * @param firstMillis predicted time to the answer or its first event
-     * @param engineMillis predicted time until the engine is done with the call
-     * @param backlogMillis reading that was waiting there, an input of the decision
-     * @param running calls that ran there, an input of the decision
+     * @param engineMillis predicted time until the engine has finished the call
+     * @param backlogMillis prefill backlog of the server at the decision; for diagnosis
+     * @param running calls that ran on the server at the decision; for diagnosis
      */
     @JsonTypeName("granted")
     record Granted(
@@ -34,11 +34,11 @@
         }
     }
 
-    /** Waits for a place; the decision is pushed to the asking entry. */
+    /** The call waits for a slot; the decision is sent to the requesting entry later. */
     @JsonTypeName("queued")
     record Queued(String attempt, int ahead) implements DispatchAnswer {}
 
-    /** Was not and will not be placed under this attempt. */
+    /** The call was not placed and will not be placed under this attempt. */
     @JsonTypeName("refused")
     record Refused(String attempt, RefusalCause why, long retryAfterMillis) implements DispatchAnswer {}
 
@@ -46,15 +46,15 @@
 
     /** Why a call was not placed. */
     enum RefusalCause {
-        /** No backend server of the service is known that could take it. */
+        /** No backend server that could take the call is known. */
         NO_SERVER,
-        /** It can't be done within its time. */
+        /** The call cannot be completed before its deadline. */
         TOO_LATE,
-        /** Too many calls are waiting already. */
+        /** The queue is full. */
         QUEUE_FULL,
-        /** Too many calls were repeated of late. */
+        /** The retry budget of the service is used up. */
         RETRY_BUDGET,
-        /** More memory than all engines together can give. */
+        /** The call needs more memory than all engines have together. */
         TOO_LARGE
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchCall.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchCall.java
@@ -8,22 +8,22 @@
 import org.elmline.core.common.ServiceName;
 
 /**
- * Asks for a place for one try of a call.
+ * Request to place one attempt of a call on a backend server.
  *
- * @param attempt unique over all entries; asked again it is the same call
- * @param host the asking entry
- * @param incarnation start of the asking entry
- * @param shard of the service that is asked for a place; all of it when it is not told
+ * @param attempt unique over all entries; a repeated request with the same id is the same call
+ * @param host the requesting entry
+ * @param incarnation incarnation of the requesting entry
+ * @param shard shard of the service that should place the call; null means the whole service
  * @param priority 0 is the most urgent
  * @param promptTokens tokens of the prompt, 0 for a plain service
- * @param answerTokens tokens of the answer that are expected, 0 for a plain service
- * @param maxAnswerTokens tokens that the answer may have
+ * @param answerTokens expected tokens of the answer, 0 for a plain service
+ * @param maxAnswerTokens maximum tokens of the answer
  * @param aimLeftMillis time left until the call is late; may be negative
- * @param gapMillis longest useful pause between events, 0 without events
- * @param firstLeftMillis time left in which a first token is of use: callers leave a stream that stays silent for longer
- * @param deadlineLeftMillis time left until nobody waits any more
+ * @param gapMillis longest acceptable gap between events, 0 for a call without events
+ * @param firstLeftMillis time left until a first token is useless, because the caller closes a stream without one
+ * @param deadlineLeftMillis time left until the deadline, when the caller no longer waits
  * @param repeated whether the call was sent to a backend server before
- * @param avoid servers that it was sent to, or that could not be reached
+ * @param avoid servers that the call was sent to, or that could not be reached
  */
 public record DispatchCall(
         String attempt,
@@ -47,17 +47,17 @@
         avoid = avoid == null ? List.of() : List.copyOf(avoid);
     }
 
-    /** What is asked for a place. */
+    /** The service and shard that should place the call. */
     public ServiceShard serviceShard() {
         return new ServiceShard(service, shard);
     }
 
-    /** The same call, asked for at a shard. */
+    /** The same call, addressed to another shard. */
     public DispatchCall withShard(Shard other) {
         return with(other, aimLeftMillis, firstLeftMillis, deadlineLeftMillis);
     }
 
-    /** The same call with the times that are left of it now. */
+    /** The same call with the times that remain now, in milliseconds. */
     DispatchCall withRemainingTimes(long aimMillis, long firstMillis, long deadlineMillis) {
         return with(shard, aimMillis, firstMillis, deadlineMillis);
     }
@@ -82,12 +82,15 @@
                 avoid);
     }
 
-    /** Memory that the call needs on engines, in tokens. */
+    /** KV memory that the call needs on engines, in tokens. */
     public long memoryTokens() {
         return promptTokens + maxAnswerTokens;
     }
 
-    /** How much work a caller loses with the call: tokens read, and ten for each written as it takes about as long. */
+    /**
+     * Work that a caller loses with the call, in prompt tokens: decoding one token takes about as long as prefilling
+     * ten.
+     */
     public long workTokens() {
         return promptTokens + 10 * answerTokens;
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchChannels.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchChannels.java
@@ -6,36 +6,36 @@
 import org.elmline.core.common.ServiceName;
 import org.elmline.core.peer.Channel;
 
-/** What entries ask of the dispatcher of a service, and what it tells them. */
+/** Channels and messages between entries and the dispatcher of a service. */
 public final class DispatchChannels {
-    /** Asks for a place; answered at once, if need be with "queued". */
+    /** Requests placement of a call; answered at once, with {@link DispatchAnswer.Queued} if the call has to wait. */
     public static final Channel<DispatchCall, DispatchAnswer> PLACE =
             new Channel<>("dispatch.place", DispatchCall.class, DispatchAnswer.class);
 
-    /** Tells what became of attempts. */
+    /** Reports first tokens and ends of attempts. */
     public static final Channel<Reports, Acknowledgement> REPORT =
             new Channel<>("dispatch.report", Reports.class, Acknowledgement.class);
 
-    /** Tells a dispatcher of attempts that another one has granted. */
+    /** Reports to a dispatcher the attempts that another dispatcher has granted. */
     public static final Channel<Adoption, Acknowledgement> ADOPT =
             new Channel<>("dispatch.adopt", Adoption.class, Acknowledgement.class);
 
-    /** Tells an entry the decision on a call that waited. */
+    /** Sends an entry the decision on a call that waited. */
     public static final Channel<QueuedDecision, Acknowledgement> DECIDED =
             new Channel<>("dispatch.decided", QueuedDecision.class, Acknowledgement.class);
 
     private DispatchChannels() {}
 
-    /** Ends and first tokens of attempts of one service. */
+    /** First tokens and ends of attempts of one service. */
     public record Reports(ServiceName service, List<AttemptReport> reports) {}
 
     /**
-     * Attempts that a start of an entry runs on one shard of a service.
+     * Attempts that one incarnation of an entry runs on one shard of a service.
      *
-     * @param shard all of the service when it is not told
-     * @param all whether these are all: what is counted beside them has ended. Not so for a single one, as the answer to
-     *     another call may be on its way to the entry.
-     * @param limits the limits that servers have named to the entry
+     * @param shard null means the whole service
+     * @param all whether the list is complete, so that attempts counted beside it have ended. Not set with a single
+     *     attempt, as the answer to another call may still be on its way to the entry.
+     * @param limits rate limits that servers have reported to the entry
      */
     public record Adoption(
             ServiceName service,
@@ -56,9 +56,9 @@
         }
     }
 
-    /** A dispatcher's decision on a call that waited there. */
+    /** A dispatcher's decision on a call that waited in its queue. */
     public record QueuedDecision(HostId dispatcher, DispatchAnswer answer) {}
 
-    /** Whether the receiver knew what it was told of. */
+    /** Whether the receiver knew the attempts reported to it. */
     public record Acknowledgement(boolean known) {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
@@ -17,47 +17,51 @@
 import org.elmline.core.routing.RoutedService;
 
 /**
- * Decides for one shard of a service where calls run and in which order they wait. Holds every granted attempt until its end is
- * reported, its entry is gone, or its time is over. Not safe for concurrent use.
+ * Decides for one shard of a service where calls run and in which order they wait. Keeps every granted attempt until
+ * its end is reported, its entry is gone, or its deadline has passed. Times named {@code now} are monotonic, in
+ * nanoseconds. Not safe for concurrent use.
  */
 public final class Dispatcher {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Calls that may wait; beyond this the newest is refused, as it could hardly be in time. */
+    /** Most calls that may wait; beyond this new calls are refused, as they could hardly meet their deadlines. */
     private static final int MAX_WAITING_CALLS = 512;
 
-    /** Time after a call's deadline for which its grant is kept when nobody reports its end. */
+    /** Time after a call's deadline for which its grant is kept when its end is not reported. */
     private static final long UNREPORTED_GRANT_RETENTION_NANOS = 2_000 * NANOS_PER_MILLI;
 
-    /** Time that engines are kept from short calls for a long prompt that waits; about a short answer's length. */
+    /** Time for which engines are reserved for a waiting long prompt; about the duration of a short answer. */
     private static final long LONG_RESERVATION_NANOS = 400 * NANOS_PER_MILLI;
 
     /**
-     * Time for which a new dispatcher that knows no server yet lets calls wait: two heartbeats. After a restart of
-     * everything each server is heard within one; turned away sooner, callers would have used up their retries.
+     * Time for which a new dispatcher that knows no server yet queues calls: two heartbeats. After a restart of the
+     * whole system each server is registered within one heartbeat; if calls were refused sooner, callers would use up
+     * their retries.
      */
     private static final long WARM_UP_NANOS = 2_400 * NANOS_PER_MILLI;
 
     /**
-     * Time that a long call waits at a dispatcher that the entries don't ask first. It knows little of what runs: asked by
-     * one entry that lost a packet, it would read a huge prompt on all engines, and the questions that the first dispatcher
-     * has there would be late. Within this time the first one answers again, or is found to be gone.
+     * Time that a long call waits at a secondary dispatcher, which knows little of what runs. If it placed the call at
+     * once, for an entry that lost a packet to the primary, a huge prompt would be prefilled on all engines, and the
+     * short calls that the primary has there would be late. Within this time the primary answers again or is found to
+     * be gone.
      */
     private static final long SECONDARY_HOLD_NANOS = 1_000 * NANOS_PER_MILLI;
 
-    /** Part of the engines that is kept free for a long prompt that waits, at least one. */
+    /** One in so many engines, at least one, is reserved for a waiting long prompt. */
     private static final int ENGINES_PER_RESERVATION = 5;
 
     /**
-     * Calls of a kind, short or long, that find no place in one look before the rest of that kind isn't tried: in a full
-     * house they would all miss, and looking at hundreds every few milliseconds costs more than the host has.
+     * Calls of a class, short or long, that fail to be placed in one tick before the rest of that class is skipped:
+     * when all engines are full they would all fail, and trying hundreds every few milliseconds takes more CPU time
+     * than the host has.
      */
     private static final int MAX_FAILED_PLACEMENTS = 4;
 
-    /** Callers are told to come back no sooner than this, or their retries would only add to a queue. */
+    /** Shortest retry time given to callers; sooner retries would only add to the queue. */
     private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
-    /** Nor later than this: a server may be back by then. */
+    /** Longest retry time given to callers; a server may have recovered by then. */
     private static final long MAX_RETRY_AFTER_MILLIS = 2_000;
 
     private final Placement placement;
@@ -79,7 +83,7 @@
         this(service, limit, new ServerRateLimits(), now);
     }
 
-    /** @param limits what servers say of the requests that they take; also learned from reports */
+    /** @param limits rate limits reported by servers; also updated from attempt reports */
     public Dispatcher(RoutedService service, RetryLimit limit, ServerRateLimits limits, long now) {
         this.rateLimits = new RateLimitEnforcer(limits, serverLoads);
         servesEngines = service.timing() != null;
@@ -89,15 +93,15 @@
         secondarySinceNanos = now;
     }
 
-    /** Whether this dispatcher fits a service as it is described now. */
+    /** Whether this dispatcher suits the service as it is now configured. */
     public boolean isCompatibleWith(RoutedService service) {
         return servesEngines == (service.timing() != null);
     }
 
     /**
-     * Takes whether this is the dispatcher that all entries ask first, and so knows of all that runs. After a loss of all
-     * entries several take themselves for it until they hear of each other; none of them may be told so then, or each
-     * packs its first questions on the same engines.
+     * Sets whether this dispatcher is the one that all entries try first, and so knows of all running calls. After all
+     * entries have restarted, several of them consider themselves primary until they have received each other's
+     * membership; none of them may be set as primary then, or each packs its first short calls on the same engines.
      *
      * @param now monotonic time in nanoseconds
      */
@@ -108,29 +112,29 @@
         isPrimary = isFirst;
     }
 
-    /** Takes how many entries there are; while none of them knows who is asked first, each may send on its own. */
+    /** Sets how many entries there are; while they do not agree on a primary, each may send on its own. */
     public void updateEntryCount(int count) {
         rateLimits.entryCount(count);
     }
 
     /**
-     * Whether a long call must wait here as this dispatcher does not know what runs. Counted from when it stopped being the
-     * first, too: from then on entries tell it to forget. A prompt that had waited for as long before would
-     * then go to engines that only seem to be free.
+     * Whether a long call must wait because this dispatcher does not know all running calls. Also counted from when it
+     * stopped being primary, as entries cancel their grants here from then on: a prompt that had already waited for as
+     * long would be placed on engines that only seem to be free.
      */
     private boolean isHeldAsSecondary(WaitingCall waited, long now) {
         long since = Math.max(waited.enqueuedAtNanos(), secondarySinceNanos);
         return !isPrimary && now - since < SECONDARY_HOLD_NANOS;
     }
 
-    /** Takes the servers that may be used now. */
+    /** Updates the servers that may be used now. */
     public void updateServers(RoutedService service, Collection<Registration> usable, long now) {
         hasSeenServers |= !usable.isEmpty();
         serverLoads.update(usable, service.timing(), now);
         rateLimits.onServersChanged();
     }
 
-    /** Asks for a place. The same attempt asked again gets the same answer while it waits or runs. */
+    /** Places or queues a call. A repeated request for the same attempt gets the same answer while it waits or runs. */
     public DispatchAnswer place(DispatchCall call, long now) {
         ActiveGrant held = grants.get(call.attempt());
         if (held != null) {
@@ -158,8 +162,9 @@
     }
 
     /**
-     * Whether no call that waits goes before this one. One that isn't first is left to the next look: each new call would
-     * else have all that wait looked through, and in a burst the host that decides would hear nobody for a second.
+     * Whether no waiting call of the same class, short or long, precedes this one. A call that is not first is left to
+     * the next tick: otherwise each new call would have all waiting ones examined, and in a burst the dispatching host
+     * would process no other messages for a second.
      */
     private boolean isNextOfItsKind(WaitingCall next, List<ServerLoad> usable, long now) {
         boolean isLong = placement.isLong(next.call(), usable);
@@ -172,7 +177,7 @@
         return true;
     }
 
-    /** Grants a place if there is one; if not, and the call is long, engines are kept free for it. */
+    /** Places a call if possible; otherwise, if the call is long, reserves engines for it. */
     private Optional<DispatchAnswer> tryPlace(WaitingCall next, List<ServerLoad> usable, long now) {
         boolean isLong = placement.isLong(next.call(), usable);
         if (isLong && isHeldAsSecondary(next, now)) {
@@ -239,7 +244,7 @@
         return Optional.of(new DispatchAnswer.Refused(call.attempt(), why, after));
     }
 
-    /** Milliseconds until all that waits now has begun, by the work it is. */
+    /** Predicted milliseconds until all calls that wait now have started. */
     private long queueWaitMillis(List<ServerLoad> usable, long now) {
         double work = 0;
         int places = 0;
@@ -252,7 +257,10 @@
         return (long) Math.max(work / Math.max(1, places), rateLimits.waitMillis(usable, waiting.size(), now));
     }
 
-    /** Lets time pass: decisions on calls that waited, to be told to their entries. */
+    /**
+     * Expires grants and tries to place waiting calls. Returns the decisions, which are to be sent to the calls'
+     * entries.
+     */
     public List<DispatchAnswer> tick(long now) {
         expireGrants(now);
         rateLimits.applyChanges(isPrimary, now);
@@ -296,15 +304,15 @@
         return decided;
     }
 
-    /** @param ahead calls that wait and go before this one */
+    /** @param ahead waiting calls that precede this one */
     private boolean willMissDeadline(WaitingCall waited, List<ServerLoad> usable, int ahead, long now) {
         double wait = rateLimits.waitMillis(usable, ahead, now);
         return wait + placement.serviceMillis(waited.call(), usable) / 2 > waited.deadlineLeftMillis(now);
     }
 
     /**
-     * Turns short calls away from the engines that are nearest to being free of them. Without it, engines that are all
-     * packed with short answers never suit a long prompt, and it waits until its caller gives up.
+     * Reserves for long prompts the engines that are free of short calls or nearest to it. Without it, engines that are
+     * all packed with short answers never suit a long prompt, and it waits until its caller times out.
      */
     private void reserveEnginesForLong(List<ServerLoad> usable, long now) {
         List<ServerLoad> tight = new ArrayList<>();
@@ -355,7 +363,9 @@
         return answer;
     }
 
-    /** Takes what became of an attempt; one that isn't known, or is reported twice, changes nothing. */
+    /**
+     * Records the first token or end of an attempt; an unknown attempt or a repeated report of an end changes nothing.
+     */
     public void report(AttemptReport report, long now) {
         ActiveGrant granted = grants.get(report.attempt());
         if (granted == null) {
@@ -375,10 +385,10 @@
     }
 
     /**
-     * Forgets what an entry does not run any more: what ended while this process was frozen was never reported to it.
-     * It would count those calls until their time is over, and new ones would wait for places that are free.
+     * Removes grants that an entry no longer runs: ends of calls while this process was suspended were not received.
+     * Such calls would count until their deadlines have passed, and new ones would wait although slots are free.
      *
-     * @param incarnation start of the entry; nothing of an earlier one runs
+     * @param incarnation incarnation of the entry; no call of an earlier one still runs
      */
     public void reconcileGrants(HostId host, long incarnation, List<OpenGrant> open, long now) {
         Set<String> running = new HashSet<>();
@@ -394,14 +404,14 @@
         ended.forEach(each -> report(new AttemptReport(each, AttemptEnd.CANCELLED), now));
     }
 
-    /** Counts a request that another dispatcher of this service has just had sent. */
+    /** Counts a request that another dispatcher of this service has just granted. */
     public void recordRemoteSend(BackendServerId server, long now) {
         rateLimits.applyChanges(isPrimary, now);
         Optional.ofNullable(serverLoads.find(server))
                 .ifPresent(each -> each.requestPacer().recordSend(now));
     }
 
-    /** Takes a grant of another dispatcher of this service, which would otherwise be counted as a free place. */
+    /** Records a grant of another dispatcher of this service, whose slot would otherwise be counted as free. */
     public void adopt(OpenGrant open, long now) {
         DispatchCall call = open.call();
         if (grants.containsKey(call.attempt())) {
@@ -428,7 +438,7 @@
         grants.put(call.attempt(), new ActiveGrant(call, open.granted(), members, until));
     }
 
-    /** Frees what a start of an entry had that is gone. */
+    /** Frees what an incarnation of an entry that is gone held or waited for. */
     public void removeEntry(HostId host, long incarnation, long now) {
         List<String> theirs = new ArrayList<>();
         for (ActiveGrant each : grants.values()) {
@@ -450,7 +460,7 @@
         over.forEach(each -> report(new AttemptReport(each, AttemptEnd.CANCELLED), now));
     }
 
-    /** Entries, with their starts, that hold grants or wait. */
+    /** Entries, with their incarnations, that hold grants or have waiting calls. */
     public Map<HostId, Long> activeEntries() {
         Map<HostId, Long> holders = new HashMap<>();
         grants.values()
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatcherChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatcherChoice.java
@@ -10,9 +10,10 @@
 import org.elmline.core.registry.EntryRecord;
 
 /**
- * Which entry dispatches a shard of a service: the one with the lowest hash of both names (rendezvous hashing). All entries that
- * see the same entries agree without a word; a change moves only what must move. Two dispatchers for a moment can place
- * on the same free place, which costs waiting and breaks no promise.
+ * Chooses the entry that dispatches a shard of a service: the one with the lowest hash of both names (rendezvous
+ * hashing). All entries with the same membership agree without communication, and a change of membership moves only the
+ * shards of the entries concerned. While memberships differ, two dispatchers may grant the same slot; this costs
+ * waiting time but violates no guarantee.
  */
 public final class DispatcherChoice {
     private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
@@ -22,10 +23,10 @@
 
     private DispatcherChoice() {}
 
-    /** An entry with its weight, worked out once: names are compared many times as they are sorted. */
+    /** An entry with its weight, computed once, as sorting compares it many times. */
     private record WeightedEntry(EntryRecord entry, long weight) {}
 
-    /** The entries that may dispatch, the one to ask first in front. */
+    /** The entries that may dispatch, in the order in which they are to be tried. */
     public static List<EntryRecord> order(ServiceShard shard, Collection<EntryRecord> entries) {
         return weightedEntries(shard, entries)
                 .sorted(BY_WEIGHT)
@@ -33,7 +34,7 @@
                 .toList();
     }
 
-    /** The entry to ask first; empty when none may dispatch. */
+    /** The preferred dispatcher; empty when no entry may dispatch. */
     public static Optional<EntryRecord> first(ServiceShard shard, Collection<EntryRecord> entries) {
         return weightedEntries(shard, entries).min(BY_WEIGHT).map(WeightedEntry::entry);
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/EnginePlacement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/EnginePlacement.java
@@ -8,57 +8,63 @@
 import org.elmline.core.routing.BatchTiming;
 
 /**
- * Places generations on engines that read and write in passes.
+ * Places generations on engines that prefill and decode in passes.
  *
- * <p>One pass writes some tokens of every answer and reads, in the same time, what is to be read: a long prompt read
- * beside short answers stretches their pauses from a twentieth of a second to over a second. So short calls are packed
- * on few engines, which leaves others without tight pauses, and a long prompt is cut into parts that several engines
- * read at the same time, each part short enough for the answers written beside it.
+ * <p>One pass decodes some tokens of every answer and, in the same time, prefills what is pending: a long prompt
+ * prefilled beside short answers stretches their gaps from a twentieth of a second to over a second. So short calls are
+ * packed on few engines, which leaves others without tight gaps, and a long prompt is split into parts that several
+ * engines prefill in parallel, each part short enough for the answers decoded beside it.
  */
 final class EnginePlacement implements Placement {
-    /** Prompts that take less than this to read go to one engine whole; splitting saves less than a pass. */
+    /** Prompts with a shorter prefill go to one engine whole; splitting them saves less than a pass. */
     private static final double MAX_SHORT_PREFILL_MILLIS = 110;
 
     /**
-     * Longest reading for each member of a group where it can be helped: with a pass of writing it stays within the pauses
-     * of long answers (500 ms). Smaller parts cost more, as each waits for the pass that runs.
+     * Longest prefill for each member of a group where enough engines are free: with a decode pass it stays within the
+     * allowed gap of long answers (500 ms). Smaller parts cost more, as each waits for the running pass to end.
      */
     private static final double TARGET_PART_PREFILL_MILLIS = 330;
 
-    /** Odd, with bits all over, so that like hashes give unlike draws. */
+    /** Odd, with bits spread over the whole word, so that similar hashes give dissimilar tie-breakers. */
     private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
-    /** Helpers that one prompt may have. */
+    /** Most helpers of one prompt. */
     private static final int MAX_HELPERS = 16;
 
-    /** Part of the time left to the aim that the predicted first token may take on an engine that is packed. */
+    /** Part of the time left to the aim that the predicted first token may take on an engine chosen by packing. */
     private static final double MAX_PACKED_AIM_FRACTION = 0.6;
 
-    /** Places left free when packing, for calls that come while the count is a round trip old. */
+    /** Slots left free when packing, for calls that arrive while the count is a round trip old. */
     private static final int SPARE_SLOTS = 2;
 
-    /** Backlog from which a long prompt waits at the dispatcher, where its turn still follows its due time. */
+    /**
+     * Prefill backlog from which on an engine gets no part: the long prompt waits at the dispatcher, where it is still
+     * ordered by due time.
+     */
     private static final double MAX_START_BACKLOG_MILLIS = 80;
 
     /**
-     * Time left to the aim, less the shortest reading, from which on a long prompt may disturb answers. Before, a group that
-     * disturbs nobody may still come free.
+     * Time left to the aim, less the shortest prefill, from which on a long prompt may disturb answers. With more time
+     * left, a group that disturbs none may still become free.
      */
     private static final double INTERFERENCE_SLACK_MILLIS = 2_000;
 
     /**
-     * Size of the answers that a group may disturb, as part of the prompt's own: a few questions are little beside a
-     * manual.
+     * Work of the answers that a group may disturb, as part of the prompt's own: a few short answers cost little
+     * compared with a prompt of hundreds of thousands of tokens.
      */
     private static final double MAX_INTERFERENCE_FRACTION = 0.35;
 
-    /** What it weighs that an engine is free of short answers now, and would be lost for long prompts by this one. */
+    /** Rank penalty for an engine without short answers, as this call would make it unsuitable for long prompts. */
     private static final double OCCUPY_FREE_ENGINE_PENALTY = 0.5;
 
-    /** Part of the time left to the aim that a huge prompt's reading may take. */
+    /**
+     * Part of the time left to the aim that a prompt may take to its first token on a group smaller than the target
+     * size.
+     */
     private static final double MAX_PREFILL_AIM_FRACTION = 0.6;
 
-    /** Helpers read at about this part of their speed when alone, as they work inside the passes of others. */
+    /** Factor by which a split prefill takes longer than its share, as helpers work inside passes of other calls. */
     private static final double SPLIT_PREFILL_OVERHEAD = 1.1;
 
     @Override
@@ -118,9 +124,9 @@
     }
 
     /**
-     * Engines that are in use and still quick come first, the fullest of them before others; then idle ones. Blind, the
-     * emptiest come first, in another order for each call: packed, the calls of all who don't know of each other would
-     * meet on one engine, which turns down what it has no place for.
+     * Prefers engines that are in use and still meet the aim, the fullest first, and then idle ones. With a partial
+     * view the emptiest come first, in a different order for each call: if dispatchers that do not know of each other's
+     * calls packed them, they would all choose the same engine, which rejects calls beyond its slots.
      */
     private double shortPlacementCost(
             DispatchCall call, ServerLoad server, double read, double first, boolean blind, long now) {
@@ -131,7 +137,7 @@
         boolean quick = first <= MAX_PACKED_AIM_FRACTION * call.aimLeftMillis();
         boolean room = server.freeSlots() > SPARE_SLOTS;
         double rank = 0;
-        // Late is worse than on an engine that a long prompt waits for: a read may last for seconds.
+        // Late is worse than an engine reserved for a long prompt: a prefill there may take seconds.
         rank += first > call.aimLeftMillis() ? 16 : 0;
         rank += server.isReservedForLong(now) ? 8 : 0;
         rank += harms ? 4 : 0;
@@ -142,19 +148,20 @@
         if (blind) {
             return rank * 1e6 + used + tieBreaker(call, server) / server.slots();
         }
-        // Among equals the fullest is taken; where none is quick, the quickest.
+        // Among equal ranks the fullest is taken; if none meets the aim, the one with the earliest first token.
         return rank * 1e6 + (quick && room ? 1 - used : first);
     }
 
-    /** A number from 0 to 1 that the call and the server decide. */
+    /** A number from 0 to 1, determined by the call and the server. */
     private static double tieBreaker(DispatchCall call, ServerLoad server) {
         int hash = 31 * call.attempt().hashCode() + server.registration().id().hashCode();
         return (hash * HASH_MULTIPLIER >>> 1) / (double) Integer.MAX_VALUE;
     }
 
     /**
-     * Takes the smallest group whose parts disturb nobody's answers; a larger group has shorter parts and so may use more
-     * engines. Where no group is free the call waits, unless it is late already: then any undisturbed engine will do.
+     * Chooses the smallest group whose parts exceed no answer's allowed gap; a larger group has shorter parts and so
+     * may find more suitable engines. If no group is free the call waits, unless it is late already: then any engines
+     * whose answers are not disturbed are accepted.
      */
     private Optional<PlacementPlan> planLong(DispatchCall call, List<ServerLoad> servers, double read, long now) {
         int most = Math.min(MAX_HELPERS + 1, servers.size());
@@ -180,9 +187,9 @@
     }
 
     /**
-     * The group that is in time and disturbs the least, for a prompt whose time runs out while no group is free. What it
-     * disturbs must be small beside the prompt itself: for callers, one question with a long pause is less than a manual
-     * of 400 thousand tokens that comes late.
+     * Chooses the group that meets the aim and disturbs the least work, for a prompt whose time runs out while no
+     * undisturbed group is free. The disturbed work must be small compared with the prompt's own: for callers, one
+     * short answer with a long gap costs less than a prompt of 400 thousand tokens that is late.
      */
     private Optional<PlacementPlan> planWithInterference(
             DispatchCall call, List<ServerLoad> servers, double read, long now) {
@@ -217,7 +224,7 @@
         return best;
     }
 
-    /** An engine and the size of the answers that a part would disturb there. */
+    /** An engine and the work, in tokens, of the answers that a part would disturb there. */
     private record InterferenceCost(ServerLoad server, long workTokens) {}
 
     private static List<InterferenceCost> leastAffected(List<ServerLoad> able, int count, double part, long now) {
@@ -229,7 +236,7 @@
         return costs.subList(0, count);
     }
 
-    /** A plan for exactly these engines, with the best of them answering. */
+    /** A plan for exactly these engines, the most suitable of them being the primary. */
     private Optional<PlacementPlan> planExactGroup(DispatchCall call, List<ServerLoad> engines, double part, long now) {
         ServerLoad primary = choosePrimary(call, engines);
         if (primary == null) {
@@ -241,7 +248,10 @@
         return allocateMemory(call, members, part, now);
     }
 
-    /** Whether a part of a group's reading may begin: helpers' parts would overtake what waits there. */
+    /**
+     * Whether a part of a prompt may start here: with a longer backlog, helpers' parts would overtake the calls that
+     * wait for this engine.
+     */
     private static boolean canStartPart(ServerLoad server, long now) {
         return server.backlogMillis(now) <= MAX_START_BACKLOG_MILLIS && server.helpedPrompts() < server.slots();
     }
@@ -277,8 +287,8 @@
     }
 
     /**
-     * The engine that answers: among those that hold the whole prompt the one that writes most already, so that others
-     * stay free of writers; where none does, the one with the most memory.
+     * The engine that generates the answer: among those with memory for the whole prompt the one with the most running
+     * calls, so that others stay free of decoding; if none has, the one with the most free memory.
      */
     private static ServerLoad choosePrimary(DispatchCall call, List<ServerLoad> fit) {
         ServerLoad best = null;
@@ -299,7 +309,7 @@
         return aHolds ? a.running() > b.running() : a.freeMemoryTokens() > b.freeMemoryTokens();
     }
 
-    /** Where the prompt is kept: with the first member as far as it has room, the rest reserved on the others in turn. */
+    /** Reserves memory for the prompt: on the first member as far as it has room, the rest on the others in order. */
     private Optional<PlacementPlan> allocateMemory(DispatchCall call, List<ServerLoad> members, double part, long now) {
         List<Long> memory = new ArrayList<>();
         long left = call.memoryTokens();
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/GrantHolders.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/GrantHolders.java
@@ -9,27 +9,27 @@
 import org.elmline.core.common.HostId;
 
 /**
- * Which dispatchers count an attempt of this entry, so that each of them hears of its end. While the dispatcher of a
- * service changes, a call is asked for at two of them: one that granted it and never heard that it ran elsewhere counted
- * a call that isn't there for twelve seconds, and an engine with such a call is closed to long prompts. Not safe for
- * concurrent use.
+ * Records which dispatchers count an attempt of this entry, so that each of them is notified of its end. While the
+ * dispatcher of a service changes, a call is requested at two of them. A dispatcher that granted it and was not
+ * notified that it ran elsewhere would count a call that does not exist for twelve seconds, and an engine with such a
+ * call accepts no long prompts. Not safe for concurrent use.
  */
 public final class GrantHolders {
     private final Map<String, Set<HostId>> holders = new HashMap<>();
 
-    /** Notes that a dispatcher was asked for a place, or told of the attempt, and so may count it. */
+    /** Records that a dispatcher received a request for or a report of the attempt, and so may count it. */
     public void addHolder(String attempt, HostId dispatcher) {
         holders.computeIfAbsent(attempt, each -> new LinkedHashSet<>()).add(dispatcher);
     }
 
-    /** Leaves the attempt to one dispatcher. Returns the others, which are to forget it. */
+    /** Keeps one dispatcher as holder of the attempt. Returns the others, which are to be sent its cancellation. */
     public List<HostId> retainOnly(String attempt, HostId dispatcher) {
         List<HostId> others = otherHolders(attempt, dispatcher);
         holders.put(attempt, new LinkedHashSet<>(List.of(dispatcher)));
         return others;
     }
 
-    /** Notes that a dispatcher was told to forget the attempt. */
+    /** Records that a dispatcher was sent the cancellation of the attempt. */
     public void removeHolder(String attempt, HostId dispatcher) {
         Set<HostId> all = holders.get(attempt);
         if (all != null) {
@@ -37,12 +37,12 @@
         }
     }
 
-    /** Those that count the attempt. */
+    /** The dispatchers that count the attempt. */
     public List<HostId> holdersOf(String attempt) {
         return List.copyOf(holders.getOrDefault(attempt, Set.of()));
     }
 
-    /** Ends the attempt. Returns those that are to be told. */
+    /** Removes the attempt at its end. Returns the dispatchers to notify. */
     public List<HostId> removeAttempt(String attempt) {
         Set<HostId> all = holders.remove(attempt);
         return all == null ? List.of() : List.copyOf(all);
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Helper.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Helper.java
@@ -4,8 +4,8 @@
 import org.elmline.core.common.BackendServerId;
 
 /**
- * An engine that reads a part of another's prompt.
+ * An engine that prefills a part of a prompt for another engine.
  *
- * @param memoryTokens memory to be reserved on it for the prompt; 0 when it only reads
+ * @param memoryTokens KV memory to reserve on it for the prompt, in tokens; 0 if it only prefills
  */
 public record Helper(BackendServerId server, Address address, long memoryTokens) {}
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/OpenGrant.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/OpenGrant.java
@@ -1,8 +1,8 @@
 package org.elmline.core.dispatch;
 
 /**
- * A granted attempt that still runs, told to a dispatcher that did not grant it itself.
+ * A granted attempt that still runs, reported to a dispatcher that did not grant it.
  *
- * @param writing whether its first token has come
+ * @param writing whether its first token has arrived
  */
 public record OpenGrant(DispatchCall call, DispatchAnswer.Granted granted, boolean writing) {}
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Placement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Placement.java
@@ -3,25 +3,26 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Decides where a call runs now, if anywhere. */
+/** Decides on which servers a call runs. */
 interface Placement {
     /**
-     * The place to take now; empty when waiting is better, or nothing is free.
+     * The servers to use now; empty when none is free or waiting is better.
      *
-     * @param servers servers that may be used, none that the call avoids
-     * @param blind whether others place on these servers, too, of whose calls nothing is known here
+     * @param servers servers that may be used, without those that the call avoids
+     * @param blind whether other dispatchers, whose calls are unknown here, place calls on these servers too
+     * @param now monotonic time in nanoseconds
      */
     Optional<PlacementPlan> plan(DispatchCall call, List<ServerLoad> servers, boolean blind, long now);
 
-    /** Milliseconds that a server works on the call, waiting not counted. */
+    /** Milliseconds that a server works on the call, without waiting time. */
     double serviceMillis(DispatchCall call, List<ServerLoad> servers);
 
-    /** Whether a server is kept from long calls by what it does now. */
+    /** Whether the calls running on a server rule it out for long calls. */
     default boolean isUnsuitableForLong(ServerLoad server, long now) {
         return false;
     }
 
-    /** Whether a call that waits needs servers that short calls keep away from it. */
+    /** Whether the call needs servers that are free of short calls. */
     default boolean isLong(DispatchCall call, List<ServerLoad> servers) {
         return false;
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PlacementPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/PlacementPlan.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * Where a call would run.
+ * The servers that a call would run on.
  *
- * @param members the server that answers first, then those that help to read
+ * @param members the primary, which generates the answer, then its helpers
  * @param memoryTokens memory that the call takes on each member, in the same order
- * @param partPrefillMillis reading for each member
+ * @param partPrefillMillis prefill time on each member
  * @param firstMillis predicted time to the first token, or to the answer of a plain service
  */
 record PlacementPlan(List<ServerLoad> members, List<Long> memoryTokens, double partPrefillMillis, double firstMillis) {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PlainPlacement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/PlainPlacement.java
@@ -4,14 +4,17 @@
 import java.util.Optional;
 
 /**
- * Places calls of a plain service on the server with the smallest part of its places taken; the caller's own failure
- * domain goes before an equal one elsewhere.
+ * Places calls of a plain service on the server with the smallest part of its slots taken; of equally loaded ones, a
+ * server in the caller's own failure domain is preferred.
  */
 final class PlainPlacement implements Placement {
-    /** Part of a server's places that being in another failure domain weighs. */
+    /** Load added to a server in another failure domain, as part of its slots. */
     private static final double REMOTE_DOMAIN_PENALTY = 0.1;
 
-    /** Expected time of one call; only used to tell callers when to come back. */
+    /**
+     * Assumed time of one call. Predicts the wait in the queue, from which retry times and refusals of calls that would
+     * be late follow.
+     */
     private static final double ASSUMED_SERVICE_MILLIS = 50;
 
     @Override
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PrefillHeadroom.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/PrefillHeadroom.java
@@ -6,8 +6,8 @@
 import java.util.function.BiPredicate;
 
 /**
- * How long a part of a prompt each engine could read without disturbing its answers, the most first. Worked out once for
- * a prompt: groups of many sizes are weighed, and most are ruled out by one comparison.
+ * The longest prefill that each engine can take without exceeding its answers' allowed gaps, in descending order.
+ * Computed once per prompt, so that most group sizes are ruled out by one comparison.
  */
 final class PrefillHeadroom {
     private final List<ServerHeadroom> headrooms;
@@ -18,7 +18,7 @@
         this.headrooms = reads;
     }
 
-    /** @param mayBegin whether an engine may begin with a part at a time */
+    /** @param mayBegin whether an engine may start a part at a time */
     static PrefillHeadroom of(List<ServerLoad> servers, BiPredicate<ServerLoad, Long> mayBegin, long now) {
         List<ServerHeadroom> reads = new ArrayList<>(servers.size());
         for (ServerLoad each : servers) {
@@ -30,12 +30,12 @@
         return new PrefillHeadroom(reads);
     }
 
-    /** Whether so many engines bear a part of this length. */
+    /** Whether at least so many engines have headroom for a part of this length. */
     boolean hasRoom(double partMillis, int engines) {
         return engines <= headrooms.size() && headrooms.get(engines - 1).maxPrefillMillis() >= partMillis;
     }
 
-    /** The engines that bear a part of this length. */
+    /** The engines that have headroom for a part of this length. */
     List<ServerLoad> serversWithRoom(double partMillis) {
         List<ServerLoad> servers = new ArrayList<>();
         for (ServerHeadroom each : headrooms) {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
@@ -5,7 +5,10 @@
 
 import org.elmline.core.common.BackendServerId;
 
-/** Keeps what the servers of one dispatcher are sent within the limits that they name. */
+/**
+ * Keeps the requests granted by one dispatcher within the rate limits that the servers report. Not safe for concurrent
+ * use.
+ */
 final class RateLimitEnforcer {
     private final ServerRateLimits reportedLimits;
     private final ServerLoads serverLoads;
@@ -31,9 +34,9 @@
     }
 
     /**
-     * Takes up what has changed.
+     * Applies limits that have changed since the last call.
      *
-     * @param alone whether all entries send on this dispatcher's word only; else each keeps to its part of a limit
+     * @param alone whether all entries send only what this dispatcher grants; if not, each keeps to its part of a limit
      */
     void applyChanges(boolean alone, long now) {
         int parts = alone ? 1 : entryCount;
@@ -45,8 +48,8 @@
     }
 
     /**
-     * Servers that may be sent one more request now. A long prompt is read by many servers and has orders beside it, so it
-     * is kept from those in need as long as there are others.
+     * Servers that may be sent one more request now. A long prompt is prefilled by many servers and takes further
+     * requests to each of them, so rate-limited servers get none as long as there are others.
      */
     List<ServerLoad> withinLimits(List<ServerLoad> usable, boolean isLong, long now) {
         if (reportedLimits.isEmpty()) {
@@ -65,7 +68,7 @@
         return isLong && !unlimited.isEmpty() ? unlimited : within;
     }
 
-    /** Milliseconds until the limits let one more be sent after so many; 0 where a server names none. */
+    /** Milliseconds until the limits allow one more request after so many; 0 if no server reports a limit. */
     double waitMillis(List<ServerLoad> usable, int ahead, long now) {
         if (reportedLimits.isEmpty()) {
             return 0;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/RetryLimit.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/RetryLimit.java
@@ -1,14 +1,14 @@
 package org.elmline.core.dispatch;
 
 /**
- * How many calls of a service may be repeated.
+ * How many calls of a service may be retried.
  *
- * @param ratio repetitions for each first send
- * @param slack repetitions a window beyond that, so that a quiet service may repeat at all
+ * @param ratio retries for each first send
+ * @param slack further retries per window, so that a service with few calls may retry at all
  * @param windowNanos length of the window
  */
 public record RetryLimit(double ratio, long slack, long windowNanos) {
-    /** The limit of each of so many parts that together must keep this one. */
+    /** The limit for each of so many parts that together must keep to this one. */
     public RetryLimit dividedInto(int parts) {
         return parts == 1 ? this : new RetryLimit(ratio, slack / parts, windowNanos);
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerHealth.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerHealth.java
@@ -1,24 +1,24 @@
 package org.elmline.core.dispatch;
 
 /**
- * When a server is left alone, judged by how its calls end: health checks cost work, and a faulty server may pass them.
- * A rest doubles with each trial that fails, so that a server that is gone costs ever fewer calls, and ends by itself, so
- * that one that is back is found.
+ * Decides when a server gets no calls, by how its calls end: health checks cost work, and a faulty server may pass
+ * them. The backoff doubles with each failed trial, so that a server that is gone costs fewer and fewer calls, and ends
+ * by itself, so that a recovered server is detected. Not safe for concurrent use.
  */
 final class ServerHealth {
-    /** Rest after a failed connection: about the time a process takes to restart. */
+    /** First backoff after a failed connection: about the time a process takes to restart. */
     private static final long INITIAL_BACKOFF_NANOS = 1_000_000_000L;
 
-    /** Longest rest: a server that is back is found within this. */
+    /** Longest backoff; a recovered server is detected within this time. */
     private static final long MAX_BACKOFF_NANOS = 8_000_000_000L;
 
-    /** Rest of a server that is full: a few service times. */
+    /** Backoff for a server that is full: a few service times. */
     private static final long BUSY_BACKOFF_NANOS = 60_000_000L;
 
-    /** Failures in a row after which a server rests; single ones happen to sound servers. */
+    /** Consecutive failures that start a backoff; single failures happen on healthy servers. */
     private static final int FAILURES_BEFORE_BACKOFF = 3;
 
-    /** Score at which a server that fails part of its calls rests; half of the last few. */
+    /** Score that starts a backoff for a server that fails a part of its calls: half of the most recent ones. */
     private static final double FAILURE_SCORE_THRESHOLD = 0.5;
 
     /** Weight of the newest result in the score. */
@@ -42,7 +42,7 @@
             case BUSY -> backoffUntilNanos =
                     Math.max(backoffUntilNanos == Long.MIN_VALUE ? now : backoffUntilNanos, now + BUSY_BACKOFF_NANOS);
             default -> {
-                // A caller that left says nothing about the server.
+                // A disconnected caller indicates nothing about the server.
             }
         }
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoad.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoad.java
@@ -7,11 +7,14 @@
 import org.elmline.core.registry.Registration;
 import org.elmline.core.routing.BatchTiming;
 
-/** What a dispatcher has granted on one backend server, and what follows for the next call. */
+/**
+ * The calls that a dispatcher has granted on one backend server, and the load predicted from them. Not safe for
+ * concurrent use.
+ */
 final class ServerLoad {
     private static final double NANOS_PER_MILLI = 1e6;
 
-    /** Part of an engine's memory that grants may fill: the rest is for rounding to blocks. */
+    /** Part of an engine's memory that grants may fill; the rest covers rounding up to blocks. */
     private static final double USABLE_MEMORY_FRACTION = 0.96;
 
     private final ServerHealth health = new ServerHealth();
@@ -23,7 +26,7 @@
     private long prefillFreeAtNanos;
     private long reservedForLongUntilNanos = Long.MIN_VALUE;
 
-    /** Sums over the shares: each decision asks every server for them. */
+    /** Sums over the allocations, maintained incrementally as each decision reads them for every server. */
     private int running;
 
     private int decodingCount;
@@ -52,7 +55,7 @@
         return timing;
     }
 
-    /** False once the server has left or fallen silent; its running calls still count. */
+    /** False once the server has left or its heartbeats have expired; its running calls still count. */
     boolean isAvailable() {
         return isAvailable;
     }
@@ -65,7 +68,7 @@
         return health;
     }
 
-    /** What it may be sent, where it names a limit. */
+    /** Paces requests if the server reports a rate limit. */
     RequestPacer requestPacer() {
         return requestPacer;
     }
@@ -82,7 +85,7 @@
         return Math.max(1, timing == null ? registration.places() : Math.min(timing.slots(), registration.places()));
     }
 
-    /** Calls that this server answers itself. */
+    /** Calls whose answers this server generates. */
     int running() {
         return running;
     }
@@ -91,7 +94,7 @@
         return slots() - running();
     }
 
-    /** Prompts that it reads a part of for others. */
+    /** Prompts of which this server prefills a part for another engine. */
     int helpedPrompts() {
         return allocations.size() - running();
     }
@@ -100,12 +103,12 @@
         return (long) (timing.memoryTokens() * USABLE_MEMORY_FRACTION) - usedMemoryTokens;
     }
 
-    /** Milliseconds of reading that is granted and, by the model, not done. */
+    /** Milliseconds of prefill that are granted and, by the model, not done yet. */
     double backlogMillis(long now) {
         return Math.max(0, (prefillFreeAtNanos - now) / NANOS_PER_MILLI);
     }
 
-    /** Milliseconds of a pass with all granted calls writing and one more. */
+    /** Milliseconds of a decode pass with all granted calls and so many more. */
     double passMillis(long moreContextTokens, int moreWriters) {
         return timing.passMillis(running + moreWriters, contextTokens + moreContextTokens);
     }
@@ -114,14 +117,18 @@
         return decodingCount > 0;
     }
 
-    /** The shortest pause that a call here allows between events, in milliseconds; a large number without calls. */
+    /**
+     * The shortest gap that a call here allows between events, in milliseconds; {@link Integer#MAX_VALUE} without such
+     * calls.
+     */
     int shortestGapMillis() {
         return shortestGapMillis;
     }
 
     /**
-     * Takes a grant. While answers are written a read begins only with the next pass, so half a pass is added where none
-     * waited: left out, the next part would be granted as the last one still reads, and both would stretch one pause.
+     * Counts a grant. While answers are decoded a prefill starts only with the next pass, so half a pass is added if no
+     * prefill was pending. Without it the next part would be granted while the previous one is still prefilled, and
+     * both would stretch the same gap.
      */
     void grant(Allocation share, long now) {
         double pass = timing != null && backlogMillis(now) == 0 && isDecoding() ? passMillis(0, 0) / 2 : 0;
@@ -182,14 +189,14 @@
         return shortest;
     }
 
-    /** Corrects the model by what was seen: with nobody reading there is no backlog. */
+    /** Corrects the predicted backlog: it is zero when no call is prefilled. */
     private void clearBacklogIfNotPrefilling(long now) {
         if (prefillingCount == 0) {
             prefillFreeAtNanos = now;
         }
     }
 
-    /** Keeps new short calls away, so that a long prompt that waits finds an engine without short writers. */
+    /** Keeps new short calls away, so that a waiting long prompt finds an engine without short answers. */
     void reserveForLong(long until) {
         reservedForLongUntilNanos = until;
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoads.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoads.java
@@ -10,11 +10,11 @@
 import org.elmline.core.registry.Registration;
 import org.elmline.core.routing.BatchTiming;
 
-/** The accounts of the backend servers that a dispatcher places calls on. Not safe for concurrent use. */
+/** The loads of the backend servers that a dispatcher places calls on. Not safe for concurrent use. */
 final class ServerLoads {
     private final Map<BackendServerId, ServerLoad> loads = new LinkedHashMap<>();
 
-    /** Takes the servers that may be used now; one that may not keeps its account while calls run on it. */
+    /** Updates the servers that may be used now; a server that may not keeps its load while calls run on it. */
     void update(Collection<Registration> usable, BatchTiming timing, long now) {
         loads.values().forEach(ServerLoad::markUnavailable);
         for (Registration each : usable) {
@@ -28,21 +28,21 @@
         loads.values().removeIf(each -> !each.isAvailable() && each.isIdle());
     }
 
-    /** Takes the limits in force; each is kept to by {@code sharedBy} dispatchers that don't know of each other. */
+    /** Applies the limits in force; each is shared by {@code sharedBy} dispatchers that send without coordination. */
     void applyLimits(ServerRateLimits limits, int sharedBy, long now) {
         for (ServerLoad each : loads.values()) {
             each.requestPacer().applyLimit(limits.limitOf(each.registration().id()), sharedBy, now);
         }
     }
 
-    /** Null where the server isn't known. */
+    /** The load of a server; null if the server is unknown. */
     ServerLoad find(BackendServerId id) {
         return loads.get(id);
     }
 
     /**
-     * Servers that a call may go to. Resting ones are left out unless that leaves less than a third: a fault of
-     * something all calls share must not turn the whole service away.
+     * Servers that a call may be sent to. Those in backoff are left out unless that leaves a third or less: a fault in
+     * something that all calls share must not make the whole service reject calls.
      */
     List<ServerLoad> usable(Collection<BackendServerId> avoid, long now) {
         List<ServerLoad> awake = new ArrayList<>(loads.size());
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimit.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimit.java
@@ -1,9 +1,9 @@
 package org.elmline.core.dispatch;
 
 /**
- * How many requests a backend server in need takes from all entries together.
+ * How many requests an overloaded backend server accepts from all entries together.
  *
- * @param spacingMicros microseconds from one request to the next; 0 for a server that names no limit
+ * @param spacingMicros microseconds from one request to the next; 0 for a server that reports no limit
  */
 public record ServerRateLimit(long spacingMicros) {
     public static final ServerRateLimit NONE = new ServerRateLimit(0);
@@ -11,8 +11,8 @@
     private static final double MICROS_PER_SECOND = 1e6;
 
     /**
-     * Slowest pace that is kept. A server whose limit is lower, or zero, would else hardly be asked again, and the end of
-     * its need would not be seen.
+     * Slowest pace. A server whose limit is lower, or zero, would otherwise hardly get requests, and the end of its
+     * overload would not be detected, as limits are reported in answers.
      */
     private static final long MAX_SPACING_MICROS = 4_000_000;
 
@@ -22,7 +22,7 @@
         }
     }
 
-    /** A limit of so many requests a second. */
+    /** A limit of so many requests per second, at least one in four seconds. */
     public static ServerRateLimit ofPerSecond(double requests) {
         double spacing = MICROS_PER_SECOND / Math.max(requests, 0);
         return new ServerRateLimit((long) Math.max(1, Math.min(MAX_SPACING_MICROS, spacing)));
@@ -32,7 +32,7 @@
         return spacingMicros > 0;
     }
 
-    /** Requests a second; infinite without a limit. */
+    /** Requests per second; infinite without a limit. */
     public double requestsPerSecond() {
         return MICROS_PER_SECOND / spacingMicros;
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimits.java
@@ -8,12 +8,15 @@
 
 import org.elmline.core.common.BackendServerId;
 
-/** The limits that backend servers name in their answers, as far as they have been heard of here. */
+/**
+ * The rate limits that backend servers report in their answers, as far as they are known here. Not safe for concurrent
+ * use.
+ */
 public final class ServerRateLimits {
-    /** An answer without a limit that comes this soon after one with it may have been given before. */
+    /** An answer without a limit that arrives this soon after one with a limit may have been generated before it. */
     private static final long REORDERING_NANOS = Duration.ofMillis(500).toNanos();
 
-    /** Servers remembered; more are those of long ago. */
+    /** Most servers kept; beyond it, the least recently reported limit is evicted. */
     private static final int MAX_SERVERS = 1_024;
 
     private final Map<BackendServerId, ObservedLimit> limitsByServer = new LinkedHashMap<>();
@@ -21,14 +24,14 @@
 
     private record ObservedLimit(ServerRateLimit limit, long observedAtNanos) {}
 
-    /** A server and the limit that it names. */
+    /** A server and the limit that it reports. */
     public record ReportedLimit(BackendServerId server, ServerRateLimit limit) {}
 
     /**
-     * Takes what an answer says.
+     * Records the limit stated in an answer.
      *
      * @param now monotonic time in nanoseconds
-     * @return whether that is new
+     * @return whether the limit of the server changed
      */
     public boolean update(BackendServerId server, ServerRateLimit limit, long now) {
         ObservedLimit before = limitsByServer.get(server);
@@ -49,18 +52,18 @@
         return news;
     }
 
-    /** Grows with each change. */
+    /** Increases with each change. */
     long version() {
         return version;
     }
 
-    /** The limit of a server, {@link ServerRateLimit#NONE} where it names none. */
+    /** The limit of a server, {@link ServerRateLimit#NONE} if it reports none. */
     public ServerRateLimit limitOf(BackendServerId server) {
         ObservedLimit heard = limitsByServer.get(server);
         return heard == null ? ServerRateLimit.NONE : heard.limit();
     }
 
-    /** All that name a limit. */
+    /** All servers that report a limit. */
     public List<ReportedLimit> all() {
         List<ReportedLimit> all = new ArrayList<>();
         limitsByServer.forEach((server, heard) -> all.add(new ReportedLimit(server, heard.limit())));
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServiceRetryBudget.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServiceRetryBudget.java
@@ -1,8 +1,9 @@
 package org.elmline.core.dispatch;
 
 /**
- * Bounds how many calls are sent a second time, over all entries together: without a bound a fault of a few servers
- * doubles the load on the rest. Counts in two half windows, so that the sum over any window stays within the bound.
+ * Bounds how many calls are retried, over all entries together: without a bound a fault of a few servers doubles the
+ * load on the rest. Counts in two half windows, so that the sum over any window stays within the bound. Not safe for
+ * concurrent use.
  */
 final class ServiceRetryBudget {
     private final RetryLimit limit;
@@ -22,7 +23,7 @@
         currentFirstSends++;
     }
 
-    /** Takes one repetition out of the budget; false when there is none left. */
+    /** Takes one retry out of the budget; false if none is left. */
     boolean tryAcquireRetry(long now) {
         advanceWindow(now);
         double allowed = limit.ratio() * (currentFirstSends + previousFirstSends) + limit.slack();
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServiceShard.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServiceShard.java
@@ -2,7 +2,7 @@
 
 import org.elmline.core.common.ServiceName;
 
-/** A shard of a service: what one dispatcher decides for. */
+/** A shard of a service: the unit that one dispatcher decides for. */
 public record ServiceShard(ServiceName service, Shard shard) {
     @Override
     public String toString() {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Shard.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Shard.java
@@ -6,23 +6,29 @@
 import org.elmline.core.common.BackendServerId;
 
 /**
- * A part of a service's backend servers that is dispatched by itself, so that what one dispatcher does stays bounded
- * however many servers the service has, and its loss costs a part of them.
+ * A part of a service's backend servers with a dispatcher of its own, so that the work of one dispatcher stays bounded
+ * however many servers the service has, and its failure affects only a part of them.
  *
  * @param index from 0
- * @param count shards of the service, over 0
+ * @param count shards of the service, at least 1
  */
 public record Shard(int index, int count) {
-    /** All servers of a service that has few. */
+    /** All servers of a service that has a single shard. */
     public static final Shard WHOLE = new Shard(0, 1);
 
-    /** Servers of a shard, at most; groups of engines want as many to choose from as a host can look through. */
+    /**
+     * Most servers of a shard on average: groups of engines need a large choice, and a host can examine about this many
+     * for a decision.
+     */
     private static final int MAX_SERVERS = 100;
 
-    /** Shards become so many times more at once: hosts that count servers differently for a moment mostly agree on them. */
+    /**
+     * Factor by which the number of shards grows, so that hosts that briefly count servers differently mostly agree on
+     * it.
+     */
     private static final int COUNT_GROWTH_FACTOR = 2;
 
-    /** Odd, with bits all over, so that names that are alike fall into unlike shards. */
+    /** Odd, with bits spread over the whole word, so that similar names fall into different shards. */
     private static final int HASH_MULTIPLIER = 0x9E3779B1;
 
     public Shard {
@@ -44,12 +50,12 @@
         return shards;
     }
 
-    /** Whether a server is of this shard. */
+    /** Whether a server belongs to this shard. */
     public boolean contains(BackendServerId server) {
         return indexOf(server, count) == index;
     }
 
-    /** The shard that a server is of among so many. */
+    /** The index of the shard, among so many, that a server belongs to. */
     static int indexOf(BackendServerId server, int count) {
         int hash = server.value().hashCode() * HASH_MULTIPLIER;
         return Math.floorMod(hash ^ hash >>> 15, count);
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ShardChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ShardChoice.java
@@ -6,13 +6,13 @@
 
 import org.elmline.core.common.BackendServerId;
 
-/** In which order the dispatchers of a service's shards are asked for a place. */
+/** Chooses the order in which the dispatchers of a service's shards are requested to place a call. */
 public final class ShardChoice {
     private ShardChoice() {}
 
     /**
-     * The shards in the order in which a call asks them: each comes first as often as its part of the servers, as calls
-     * spread evenly would crowd a shard that happens to have few.
+     * The shards in the order in which a call requests placement. Each comes first in proportion to its number of
+     * servers: calls spread evenly would overload a shard that has few.
      *
      * @param servers all servers of the service that may be used
      */
@@ -26,7 +26,7 @@
         int index = Shard.indexOf(servers.get(random.nextInt(servers.size())), count);
         int step = 1 + 2 * random.nextInt(count / 2);
         for (int i = 0; i < count; i++) {
-            // The count is a power of two, so an odd step passes each shard once.
+            // The count is a power of two, so an odd step visits each shard once.
             order.add(left.get(Math.floorMod(index + i * step, count)));
         }
         return order;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/WaitingCall.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/WaitingCall.java
@@ -3,9 +3,9 @@
 import java.util.Comparator;
 
 /**
- * A call that waits for a place, with its times as moments rather than as what is left of them.
+ * A call that waits for a slot, with absolute monotonic times in nanoseconds instead of remaining times.
  *
- * @param enqueuedAtNanos when it came
+ * @param enqueuedAtNanos when it was received
  * @param dueAtNanos when it becomes late
  * @param firstTokenDeadlineNanos until when a first token is of use
  * @param deadlineNanos until when its caller waits
@@ -24,8 +24,8 @@
     }
 
     /**
-     * The order in which calls get places: those that can still be in time before those that can't; within both the more
-     * urgent, then the one due first.
+     * The order in which calls are placed: those that can still meet their aim before late ones; within both by
+     * priority, then by due time.
      */
     static Comparator<WaitingCall> placementOrder(long now) {
         return Comparator.comparing((WaitingCall each) -> each.isLate(now))
@@ -33,7 +33,7 @@
                 .thenComparingLong(WaitingCall::dueAtNanos);
     }
 
-    /** The call with the times that are left of it now. */
+    /** The call with the times that remain now. */
     DispatchCall callAt(long now) {
         return call.withRemainingTimes(
                 (dueAtNanos - now) / NANOS_PER_MILLI,
