--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Allocation.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Allocation.java
@@ -8,10 +8,10 @@
     private final long memoryTokens;
     private boolean isPrefilling = true;
 
-    Allocation(DispatchCall call, boolean primary, double readMillis, long memoryTokens) {
+    Allocation(DispatchCall call, boolean isPrimary, double prefillMillis, long memoryTokens) {
         this.call = call;
-        this.isPrimary = primary;
-        this.prefillMillis = readMillis;
+        this.isPrimary = isPrimary;
+        this.prefillMillis = prefillMillis;
         this.memoryTokens = memoryTokens;
     }
 
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/AttemptEnd.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/AttemptEnd.java
@@ -23,8 +23,8 @@
 
     private final HealthSignal healthSignal;
 
-    AttemptEnd(HealthSignal sign) {
-        this.healthSignal = sign;
+    AttemptEnd(HealthSignal signal) {
+        this.healthSignal = signal;
     }
 
     HealthSignal healthSignal() {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
@@ -18,32 +18,33 @@
      * Double#MAX_VALUE} if no answer there limits its gap.
      */
     static double maxPrefillMillis(ServerLoad server, long now) {
-        int gap = server.shortestGapMillis();
-        return gap == Integer.MAX_VALUE
+        int allowedGap = server.shortestGapMillis();
+        return allowedGap == Integer.MAX_VALUE
                 ? Double.MAX_VALUE
-                : MAX_GAP_FRACTION * gap - predictedGapMillis(server, 0, now);
+                : MAX_GAP_FRACTION * allowedGap - predictedGapMillis(server, 0, now);
     }
 
     /** Whether a prefill of this length would exceed the allowed gap of an answer there. */
-    static boolean exceedsGap(ServerLoad server, double readMillis, long now) {
-        int gap = server.shortestGapMillis();
-        return gap != Integer.MAX_VALUE && predictedGapMillis(server, readMillis, now) > MAX_GAP_FRACTION * gap;
+    static boolean exceedsGap(ServerLoad server, double prefillMillis, long now) {
+        int allowedGap = server.shortestGapMillis();
+        return allowedGap != Integer.MAX_VALUE
+                && predictedGapMillis(server, prefillMillis, now) > MAX_GAP_FRACTION * allowedGap;
     }
 
     /** Sum of the work, in tokens, of all answers there whose allowed gap would be exceeded. */
-    static long affectedWorkTokens(ServerLoad server, double readMillis, long now) {
-        double pause = predictedGapMillis(server, readMillis, now);
-        long size = 0;
+    static long affectedWorkTokens(ServerLoad server, double prefillMillis, long now) {
+        double predictedGap = predictedGapMillis(server, prefillMillis, now);
+        long totalTokens = 0;
         for (Allocation each : server.allocations()) {
-            int gap = each.call().gapMillis();
-            if (each.isPrimary() && gap > 0 && pause > MAX_GAP_FRACTION * gap) {
-                size += each.call().workTokens();
+            int allowedGap = each.call().gapMillis();
+            if (each.isPrimary() && allowedGap > 0 && predictedGap > MAX_GAP_FRACTION * allowedGap) {
+                totalTokens += each.call().workTokens();
             }
         }
-        return size;
+        return totalTokens;
     }
 
-    private static double predictedGapMillis(ServerLoad server, double readMillis, long now) {
-        return server.passMillis(0, 0) + server.backlogMillis(now) + readMillis;
+    private static double predictedGapMillis(ServerLoad server, double prefillMillis, long now) {
+        return server.passMillis(0, 0) + server.backlogMillis(now) + prefillMillis;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchCall.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchCall.java
@@ -53,8 +53,8 @@
     }
 
     /** The same call, addressed to another shard. */
-    public DispatchCall withShard(Shard other) {
-        return with(other, aimLeftMillis, firstLeftMillis, deadlineLeftMillis);
+    public DispatchCall withShard(Shard newShard) {
+        return with(newShard, aimLeftMillis, firstLeftMillis, deadlineLeftMillis);
     }
 
     /** The same call with the times that remain now, in milliseconds. */
@@ -62,14 +62,14 @@
         return with(shard, aimMillis, firstMillis, deadlineMillis);
     }
 
-    private DispatchCall with(Shard other, long aimMillis, long firstMillis, long deadlineMillis) {
+    private DispatchCall with(Shard newShard, long aimMillis, long firstMillis, long deadlineMillis) {
         return new DispatchCall(
                 attempt,
                 host,
                 incarnation,
                 failureDomain,
                 service,
-                other,
+                newShard,
                 priority,
                 promptTokens,
                 answerTokens,
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
@@ -105,11 +105,11 @@
      *
      * @param now monotonic time in nanoseconds
      */
-    public void updatePrimary(boolean isFirst, long now) {
-        if (isPrimary && !isFirst) {
+    public void updatePrimary(boolean primary, long now) {
+        if (isPrimary && !primary) {
             secondarySinceNanos = now;
         }
-        isPrimary = isFirst;
+        isPrimary = primary;
     }
 
     /** Sets how many entries there are; while they do not agree on a primary, each may send on its own. */
@@ -122,8 +122,8 @@
      * stopped being primary, as entries cancel their grants here from then on: a prompt that had already waited for as
      * long would be placed on engines that only seem to be free.
      */
-    private boolean isHeldAsSecondary(WaitingCall waited, long now) {
-        long since = Math.max(waited.enqueuedAtNanos(), secondarySinceNanos);
+    private boolean isHeldAsSecondary(WaitingCall waitingCall, long now) {
+        long since = Math.max(waitingCall.enqueuedAtNanos(), secondarySinceNanos);
         return !isPrimary && now - since < SECONDARY_HOLD_NANOS;
     }
 
@@ -136,9 +136,9 @@
 
     /** Places or queues a call. A repeated request for the same attempt gets the same answer while it waits or runs. */
     public DispatchAnswer place(DispatchCall call, long now) {
-        ActiveGrant held = grants.get(call.attempt());
-        if (held != null) {
-            return held.answer();
+        ActiveGrant existing = grants.get(call.attempt());
+        if (existing != null) {
+            return existing.answer();
         }
         int ahead = queuePosition(call.attempt());
         if (ahead >= 0) {
@@ -207,16 +207,16 @@
                     ? Optional.empty()
                     : refuse(call, DispatchAnswer.RefusalCause.NO_SERVER, MIN_RETRY_AFTER_MILLIS);
         }
-        long wait = queueWaitMillis(usable, now);
+        long waitMillis = queueWaitMillis(usable, now);
         if (waiting.size() >= MAX_WAITING_CALLS) {
-            return refuse(call, DispatchAnswer.RefusalCause.QUEUE_FULL, wait);
+            return refuse(call, DispatchAnswer.RefusalCause.QUEUE_FULL, waitMillis);
         }
         if (servesEngines && call.memoryTokens() > totalMemoryTokens(usable)) {
             return refuse(call, DispatchAnswer.RefusalCause.TOO_LARGE, MAX_RETRY_AFTER_MILLIS);
         }
-        boolean hopeless = wait + placement.serviceMillis(call, usable) / 2 > call.deadlineLeftMillis();
-        if (hopeless) {
-            return refuse(call, DispatchAnswer.RefusalCause.TOO_LATE, wait);
+        boolean missesDeadline = waitMillis + placement.serviceMillis(call, usable) / 2 > call.deadlineLeftMillis();
+        if (missesDeadline) {
+            return refuse(call, DispatchAnswer.RefusalCause.TOO_LATE, waitMillis);
         }
         if (call.repeated() && !retryBudget.tryAcquireRetry(now)) {
             return refuse(call, DispatchAnswer.RefusalCause.RETRY_BUDGET, MAX_RETRY_AFTER_MILLIS);
@@ -240,21 +240,21 @@
     }
 
     private static Optional<DispatchAnswer> refuse(DispatchCall call, DispatchAnswer.RefusalCause why, long millis) {
-        long after = Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, millis));
-        return Optional.of(new DispatchAnswer.Refused(call.attempt(), why, after));
+        long retryAfterMillis = Math.max(MIN_RETRY_AFTER_MILLIS, Math.min(MAX_RETRY_AFTER_MILLIS, millis));
+        return Optional.of(new DispatchAnswer.Refused(call.attempt(), why, retryAfterMillis));
     }
 
     /** Predicted milliseconds until all calls that wait now have started. */
     private long queueWaitMillis(List<ServerLoad> usable, long now) {
         double work = 0;
-        int places = 0;
+        int slots = 0;
         for (ServerLoad each : usable) {
-            places += each.slots();
+            slots += each.slots();
         }
         for (WaitingCall each : waiting) {
             work += placement.serviceMillis(each.call(), usable);
         }
-        return (long) Math.max(work / Math.max(1, places), rateLimits.waitMillis(usable, waiting.size(), now));
+        return (long) Math.max(work / Math.max(1, slots), rateLimits.waitMillis(usable, waiting.size(), now));
     }
 
     /**
@@ -305,9 +305,10 @@
     }
 
     /** @param ahead waiting calls that precede this one */
-    private boolean willMissDeadline(WaitingCall waited, List<ServerLoad> usable, int ahead, long now) {
-        double wait = rateLimits.waitMillis(usable, ahead, now);
-        return wait + placement.serviceMillis(waited.call(), usable) / 2 > waited.deadlineLeftMillis(now);
+    private boolean willMissDeadline(WaitingCall waitingCall, List<ServerLoad> usable, int ahead, long now) {
+        double waitMillis = rateLimits.waitMillis(usable, ahead, now);
+        return waitMillis + placement.serviceMillis(waitingCall.call(), usable) / 2
+                > waitingCall.deadlineLeftMillis(now);
     }
 
     /**
@@ -315,22 +316,22 @@
      * all packed with short answers never suit a long prompt, and it waits until its caller times out.
      */
     private void reserveEnginesForLong(List<ServerLoad> usable, long now) {
-        List<ServerLoad> tight = new ArrayList<>();
+        List<ServerLoad> unsuitable = new ArrayList<>();
         for (ServerLoad each : usable) {
             if (placement.isUnsuitableForLong(each, now)) {
-                tight.add(each);
+                unsuitable.add(each);
             } else {
                 each.reserveForLong(now + LONG_RESERVATION_NANOS);
             }
         }
-        tight.sort(Comparator.comparingInt(ServerLoad::running));
+        unsuitable.sort(Comparator.comparingInt(ServerLoad::running));
         int count = Math.max(1, usable.size() / ENGINES_PER_RESERVATION);
-        for (ServerLoad each : tight.subList(0, Math.min(count, tight.size()))) {
+        for (ServerLoad each : unsuitable.subList(0, Math.min(count, unsuitable.size()))) {
             each.reserveForLong(now + LONG_RESERVATION_NANOS);
         }
     }
 
-    private DispatchAnswer grant(WaitingCall waited, DispatchCall call, PlacementPlan plan, long now) {
+    private DispatchAnswer grant(WaitingCall waitingCall, DispatchCall call, PlacementPlan plan, long now) {
         ServerLoad primary = plan.primary();
         List<Helper> helpers = new ArrayList<>();
         for (int i = 1; i < plan.members().size(); i++) {
@@ -348,18 +349,18 @@
                 servesEngines ? (long) primary.backlogMillis(now) : 0,
                 primary.running());
         for (int i = 0; i < plan.members().size(); i++) {
-            Allocation share = new Allocation(
+            Allocation allocation = new Allocation(
                     call,
                     i == 0,
                     servesEngines ? plan.partPrefillMillis() : 0,
                     plan.memoryTokens().get(i));
-            plan.members().get(i).grant(share, now);
+            plan.members().get(i).grant(allocation, now);
             plan.members().get(i).requestPacer().recordSend(now);
         }
         grants.put(
                 call.attempt(),
                 new ActiveGrant(
-                        call, answer, plan.members(), waited.deadlineNanos() + UNREPORTED_GRANT_RETENTION_NANOS));
+                        call, answer, plan.members(), waitingCall.deadlineNanos() + UNREPORTED_GRANT_RETENTION_NANOS));
         return answer;
     }
 
@@ -396,8 +397,8 @@
         List<String> ended = new ArrayList<>();
         for (ActiveGrant each : grants.values()) {
             DispatchCall call = each.call();
-            boolean theirs = call.host().equals(host) && call.incarnation() <= incarnation;
-            if (theirs && !running.contains(call.attempt())) {
+            boolean ofEntry = call.host().equals(host) && call.incarnation() <= incarnation;
+            if (ofEntry && !running.contains(call.attempt())) {
                 ended.add(call.attempt());
             }
         }
@@ -426,47 +427,49 @@
         for (Helper each : open.granted().helpers()) {
             Optional.ofNullable(serverLoads.find(each.server())).ifPresent(members::add);
         }
-        double read = servesEngines ? primary.timing().prefillMillis(call.promptTokens()) / members.size() : 0;
+        double prefillMillis = servesEngines ? primary.timing().prefillMillis(call.promptTokens()) / members.size() : 0;
         for (ServerLoad each : members) {
             boolean first = each == primary;
-            each.grant(new Allocation(call, first, open.writing() ? 0 : read, first ? call.memoryTokens() : 0), now);
+            each.grant(
+                    new Allocation(call, first, open.writing() ? 0 : prefillMillis, first ? call.memoryTokens() : 0),
+                    now);
             if (open.writing()) {
                 each.startDecoding(call.attempt(), now);
             }
         }
-        long until = now + call.deadlineLeftMillis() * NANOS_PER_MILLI + UNREPORTED_GRANT_RETENTION_NANOS;
-        grants.put(call.attempt(), new ActiveGrant(call, open.granted(), members, until));
+        long expiresAtNanos = now + call.deadlineLeftMillis() * NANOS_PER_MILLI + UNREPORTED_GRANT_RETENTION_NANOS;
+        grants.put(call.attempt(), new ActiveGrant(call, open.granted(), members, expiresAtNanos));
     }
 
     /** Frees what an incarnation of an entry that is gone held or waited for. */
     public void removeEntry(HostId host, long incarnation, long now) {
-        List<String> theirs = new ArrayList<>();
+        List<String> ofEntry = new ArrayList<>();
         for (ActiveGrant each : grants.values()) {
             if (each.call().host().equals(host) && each.call().incarnation() == incarnation) {
-                theirs.add(each.call().attempt());
+                ofEntry.add(each.call().attempt());
             }
         }
-        theirs.forEach(each -> report(new AttemptReport(each, AttemptEnd.CANCELLED), now));
+        ofEntry.forEach(each -> report(new AttemptReport(each, AttemptEnd.CANCELLED), now));
         waiting.removeIf(each -> each.call().host().equals(host) && each.call().incarnation() == incarnation);
     }
 
     private void expireGrants(long now) {
-        List<String> over = new ArrayList<>();
+        List<String> expired = new ArrayList<>();
         for (ActiveGrant each : grants.values()) {
             if (now - each.expiresAtNanos() >= 0) {
-                over.add(each.call().attempt());
+                expired.add(each.call().attempt());
             }
         }
-        over.forEach(each -> report(new AttemptReport(each, AttemptEnd.CANCELLED), now));
+        expired.forEach(each -> report(new AttemptReport(each, AttemptEnd.CANCELLED), now));
     }
 
     /** Entries, with their incarnations, that hold grants or have waiting calls. */
     public Map<HostId, Long> activeEntries() {
-        Map<HostId, Long> holders = new HashMap<>();
+        Map<HostId, Long> active = new HashMap<>();
         grants.values()
-                .forEach(each -> holders.put(each.call().host(), each.call().incarnation()));
-        waiting.forEach(each -> holders.put(each.call().host(), each.call().incarnation()));
-        return holders;
+                .forEach(each -> active.put(each.call().host(), each.call().incarnation()));
+        waiting.forEach(each -> active.put(each.call().host(), each.call().incarnation()));
+        return active;
     }
 
     public int waiting() {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/EnginePlacement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/EnginePlacement.java
@@ -68,14 +68,14 @@
     private static final double SPLIT_PREFILL_OVERHEAD = 1.1;
 
     @Override
-    public Optional<PlacementPlan> plan(DispatchCall call, List<ServerLoad> servers, boolean blind, long now) {
+    public Optional<PlacementPlan> plan(DispatchCall call, List<ServerLoad> servers, boolean partialView, long now) {
         if (servers.isEmpty()) {
             return Optional.empty();
         }
-        double read = servers.get(0).timing().prefillMillis(call.promptTokens());
-        return read <= MAX_SHORT_PREFILL_MILLIS
-                ? planShort(call, servers, read, blind, now)
-                : planLong(call, servers, read, now);
+        double prefillMillis = servers.get(0).timing().prefillMillis(call.promptTokens());
+        return prefillMillis <= MAX_SHORT_PREFILL_MILLIS
+                ? planShort(call, servers, prefillMillis, partialView, now)
+                : planLong(call, servers, prefillMillis, now);
     }
 
     @Override
@@ -91,36 +91,36 @@
         }
         BatchTiming timing = servers.get(0).timing();
         double passes = (double) call.answerTokens() / timing.stepsPerPass();
-        double read = timing.prefillMillis(call.promptTokens());
-        double split =
-                Math.max(1, Math.min(Math.min(servers.size(), MAX_HELPERS + 1), read / TARGET_PART_PREFILL_MILLIS));
-        return read / split + passes * timing.passMillis(2, 2 * call.promptTokens());
+        double prefillMillis = timing.prefillMillis(call.promptTokens());
+        double memberCount = Math.max(
+                1, Math.min(Math.min(servers.size(), MAX_HELPERS + 1), prefillMillis / TARGET_PART_PREFILL_MILLIS));
+        return prefillMillis / memberCount + passes * timing.passMillis(2, 2 * call.promptTokens());
     }
 
     private Optional<PlacementPlan> planShort(
-            DispatchCall call, List<ServerLoad> servers, double read, boolean blind, long now) {
+            DispatchCall call, List<ServerLoad> servers, double prefillMillis, boolean partialView, long now) {
         ServerLoad best = null;
         double bestCost = Double.MAX_VALUE;
-        double bestFirst = 0;
+        double bestFirstMillis = 0;
         for (ServerLoad each : servers) {
             if (each.freeSlots() < 1 || each.freeMemoryTokens() < call.memoryTokens()) {
                 continue;
             }
-            double first = predictedFirstMillis(call, each, read, now);
-            if (first > call.firstLeftMillis()) {
+            double firstMillis = predictedFirstMillis(call, each, prefillMillis, now);
+            if (firstMillis > call.firstLeftMillis()) {
                 continue;
             }
-            double cost = shortPlacementCost(call, each, read, first, blind, now);
+            double cost = shortPlacementCost(call, each, prefillMillis, firstMillis, partialView, now);
             if (cost < bestCost) {
                 best = each;
                 bestCost = cost;
-                bestFirst = first;
+                bestFirstMillis = firstMillis;
             }
         }
         if (best == null) {
             return Optional.empty();
         }
-        return Optional.of(PlacementPlan.single(best, call.memoryTokens(), read, bestFirst));
+        return Optional.of(PlacementPlan.single(best, call.memoryTokens(), prefillMillis, bestFirstMillis));
     }
 
     /**
@@ -129,27 +129,32 @@
      * calls packed them, they would all choose the same engine, which rejects calls beyond its slots.
      */
     private double shortPlacementCost(
-            DispatchCall call, ServerLoad server, double read, double first, boolean blind, long now) {
+            DispatchCall call,
+            ServerLoad server,
+            double prefillMillis,
+            double firstMillis,
+            boolean partialView,
+            long now) {
         double pass = server.passMillis(meanContextTokens(call), 1);
-        double pause = pass + server.backlogMillis(now) + read;
-        boolean harms = pause
+        double predictedGap = pass + server.backlogMillis(now) + prefillMillis;
+        boolean exceedsGap = predictedGap
                 > DecodeInterference.MAX_GAP_FRACTION * Math.min(server.shortestGapMillis(), allowedGapMillis(call));
-        boolean quick = first <= MAX_PACKED_AIM_FRACTION * call.aimLeftMillis();
-        boolean room = server.freeSlots() > SPARE_SLOTS;
+        boolean meetsAim = firstMillis <= MAX_PACKED_AIM_FRACTION * call.aimLeftMillis();
+        boolean hasSpareSlots = server.freeSlots() > SPARE_SLOTS;
         double rank = 0;
         // Late is worse than an engine reserved for a long prompt: a prefill there may take seconds.
-        rank += first > call.aimLeftMillis() ? 16 : 0;
+        rank += firstMillis > call.aimLeftMillis() ? 16 : 0;
         rank += server.isReservedForLong(now) ? 8 : 0;
-        rank += harms ? 4 : 0;
-        rank += quick ? 0 : 2;
-        rank += room ? 0 : 1;
-        rank += blind || isUnsuitableForLong(server, now) ? 0 : OCCUPY_FREE_ENGINE_PENALTY;
-        double used = (double) server.running() / server.slots();
-        if (blind) {
-            return rank * 1e6 + used + tieBreaker(call, server) / server.slots();
+        rank += exceedsGap ? 4 : 0;
+        rank += meetsAim ? 0 : 2;
+        rank += hasSpareSlots ? 0 : 1;
+        rank += partialView || isUnsuitableForLong(server, now) ? 0 : OCCUPY_FREE_ENGINE_PENALTY;
+        double usedFraction = (double) server.running() / server.slots();
+        if (partialView) {
+            return rank * 1e6 + usedFraction + tieBreaker(call, server) / server.slots();
         }
         // Among equal ranks the fullest is taken; if none meets the aim, the one with the earliest first token.
-        return rank * 1e6 + (quick && room ? 1 - used : first);
+        return rank * 1e6 + (meetsAim && hasSpareSlots ? 1 - usedFraction : firstMillis);
     }
 
     /** A number from 0 to 1, determined by the call and the server. */
@@ -163,27 +168,30 @@
      * may find more suitable engines. If no group is free the call waits, unless it is late already: then any engines
      * whose answers are not disturbed are accepted.
      */
-    private Optional<PlacementPlan> planLong(DispatchCall call, List<ServerLoad> servers, double read, long now) {
-        int most = Math.min(MAX_HELPERS + 1, servers.size());
-        boolean late = partPrefillMillis(read, most) >= call.aimLeftMillis();
-        double longest = late ? call.firstLeftMillis() : call.aimLeftMillis();
-        double longestOfFewer = late ? call.firstLeftMillis() : MAX_PREFILL_AIM_FRACTION * call.aimLeftMillis();
-        int gentle = (int) Math.ceil(read / TARGET_PART_PREFILL_MILLIS);
-        PrefillHeadroom reads = PrefillHeadroom.of(servers, EnginePlacement::canStartPart, now);
-        for (int size = Math.min(gentle, most); size <= most; size++) {
-            Optional<PlacementPlan> plan = planGroup(call, reads, size, read, now);
-            if (plan.isPresent() && plan.get().firstMillis() <= longest) {
+    private Optional<PlacementPlan> planLong(
+            DispatchCall call, List<ServerLoad> servers, double prefillMillis, long now) {
+        int maxMembers = Math.min(MAX_HELPERS + 1, servers.size());
+        boolean isLate = partPrefillMillis(prefillMillis, maxMembers) >= call.aimLeftMillis();
+        double maxFirstMillis = isLate ? call.firstLeftMillis() : call.aimLeftMillis();
+        double maxFirstMillisOfFewer =
+                isLate ? call.firstLeftMillis() : MAX_PREFILL_AIM_FRACTION * call.aimLeftMillis();
+        int targetMembers = (int) Math.ceil(prefillMillis / TARGET_PART_PREFILL_MILLIS);
+        PrefillHeadroom headroom = PrefillHeadroom.of(servers, EnginePlacement::canStartPart, now);
+        for (int size = Math.min(targetMembers, maxMembers); size <= maxMembers; size++) {
+            Optional<PlacementPlan> plan = planGroup(call, headroom, size, prefillMillis, now);
+            if (plan.isPresent() && plan.get().firstMillis() <= maxFirstMillis) {
                 return plan;
             }
         }
-        for (int size = Math.min(gentle, most) - 1; size >= 1; size--) {
-            Optional<PlacementPlan> plan = planGroup(call, reads, size, read, now);
-            if (plan.isPresent() && plan.get().firstMillis() <= longestOfFewer) {
+        for (int size = Math.min(targetMembers, maxMembers) - 1; size >= 1; size--) {
+            Optional<PlacementPlan> plan = planGroup(call, headroom, size, prefillMillis, now);
+            if (plan.isPresent() && plan.get().firstMillis() <= maxFirstMillisOfFewer) {
                 return plan;
             }
         }
-        boolean soonLate = call.aimLeftMillis() - partPrefillMillis(read, most) <= INTERFERENCE_SLACK_MILLIS;
-        return !late && soonLate ? planWithInterference(call, servers, read, now) : Optional.empty();
+        boolean isAimNear =
+                call.aimLeftMillis() - partPrefillMillis(prefillMillis, maxMembers) <= INTERFERENCE_SLACK_MILLIS;
+        return !isLate && isAimNear ? planWithInterference(call, servers, prefillMillis, now) : Optional.empty();
     }
 
     /**
@@ -192,33 +200,33 @@
      * short answer with a long gap costs less than a prompt of 400 thousand tokens that is late.
      */
     private Optional<PlacementPlan> planWithInterference(
-            DispatchCall call, List<ServerLoad> servers, double read, long now) {
-        List<ServerLoad> able = new ArrayList<>();
+            DispatchCall call, List<ServerLoad> servers, double prefillMillis, long now) {
+        List<ServerLoad> candidates = new ArrayList<>();
         for (ServerLoad each : servers) {
             if (canStartPart(each, now)) {
-                able.add(each);
+                candidates.add(each);
             }
         }
         Optional<PlacementPlan> best = Optional.empty();
-        double least = MAX_INTERFERENCE_FRACTION * call.workTokens();
-        for (int size = Math.min(MAX_HELPERS + 1, able.size()); size >= 1; size--) {
-            double part = partPrefillMillis(read, size);
-            if (part > call.aimLeftMillis()) {
+        double minCost = MAX_INTERFERENCE_FRACTION * call.workTokens();
+        for (int size = Math.min(MAX_HELPERS + 1, candidates.size()); size >= 1; size--) {
+            double partMillis = partPrefillMillis(prefillMillis, size);
+            if (partMillis > call.aimLeftMillis()) {
                 break;
             }
-            List<InterferenceCost> cheapest = leastAffected(able, size, part, now);
+            List<InterferenceCost> leastDisturbed = leastAffected(candidates, size, partMillis, now);
             double cost = 0;
-            for (InterferenceCost each : cheapest) {
+            for (InterferenceCost each : leastDisturbed) {
                 cost += each.workTokens();
             }
-            if (cost >= least) {
+            if (cost >= minCost) {
                 continue;
             }
             Optional<PlacementPlan> plan = planExactGroup(
-                    call, cheapest.stream().map(InterferenceCost::server).toList(), part, now);
+                    call, leastDisturbed.stream().map(InterferenceCost::server).toList(), partMillis, now);
             if (plan.isPresent() && plan.get().firstMillis() <= call.aimLeftMillis()) {
                 best = plan;
-                least = cost;
+                minCost = cost;
             }
         }
         return best;
@@ -227,17 +235,19 @@
     /** An engine and the work, in tokens, of the answers that a part would disturb there. */
     private record InterferenceCost(ServerLoad server, long workTokens) {}
 
-    private static List<InterferenceCost> leastAffected(List<ServerLoad> able, int count, double part, long now) {
+    private static List<InterferenceCost> leastAffected(
+            List<ServerLoad> candidates, int count, double partMillis, long now) {
         List<InterferenceCost> costs = new ArrayList<>();
-        for (ServerLoad each : able) {
-            costs.add(new InterferenceCost(each, DecodeInterference.affectedWorkTokens(each, part, now)));
+        for (ServerLoad each : candidates) {
+            costs.add(new InterferenceCost(each, DecodeInterference.affectedWorkTokens(each, partMillis, now)));
         }
         costs.sort(Comparator.comparingLong(InterferenceCost::workTokens));
         return costs.subList(0, count);
     }
 
     /** A plan for exactly these engines, the most suitable of them being the primary. */
-    private Optional<PlacementPlan> planExactGroup(DispatchCall call, List<ServerLoad> engines, double part, long now) {
+    private Optional<PlacementPlan> planExactGroup(
+            DispatchCall call, List<ServerLoad> engines, double partMillis, long now) {
         ServerLoad primary = choosePrimary(call, engines);
         if (primary == null) {
             return Optional.empty();
@@ -245,7 +255,7 @@
         List<ServerLoad> members = new ArrayList<>(engines);
         members.remove(primary);
         members.add(0, primary);
-        return allocateMemory(call, members, part, now);
+        return allocateMemory(call, members, partMillis, now);
     }
 
     /**
@@ -261,38 +271,38 @@
         return DecodeInterference.exceedsGap(server, TARGET_PART_PREFILL_MILLIS, now);
     }
 
-    private static double partPrefillMillis(double read, int members) {
-        return members == 1 ? read : read / members * SPLIT_PREFILL_OVERHEAD;
+    private static double partPrefillMillis(double prefillMillis, int members) {
+        return members == 1 ? prefillMillis : prefillMillis / members * SPLIT_PREFILL_OVERHEAD;
     }
 
     private Optional<PlacementPlan> planGroup(
-            DispatchCall call, PrefillHeadroom reads, int size, double read, long now) {
-        double part = partPrefillMillis(read, size);
-        if (!reads.hasRoom(part, size)) {
+            DispatchCall call, PrefillHeadroom headroom, int size, double prefillMillis, long now) {
+        double partMillis = partPrefillMillis(prefillMillis, size);
+        if (!headroom.hasRoom(partMillis, size)) {
             return Optional.empty();
         }
-        List<ServerLoad> fit = reads.serversWithRoom(part);
-        ServerLoad primary = choosePrimary(call, fit);
+        List<ServerLoad> eligible = headroom.serversWithRoom(partMillis);
+        ServerLoad primary = choosePrimary(call, eligible);
         if (primary == null) {
             return Optional.empty();
         }
-        fit.remove(primary);
-        fit.sort(Comparator.comparingInt(ServerLoad::running)
+        eligible.remove(primary);
+        eligible.sort(Comparator.comparingInt(ServerLoad::running)
                 .thenComparingDouble(each -> each.backlogMillis(now))
                 .thenComparing(
                         Comparator.comparingLong(ServerLoad::freeMemoryTokens).reversed()));
         List<ServerLoad> members = new ArrayList<>(List.of(primary));
-        members.addAll(fit.subList(0, size - 1));
-        return allocateMemory(call, members, part, now);
+        members.addAll(eligible.subList(0, size - 1));
+        return allocateMemory(call, members, partMillis, now);
     }
 
     /**
      * The engine that generates the answer: among those with memory for the whole prompt the one with the most running
      * calls, so that others stay free of decoding; if none has, the one with the most free memory.
      */
-    private static ServerLoad choosePrimary(DispatchCall call, List<ServerLoad> fit) {
+    private static ServerLoad choosePrimary(DispatchCall call, List<ServerLoad> eligible) {
         ServerLoad best = null;
-        for (ServerLoad each : fit) {
+        for (ServerLoad each : eligible) {
             if (each.freeSlots() > 0 && (best == null || isBetterPrimary(call, each, best))) {
                 best = each;
             }
@@ -301,38 +311,42 @@
     }
 
     private static boolean isBetterPrimary(DispatchCall call, ServerLoad a, ServerLoad b) {
-        boolean aHolds = a.freeMemoryTokens() >= call.memoryTokens();
-        boolean bHolds = b.freeMemoryTokens() >= call.memoryTokens();
-        if (aHolds != bHolds) {
-            return aHolds;
+        boolean aHasMemory = a.freeMemoryTokens() >= call.memoryTokens();
+        boolean bHasMemory = b.freeMemoryTokens() >= call.memoryTokens();
+        if (aHasMemory != bHasMemory) {
+            return aHasMemory;
         }
-        return aHolds ? a.running() > b.running() : a.freeMemoryTokens() > b.freeMemoryTokens();
+        return aHasMemory ? a.running() > b.running() : a.freeMemoryTokens() > b.freeMemoryTokens();
     }
 
     /** Reserves memory for the prompt: on the first member as far as it has room, the rest on the others in order. */
-    private Optional<PlacementPlan> allocateMemory(DispatchCall call, List<ServerLoad> members, double part, long now) {
+    private Optional<PlacementPlan> allocateMemory(
+            DispatchCall call, List<ServerLoad> members, double partMillis, long now) {
         List<Long> memory = new ArrayList<>();
-        long left = call.memoryTokens();
+        long remainingTokens = call.memoryTokens();
         for (ServerLoad each : members) {
-            long share = Math.min(left, Math.max(0, each.freeMemoryTokens()));
-            memory.add(share);
-            left -= share;
+            long reserved = Math.min(remainingTokens, Math.max(0, each.freeMemoryTokens()));
+            memory.add(reserved);
+            remainingTokens -= reserved;
         }
-        if (left > 0) {
+        if (remainingTokens > 0) {
             return Optional.empty();
         }
-        double first = 0;
+        double firstMillis = 0;
         for (ServerLoad each : members) {
-            first = Math.max(first, each.backlogMillis(now) + part + (each.isDecoding() ? each.passMillis(0, 0) : 0));
+            firstMillis = Math.max(
+                    firstMillis,
+                    each.backlogMillis(now) + partMillis + (each.isDecoding() ? each.passMillis(0, 0) : 0));
         }
-        double write = members.get(0).passMillis(meanContextTokens(call), 1);
-        return Optional.of(new PlacementPlan(List.copyOf(members), List.copyOf(memory), part, first + write));
+        double decodePassMillis = members.get(0).passMillis(meanContextTokens(call), 1);
+        return Optional.of(new PlacementPlan(
+                List.copyOf(members), List.copyOf(memory), partMillis, firstMillis + decodePassMillis));
     }
 
-    private static double predictedFirstMillis(DispatchCall call, ServerLoad server, double read, long now) {
+    private static double predictedFirstMillis(DispatchCall call, ServerLoad server, double prefillMillis, long now) {
         double pass = server.passMillis(meanContextTokens(call), 1);
-        double started = server.isDecoding() ? server.passMillis(0, 0) / 2 : 0;
-        return started + server.backlogMillis(now) + read + pass;
+        double waitForPassMillis = server.isDecoding() ? server.passMillis(0, 0) / 2 : 0;
+        return waitForPassMillis + server.backlogMillis(now) + prefillMillis + pass;
     }
 
     private static long meanContextTokens(DispatchCall call) {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Placement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Placement.java
@@ -9,10 +9,10 @@
      * The servers to use now; empty when none is free or waiting is better.
      *
      * @param servers servers that may be used, without those that the call avoids
-     * @param blind whether other dispatchers, whose calls are unknown here, place calls on these servers too
+     * @param partialView whether other dispatchers, whose calls are unknown here, place calls on these servers too
      * @param now monotonic time in nanoseconds
      */
-    Optional<PlacementPlan> plan(DispatchCall call, List<ServerLoad> servers, boolean blind, long now);
+    Optional<PlacementPlan> plan(DispatchCall call, List<ServerLoad> servers, boolean partialView, long now);
 
     /** Milliseconds that a server works on the call, without waiting time. */
     double serviceMillis(DispatchCall call, List<ServerLoad> servers);
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PlacementPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/PlacementPlan.java
@@ -11,8 +11,8 @@
  * @param firstMillis predicted time to the first token, or to the answer of a plain service
  */
 record PlacementPlan(List<ServerLoad> members, List<Long> memoryTokens, double partPrefillMillis, double firstMillis) {
-    static PlacementPlan single(ServerLoad server, long memoryTokens, double readMillis, double firstMillis) {
-        return new PlacementPlan(List.of(server), List.of(memoryTokens), readMillis, firstMillis);
+    static PlacementPlan single(ServerLoad server, long memoryTokens, double prefillMillis, double firstMillis) {
+        return new PlacementPlan(List.of(server), List.of(memoryTokens), prefillMillis, firstMillis);
     }
 
     ServerLoad primary() {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PlainPlacement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/PlainPlacement.java
@@ -18,12 +18,12 @@
     private static final double ASSUMED_SERVICE_MILLIS = 50;
 
     @Override
-    public Optional<PlacementPlan> plan(DispatchCall call, List<ServerLoad> servers, boolean blind, long now) {
+    public Optional<PlacementPlan> plan(DispatchCall call, List<ServerLoad> servers, boolean partialView, long now) {
         ServerLoad best = null;
         double bestLoad = Double.MAX_VALUE;
         for (ServerLoad each : servers) {
-            boolean near = each.registration().failureDomain().equals(call.failureDomain());
-            double load = (double) each.running() / each.slots() + (near ? 0 : REMOTE_DOMAIN_PENALTY);
+            boolean sameDomain = each.registration().failureDomain().equals(call.failureDomain());
+            double load = (double) each.running() / each.slots() + (sameDomain ? 0 : REMOTE_DOMAIN_PENALTY);
             if (each.freeSlots() > 0 && load < bestLoad) {
                 best = each;
                 bestLoad = load;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PrefillHeadroom.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/PrefillHeadroom.java
@@ -14,20 +14,20 @@
 
     private record ServerHeadroom(ServerLoad server, double maxPrefillMillis) {}
 
-    private PrefillHeadroom(List<ServerHeadroom> reads) {
-        this.headrooms = reads;
+    private PrefillHeadroom(List<ServerHeadroom> sorted) {
+        this.headrooms = sorted;
     }
 
-    /** @param mayBegin whether an engine may start a part at a time */
-    static PrefillHeadroom of(List<ServerLoad> servers, BiPredicate<ServerLoad, Long> mayBegin, long now) {
-        List<ServerHeadroom> reads = new ArrayList<>(servers.size());
+    /** @param canStart whether an engine may start a part at a time */
+    static PrefillHeadroom of(List<ServerLoad> servers, BiPredicate<ServerLoad, Long> canStart, long now) {
+        List<ServerHeadroom> sorted = new ArrayList<>(servers.size());
         for (ServerLoad each : servers) {
-            if (mayBegin.test(each, now)) {
-                reads.add(new ServerHeadroom(each, DecodeInterference.maxPrefillMillis(each, now)));
+            if (canStart.test(each, now)) {
+                sorted.add(new ServerHeadroom(each, DecodeInterference.maxPrefillMillis(each, now)));
             }
         }
-        reads.sort(Comparator.comparingDouble(ServerHeadroom::maxPrefillMillis).reversed());
-        return new PrefillHeadroom(reads);
+        sorted.sort(Comparator.comparingDouble(ServerHeadroom::maxPrefillMillis).reversed());
+        return new PrefillHeadroom(sorted);
     }
 
     /** Whether at least so many engines have headroom for a part of this length. */
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
@@ -16,9 +16,9 @@
     private int senderCount = 1;
     private long appliedVersion = -1;
 
-    RateLimitEnforcer(ServerRateLimits named, ServerLoads accounts) {
-        this.reportedLimits = named;
-        this.serverLoads = accounts;
+    RateLimitEnforcer(ServerRateLimits limits, ServerLoads loads) {
+        this.reportedLimits = limits;
+        this.serverLoads = loads;
     }
 
     void entryCount(int count) {
@@ -36,14 +36,14 @@
     /**
      * Applies limits that have changed since the last call.
      *
-     * @param alone whether all entries send only what this dispatcher grants; if not, each keeps to its part of a limit
+     * @param isSoleSender whether all entries send only what this dispatcher grants; if not, each keeps to its part of a limit
      */
-    void applyChanges(boolean alone, long now) {
-        int parts = alone ? 1 : entryCount;
-        if (appliedVersion != reportedLimits.version() || senderCount != parts) {
+    void applyChanges(boolean isSoleSender, long now) {
+        int senders = isSoleSender ? 1 : entryCount;
+        if (appliedVersion != reportedLimits.version() || senderCount != senders) {
             appliedVersion = reportedLimits.version();
-            senderCount = parts;
-            serverLoads.applyLimits(reportedLimits, parts, now);
+            senderCount = senders;
+            serverLoads.applyLimits(reportedLimits, senders, now);
         }
     }
 
@@ -55,17 +55,17 @@
         if (reportedLimits.isEmpty()) {
             return usable;
         }
-        List<ServerLoad> within = new ArrayList<>(usable.size());
+        List<ServerLoad> ready = new ArrayList<>(usable.size());
         List<ServerLoad> unlimited = new ArrayList<>(usable.size());
         for (ServerLoad each : usable) {
             if (!each.requestPacer().isLimited()) {
                 unlimited.add(each);
             }
             if (each.requestPacer().canSend(now)) {
-                within.add(each);
+                ready.add(each);
             }
         }
-        return isLong && !unlimited.isEmpty() ? unlimited : within;
+        return isLong && !unlimited.isEmpty() ? unlimited : ready;
     }
 
     /** Milliseconds until the limits allow one more request after so many; 0 if no server reports a limit. */
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/RequestPacer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/RequestPacer.java
@@ -17,17 +17,17 @@
     /**
      * Applies the limit in force.
      *
-     * @param sharedBy dispatchers that send to the server without coordination; each keeps to its part of the limit
+     * @param senders dispatchers that send to the server without coordination; each keeps to its part of the limit
      */
-    void applyLimit(ServerRateLimit limit, int sharedBy, long now) {
-        long next = limit.spacingMicros() * NANOS_PER_MICRO * sharedBy;
-        if (spacingNanos == 0 && next > 0) {
+    void applyLimit(ServerRateLimit limit, int senders, long now) {
+        long newSpacingNanos = limit.spacingMicros() * NANOS_PER_MICRO * senders;
+        if (spacingNanos == 0 && newSpacingNanos > 0) {
             // Any number of requests may have been sent just before, so the first one waits for a full interval.
-            nextSendNanos = now + next;
-        } else if (next < spacingNanos) {
-            nextSendNanos = Math.min(nextSendNanos, now + next);
+            nextSendNanos = now + newSpacingNanos;
+        } else if (newSpacingNanos < spacingNanos) {
+            nextSendNanos = Math.min(nextSendNanos, now + newSpacingNanos);
         }
-        spacingNanos = next;
+        spacingNanos = newSpacingNanos;
     }
 
     boolean isLimited() {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoad.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoad.java
@@ -41,9 +41,9 @@
         this.prefillFreeAtNanos = now;
     }
 
-    void update(Registration next, BatchTiming nextTiming) {
-        registration = next;
-        timing = nextTiming;
+    void update(Registration newRegistration, BatchTiming newTiming) {
+        registration = newRegistration;
+        timing = newTiming;
         isAvailable = true;
     }
 
@@ -109,8 +109,8 @@
     }
 
     /** Milliseconds of a decode pass with all granted calls and so many more. */
-    double passMillis(long moreContextTokens, int moreWriters) {
-        return timing.passMillis(running + moreWriters, contextTokens + moreContextTokens);
+    double passMillis(long moreContextTokens, int moreDecoding) {
+        return timing.passMillis(running + moreDecoding, contextTokens + moreContextTokens);
     }
 
     boolean isDecoding() {
@@ -130,48 +130,48 @@
      * prefill was pending. Without it the next part would be granted while the previous one is still prefilled, and
      * both would stretch the same gap.
      */
-    void grant(Allocation share, long now) {
-        double pass = timing != null && backlogMillis(now) == 0 && isDecoding() ? passMillis(0, 0) / 2 : 0;
-        Allocation before = allocations.put(share.call().attempt(), share);
-        if (before != null) {
-            addToTotals(before, -1);
+    void grant(Allocation allocation, long now) {
+        double waitForPassMillis = timing != null && backlogMillis(now) == 0 && isDecoding() ? passMillis(0, 0) / 2 : 0;
+        Allocation previous = allocations.put(allocation.call().attempt(), allocation);
+        if (previous != null) {
+            addToTotals(previous, -1);
         }
-        addToTotals(share, 1);
-        prefillFreeAtNanos =
-                Math.max(prefillFreeAtNanos, now) + (long) ((pass + share.prefillMillis()) * NANOS_PER_MILLI);
+        addToTotals(allocation, 1);
+        prefillFreeAtNanos = Math.max(prefillFreeAtNanos, now)
+                + (long) ((waitForPassMillis + allocation.prefillMillis()) * NANOS_PER_MILLI);
     }
 
     void startDecoding(String attempt, long now) {
-        Allocation share = allocations.get(attempt);
-        if (share == null) {
+        Allocation allocation = allocations.get(attempt);
+        if (allocation == null) {
             return;
         }
-        if (share.isPrefilling()) {
-            addToTotals(share, -1);
-            share.startDecoding();
-            addToTotals(share, 1);
+        if (allocation.isPrefilling()) {
+            addToTotals(allocation, -1);
+            allocation.startDecoding();
+            addToTotals(allocation, 1);
         }
         clearBacklogIfNotPrefilling(now);
     }
 
     void end(String attempt, long now) {
-        Allocation share = allocations.remove(attempt);
-        if (share != null) {
-            addToTotals(share, -1);
+        Allocation allocation = allocations.remove(attempt);
+        if (allocation != null) {
+            addToTotals(allocation, -1);
             clearBacklogIfNotPrefilling(now);
         }
     }
 
-    private void addToTotals(Allocation share, int sign) {
-        usedMemoryTokens += sign * share.memoryTokens();
-        prefillingCount += share.isPrefilling() ? sign : 0;
-        if (!share.isPrimary()) {
+    private void addToTotals(Allocation allocation, int sign) {
+        usedMemoryTokens += sign * allocation.memoryTokens();
+        prefillingCount += allocation.isPrefilling() ? sign : 0;
+        if (!allocation.isPrimary()) {
             return;
         }
         running += sign;
-        decodingCount += share.isPrefilling() ? 0 : sign;
-        contextTokens += sign * share.meanContextTokens();
-        int gap = share.call().gapMillis();
+        decodingCount += allocation.isPrefilling() ? 0 : sign;
+        contextTokens += sign * allocation.meanContextTokens();
+        int gap = allocation.call().gapMillis();
         if (sign > 0 && gap > 0) {
             shortestGapMillis = Math.min(shortestGapMillis, gap);
         } else if (gap == shortestGapMillis) {
@@ -197,8 +197,8 @@
     }
 
     /** Keeps new short calls away, so that a waiting long prompt finds an engine without short answers. */
-    void reserveForLong(long until) {
-        reservedForLongUntilNanos = until;
+    void reserveForLong(long untilNanos) {
+        reservedForLongUntilNanos = untilNanos;
     }
 
     boolean isReservedForLong(long now) {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoads.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoads.java
@@ -18,20 +18,20 @@
     void update(Collection<Registration> usable, BatchTiming timing, long now) {
         loads.values().forEach(ServerLoad::markUnavailable);
         for (Registration each : usable) {
-            ServerLoad account = loads.get(each.id());
-            if (account == null || account.registration().bornMillis() != each.bornMillis()) {
+            ServerLoad load = loads.get(each.id());
+            if (load == null || load.registration().bornMillis() != each.bornMillis()) {
                 loads.put(each.id(), new ServerLoad(each, timing, now));
             } else {
-                account.update(each, timing);
+                load.update(each, timing);
             }
         }
         loads.values().removeIf(each -> !each.isAvailable() && each.isIdle());
     }
 
-    /** Applies the limits in force; each is shared by {@code sharedBy} dispatchers that send without coordination. */
-    void applyLimits(ServerRateLimits limits, int sharedBy, long now) {
+    /** Applies the limits in force; each is shared by {@code senders} dispatchers that send without coordination. */
+    void applyLimits(ServerRateLimits limits, int senders, long now) {
         for (ServerLoad each : loads.values()) {
-            each.requestPacer().applyLimit(limits.limitOf(each.registration().id()), sharedBy, now);
+            each.requestPacer().applyLimit(limits.limitOf(each.registration().id()), senders, now);
         }
     }
 
@@ -45,7 +45,7 @@
      * something that all calls share must not make the whole service reject calls.
      */
     List<ServerLoad> usable(Collection<BackendServerId> avoid, long now) {
-        List<ServerLoad> awake = new ArrayList<>(loads.size());
+        List<ServerLoad> healthy = new ArrayList<>(loads.size());
         List<ServerLoad> all = new ArrayList<>(loads.size());
         for (ServerLoad each : loads.values()) {
             if (!each.isAvailable() || avoid.contains(each.registration().id())) {
@@ -53,9 +53,9 @@
             }
             all.add(each);
             if (!each.health().isBackingOff(now)) {
-                awake.add(each);
+                healthy.add(each);
             }
         }
-        return 3 * awake.size() > all.size() ? awake : all;
+        return 3 * healthy.size() > all.size() ? healthy : all;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimits.java
@@ -34,22 +34,22 @@
      * @return whether the limit of the server changed
      */
     public boolean update(BackendServerId server, ServerRateLimit limit, long now) {
-        ObservedLimit before = limitsByServer.get(server);
+        ObservedLimit previous = limitsByServer.get(server);
         if (limit.isLimited()) {
             limitsByServer.remove(server);
             if (limitsByServer.size() >= MAX_SERVERS) {
                 limitsByServer.remove(limitsByServer.keySet().iterator().next());
             }
             limitsByServer.put(server, new ObservedLimit(limit, now));
-            return recordChange(before == null || !before.limit().equals(limit));
+            return recordChange(previous == null || !previous.limit().equals(limit));
         }
-        boolean over = before != null && now - before.observedAtNanos() >= REORDERING_NANOS;
-        return recordChange(over && limitsByServer.remove(server) != null);
+        boolean lifted = previous != null && now - previous.observedAtNanos() >= REORDERING_NANOS;
+        return recordChange(lifted && limitsByServer.remove(server) != null);
     }
 
-    private boolean recordChange(boolean news) {
-        version += news ? 1 : 0;
-        return news;
+    private boolean recordChange(boolean changed) {
+        version += changed ? 1 : 0;
+        return changed;
     }
 
     /** Increases with each change. */
@@ -59,14 +59,14 @@
 
     /** The limit of a server, {@link ServerRateLimit#NONE} if it reports none. */
     public ServerRateLimit limitOf(BackendServerId server) {
-        ObservedLimit heard = limitsByServer.get(server);
-        return heard == null ? ServerRateLimit.NONE : heard.limit();
+        ObservedLimit observed = limitsByServer.get(server);
+        return observed == null ? ServerRateLimit.NONE : observed.limit();
     }
 
     /** All servers that report a limit. */
     public List<ReportedLimit> all() {
         List<ReportedLimit> all = new ArrayList<>();
-        limitsByServer.forEach((server, heard) -> all.add(new ReportedLimit(server, heard.limit())));
+        limitsByServer.forEach((server, observed) -> all.add(new ReportedLimit(server, observed.limit())));
         return all;
     }
 
