--- a/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoad.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoad.java
@@ -20,29 +20,29 @@
 import org.elmline.core.routing.RoutedService;
 
 /**
- * The load of the users' heaviest days, without a network: ten seconds of long prompts, ten of questions, in turn. The same
- * calls go through the dispatcher and, as a baseline, to the engine with the fewest running calls.
+ * Simulation of the users' heaviest load, without a network: ten seconds of long prompts and ten seconds of short calls
+ * in turn. The same calls go through the dispatcher and, as a baseline, to the engine with the fewest running calls.
  */
 final class AlternatingLoad {
     private static final long MILLI = 1_000_000L;
     private static final int MILLIS = 40_000;
 
-    /** The longest deadline: by then the last call has ended one way or the other. */
+    /** The longest deadline; within this time after the last arrival all calls have ended. */
     private static final int LAST_CALL_MILLIS = 15_000;
 
-    /** How long calls were held before the first moment, and how much of their callers' patience is left then. */
+    /** How long calls were held before the start, and the time after which their callers disconnect then. */
     private static final int HELD_MILLIS = 3_000;
 
     private static final int PATIENCE_LEFT_MILLIS = 1_000;
 
-    /** Shards that a call asks before it waits. */
+    /** Shards that a call requests before it waits. */
     private static final int SHARDS_ASKED = 2;
 
-    /** Pause after which a call that waits asks again. */
+    /** Interval at which a waiting call is requested again. */
     private static final int ASK_AGAIN_MILLIS = 250;
 
     private static final ServiceName DESK = ServiceName.of("desk");
-    /** What callers ask for. */
+    /** Length classes of the calls. */
     enum Kind {
         QUESTION,
         ROSTER,
@@ -50,12 +50,19 @@
     }
 
     /**
-     * A kind of call: how often it comes in each phase, how long it is, and what it is worth to callers.
+     * Arrival rates, lengths and time limits of a class of calls, and its value to callers.
      *
-     * @param inLongPhase calls a second while many long prompts come
-     * @param inShortPhase calls a second while many questions come
-     * @param tokens mean length of the prompt, which spreads by a log-normal law up to {@code most}
-     * @param aim milliseconds to the first token, {@code gap} between events, {@code deadline} to the end
+     * @param inLongPhase calls per second in the phase of long prompts
+     * @param inShortPhase calls per second in the phase of short calls
+     * @param tokens mean length of the prompt, log-normally distributed up to {@code most}
+     * @param spread standard deviation of the logarithm of the length
+     * @param most longest prompt in tokens
+     * @param events events of an answer
+     * @param aim milliseconds to the first token
+     * @param gap milliseconds between events
+     * @param deadline milliseconds to the end of the answer
+     * @param worth value of an answer in time, of a call of mean size
+     * @param lateWorth value of a late answer
      */
     record Figures(
             double inLongPhase,
@@ -84,7 +91,7 @@
                     lateWorth);
         }
 
-        /** What an answer in time is worth to callers, against that of the others; it grows with the prompt. */
+        /** Value of an answer in time, relative to that of the other classes; it grows with the prompt. */
         double worth(long promptTokens, int eventTokens) {
             double size = (promptTokens + 10.0 * eventTokens * events) / (tokens + 10.0 * eventTokens * events);
             return worth * Math.min(4, 0.3 + 0.7 * size);
@@ -102,7 +109,7 @@
 
     /** Engines and calls of a deployment. */
     record Deployment(String name, BatchTiming timing, Map<Kind, Figures> figures) {
-        /** Large engines, three prompts a second of 210 thousand tokens; the calls are those of 21 engines. */
+        /** Large engines, three prompts of 210 thousand tokens per second; calls for 21 engines. */
         static final Deployment LARGE_ENGINES = of(
                 "large",
                 new BatchTiming(11, 450_000, 46, 0.925, 0.007, 0.00254, 256, 0.0917, 2048, 0.1),
@@ -110,7 +117,7 @@
                 new Figures(3.0, 1.2, 45_000, 0.5, 110_000, 21, 1_500, 500, 10_000, 3.1, 0.79),
                 new Figures(2.7, 0.05, 210_000, 0.5, 430_000, 17, 3_000, 800, 15_000, 22, 5.4));
 
-        /** Half the memory, slower reading, four prompts a second of 133 thousand tokens; the calls are those of 21. */
+        /** Half the memory, slower prefill, four prompts of 133 thousand tokens per second; calls for 21 engines. */
         static final Deployment SMALL_ENGINES = of(
                 "small",
                 new BatchTiming(11, 232_000, 43, 1.02, 0.00226, 0.00431, 206, 0.138, 2048, 0.075),
@@ -118,7 +125,7 @@
                 new Figures(2.2, 0.85, 45_000, 0.5, 110_000, 19, 1_500, 600, 10_000, 3.9, 0.98),
                 new Figures(3.9, 0.07, 133_000, 0.55, 600_000, 16, 2_500, 1_000, 15_000, 15, 3.7));
 
-        /** Seven places, prompts of 300 thousand tokens, few and long passes; the calls are those of 21 engines of 172. */
+        /** Seven slots, prompts of 300 thousand tokens, few and long passes; calls for 21 engines of 172. */
         static final Deployment MANY_ENGINES = of(
                 "many",
                 new BatchTiming(7, 450_000, 73, 0.925, 0.011, 0.004, 256, 0.0917, 2048, 0.1),
@@ -138,11 +145,11 @@
         }
 
         /**
-         * The same calls for other engines and other callers.
+         * The same calls for engines and callers of other speeds.
          *
-         * @param speed of the engines; calls come as much more often
-         * @param patience of callers: times to the first token, between events and to the end
-         * @param memory of the engines
+         * @param speed factor for the speed of the engines and the arrival rates
+         * @param patience factor for the callers' time limits: to the first token, between events and to the end
+         * @param memory factor for the memory of the engines
          */
         Deployment scaled(double speed, double patience, double memory) {
             BatchTiming scaled = new BatchTiming(
@@ -162,7 +169,7 @@
         }
     }
 
-    /** Where a call goes. */
+    /** Chooses the engines of a call. */
     interface Policy {
         void ask(DispatchCall call, PassEngine.Job job, int now);
 
@@ -183,7 +190,7 @@
 
     /**
      * @param engineCount engines of the service
-     * @param load part of the deployment's calls that come
+     * @param load part of the deployment's calls that arrive
      */
     AlternatingLoad(Deployment deployment, int engineCount, double load, long seed) {
         this.deployment = deployment;
@@ -195,33 +202,37 @@
     }
 
     /**
-     * Has calls come at the first moment that were held before: those of some seconds of the phase of questions and of the
-     * phase of long prompts. All of them are late already, and their callers leave within a second without a first token.
+     * Adds calls at the start that were held before: those of some seconds of the phase of short calls and of the phase
+     * of long prompts. All of them are late already, and their callers disconnect within a second without a first
+     * token.
      */
     AlternatingLoad afterHolding(int seconds) {
         heldSeconds = seconds;
         return this;
     }
 
-    /** Has the engines dispatched in so many shards. */
+    /** Divides the engines into so many shards. */
     AlternatingLoad inShards(int count) {
         shards = count;
         return this;
     }
 
-    /** Plays the load through the dispatcher. */
+    /** Runs the load through the dispatcher. */
     AlternatingLoad dispatched() {
         play(new Dispatched());
         return this;
     }
 
-    /** Plays the load to the engine with the fewest running calls. */
+    /** Sends each call to the engine with the fewest running calls. */
     AlternatingLoad blind() {
         play(new FirstOf(now -> BY_RUNNING));
         return this;
     }
 
-    /** Plays the load to the engine that has the least to read, the fewest running calls among equals. */
+    /**
+     * Sends each call to the engine with the shortest prefill backlog, among equals the one with the fewest running
+     * calls.
+     */
     AlternatingLoad leastWork() {
         play(new FirstOf(now -> Comparator.comparingDouble((PassEngine each) -> each.waitingMillis(now))
                 .thenComparing(BY_RUNNING)));
@@ -273,27 +284,31 @@
         }
     }
 
-    /** Calls that were asked for, and the time that deciding on them and hearing of them took. */
+    /** Number of calls that arrived after the start. */
     int calls() {
         return asked.values().stream().mapToInt(List::size).sum();
     }
 
+    /** Mean time in microseconds that the policy took for the decisions and reports of a call. */
     double decidingMicrosPerCall() {
         return decidingNanos / 1e3 / calls();
     }
 
-    /** Part of the calls that were held before the first moment that got their whole answer. */
+    /** Part of the calls held before the start that got their whole answer. */
     double heldAnswered() {
         return (double) held.stream().filter(PassEngine.Job::done).count() / held.size();
     }
 
-    /** Part of the calls of a kind that were answered in time, without a longer pause than allowed. */
+    /** Part of the calls of a class that were answered in time, with no gap longer than allowed. */
     double onTime(Kind kind) {
         List<PassEngine.Job> jobs = asked.get(kind);
         return (double) jobs.stream().filter(PassEngine.Job::onTime).count() / jobs.size();
     }
 
-    /** Calls of a kind whose prompts are of these sizes, the largest tenth first: part of them in time. */
+    /**
+     * Part in time of the calls of a class in a range of prompt sizes, sorted with the largest first; 0 to 0.1 is the
+     * largest tenth.
+     */
     double onTimeBySize(Kind kind, double from, double to) {
         List<PassEngine.Job> jobs = new ArrayList<>(asked.get(kind));
         jobs.sort(Comparator.comparingLong(PassEngine.Job::promptTokens).reversed());
@@ -301,7 +316,7 @@
         return (double) part.stream().filter(PassEngine.Job::onTime).count() / part.size();
     }
 
-    /** What callers got of what they would have got with every answer in time. */
+    /** Value that callers got, as a part of the value with all answers in time. */
     double credit(Kind kind) {
         double earned = 0;
         double owed = 0;
@@ -336,8 +351,8 @@
     }
 
     /**
-     * The dispatchers of the shards, told of first tokens and ends a millisecond after they come. A call that must wait is
-     * asked for at other shards at once, and again a quarter of a second later.
+     * Places calls through the dispatchers of the shards, which receive reports of first tokens and ends within a
+     * millisecond. A call that must wait is requested at other shards at once, and again a quarter of a second later.
      */
     private final class Dispatched implements Policy {
         private final List<Dispatcher> dispatchers = new ArrayList<>();
@@ -383,7 +398,7 @@
             waiting.put(asking.call().attempt(), asking);
         }
 
-        /** Whether that was the end of asking. */
+        /** Requests placement at one shard. Returns whether the call got a decision. */
         private boolean askOne(Asking asking, int shard, int now) {
             String attempt = asking.call().attempt();
             int age = now - asking.askedAt();
@@ -453,11 +468,11 @@
         }
     }
 
-    /** The engine that comes first in an order; forms no groups, and lets nothing wait. */
+    /** Sends each call to the first engine of an order; forms no groups and queues no calls. */
     private final class FirstOf implements Policy {
         private final IntFunction<Comparator<PassEngine>> order;
 
-        /** @param order of the engines at a time in milliseconds */
+        /** @param order order of the engines at a time in milliseconds */
         FirstOf(IntFunction<Comparator<PassEngine>> order) {
             this.order = order;
         }
@@ -469,7 +484,7 @@
 
         @Override
         public void step(int now) {
-            // Nothing waits.
+            // No call is queued.
         }
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadMeasurement.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadMeasurement.java
@@ -6,8 +6,8 @@
 import org.elmline.core.dispatch.AlternatingLoad.Kind;
 
 /**
- * Prints what callers get of the alternating load, by kind and by size, over several seeds on both deployments' numbers of
- * engines. For weighing a change of the placement before it is measured elsewhere; not a test.
+ * Prints the value that callers get under the alternating load, by class and size of calls, over several seeds on both
+ * deployments' numbers of engines. Used to assess a change of the placement; not a test.
  */
 public final class AlternatingLoadMeasurement {
     private static final int SEEDS = 12;
@@ -23,7 +23,7 @@
 
     public static void main(String[] args) {
         System.out.println("deployment engines policy kind on-time credit largest-tenth next-fifth");
-        // The smaller site's engines get the part of the calls that its sheet gives them.
+        // The smaller site gets the part of the calls that its specification states.
         print(Deployment.LARGE_ENGINES, 21, 1.0);
         print(Deployment.LARGE_ENGINES, 16, 0.77);
         print(Deployment.SMALL_ENGINES, 21, 1.0);
@@ -34,8 +34,8 @@
     }
 
     /**
-     * The same load on engines and callers of other kinds: what the dispatcher gives beyond, or below, the better of the two
-     * others. Calls come as fast as the engines are, so the load stays alike.
+     * The same load on other engines and with other time limits: the difference between the dispatcher and the better
+     * of the two baselines. Arrival rates scale with the speed of the engines, so the utilisation stays similar.
      */
     private static void printGrid() {
         for (Deployment each : Deployment.ALL) {
@@ -74,7 +74,7 @@
         return String.format(Locale.ROOT, " %.3f (%+.3f)", own, own - best);
     }
 
-    /** Ways to choose an engine, the product's own last. */
+    /** Policies to compare, the dispatcher's last. */
     private enum Candidate {
         FEWEST_RUNNING {
             @Override
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadTest.java
@@ -6,7 +6,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What callers get on the users' heaviest days, on 21 engines, from the dispatcher and from a baseline. */
+/** Calls answered in time under the users' heaviest load, on 21 engines, with the dispatcher and with a baseline. */
 class AlternatingLoadTest {
     private static final int ENGINES = 21;
     private static final long SEED = 4711;
@@ -31,8 +31,8 @@
     }
 
     /**
-     * On time with the fewest running calls: 0.80 of questions, 0.87 of rosters, 0.52 of audits; with the dispatcher 0.99,
-     * 1.0 and 0.91. The bounds lie a little below.
+     * Parts in time with the engine that has the fewest running calls: 0.80 of short, 0.87 of medium and 0.52 of long
+     * calls; with the dispatcher 0.99, 1.0 and 0.91. The bounds lie a little below.
      */
     @Test
     void shortAndLongAreBothOnTime() {
@@ -47,9 +47,10 @@
     }
 
     /**
-     * The largest prompts are late although engines are free half of the time: on 16 engines there are hardly ever twelve
-     * that all write nothing with short pauses, and such a prompt waited until it was late. Of the largest tenth 0.51 were
-     * in time (12 seeds); with groups that may disturb answers much smaller than the prompt 0.86, questions 0.98 both.
+     * Guards against the largest prompts being late although engines are free half of the time: on 16 engines there are
+     * hardly ever twelve that all decode no answers with short gaps, and such a prompt waited until it was late. Of the
+     * largest tenth 0.51 were in time (12 seeds); with groups that may disturb answers much smaller than the prompt it
+     * is 0.86. Of the short calls 0.98 are in time either way.
      */
     @Test
     void theLargestPromptsAreInTimeToo() {
@@ -66,10 +67,10 @@
     }
 
     /**
-     * Entries come back from a loss of power and hold the calls of two seconds until they have their table; then all of
-     * them are asked for at once, late already, beside those that still come in time. Callers of new calls must not pay for
-     * it, and nearly all that were held are answered. Served by due time alone, half of the audits on large engines were
-     * late.
+     * After a power failure, entries hold the calls of two seconds until they have received the routing table; then all
+     * of them are requested at once, already late, beside new calls that can still be in time. New calls must not
+     * become late by this, and nearly all held calls are answered. Ordered by due time alone, half of the long calls on
+     * large engines were late.
      */
     @Test
     void callsThatWereHeldDontMakeNewOnesLate() {
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/DispatchCostMeasurement.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatchCostMeasurement.java
@@ -6,8 +6,8 @@
 import org.elmline.core.dispatch.AlternatingLoad.Kind;
 
 /**
- * Prints the time that a dispatcher takes for a call, from the question to the report of its end, by the number of engines
- * and by how full they are, and what callers get. Not a test.
+ * Prints the time that a dispatcher takes per call, from the request to the report of its end, by number of engines and
+ * load, and the value that callers get. Not a test.
  */
 public final class DispatchCostMeasurement {
     private static final int[] ENGINES = {20, 70, 172, 700};
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
@@ -24,7 +24,7 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Where a dispatcher places calls, how they wait, and what frees a place. */
+/** Placement, queueing and release of slots by a dispatcher. */
 class DispatcherTest {
     private static final long MILLI = 1_000_000L;
     private static final ServiceName DESK = ServiceName.of("desk");
@@ -95,8 +95,8 @@
     }
 
     /**
-     * A guide's answers would stall for over a second: a manual of 210 thousand tokens is read on the engine that writes
-     * them. Questions share few engines, so the manual finds enough without writers.
+     * Guards against answers that stall for over a second because a prompt of 210 thousand tokens is prefilled on the
+     * engine that decodes them. Short calls share few engines, so the long call finds enough without short answers.
      */
     @Test
     void aLongReadKeepsAwayFromShortAnswers() {
@@ -115,7 +115,9 @@
         assertTrue(read.firstMillis() < 1_000, "first token in " + read.firstMillis());
     }
 
-    /** A prompt larger than one engine's memory is kept on several, and one larger than all is refused at once. */
+    /**
+     * A prompt larger than one engine's memory is kept on several, and one larger than all of them is refused at once.
+     */
     @Test
     void hugePromptsAreKeptOnSeveralEngines() {
         Dispatcher dispatcher = dispatcher(ENGINES, 10, 11);
@@ -128,7 +130,7 @@
         assertEquals(DispatchAnswer.RefusalCause.TOO_LARGE, refused.why());
     }
 
-    /** A second long prompt waits for engines that read, and is placed when they are done. */
+    /** A second long prompt waits for engines that prefill, and is placed when they have finished. */
     @Test
     void aLongPromptWaitsForItsTurn() {
         Dispatcher dispatcher = dispatcher(ENGINES, 4, 11);
@@ -142,8 +144,8 @@
     }
 
     /**
-     * A long prompt would wait until its caller gives up: questions come so fast that some engine always suits them. While
-     * it waits, new questions are kept from some engines, and those run empty.
+     * Guards against a long prompt that waits until its caller times out because short calls arrive so fast that there
+     * are always some on every engine. While it waits, new short calls are kept from some engines until those are free.
      */
     @Test
     void enginesAreKeptFreeForALongPromptThatWaits() {
@@ -190,7 +192,10 @@
         assertEquals(waits.attempt(), dispatcher.tick(MILLI).get(0).attempt());
     }
 
-    /** What can't be done in its time is refused at once, with a time to come back, not held to its end. */
+    /**
+     * A call that cannot meet its deadline is refused at once, with a retry time, instead of being queued until its
+     * deadline.
+     */
     @Test
     void hopelessCallsAreRefusedAtOnce() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1, 1);
@@ -204,7 +209,10 @@
         assertTrue(refused.retryAfterMillis() >= 100);
     }
 
-    /** Half the servers fail; without a bound each call would be sent twice and the rest would drown. */
+    /**
+     * Guards against a fault of half the servers that doubles the load on the rest, as each call would be sent twice
+     * without a bound.
+     */
     @Test
     void repetitionsAreBounded() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3, 100);
@@ -238,7 +246,10 @@
         assertTrue(back, "it is tried again after its rest");
     }
 
-    /** All callers were refused after a restart of everything: the new dispatcher had not heard of any server yet. */
+    /**
+     * Guards against a new dispatcher that refuses all calls after a restart of the whole system, as it has not
+     * received any server's heartbeat yet.
+     */
     @Test
     void aNewDispatcherWaitsForServers() {
         Dispatcher dispatcher = new Dispatcher(PLAIN, RETRIES, 0);
@@ -267,7 +278,7 @@
         assertEquals(0, dispatcher.running());
     }
 
-    /** A dispatcher that takes over counts what already runs, or it would give the same places out a second time. */
+    /** A dispatcher that takes over counts the running calls; otherwise it would grant their slots a second time. */
     @Test
     void adoptedGrantsTakeTheirPlaces() {
         Dispatcher old = dispatcher(PLAIN, 1, 1);
@@ -281,7 +292,7 @@
         assertEquals(1, successor.tick(MILLI).size());
     }
 
-    /** However calls come and end, no server ever has more than its places, and each call gets one decision. */
+    /** In any order of calls and ends, no server has more calls than slots, and each call gets one decision. */
     @Property(tries = 60, seed = "11")
     void noPlaceIsGivenTwice(@ForAll long seed) {
         Random random = new Random(seed);
@@ -322,9 +333,10 @@
     }
 
     /**
-     * An entry that lost a packet asks the second dispatcher, which knows nothing of the questions that the first one has
-     * placed, and a long prompt is read on all their engines: their answers pause for as long as it is read. So it waits
-     * there until the first dispatcher would have been found to be gone; short calls don't.
+     * Guards against short answers that pause while a long prompt is prefilled: an entry that lost a packet requests
+     * the secondary dispatcher, which does not know the short calls that the primary has placed, and places the prompt
+     * on all their engines. So a long call waits there until the primary would have been found to be gone; short calls
+     * don't.
      */
     @Test
     void aSecondDispatcherHoldsLongCallsForASecond() {
@@ -337,9 +349,10 @@
     }
 
     /**
-     * Thirty questions are late at once: a prompt of 450 thousand tokens waits at the first dispatcher, which is stopped and
-     * told by all entries to forget what runs. It then takes all engines for free and has the prompt read on them. It holds
-     * the prompt for as long as its entry needs to ask the next dispatcher.
+     * Guards against thirty short calls that are late at once: a prompt of 450 thousand tokens waits at the primary,
+     * which is being stopped and receives cancellations of its running calls from all entries. It would then consider
+     * all engines free and place the prompt on them. So it holds the prompt for as long as the prompt's entry needs to
+     * request the next dispatcher.
      */
     @Test
     void aDispatcherThatIsNoLongerTheFirstHoldsWhatWaits() {
@@ -356,7 +369,7 @@
         assertEquals(1, dispatcher.tick(1_900 * MILLI).size());
     }
 
-    /** The first dispatcher is gone, and the one that waited takes over: what it held runs at once. */
+    /** When the primary is gone and the secondary takes over, the calls that it held are placed at once. */
     @Test
     void aSecondDispatcherThatBecomesTheFirstPlacesLongCalls() {
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
@@ -367,8 +380,9 @@
     }
 
     /**
-     * Callers of questions wait six seconds for a first token and leave: of two engines one reads a long prompt, the other
-     * is closed to questions for a second prompt that waits. A closed engine that answers in time goes before a late one.
+     * Guards against short calls that wait six seconds for a first token, after which their callers disconnect: of two
+     * engines one prefills a long prompt, the other is reserved for a second long prompt that waits. A reserved engine
+     * that answers in time is preferred to a late one.
      */
     @Test
     void aQuestionDoesNotQueueBehindALongRead() {
@@ -384,7 +398,10 @@
         assertTrue(second.firstMillis() <= 300, "first token in " + second.firstMillis());
     }
 
-    /** A first token after the caller has left is of no use: the call waits for a better place, or is refused in time. */
+    /**
+     * A first token after the caller has disconnected is of no use: the call waits for a better placement, or is
+     * refused in time.
+     */
     @Test
     void noEngineIsTakenForAFirstTokenThatNobodyWaitsFor() {
         Dispatcher dispatcher = dispatcher(ENGINES, 1, 11);
@@ -409,8 +426,9 @@
     }
 
     /**
-     * New questions wait although engines are free: the dispatcher was frozen for seconds, calls ended meanwhile, and what
-     * their entry reported was lost. Back, it is told all that the entry runs, and forgets the rest.
+     * Guards against new short calls that wait although engines are free: the dispatcher's process was suspended for
+     * seconds, calls ended meanwhile, and their entry's reports were lost. When it resumes, it receives the list of the
+     * calls that the entry runs, and removes its other grants.
      */
     @Test
     void aDispatcherThatWasFrozenForgetsWhatHasEnded() {
@@ -429,9 +447,9 @@
     }
 
     /**
-     * Callers whose first try was cut come back to 13 entries at once after a loss of all power. None of the entries knows
-     * of the others yet, so each places its six questions by itself: packed, all would meet on the same engine, which
-     * turns down what it has no place for.
+     * Guards against engines that reject calls beyond their slots: after a power failure of the whole system, callers
+     * whose first attempts were cut off retry at 13 entries at once. No entry knows of the others yet, so each places
+     * its six short calls by itself; packed, all of them would be placed on the same engine.
      */
     @Test
     void dispatchersThatDoNotKnowOfEachOtherSpreadTheirQuestions() {
@@ -453,8 +471,8 @@
     }
 
     /**
-     * Guards against a host that hears nobody for a second: in a burst each new call had all that wait looked through. What
-     * waits is left to the next look, and a new call that is not first waits with it.
+     * Guards against a host that processes no messages for a second, because in a burst each new call had all waiting
+     * calls examined. Waiting calls are left to the next tick, and a new call that is not first waits with them.
      */
     @Test
     void aNewCallHasNobodyElseLookedAt() {
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/GrantHoldersTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/GrantHoldersTest.java
@@ -23,9 +23,10 @@
     }
 
     /**
-     * Long prompts wait seconds for engines that have nothing to do: a call waited at one dispatcher, asked the next one
-     * when the service's dispatcher changed, and both granted it. The one whose answer came second counted it until its
-     * deadline and two seconds more, as nobody told it that the call ran elsewhere.
+     * Guards against a call counted where it does not run. A long prompt waits seconds for idle engines: it was queued
+     * at one dispatcher, requested from the next one when the service's dispatcher changed, and both granted it. The
+     * one whose answer came second counted it until two seconds after its deadline, as it was not notified that the
+     * call ran elsewhere.
      */
     @Test
     void aSecondGrantIsGivenBack() {
@@ -35,7 +36,9 @@
         assertEquals(List.of(OLD), holders.removeAttempt("a"));
     }
 
-    /** An attempt is granted by an old dispatcher and told to the new one as well: both must hear of its end. */
+    /**
+     * An attempt granted by the old dispatcher is reported to the new one as well: both must be notified of its end.
+     */
     @Test
     void whoeverIsToldOfAnAttemptHearsOfItsEnd() {
         holders.addHolder("a", OLD);
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/LimitedServersTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/LimitedServersTest.java
@@ -21,7 +21,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What servers in need are sent, and what callers get meanwhile. */
+/** What rate-limited servers are sent, and how calls are answered meanwhile. */
 class LimitedServersTest {
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
@@ -77,7 +77,10 @@
                 List.of());
     }
 
-    /** Guards against a server in need that gets as much as the others, as each of many entries sends it a little. */
+    /**
+     * Guards against an overloaded server that gets as many calls as the others, because each of many entries sends it
+     * a few.
+     */
     @Test
     void allEntriesTogetherKeepALimitAndNobodyWaitsForIt() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3);
@@ -108,7 +111,7 @@
         return most;
     }
 
-    /** Guards against callers who wait in vain at servers that all take less than is asked of them. */
+    /** Guards against calls that wait until their deadline at servers that all accept less than is sent to them. */
     @Test
     void whereAllAreLimitedCallsAreServedInTurnOrRefusedAtOnce() {
         Dispatcher dispatcher = dispatcher(PLAIN, 2);
@@ -137,7 +140,10 @@
         assertTrue(inVain <= 4, inVain + " waited until their time was over");
     }
 
-    /** Guards against a server in need that has its memory set aside and renewed for others' prompts. */
+    /**
+     * Guards against a rate-limited server whose memory is reserved, with requests to renew the reservation, for
+     * prompts of other servers.
+     */
     @Test
     void longPromptsAreReadByServersThatAreNotInNeed() {
         Dispatcher dispatcher = dispatcher(ENGINES, 4);
@@ -154,7 +160,7 @@
         }
     }
 
-    /** Guards against entries that, each for itself, send as much as the limit allows to all. */
+    /** Guards against entries that decide independently and each send as much as the limit allows for all of them. */
     @Test
     void oneOfManyThatDecideForThemselvesKeepsToItsPart() {
         Dispatcher dispatcher = dispatcher(PLAIN, 2);
@@ -172,7 +178,10 @@
         assertEquals(10, sent, 1);
     }
 
-    /** Guards against a server left alone for many seconds, as the one that decides now went by a part of its limit before. */
+    /**
+     * Guards against a server that gets no calls for many seconds, because the dispatcher that is primary now had been
+     * keeping to a part of the limit.
+     */
     @Test
     void oneThatIsAskedFirstAgainHasTheWholeLimitAtOnce() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1);
@@ -185,7 +194,10 @@
         assertEquals(1, dispatcher.tick(2_100 * MILLI).size());
     }
 
-    /** Guards against a limit that is known where an answer came, and not where the next request is decided. */
+    /**
+     * Guards against a limit that is known to the entry that received the answer but not to the dispatcher of the next
+     * request.
+     */
     @Test
     void aLimitIsLearnedFromReportsAndLiftedByThem() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1);
@@ -199,7 +211,7 @@
         assertInstanceOf(DispatchAnswer.Granted.class, dispatcher.place(call(0, 100, 1_000), 1_120 * MILLI));
     }
 
-    /** Guards against a request that another dispatcher had sent and that is counted by nobody. */
+    /** Guards against a request granted by another dispatcher that is not counted against the limit. */
     @Test
     void whatAnotherDispatcherHadSentCounts() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1);
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/PassEngine.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/PassEngine.java
@@ -5,7 +5,7 @@
 
 import org.elmline.core.routing.BatchTiming;
 
-/** An engine that reads and writes in passes, on a clock of whole milliseconds. */
+/** Simulated engine that prefills and decodes in passes, with a clock of whole milliseconds. */
 final class PassEngine {
     private final BatchTiming timing;
     private final List<Job> jobs = new ArrayList<>();
@@ -15,7 +15,7 @@
     private double passEnds;
     private boolean inPass;
 
-    /** A generation with what its caller has seen of it. */
+    /** A generation, with the times of its events as seen by its caller. */
     static final class Job {
         private final long promptTokens;
         private final double askedAt;
@@ -68,14 +68,14 @@
         this.timing = timing;
     }
 
-    /** Takes a generation to answer, of which this engine reads a part. */
+    /** Starts a generation, of whose prompt this engine prefills one of so many parts. */
     void answer(Job job, int members) {
         job.partsLeft = members;
         jobs.add(job);
         help(job, members);
     }
 
-    /** Takes a part of another's prompt. */
+    /** Adds a part of the prompt of another engine's generation. */
     void help(Job job, int members) {
         parts.add(new Part(job, timing.prefillMillis(job.promptTokens) / members));
     }
@@ -84,7 +84,7 @@
         return jobs.size();
     }
 
-    /** Milliseconds until what it was given to read is read, pauses for writing not counted. */
+    /** Milliseconds of prefill pending here, without the time of decoding between its parts. */
     double waitingMillis(double now) {
         double waiting = inPass ? Math.max(0, passEnds - now) : 0;
         for (Part each : parts) {
@@ -93,7 +93,7 @@
         return waiting;
     }
 
-    /** Lets a millisecond pass. */
+    /** Advances the simulation to the given time, one millisecond after the previous call. */
     void step(double now) {
         if (inPass && now >= passEnds) {
             endPass(now);
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/ServerAccountTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/ServerAccountTest.java
@@ -55,7 +55,10 @@
                 List.of());
     }
 
-    /** Guards against sums that drift from what runs: whatever is granted and ends, an idle engine has its whole room. */
+    /**
+     * Guards against sums that drift from the running calls: after any sequence of grants and ends, an idle engine has
+     * all its capacity.
+     */
     @Property(tries = 40, seed = "12")
     void anEngineThatIsIdleAgainHasItsWholeRoom(@ForAll long seed) {
         Random random = new Random(seed);
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/ServerLimitsTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/ServerLimitsTest.java
@@ -22,7 +22,7 @@
         assertFalse(limits.limitOf(A).isLimited());
     }
 
-    /** Guards against a limit that is lifted by an answer given before it was named. */
+    /** Guards against a limit that is lifted by an answer generated before it was reported. */
     @Test
     void anAnswerThatWasOvertakenLiftsNothing() {
         ServerRateLimits limits = new ServerRateLimits();
@@ -31,7 +31,7 @@
         assertTrue(limits.limitOf(A).isLimited());
     }
 
-    /** Guards against a server that is never asked again and so can't say that its need is over. */
+    /** Guards against a server that gets no more requests and so cannot report that its overload has ended. */
     @Test
     void aLimitOfNothingLeavesARequestNowAndThen() {
         assertEquals(0.25, ServerRateLimit.ofPerSecond(0).requestsPerSecond());
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/ShardTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/ShardTest.java
@@ -13,7 +13,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** How a service's servers are parted, and in which order its parts are asked. */
+/** How a service's servers are divided into shards, and in which order a call requests them. */
 class ShardTest {
     private static List<BackendServerId> servers(int count) {
         List<BackendServerId> servers = new ArrayList<>();
@@ -29,7 +29,7 @@
         assertEquals(List.of(Shard.WHOLE), Shard.forServerCount(100));
     }
 
-    /** Guards against a dispatcher whose work grows with the service. */
+    /** Guards against a dispatcher whose work grows with the number of servers. */
     @Test
     void shardsStaySmall() {
         for (int count : new int[] {101, 172, 700, 6_000}) {
