--- a/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadTest.java
@@ -12,20 +12,20 @@
     private static final long SEED = 4711;
 
     /** The smaller of the users' deployments, and its part of the calls. */
-    private static final int FEW_ENGINES = 16;
+    private static final int SMALL_SITE_ENGINES = 16;
 
-    private static final double FEW_ENGINES_LOAD = 0.77;
+    private static final double SMALL_SITE_LOAD = 0.77;
     private static final int SEEDS = 4;
-    private static final double LARGEST = 0.1;
+    private static final double LARGEST_FRACTION = 0.1;
 
     private static AlternatingLoad load() {
         return new AlternatingLoad(Deployment.LARGE_ENGINES, ENGINES, 1, SEED);
     }
 
-    private static String seen(AlternatingLoad load) {
+    private static String describe(AlternatingLoad load) {
         StringBuilder text = new StringBuilder();
         for (Kind each : Kind.values()) {
-            text.append(each).append(' ').append(load.onTime(each)).append(' ');
+            text.append(each).append(' ').append(load.onTimeFraction(each)).append(' ');
         }
         return text.toString();
     }
@@ -35,35 +35,36 @@
      * calls; with the dispatcher 0.99, 1.0 and 0.91. The bounds lie a little below.
      */
     @Test
-    void shortAndLongAreBothOnTime() {
-        AlternatingLoad blind = load().blind();
-        AlternatingLoad dispatched = load().dispatched();
-        String seen = "dispatched " + seen(dispatched) + ", blind " + seen(blind);
-        assertTrue(dispatched.onTime(Kind.QUESTION) >= 0.97, seen);
-        assertTrue(dispatched.onTime(Kind.ROSTER) >= 0.97, seen);
-        assertTrue(dispatched.onTime(Kind.AUDIT) >= 0.88, seen);
-        assertTrue(dispatched.onTime(Kind.AUDIT) > blind.onTime(Kind.AUDIT) + 0.2, seen);
-        assertTrue(dispatched.onTime(Kind.QUESTION) > blind.onTime(Kind.QUESTION), seen);
+    void answersShortAndLongCallsInTime() {
+        AlternatingLoad baseline = load().runFewestRunning();
+        AlternatingLoad dispatched = load().runDispatched();
+        String results = "dispatched " + describe(dispatched) + ", fewest running " + describe(baseline);
+        assertTrue(dispatched.onTimeFraction(Kind.QUESTION) >= 0.97, results);
+        assertTrue(dispatched.onTimeFraction(Kind.ROSTER) >= 0.97, results);
+        assertTrue(dispatched.onTimeFraction(Kind.AUDIT) >= 0.88, results);
+        assertTrue(dispatched.onTimeFraction(Kind.AUDIT) > baseline.onTimeFraction(Kind.AUDIT) + 0.2, results);
+        assertTrue(dispatched.onTimeFraction(Kind.QUESTION) > baseline.onTimeFraction(Kind.QUESTION), results);
     }
 
     /**
      * Guards against the largest prompts being late although engines are free half of the time: on 16 engines there are
      * hardly ever twelve that all decode no answers with short gaps, and such a prompt waited until it was late. Of the
      * largest tenth 0.51 were in time (12 seeds); with groups that may disturb answers much smaller than the prompt it
-     * is 0.86. Of the short calls 0.98 are in time either way.
+     * is 0.86. Of the questions 0.98 are in time either way.
      */
     @Test
-    void theLargestPromptsAreInTimeToo() {
+    void answersLargestPromptsInTime() {
         double largest = 0;
-        double questions = 0;
+        double shortCalls = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
-            AlternatingLoad load =
-                    new AlternatingLoad(Deployment.LARGE_ENGINES, FEW_ENGINES, FEW_ENGINES_LOAD, seed).dispatched();
-            largest += load.onTimeBySize(Kind.AUDIT, 0, LARGEST) / SEEDS;
-            questions += load.onTime(Kind.QUESTION) / SEEDS;
+            AlternatingLoad load = new AlternatingLoad(
+                            Deployment.LARGE_ENGINES, SMALL_SITE_ENGINES, SMALL_SITE_LOAD, seed)
+                    .runDispatched();
+            largest += load.onTimeFractionBySize(Kind.AUDIT, 0, LARGEST_FRACTION) / SEEDS;
+            shortCalls += load.onTimeFraction(Kind.QUESTION) / SEEDS;
         }
         assertTrue(largest >= 0.75, "largest tenth of audits in time: " + largest);
-        assertTrue(questions >= 0.97, "questions in time: " + questions);
+        assertTrue(shortCalls >= 0.97, "questions in time: " + shortCalls);
     }
 
     /**
@@ -73,17 +74,17 @@
      * large engines were late.
      */
     @Test
-    void callsThatWereHeldDontMakeNewOnesLate() {
+    void heldCallsDoNotDelayNewCalls() {
         for (Deployment deployment : Deployment.ALL) {
-            AlternatingLoad calm = new AlternatingLoad(deployment, ENGINES, 1, SEED).dispatched();
+            AlternatingLoad normal = new AlternatingLoad(deployment, ENGINES, 1, SEED).runDispatched();
             AlternatingLoad burst = new AlternatingLoad(deployment, ENGINES, 1, SEED)
-                    .afterHolding(2)
-                    .dispatched();
-            String seen = deployment.name() + " calm " + seen(calm) + ", burst " + seen(burst) + ", held "
-                    + burst.heldAnswered();
-            assertTrue(burst.heldAnswered() >= 0.9, seen);
+                    .withHeldCalls(2)
+                    .runDispatched();
+            String results = deployment.name() + " without held calls " + describe(normal) + ", with held calls "
+                    + describe(burst) + ", held calls answered " + burst.heldAnsweredFraction();
+            assertTrue(burst.heldAnsweredFraction() >= 0.9, results);
             for (Kind kind : Kind.values()) {
-                assertTrue(burst.onTime(kind) >= calm.onTime(kind) - 0.1, seen);
+                assertTrue(burst.onTimeFraction(kind) >= normal.onTimeFraction(kind) - 0.1, results);
             }
         }
     }
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/LimitedServersTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherRateLimitTest.java
@@ -22,24 +22,24 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** What rate-limited servers are sent, and how calls are answered meanwhile. */
-class LimitedServersTest {
+class DispatcherRateLimitTest {
     private static final long MILLI = 1_000_000L;
     private static final long SECOND = 1_000 * MILLI;
-    private static final ServiceName DESK = ServiceName.of("desk");
-    private static final RoutedService PLAIN = new RoutedService(DESK, 248, null);
+    private static final ServiceName SERVICE = ServiceName.of("desk");
+    private static final RoutedService PLAIN = new RoutedService(SERVICE, 248, null);
     private static final RoutedService ENGINES = new RoutedService(
-            DESK, 819, new BatchTiming(11, 450_000, 46, 0.925, 0.007, 0.00254, 256, 0.0917, 2048, 0.1));
+            SERVICE, 819, new BatchTiming(11, 450_000, 46, 0.925, 0.007, 0.00254, 256, 0.0917, 2048, 0.1));
     private static final RetryLimit RETRIES = new RetryLimit(0.2, 2, 10 * SECOND);
 
     private final ServerRateLimits limits = new ServerRateLimits();
-    private int next;
+    private int nextAttempt;
 
     private Dispatcher dispatcher(RoutedService service, int servers) {
-        List<Registration> all = new ArrayList<>();
+        List<Registration> registrations = new ArrayList<>();
         for (int i = 0; i < servers; i++) {
-            all.add(new Registration(
+            registrations.add(new Registration(
                     server(i),
-                    DESK,
+                    SERVICE,
                     new Address("10.0.0." + (i + 1), 80),
                     FailureDomain.of("a"),
                     11,
@@ -48,7 +48,7 @@
                     1));
         }
         Dispatcher dispatcher = new Dispatcher(service, RETRIES, limits, 0);
-        dispatcher.updateServers(service, all, 0);
+        dispatcher.updateServers(service, registrations, 0);
         return dispatcher;
     }
 
@@ -56,23 +56,23 @@
         return BackendServerId.of("s" + number);
     }
 
-    private DispatchCall call(long prompt, long aim, long deadline) {
-        next++;
+    private DispatchCall call(long promptTokens, long aimMillis, long deadlineMillis) {
+        nextAttempt++;
         return new DispatchCall(
-                "c" + next,
-                HostId.of("e" + next % 18),
+                "c" + nextAttempt,
+                HostId.of("e" + nextAttempt % 18),
                 1,
                 FailureDomain.of("a"),
-                DESK,
+                SERVICE,
                 Shard.WHOLE,
                 1,
-                prompt,
-                prompt > 0 ? 800 : 0,
-                prompt > 0 ? 800 : 0,
-                aim,
-                prompt > 0 ? 500 : 0,
-                deadline,
-                deadline,
+                promptTokens,
+                promptTokens > 0 ? 800 : 0,
+                promptTokens > 0 ? 800 : 0,
+                aimMillis,
+                promptTokens > 0 ? 500 : 0,
+                deadlineMillis,
+                deadlineMillis,
                 false,
                 List.of());
     }
@@ -82,7 +82,7 @@
      * a few.
      */
     @Test
-    void allEntriesTogetherKeepALimitAndNobodyWaitsForIt() {
+    void allEntriesTogetherKeepToLimitWithoutQueueing() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3);
         limits.update(server(0), ServerRateLimit.ofPerSecond(1.5), 0);
         List<Long> sent = new ArrayList<>();
@@ -95,49 +95,49 @@
             }
             dispatcher.report(new AttemptReport(call.attempt(), AttemptEnd.DONE), now + 5 * MILLI);
         }
-        assertTrue(mostInFourSeconds(sent) <= 1.5 * 4 + 1, "sent at " + sent);
-        assertTrue(sent.size() >= 25, "it gets what it takes: " + sent.size());
+        assertTrue(maxCountWithinFourSeconds(sent) <= 1.5 * 4 + 1, "sent at " + sent);
+        assertTrue(sent.size() >= 25, "requests sent to the limited server: " + sent.size());
     }
 
-    private static long mostInFourSeconds(List<Long> sent) {
-        long most = 0;
+    private static long maxCountWithinFourSeconds(List<Long> sent) {
+        long max = 0;
         for (long end : sent) {
-            most = Math.max(
-                    most,
+            max = Math.max(
+                    max,
                     sent.stream()
                             .filter(each -> each <= end && each > end - 4 * SECOND)
                             .count());
         }
-        return most;
+        return max;
     }
 
     /** Guards against calls that wait until their deadline at servers that all accept less than is sent to them. */
     @Test
-    void whereAllAreLimitedCallsAreServedInTurnOrRefusedAtOnce() {
+    void servesOrRefusesAtOnceWhenAllServersAreLimited() {
         Dispatcher dispatcher = dispatcher(PLAIN, 2);
         limits.update(server(0), ServerRateLimit.ofPerSecond(2), 0);
         limits.update(server(1), ServerRateLimit.ofPerSecond(2), 0);
         int served = 0;
         int refused = 0;
-        int inVain = 0;
-        Map<String, Long> since = new HashMap<>();
+        int timedOut = 0;
+        Map<String, Long> placedAt = new HashMap<>();
         for (long now = 0; now < 20 * SECOND; now += 10 * MILLI) {
             for (DispatchAnswer each : dispatcher.tick(now)) {
                 served += each instanceof DispatchAnswer.Granted ? 1 : 0;
-                boolean over = now - since.get(each.attempt()) >= 900 * MILLI;
-                inVain += each instanceof DispatchAnswer.Refused && over ? 1 : 0;
+                boolean over = now - placedAt.get(each.attempt()) >= 900 * MILLI;
+                timedOut += each instanceof DispatchAnswer.Refused && over ? 1 : 0;
                 refused += each instanceof DispatchAnswer.Refused ? 1 : 0;
                 dispatcher.report(new AttemptReport(each.attempt(), AttemptEnd.DONE), now);
             }
             if (now % (100 * MILLI) == 0) {
                 DispatchCall call = call(0, 100, 1_000);
-                since.put(call.attempt(), now);
+                placedAt.put(call.attempt(), now);
                 refused += dispatcher.place(call, now) instanceof DispatchAnswer.Refused ? 1 : 0;
             }
         }
         assertEquals(80, served, 3);
-        assertTrue(refused >= 110, refused + " of 200 were told");
-        assertTrue(inVain <= 4, inVain + " waited until their time was over");
+        assertTrue(refused >= 110, refused + " of 200 were refused");
+        assertTrue(timedOut <= 4, timedOut + " waited until their deadline");
     }
 
     /**
@@ -145,24 +145,24 @@
      * prompts of other servers.
      */
     @Test
-    void longPromptsAreReadByServersThatAreNotInNeed() {
+    void placesLongCallsOnUnlimitedServers() {
         Dispatcher dispatcher = dispatcher(ENGINES, 4);
         limits.update(server(1), ServerRateLimit.ofPerSecond(100), 0);
         for (int i = 0; i < 6; i++) {
             long now = i * 2 * SECOND;
-            DispatchCall manual = call(210_000, 3_000, 15_000);
+            DispatchCall longCall = call(210_000, 3_000, 15_000);
             DispatchAnswer.Granted granted =
-                    assertInstanceOf(DispatchAnswer.Granted.class, dispatcher.place(manual, now));
+                    assertInstanceOf(DispatchAnswer.Granted.class, dispatcher.place(longCall, now));
             assertFalse(granted.server().equals(server(1)));
             assertTrue(
                     granted.helpers().stream().noneMatch(each -> each.server().equals(server(1))));
-            dispatcher.report(new AttemptReport(manual.attempt(), AttemptEnd.DONE), now + SECOND);
+            dispatcher.report(new AttemptReport(longCall.attempt(), AttemptEnd.DONE), now + SECOND);
         }
     }
 
     /** Guards against entries that decide independently and each send as much as the limit allows for all of them. */
     @Test
-    void oneOfManyThatDecideForThemselvesKeepsToItsPart() {
+    void secondaryKeepsToItsPartOfLimit() {
         Dispatcher dispatcher = dispatcher(PLAIN, 2);
         dispatcher.updateEntryCount(18);
         dispatcher.updatePrimary(false, 0);
@@ -183,7 +183,7 @@
      * keeping to a part of the limit.
      */
     @Test
-    void oneThatIsAskedFirstAgainHasTheWholeLimitAtOnce() {
+    void usesWholeLimitAtOnceAfterBecomingPrimary() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1);
         dispatcher.updateEntryCount(18);
         dispatcher.updatePrimary(false, 0);
@@ -199,7 +199,7 @@
      * request.
      */
     @Test
-    void aLimitIsLearnedFromReportsAndLiftedByThem() {
+    void reportsSetAndLiftLimit() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1);
         DispatchCall first = call(0, 100, 1_000);
         dispatcher.place(first, 0);
@@ -213,7 +213,7 @@
 
     /** Guards against a request granted by another dispatcher that is not counted against the limit. */
     @Test
-    void whatAnotherDispatcherHadSentCounts() {
+    void countsSendsOfOtherDispatchers() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1);
         limits.update(server(0), ServerRateLimit.ofPerSecond(1), 0);
         dispatcher.tick(0);
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
@@ -27,24 +27,24 @@
 /** Placement, queueing and release of slots by a dispatcher. */
 class DispatcherTest {
     private static final long MILLI = 1_000_000L;
-    private static final ServiceName DESK = ServiceName.of("desk");
+    private static final ServiceName SERVICE = ServiceName.of("desk");
     private static final BatchTiming TIMING =
             new BatchTiming(11, 450_000, 46, 0.925, 0.007, 0.00254, 256, 0.0917, 2048, 0.1);
-    private static final RoutedService ENGINES = new RoutedService(DESK, 819, TIMING);
-    private static final RoutedService PLAIN = new RoutedService(DESK, 248, null);
+    private static final RoutedService ENGINES = new RoutedService(SERVICE, 819, TIMING);
+    private static final RoutedService PLAIN = new RoutedService(SERVICE, 248, null);
     private static final RetryLimit RETRIES = new RetryLimit(0.2, 2, 10_000 * MILLI);
 
-    private int next;
+    private int nextAttempt;
 
-    private static List<Registration> servers(int count, int places) {
+    private static List<Registration> servers(int count, int slots) {
         List<Registration> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             servers.add(new Registration(
                     BackendServerId.of("s" + i),
-                    DESK,
+                    SERVICE,
                     new Address("10.0.0." + (i + 1), 80),
                     FailureDomain.of("a"),
-                    places,
+                    slots,
                     ServerState.READY,
                     1,
                     1));
@@ -52,42 +52,48 @@
         return servers;
     }
 
-    private static Dispatcher dispatcher(RoutedService service, int servers, int places) {
+    private static Dispatcher dispatcher(RoutedService service, int servers, int slots) {
         Dispatcher dispatcher = new Dispatcher(service, RETRIES, 0);
-        dispatcher.updateServers(service, servers(servers, places), 0);
+        dispatcher.updateServers(service, servers(servers, slots), 0);
         return dispatcher;
     }
 
-    private DispatchCall call(long prompt, long answer, long aim, int gap, long deadline, boolean repeated) {
+    private DispatchCall call(
+            long promptTokens,
+            long answerTokens,
+            long aimMillis,
+            int gapMillis,
+            long deadlineMillis,
+            boolean repeated) {
         return new DispatchCall(
-                "c" + next++,
+                "c" + nextAttempt++,
                 HostId.of("e"),
                 1,
                 FailureDomain.of("a"),
-                DESK,
+                SERVICE,
                 Shard.WHOLE,
                 1,
-                prompt,
-                answer,
-                answer,
-                aim,
-                gap,
-                deadline,
-                deadline,
+                promptTokens,
+                answerTokens,
+                answerTokens,
+                aimMillis,
+                gapMillis,
+                deadlineMillis,
+                deadlineMillis,
                 repeated,
                 List.of());
     }
 
-    private DispatchCall question() {
+    private DispatchCall shortCall() {
         return call(5_000, 1_600, 300, 200, 10_000, false);
     }
 
-    private DispatchCall manual(long tokens) {
+    private DispatchCall longCall(long tokens) {
         return call(tokens, 800, 3_000, 800, 15_000, false);
     }
 
-    private DispatchCall booking(long deadline) {
-        return call(0, 0, 100, 0, deadline, false);
+    private DispatchCall plainCall(long deadlineMillis) {
+        return call(0, 0, 100, 0, deadlineMillis, false);
     }
 
     private static DispatchAnswer.Granted granted(DispatchAnswer answer) {
@@ -99,45 +105,45 @@
      * engine that decodes them. Short calls share few engines, so the long call finds enough without short answers.
      */
     @Test
-    void aLongReadKeepsAwayFromShortAnswers() {
+    void placesLongCallAwayFromShortAnswers() {
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
-        List<BackendServerId> busy = new ArrayList<>();
+        List<BackendServerId> shortCallServers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            DispatchAnswer.Granted grant = granted(dispatcher.place(question(), 0));
+            DispatchAnswer.Granted grant = granted(dispatcher.place(shortCall(), 0));
             dispatcher.report(new AttemptReport(grant.attempt(), null), 0);
-            busy.add(grant.server());
+            shortCallServers.add(grant.server());
         }
-        assertEquals(1, busy.stream().distinct().count(), "questions are packed");
-        DispatchAnswer.Granted read = granted(dispatcher.place(manual(210_000), 10 * MILLI));
-        assertNotEquals(busy.get(0), read.server());
-        assertTrue(read.helpers().stream().noneMatch(each -> busy.contains(each.server())));
-        assertEquals(4, read.helpers().size(), "all five free engines read");
-        assertTrue(read.firstMillis() < 1_000, "first token in " + read.firstMillis());
+        assertEquals(1, shortCallServers.stream().distinct().count(), "short calls are packed");
+        DispatchAnswer.Granted longGrant = granted(dispatcher.place(longCall(210_000), 10 * MILLI));
+        assertNotEquals(shortCallServers.get(0), longGrant.server());
+        assertTrue(longGrant.helpers().stream().noneMatch(each -> shortCallServers.contains(each.server())));
+        assertEquals(4, longGrant.helpers().size(), "all five free engines prefill");
+        assertTrue(longGrant.firstMillis() < 1_000, "first token in " + longGrant.firstMillis());
     }
 
     /**
      * A prompt larger than one engine's memory is kept on several, and one larger than all of them is refused at once.
      */
     @Test
-    void hugePromptsAreKeptOnSeveralEngines() {
+    void reservesMemoryOfHugePromptOnSeveralEngines() {
         Dispatcher dispatcher = dispatcher(ENGINES, 10, 11);
-        DispatchAnswer.Granted grant = granted(dispatcher.place(manual(700_000), 0));
+        DispatchAnswer.Granted grant = granted(dispatcher.place(longCall(700_000), 0));
         long reserved = grant.helpers().stream().mapToLong(Helper::memoryTokens).sum();
         assertTrue(reserved >= 700_800 - 450_000, "reserved " + reserved);
         assertTrue(grant.helpers().stream().allMatch(each -> each.memoryTokens() <= 450_000));
         DispatchAnswer.Refused refused = assertInstanceOf(
-                DispatchAnswer.Refused.class, dispatcher(ENGINES, 2, 11).place(manual(1_000_000), 0));
+                DispatchAnswer.Refused.class, dispatcher(ENGINES, 2, 11).place(longCall(1_000_000), 0));
         assertEquals(DispatchAnswer.RefusalCause.TOO_LARGE, refused.why());
     }
 
     /** A second long prompt waits for engines that prefill, and is placed when they have finished. */
     @Test
-    void aLongPromptWaitsForItsTurn() {
+    void queuesLongCallUntilPrefillHasFinished() {
         Dispatcher dispatcher = dispatcher(ENGINES, 4, 11);
-        DispatchAnswer.Granted first = granted(dispatcher.place(manual(210_000), 0));
-        DispatchCall second = manual(210_000);
+        DispatchAnswer.Granted first = granted(dispatcher.place(longCall(210_000), 0));
+        DispatchCall second = longCall(210_000);
         assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(second, 0));
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(second, 100 * MILLI), "asked again");
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(second, 100 * MILLI), "repeated request");
         dispatcher.report(new AttemptReport(first.attempt(), null), 800 * MILLI);
         List<DispatchAnswer> decided = dispatcher.tick(810 * MILLI);
         assertEquals(second.attempt(), granted(decided.get(0)).attempt());
@@ -148,17 +154,17 @@
      * are always some on every engine. While it waits, new short calls are kept from some engines until those are free.
      */
     @Test
-    void enginesAreKeptFreeForALongPromptThatWaits() {
+    void reservesEnginesForWaitingLongCall() {
         Dispatcher dispatcher = dispatcher(ENGINES, 3, 11);
         Map<String, Long> ends = new HashMap<>();
-        DispatchCall read = manual(300_000);
+        DispatchCall longCall = longCall(300_000);
         boolean placed = false;
         for (int step = 0; step < 500 && !placed; step++) {
             long now = step * 10L * MILLI;
             if (step == 100) {
-                dispatcher.place(read, now);
+                dispatcher.place(longCall, now);
             }
-            if (step % 2 == 0 && dispatcher.place(question(), now) instanceof DispatchAnswer.Granted grant) {
+            if (step % 2 == 0 && dispatcher.place(shortCall(), now) instanceof DispatchAnswer.Granted grant) {
                 dispatcher.report(new AttemptReport(grant.attempt(), null), now);
                 ends.put(grant.attempt(), now + 400 * MILLI);
             }
@@ -170,26 +176,27 @@
                 return over;
             });
             placed = dispatcher.tick(now).stream()
-                    .anyMatch(each -> each.attempt().equals(read.attempt()) && each instanceof DispatchAnswer.Granted);
+                    .anyMatch(each ->
+                            each.attempt().equals(longCall.attempt()) && each instanceof DispatchAnswer.Granted);
         }
         assertTrue(placed);
     }
 
     @Test
-    void plainCallsSpreadAndWaitOnlyForPlaces() {
+    void spreadsPlainCallsAndQueuesThemOnlyWithoutFreeSlots() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3, 2);
         Map<BackendServerId, Integer> counts = new HashMap<>();
         List<String> attempts = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            DispatchAnswer.Granted grant = granted(dispatcher.place(booking(1_000), 0));
+            DispatchAnswer.Granted grant = granted(dispatcher.place(plainCall(1_000), 0));
             counts.merge(grant.server(), 1, Integer::sum);
             attempts.add(grant.attempt());
         }
         assertEquals(List.of(2, 2, 2), List.copyOf(counts.values()));
-        DispatchCall waits = booking(1_000);
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(waits, 0));
+        DispatchCall waitingCall = plainCall(1_000);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(waitingCall, 0));
         dispatcher.report(new AttemptReport(attempts.get(0), AttemptEnd.DONE), MILLI);
-        assertEquals(waits.attempt(), dispatcher.tick(MILLI).get(0).attempt());
+        assertEquals(waitingCall.attempt(), dispatcher.tick(MILLI).get(0).attempt());
     }
 
     /**
@@ -197,14 +204,14 @@
      * deadline.
      */
     @Test
-    void hopelessCallsAreRefusedAtOnce() {
+    void refusesCallThatWouldMissItsDeadline() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1, 1);
-        granted(dispatcher.place(booking(1_000), 0));
+        granted(dispatcher.place(plainCall(1_000), 0));
         for (int i = 0; i < 20; i++) {
-            dispatcher.place(booking(1_000), 0);
+            dispatcher.place(plainCall(1_000), 0);
         }
         DispatchAnswer.Refused refused =
-                assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(booking(1_000), 0));
+                assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(plainCall(1_000), 0));
         assertEquals(DispatchAnswer.RefusalCause.TOO_LATE, refused.why());
         assertTrue(refused.retryAfterMillis() >= 100);
     }
@@ -214,36 +221,36 @@
      * without a bound.
      */
     @Test
-    void repetitionsAreBounded() {
+    void boundsRetries() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3, 100);
         for (int i = 0; i < 10; i++) {
-            granted(dispatcher.place(booking(1_000), 0));
+            granted(dispatcher.place(plainCall(1_000), 0));
         }
         int granted = 0;
         for (int i = 0; i < 10; i++) {
-            DispatchCall again = call(0, 0, 100, 0, 1_000, true);
-            granted += dispatcher.place(again, 0) instanceof DispatchAnswer.Granted ? 1 : 0;
+            DispatchCall retried = call(0, 0, 100, 0, 1_000, true);
+            granted += dispatcher.place(retried, 0) instanceof DispatchAnswer.Granted ? 1 : 0;
         }
-        assertEquals(4, granted, "a fifth of ten, and the slack of two");
+        assertEquals(4, granted, "a fifth of ten calls, and the slack of two");
     }
 
     @Test
-    void aServerThatCantBeReachedRestsAndIsTriedAgain() {
+    void backsOffFromUnreachableServerAndTriesItAgain() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3, 10);
-        DispatchAnswer.Granted grant = granted(dispatcher.place(booking(1_000), 0));
+        DispatchAnswer.Granted grant = granted(dispatcher.place(plainCall(1_000), 0));
         dispatcher.report(new AttemptReport(grant.attempt(), AttemptEnd.NOT_SENT), 0);
         for (int i = 0; i < 9; i++) {
             assertNotEquals(
                     grant.server(),
-                    granted(dispatcher.place(booking(1_000), MILLI)).server());
+                    granted(dispatcher.place(plainCall(1_000), MILLI)).server());
         }
         boolean back = false;
         for (int i = 0; i < 9; i++) {
-            back |= granted(dispatcher.place(booking(1_000), 1_100 * MILLI))
+            back |= granted(dispatcher.place(plainCall(1_000), 1_100 * MILLI))
                     .server()
                     .equals(grant.server());
         }
-        assertTrue(back, "it is tried again after its rest");
+        assertTrue(back, "server is tried again after its backoff");
     }
 
     /**
@@ -251,27 +258,27 @@
      * received any server's heartbeat yet.
      */
     @Test
-    void aNewDispatcherWaitsForServers() {
+    void queuesCallsUntilFirstServersAreKnown() {
         Dispatcher dispatcher = new Dispatcher(PLAIN, RETRIES, 0);
-        DispatchCall first = booking(2_000);
+        DispatchCall first = plainCall(2_000);
         assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(first, 0));
         dispatcher.updateServers(PLAIN, servers(1, 2), 900 * MILLI);
         assertEquals(
                 first.attempt(), granted(dispatcher.tick(900 * MILLI).get(0)).attempt());
         dispatcher.updateServers(PLAIN, List.of(), 1_000 * MILLI);
-        assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(booking(2_000), 1_000 * MILLI));
+        assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(plainCall(2_000), 1_000 * MILLI));
     }
 
     @Test
-    void aGoneEntryAndAForgottenCallFreeTheirPlaces() {
+    void freesSlotsOfRemovedEntryAndOfUnreportedCall() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1, 2);
-        granted(dispatcher.place(booking(1_000), 0));
-        granted(dispatcher.place(booking(1_000), 0));
+        granted(dispatcher.place(plainCall(1_000), 0));
+        granted(dispatcher.place(plainCall(1_000), 0));
         dispatcher.removeEntry(HostId.of("e"), 2, 0);
-        assertEquals(2, dispatcher.running(), "another start of the entry");
+        assertEquals(2, dispatcher.running(), "other incarnation of the entry");
         dispatcher.removeEntry(HostId.of("e"), 1, 0);
         assertEquals(0, dispatcher.running());
-        granted(dispatcher.place(booking(1_000), 0));
+        granted(dispatcher.place(plainCall(1_000), 0));
         dispatcher.tick(2_900 * MILLI);
         assertEquals(1, dispatcher.running());
         dispatcher.tick(3_100 * MILLI);
@@ -280,21 +287,21 @@
 
     /** A dispatcher that takes over counts the running calls; otherwise it would grant their slots a second time. */
     @Test
-    void adoptedGrantsTakeTheirPlaces() {
+    void adoptedGrantsOccupySlots() {
         Dispatcher old = dispatcher(PLAIN, 1, 1);
-        DispatchCall running = booking(5_000);
+        DispatchCall running = plainCall(5_000);
         DispatchAnswer.Granted grant = granted(old.place(running, 0));
         Dispatcher successor = dispatcher(PLAIN, 1, 1);
         successor.adopt(new OpenGrant(running, grant, false), 0);
-        DispatchCall waits = booking(5_000);
-        assertInstanceOf(DispatchAnswer.Queued.class, successor.place(waits, 0));
+        DispatchCall waitingCall = plainCall(5_000);
+        assertInstanceOf(DispatchAnswer.Queued.class, successor.place(waitingCall, 0));
         successor.report(new AttemptReport(running.attempt(), AttemptEnd.DONE), MILLI);
         assertEquals(1, successor.tick(MILLI).size());
     }
 
     /** In any order of calls and ends, no server has more calls than slots, and each call gets one decision. */
     @Property(tries = 60, seed = "11")
-    void noPlaceIsGivenTwice(@ForAll long seed) {
+    void neverGrantsMoreCallsThanSlots(@ForAll long seed) {
         Random random = new Random(seed);
         boolean engines = random.nextBoolean();
         Dispatcher dispatcher = dispatcher(engines ? ENGINES : PLAIN, 4, 3);
@@ -305,12 +312,13 @@
             long now = step * 7L * MILLI;
             List<DispatchAnswer> answers = new ArrayList<>(dispatcher.tick(now));
             if (random.nextInt(3) > 0) {
-                DispatchCall call = engines ? (random.nextInt(4) == 0 ? manual(150_000) : question()) : booking(1_000);
+                DispatchCall call =
+                        engines ? (random.nextInt(4) == 0 ? longCall(150_000) : shortCall()) : plainCall(1_000);
                 answers.add(dispatcher.place(call, now));
             }
             for (DispatchAnswer each : answers) {
                 if (each instanceof DispatchAnswer.Granted grant) {
-                    assertEquals(null, running.put(grant.attempt(), grant.server()), "one decision each");
+                    assertEquals(null, running.put(grant.attempt(), grant.server()), "one decision per call");
                     decided++;
                 } else if (each instanceof DispatchAnswer.Refused) {
                     refused++;
@@ -324,12 +332,12 @@
             }
             Map<BackendServerId, Integer> counts = new HashMap<>();
             running.values().forEach(each -> counts.merge(each, 1, Integer::sum));
-            int places = engines ? Math.min(3, TIMING.slots()) : 3;
-            counts.values().forEach(each -> assertTrue(each <= places));
+            int slots = engines ? Math.min(3, TIMING.slots()) : 3;
+            counts.values().forEach(each -> assertTrue(each <= slots));
             assertEquals(running.size(), dispatcher.running());
         }
-        assertEquals(next, decided + refused + dispatcher.waiting());
-        next = 0;
+        assertEquals(nextAttempt, decided + refused + dispatcher.waiting());
+        nextAttempt = 0;
     }
 
     /**
@@ -339,11 +347,11 @@
      * don't.
      */
     @Test
-    void aSecondDispatcherHoldsLongCallsForASecond() {
+    void secondaryHoldsLongCallsForOneSecond() {
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
         dispatcher.updatePrimary(false, 0);
-        granted(dispatcher.place(question(), 0));
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
+        granted(dispatcher.place(shortCall(), 0));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(longCall(210_000), 0));
         assertEquals(List.of(), dispatcher.tick(999 * MILLI));
         assertEquals(1, dispatcher.tick(1_000 * MILLI).size());
     }
@@ -355,13 +363,13 @@
      * request the next dispatcher.
      */
     @Test
-    void aDispatcherThatIsNoLongerTheFirstHoldsWhatWaits() {
+    void holdsWaitingLongCallAfterBecomingSecondary() {
         Dispatcher dispatcher = dispatcher(ENGINES, 2, 2);
         List<String> running = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            running.add(granted(dispatcher.place(question(), 0)).attempt());
+            running.add(granted(dispatcher.place(shortCall(), 0)).attempt());
         }
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(longCall(210_000), 0));
         dispatcher.updatePrimary(false, 900 * MILLI);
         running.forEach(each -> dispatcher.report(new AttemptReport(each, AttemptEnd.CANCELLED), 950 * MILLI));
         assertEquals(List.of(), dispatcher.tick(1_100 * MILLI));
@@ -371,10 +379,10 @@
 
     /** When the primary is gone and the secondary takes over, the calls that it held are placed at once. */
     @Test
-    void aSecondDispatcherThatBecomesTheFirstPlacesLongCalls() {
+    void placesHeldLongCallAfterBecomingPrimary() {
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
         dispatcher.updatePrimary(false, 0);
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(longCall(210_000), 0));
         dispatcher.updatePrimary(true, 5 * MILLI);
         assertEquals(1, dispatcher.tick(10 * MILLI).size());
     }
@@ -385,15 +393,15 @@
      * that answers in time is preferred to a late one.
      */
     @Test
-    void aQuestionDoesNotQueueBehindALongRead() {
+    void prefersReservedEngineToOneWithLongPrefill() {
         Dispatcher dispatcher = dispatcher(ENGINES, 2, 11);
-        DispatchAnswer.Granted first = granted(dispatcher.place(question(), 0));
+        DispatchAnswer.Granted first = granted(dispatcher.place(shortCall(), 0));
         dispatcher.report(new AttemptReport(first.attempt(), null), 0);
-        DispatchAnswer.Granted read = granted(dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), 0));
-        assertNotEquals(first.server(), read.server());
+        DispatchAnswer.Granted longGrant = granted(dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), 0));
+        assertNotEquals(first.server(), longGrant.server());
         assertInstanceOf(
                 DispatchAnswer.Queued.class, dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), MILLI));
-        DispatchAnswer.Granted second = granted(dispatcher.place(question(), 2 * MILLI));
+        DispatchAnswer.Granted second = granted(dispatcher.place(shortCall(), 2 * MILLI));
         assertEquals(first.server(), second.server());
         assertTrue(second.firstMillis() <= 300, "first token in " + second.firstMillis());
     }
@@ -403,14 +411,14 @@
      * refused in time.
      */
     @Test
-    void noEngineIsTakenForAFirstTokenThatNobodyWaitsFor() {
+    void queuesCallWhoseFirstTokenWouldBeTooLate() {
         Dispatcher dispatcher = dispatcher(ENGINES, 1, 11);
         DispatchCall tooLong = new DispatchCall(
                 "long",
                 HostId.of("e"),
                 1,
                 FailureDomain.of("a"),
-                DESK,
+                SERVICE,
                 Shard.WHOLE,
                 1,
                 400_000,
@@ -431,19 +439,19 @@
      * calls that the entry runs, and removes its other grants.
      */
     @Test
-    void aDispatcherThatWasFrozenForgetsWhatHasEnded() {
+    void reconcileRemovesGrantsThatEntryNoLongerRuns() {
         Dispatcher dispatcher = dispatcher(ENGINES, 1, 11);
         List<DispatchCall> calls = new ArrayList<>();
         List<DispatchAnswer.Granted> grants = new ArrayList<>();
         for (int i = 0; i < 11; i++) {
-            calls.add(question());
+            calls.add(shortCall());
             grants.add(granted(dispatcher.place(calls.get(i), 0)));
         }
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(question(), MILLI));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(shortCall(), MILLI));
         OpenGrant still = new OpenGrant(calls.get(0), grants.get(0), true);
         dispatcher.reconcileGrants(HostId.of("e"), 1, List.of(still), 4_000 * MILLI);
         assertEquals(1, dispatcher.running());
-        granted(dispatcher.place(question(), 4_001 * MILLI));
+        granted(dispatcher.place(shortCall(), 4_001 * MILLI));
     }
 
     /**
@@ -452,21 +460,21 @@
      * its six short calls by itself; packed, all of them would be placed on the same engine.
      */
     @Test
-    void dispatchersThatDoNotKnowOfEachOtherSpreadTheirQuestions() {
-        int places = 11;
+    void uncoordinatedDispatchersSpreadShortCalls() {
+        int slots = 11;
         Map<BackendServerId, Integer> running = new HashMap<>();
         for (int entry = 0; entry < 13; entry++) {
-            Dispatcher dispatcher = dispatcher(ENGINES, 21, places);
+            Dispatcher dispatcher = dispatcher(ENGINES, 21, slots);
             dispatcher.updatePrimary(false, 0);
             for (int i = 0; i < 6; i++) {
-                running.merge(granted(dispatcher.place(question(), 0)).server(), 1, Integer::sum);
+                running.merge(granted(dispatcher.place(shortCall(), 0)).server(), 1, Integer::sum);
             }
         }
-        int turnedDown = 0;
+        int rejected = 0;
         for (int each : running.values()) {
-            turnedDown += Math.max(0, each - places);
+            rejected += Math.max(0, each - slots);
         }
-        assertTrue(turnedDown <= 1, turnedDown + " of 78 questions turned down");
+        assertTrue(rejected <= 1, rejected + " of 78 short calls rejected");
         assertTrue(running.size() >= 18, "engines used: " + running.size());
     }
 
@@ -475,16 +483,16 @@
      * calls examined. Waiting calls are left to the next tick, and a new call that is not first waits with them.
      */
     @Test
-    void aNewCallHasNobodyElseLookedAt() {
+    void newCallDoesNotPlaceWaitingCalls() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1, 1);
-        DispatchAnswer.Granted running = granted(dispatcher.place(booking(60_000), 0));
-        DispatchCall first = booking(60_000);
+        DispatchAnswer.Granted running = granted(dispatcher.place(plainCall(60_000), 0));
+        DispatchCall first = plainCall(60_000);
         dispatcher.place(first, 0);
         for (int i = 0; i < 300; i++) {
-            dispatcher.place(booking(60_000), 0);
+            dispatcher.place(plainCall(60_000), 0);
         }
         dispatcher.report(new AttemptReport(running.attempt(), AttemptEnd.DONE), MILLI);
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(booking(60_000), MILLI));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(plainCall(60_000), MILLI));
         List<DispatchAnswer> decided = dispatcher.tick(MILLI);
         assertEquals(
                 List.of(first.attempt()),
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/GrantHoldersTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/GrantHoldersTest.java
@@ -8,18 +8,18 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 class GrantHoldersTest {
-    private static final HostId OLD = HostId.of("old");
-    private static final HostId NEW = HostId.of("new");
+    private static final HostId OLD_DISPATCHER = HostId.of("old");
+    private static final HostId NEW_DISPATCHER = HostId.of("new");
 
     private final GrantHolders holders = new GrantHolders();
 
     @Test
-    void theOneThatGrantedHearsOfTheEnd() {
-        holders.addHolder("a", OLD);
-        assertEquals(List.of(), holders.retainOnly("a", OLD));
-        assertEquals(List.of(OLD), holders.holdersOf("a"));
-        assertEquals(List.of(OLD), holders.removeAttempt("a"));
-        assertEquals(List.of(), holders.removeAttempt("a"), "told once");
+    void grantingDispatcherIsNotifiedOfEndOnce() {
+        holders.addHolder("a", OLD_DISPATCHER);
+        assertEquals(List.of(), holders.retainOnly("a", OLD_DISPATCHER));
+        assertEquals(List.of(OLD_DISPATCHER), holders.holdersOf("a"));
+        assertEquals(List.of(OLD_DISPATCHER), holders.removeAttempt("a"));
+        assertEquals(List.of(), holders.removeAttempt("a"), "notified once");
     }
 
     /**
@@ -29,37 +29,37 @@
      * call ran elsewhere.
      */
     @Test
-    void aSecondGrantIsGivenBack() {
-        holders.addHolder("a", OLD);
-        holders.addHolder("a", NEW);
-        assertEquals(List.of(NEW), holders.retainOnly("a", OLD), "forgets the call");
-        assertEquals(List.of(OLD), holders.removeAttempt("a"));
+    void cancelsSecondGrant() {
+        holders.addHolder("a", OLD_DISPATCHER);
+        holders.addHolder("a", NEW_DISPATCHER);
+        assertEquals(List.of(NEW_DISPATCHER), holders.retainOnly("a", OLD_DISPATCHER), "receives the cancellation");
+        assertEquals(List.of(OLD_DISPATCHER), holders.removeAttempt("a"));
     }
 
     /**
      * An attempt granted by the old dispatcher is reported to the new one as well: both must be notified of its end.
      */
     @Test
-    void whoeverIsToldOfAnAttemptHearsOfItsEnd() {
-        holders.addHolder("a", OLD);
-        holders.retainOnly("a", OLD);
-        holders.addHolder("a", NEW);
-        assertEquals(List.of(OLD, NEW), holders.removeAttempt("a"));
+    void everyDispatcherWithReportIsNotifiedOfEnd() {
+        holders.addHolder("a", OLD_DISPATCHER);
+        holders.retainOnly("a", OLD_DISPATCHER);
+        holders.addHolder("a", NEW_DISPATCHER);
+        assertEquals(List.of(OLD_DISPATCHER, NEW_DISPATCHER), holders.removeAttempt("a"));
     }
 
     @Test
-    void whoWasToldToForgetHearsNothingMore() {
-        holders.addHolder("a", OLD);
-        holders.removeHolder("a", OLD);
-        holders.addHolder("a", NEW);
-        holders.retainOnly("a", NEW);
-        assertEquals(List.of(NEW), holders.removeAttempt("a"));
+    void dispatcherWithCancellationIsNotNotifiedOfEnd() {
+        holders.addHolder("a", OLD_DISPATCHER);
+        holders.removeHolder("a", OLD_DISPATCHER);
+        holders.addHolder("a", NEW_DISPATCHER);
+        holders.retainOnly("a", NEW_DISPATCHER);
+        assertEquals(List.of(NEW_DISPATCHER), holders.removeAttempt("a"));
     }
 
     @Test
-    void aCallerThatLeavesFreesEveryQueue() {
-        holders.addHolder("a", OLD);
-        holders.addHolder("a", NEW);
-        assertEquals(List.of(OLD, NEW), holders.removeAttempt("a"));
+    void disconnectedCallerIsRemovedFromEveryQueue() {
+        holders.addHolder("a", OLD_DISPATCHER);
+        holders.addHolder("a", NEW_DISPATCHER);
+        assertEquals(List.of(OLD_DISPATCHER, NEW_DISPATCHER), holders.removeAttempt("a"));
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/ServerAccountTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/ServerLoadTest.java
@@ -18,14 +18,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class ServerAccountTest {
+class ServerLoadTest {
     private static final long MILLI = 1_000_000L;
-    private static final ServiceName DESK = ServiceName.of("desk");
+    private static final ServiceName SERVICE = ServiceName.of("desk");
     private static final BatchTiming TIMING =
             new BatchTiming(11, 450_000, 46, 0.925, 0.007, 0.00254, 256, 0.0917, 2048, 0.1);
     private static final Registration SERVER = new Registration(
             BackendServerId.of("s"),
-            DESK,
+            SERVICE,
             new Address("10.0.0.1", 80),
             FailureDomain.of("a"),
             11,
@@ -33,22 +33,22 @@
             1,
             1);
 
-    private int next;
+    private int nextAttempt;
 
-    private DispatchCall call(long prompt, int gap) {
+    private DispatchCall call(long promptTokens, int gapMillis) {
         return new DispatchCall(
-                "c" + next++,
+                "c" + nextAttempt++,
                 HostId.of("e"),
                 1,
                 FailureDomain.of("a"),
-                DESK,
+                SERVICE,
                 Shard.WHOLE,
                 1,
-                prompt,
+                promptTokens,
                 1_600,
                 1_600,
                 300,
-                gap,
+                gapMillis,
                 10_000,
                 10_000,
                 false,
@@ -60,35 +60,35 @@
      * all its capacity.
      */
     @Property(tries = 40, seed = "12")
-    void anEngineThatIsIdleAgainHasItsWholeRoom(@ForAll long seed) {
+    void idleEngineHasItsWholeCapacity(@ForAll long seed) {
         Random random = new Random(seed);
-        ServerLoad account = new ServerLoad(SERVER, TIMING, 0);
+        ServerLoad load = new ServerLoad(SERVER, TIMING, 0);
         ServerLoad fresh = new ServerLoad(SERVER, TIMING, 0);
         List<String> attempts = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
             DispatchCall call = random.nextBoolean() ? call(5_000, 200) : call(1_000 * (1 + random.nextInt(300)), 800);
-            account.grant(
+            load.grant(
                     new Allocation(call, random.nextInt(3) > 0, random.nextInt(200), call.memoryTokens()), i * MILLI);
             attempts.add(call.attempt());
             if (random.nextBoolean()) {
-                account.startDecoding(attempts.get(random.nextInt(attempts.size())), i * MILLI);
+                load.startDecoding(attempts.get(random.nextInt(attempts.size())), i * MILLI);
             }
             if (random.nextBoolean()) {
-                account.end(attempts.remove(random.nextInt(attempts.size())), i * MILLI);
+                load.end(attempts.remove(random.nextInt(attempts.size())), i * MILLI);
             }
-            int tightest = account.allocations().stream()
+            int shortestGap = load.allocations().stream()
                     .filter(Allocation::isPrimary)
                     .mapToInt(each -> each.call().gapMillis())
                     .min()
                     .orElse(Integer.MAX_VALUE);
-            assertEquals(tightest, account.shortestGapMillis());
+            assertEquals(shortestGap, load.shortestGapMillis());
         }
-        attempts.forEach(each -> account.end(each, 300 * MILLI));
-        assertEquals(fresh.freeMemoryTokens(), account.freeMemoryTokens());
-        assertEquals(fresh.freeSlots(), account.freeSlots());
-        assertEquals(fresh.passMillis(0, 0), account.passMillis(0, 0));
-        assertEquals(0, account.backlogMillis(300 * MILLI));
-        assertEquals(Integer.MAX_VALUE, account.shortestGapMillis());
-        assertTrue(!account.isDecoding() && account.isIdle());
+        attempts.forEach(each -> load.end(each, 300 * MILLI));
+        assertEquals(fresh.freeMemoryTokens(), load.freeMemoryTokens());
+        assertEquals(fresh.freeSlots(), load.freeSlots());
+        assertEquals(fresh.passMillis(0, 0), load.passMillis(0, 0));
+        assertEquals(0, load.backlogMillis(300 * MILLI));
+        assertEquals(Integer.MAX_VALUE, load.shortestGapMillis());
+        assertTrue(!load.isDecoding() && load.isIdle());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/ShardTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/ShardTest.java
@@ -24,14 +24,14 @@
     }
 
     @Test
-    void aServiceOfFewServersIsWhole() {
+    void serviceWithFewServersHasOneShard() {
         assertEquals(List.of(Shard.WHOLE), Shard.forServerCount(0));
         assertEquals(List.of(Shard.WHOLE), Shard.forServerCount(100));
     }
 
     /** Guards against a dispatcher whose work grows with the number of servers. */
     @Test
-    void shardsStaySmall() {
+    void boundsServersPerShard() {
         for (int count : new int[] {101, 172, 700, 6_000}) {
             Map<Shard, Integer> sizes = new HashMap<>();
             for (BackendServerId server : servers(count)) {
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void eachShardIsAskedOnceAndFirstByItsPartOfTheServers() {
+    void ordersEachShardOnceAndFirstByItsPartOfServers() {
         List<BackendServerId> servers = servers(700);
         Random random = new Random(3);
         Map<Shard, Integer> first = new HashMap<>();
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/PassEngine.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/SimulatedEngine.java
@@ -6,31 +6,31 @@
 import org.elmline.core.routing.BatchTiming;
 
 /** Simulated engine that prefills and decodes in passes, with a clock of whole milliseconds. */
-final class PassEngine {
+final class SimulatedEngine {
     private final BatchTiming timing;
     private final List<Job> jobs = new ArrayList<>();
     private final List<Part> parts = new ArrayList<>();
-    private List<Part> reading = List.of();
-    private boolean writes;
-    private double passEnds;
+    private List<Part> prefilling = List.of();
+    private boolean decodesInPass;
+    private double passEndMillis;
     private boolean inPass;
 
     /** A generation, with the times of its events as seen by its caller. */
     static final class Job {
         private final long promptTokens;
-        private final double askedAt;
+        private final double requestedAtMillis;
         private final int aimMillis;
         private final int gapMillis;
         private int eventsLeft;
         private int partsLeft;
-        private double firstAt = -1;
-        private double lastAt;
-        private double longestPause;
+        private double firstEventAtMillis = -1;
+        private double lastEventAtMillis;
+        private double longestGapMillis;
 
         Job(long promptTokens, int events, double askedAt, int aimMillis, int gapMillis) {
             this.promptTokens = promptTokens;
             this.eventsLeft = events;
-            this.askedAt = askedAt;
+            this.requestedAtMillis = askedAt;
             this.aimMillis = aimMillis;
             this.gapMillis = gapMillis;
         }
@@ -39,8 +39,8 @@
             return promptTokens;
         }
 
-        boolean begun() {
-            return firstAt >= 0;
+        boolean hasFirstToken() {
+            return firstEventAtMillis >= 0;
         }
 
         boolean done() {
@@ -48,35 +48,35 @@
         }
 
         boolean onTime() {
-            return done() && firstAt - askedAt <= aimMillis && longestPause <= gapMillis;
+            return done() && firstEventAtMillis - requestedAtMillis <= aimMillis && longestGapMillis <= gapMillis;
         }
 
-        private void event(double now) {
-            if (firstAt < 0) {
-                firstAt = now;
+        private void recordEvent(double now) {
+            if (firstEventAtMillis < 0) {
+                firstEventAtMillis = now;
             } else {
-                longestPause = Math.max(longestPause, now - lastAt);
+                longestGapMillis = Math.max(longestGapMillis, now - lastEventAtMillis);
             }
-            lastAt = now;
+            lastEventAtMillis = now;
             eventsLeft--;
         }
     }
 
     private record Part(Job job, double millis) {}
 
-    PassEngine(BatchTiming timing) {
+    SimulatedEngine(BatchTiming timing) {
         this.timing = timing;
     }
 
     /** Starts a generation, of whose prompt this engine prefills one of so many parts. */
-    void answer(Job job, int members) {
+    void generate(Job job, int members) {
         job.partsLeft = members;
         jobs.add(job);
-        help(job, members);
+        addPart(job, members);
     }
 
     /** Adds a part of the prompt of another engine's generation. */
-    void help(Job job, int members) {
+    void addPart(Job job, int members) {
         parts.add(new Part(job, timing.prefillMillis(job.promptTokens) / members));
     }
 
@@ -85,17 +85,17 @@
     }
 
     /** Milliseconds of prefill pending here, without the time of decoding between its parts. */
-    double waitingMillis(double now) {
-        double waiting = inPass ? Math.max(0, passEnds - now) : 0;
+    double backlogMillis(double now) {
+        double backlog = inPass ? Math.max(0, passEndMillis - now) : 0;
         for (Part each : parts) {
-            waiting += each.millis();
+            backlog += each.millis();
         }
-        return waiting;
+        return backlog;
     }
 
     /** Advances the simulation to the given time, one millisecond after the previous call. */
     void step(double now) {
-        if (inPass && now >= passEnds) {
+        if (inPass && now >= passEndMillis) {
             endPass(now);
         }
         if (!inPass) {
@@ -104,32 +104,32 @@
     }
 
     private void beginPass(double now) {
-        reading = List.copyOf(parts);
+        prefilling = List.copyOf(parts);
         parts.clear();
-        int writers = 0;
+        int decoding = 0;
         long context = 0;
         for (Job each : jobs) {
-            if (each.begun() || each.partsLeft == 0) {
-                writers++;
+            if (each.hasFirstToken() || each.partsLeft == 0) {
+                decoding++;
                 context += each.promptTokens;
             }
         }
-        writes = writers > 0;
-        double millis = writes ? timing.passMillis(writers, context) : 0;
-        for (Part each : reading) {
+        decodesInPass = decoding > 0;
+        double millis = decodesInPass ? timing.passMillis(decoding, context) : 0;
+        for (Part each : prefilling) {
             millis += each.millis();
         }
-        inPass = writes || !reading.isEmpty();
-        passEnds = now + millis;
+        inPass = decodesInPass || !prefilling.isEmpty();
+        passEndMillis = now + millis;
     }
 
     private void endPass(double now) {
         inPass = false;
-        reading.forEach(each -> each.job().partsLeft--);
-        if (writes) {
+        prefilling.forEach(each -> each.job().partsLeft--);
+        if (decodesInPass) {
             for (Job each : jobs) {
                 if (each.partsLeft == 0) {
-                    each.event(now);
+                    each.recordEvent(now);
                 }
             }
         }
