--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
@@ -365,7 +365,7 @@
     }
 
     /**
-     * Records the first token or end of an attempt; an unknown attempt or a repeated report of an end changes nothing.
+     * Records the first token or end of an attempt; an unknown attempt or a second report of the same changes nothing.
      */
     public void report(AttemptReport report, long now) {
         ActiveGrant granted = grants.get(report.attempt());
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
@@ -36,7 +36,8 @@
     /**
      * Applies limits that have changed since the last call.
      *
-     * @param isSoleSender whether all entries send only what this dispatcher grants; if not, each keeps to its part of a limit
+     * @param isSoleSender whether all entries send only what this dispatcher grants; if not, each keeps to its part of
+     *     a limit
      */
     void applyChanges(boolean isSoleSender, long now) {
         int senders = isSoleSender ? 1 : entryCount;
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoad.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoad.java
@@ -55,10 +55,9 @@
      *
      * @param inLongPhase calls per second in the phase of long prompts
      * @param inShortPhase calls per second in the phase of short calls
-     * @param meanTokens mean length of the prompt, log-normally distributed up to {@code most}
+     * @param meanTokens mean length of the prompt, log-normally distributed up to {@code maxTokens}
      * @param spread standard deviation of the logarithm of the length
      * @param maxTokens longest prompt in tokens
-     * @param events events of an answer
      * @param aimMillis milliseconds to the first token
      * @param gapMillis milliseconds between events
      * @param deadlineMillis milliseconds to the end of the answer
@@ -209,9 +208,8 @@
     }
 
     /**
-     * Adds calls at the start that were held before: those of some seconds of the phase of short calls and of the phase
-     * of long prompts. All of them are late already, and their callers disconnect within a second without a first
-     * token.
+     * Adds calls held before the start: those of some seconds of the phase of short calls and of that of long prompts.
+     * All are late already, and their callers disconnect within a second without a first token.
      */
     AlternatingLoad withHeldCalls(int seconds) {
         heldSeconds = seconds;
@@ -236,10 +234,7 @@
         return this;
     }
 
-    /**
-     * Sends each call to the engine with the shortest prefill backlog, among equals the one with the fewest running
-     * calls.
-     */
+    /** Sends each call to the engine with the shortest prefill backlog, then with the fewest running calls. */
     AlternatingLoad runLeastBacklog() {
         run(new MinimumPolicy(now -> Comparator.comparingDouble((SimulatedEngine each) -> each.backlogMillis(now))
                 .thenComparing(BY_RUNNING)));
@@ -316,10 +311,7 @@
         return (double) jobs.stream().filter(SimulatedEngine.Job::onTime).count() / jobs.size();
     }
 
-    /**
-     * Part in time of the calls of a class in a range of prompt sizes, sorted with the largest first; 0 to 0.1 is the
-     * largest tenth.
-     */
+    /** Like {@link #onTimeFraction} for a range of prompt sizes; 0 to 0.1 is the largest tenth. */
     double onTimeFractionBySize(Kind kind, double from, double to) {
         List<SimulatedEngine.Job> jobs = new ArrayList<>(jobsByKind.get(kind));
         jobs.sort(Comparator.comparingLong(SimulatedEngine.Job::promptTokens).reversed());
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadMeasurement.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadMeasurement.java
@@ -35,7 +35,7 @@
 
     /**
      * The same load on other engines and with other time limits: the difference between the dispatcher and the better
-     * of the two baselines. Arrival rates scale with the speed of the engines, so the utilisation stays similar.
+     * of the two baselines. Arrival rates scale with the speed of the engines, so the load stays similar.
      */
     private static void printGrid() {
         for (Deployment each : Deployment.ALL) {
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoadTest.java
@@ -31,8 +31,8 @@
     }
 
     /**
-     * Parts in time with the engine that has the fewest running calls: 0.80 of short, 0.87 of medium and 0.52 of long
-     * calls; with the dispatcher 0.99, 1.0 and 0.91. The bounds lie a little below.
+     * Parts in time with the engine that has the fewest running calls: 0.80 of questions, 0.87 of rosters and 0.52 of
+     * audits; with the dispatcher 0.99, 1.0 and 0.91. The bounds lie a little below.
      */
     @Test
     void answersShortAndLongCallsInTime() {
@@ -55,22 +55,22 @@
     @Test
     void answersLargestPromptsInTime() {
         double largest = 0;
-        double shortCalls = 0;
+        double questions = 0;
         for (int seed = 1; seed <= SEEDS; seed++) {
             AlternatingLoad load = new AlternatingLoad(
                             Deployment.LARGE_ENGINES, SMALL_SITE_ENGINES, SMALL_SITE_LOAD, seed)
                     .runDispatched();
             largest += load.onTimeFractionBySize(Kind.AUDIT, 0, LARGEST_FRACTION) / SEEDS;
-            shortCalls += load.onTimeFraction(Kind.QUESTION) / SEEDS;
+            questions += load.onTimeFraction(Kind.QUESTION) / SEEDS;
         }
         assertTrue(largest >= 0.75, "largest tenth of audits in time: " + largest);
-        assertTrue(shortCalls >= 0.97, "questions in time: " + shortCalls);
+        assertTrue(questions >= 0.97, "questions in time: " + questions);
     }
 
     /**
      * After a power failure, entries hold the calls of two seconds until they have received the routing table; then all
      * of them are requested at once, already late, beside new calls that can still be in time. New calls must not
-     * become late by this, and nearly all held calls are answered. Ordered by due time alone, half of the long calls on
+     * become late by this, and nearly all held calls are answered. Ordered by due time alone, half of the audits on
      * large engines were late.
      */
     @Test
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
@@ -342,9 +342,8 @@
 
     /**
      * Guards against short answers that pause while a long prompt is prefilled: an entry that lost a packet requests
-     * the secondary dispatcher, which does not know the short calls that the primary has placed, and places the prompt
-     * on all their engines. So a long call waits there until the primary would have been found to be gone; short calls
-     * don't.
+     * the secondary dispatcher, which does not know the primary's short calls and places the prompt on all their
+     * engines. So a long call waits there until the primary would have been found to be gone; short calls don't.
      */
     @Test
     void secondaryHoldsLongCallsForOneSecond() {
@@ -436,7 +435,7 @@
     /**
      * Guards against new short calls that wait although engines are free: the dispatcher's process was suspended for
      * seconds, calls ended meanwhile, and their entry's reports were lost. When it resumes, it receives the list of the
-     * calls that the entry runs, and removes its other grants.
+     * entry's running calls and removes the other grants.
      */
     @Test
     void reconcileRemovesGrantsThatEntryNoLongerRuns() {
@@ -457,7 +456,7 @@
     /**
      * Guards against engines that reject calls beyond their slots: after a power failure of the whole system, callers
      * whose first attempts were cut off retry at 13 entries at once. No entry knows of the others yet, so each places
-     * its six short calls by itself; packed, all of them would be placed on the same engine.
+     * its six short calls by itself; packed, all would be placed on the same engine.
      */
     @Test
     void uncoordinatedDispatchersSpreadShortCalls() {
@@ -480,7 +479,7 @@
 
     /**
      * Guards against a host that processes no messages for a second, because in a burst each new call had all waiting
-     * calls examined. Waiting calls are left to the next tick, and a new call that is not first waits with them.
+     * calls examined. Waiting calls are left to the next tick; a new call that is not first waits with them.
      */
     @Test
     void newCallDoesNotPlaceWaitingCalls() {
