--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
@@ -6,7 +6,7 @@
  */
 final class DecodeInterference {
     /**
-     * Part of an allowed gap that a pass may fill; the rest is a margin, as the model does not know when the running
+     * Part of an allowed gap that a pass may fill; the rest is a margin, as the model does not include when the running
      * pass began.
      */
     static final double MAX_GAP_FRACTION = 0.85;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchAnswer.java
@@ -46,7 +46,7 @@
 
     /** Why a call was not placed. */
     enum RefusalCause {
-        /** No backend server that could take the call is known. */
+        /** No usable backend server of the service is registered. */
         NO_SERVER,
         /** The call cannot be completed before its deadline. */
         TOO_LATE,
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
@@ -34,17 +34,17 @@
     private static final long LONG_RESERVATION_NANOS = 400 * NANOS_PER_MILLI;
 
     /**
-     * Time for which a new dispatcher that knows no server yet queues calls: two heartbeats. After a restart of the
-     * whole system each server is registered within one heartbeat; if calls were refused sooner, callers would use up
-     * their retries.
+     * Time for which a new dispatcher without any registered server queues calls: two heartbeats. After a restart of
+     * the whole system each server is registered within one heartbeat; if calls were refused sooner, callers would use
+     * up their retries.
      */
     private static final long WARM_UP_NANOS = 2_400 * NANOS_PER_MILLI;
 
     /**
-     * Time that a long call waits at a secondary dispatcher, which knows little of what runs. If it placed the call at
-     * once, for an entry that lost a packet to the primary, a huge prompt would be prefilled on all engines, and the
-     * short calls that the primary has there would be late. Within this time the primary answers again or is found to
-     * be gone.
+     * Time that a long call waits at a secondary dispatcher, which has records of few running calls. If it placed the
+     * call at once, for an entry that lost a packet to the primary, a huge prompt would be prefilled on all engines,
+     * and the short calls that the primary has there would be late. Within this time the primary answers again or is
+     * found to be gone.
      */
     private static final long SECONDARY_HOLD_NANOS = 1_000 * NANOS_PER_MILLI;
 
@@ -93,15 +93,16 @@
         secondarySinceNanos = now;
     }
 
-    /** Whether this dispatcher suits the service as it is now configured. */
+    /** Whether this dispatcher suits the service as it is now configured, with or without engines. */
     public boolean isCompatibleWith(RoutedService service) {
         return servesEngines == (service.timing() != null);
     }
 
     /**
-     * Sets whether this dispatcher is the one that all entries try first, and so knows of all running calls. After all
-     * entries have restarted, several of them consider themselves primary until they have received each other's
-     * membership; none of them may be set as primary then, or each packs its first short calls on the same engines.
+     * Sets whether this dispatcher is the one that all entries try first, and so has records of all running calls.
+     * After all entries have restarted, several of them consider themselves primary until they have received each
+     * other's membership; none of them may be set as primary then, or each packs its first short calls on the same
+     * engines.
      *
      * @param now monotonic time in nanoseconds
      */
@@ -118,7 +119,7 @@
     }
 
     /**
-     * Whether a long call must wait because this dispatcher does not know all running calls. Also counted from when it
+     * Whether a long call must wait because this dispatcher lacks records of running calls. Also counted from when it
      * stopped being primary, as entries cancel their grants here from then on: a prompt that had already waited for as
      * long would be placed on engines that only seem to be free.
      */
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/EnginePlacement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/EnginePlacement.java
@@ -125,7 +125,7 @@
 
     /**
      * Prefers engines that are in use and still meet the aim, the fullest first, and then idle ones. With a partial
-     * view the emptiest come first, in a different order for each call: if dispatchers that do not know of each other's
+     * view the emptiest come first, in a different order for each call: if dispatchers without records of each other's
      * calls packed them, they would all choose the same engine, which rejects calls beyond its slots.
      */
     private double shortPlacementCost(
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimits.java
@@ -9,8 +9,7 @@
 import org.elmline.core.common.BackendServerId;
 
 /**
- * The rate limits that backend servers report in their answers, as far as they are known here. Not safe for concurrent
- * use.
+ * The rate limits that backend servers report in their answers, as far as received here. Not safe for concurrent use.
  */
 public final class ServerRateLimits {
     /** An answer without a limit that arrives this soon after one with a limit may have been generated before it. */
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherRateLimitTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherRateLimitTest.java
@@ -195,8 +195,8 @@
     }
 
     /**
-     * Guards against a limit that is known to the entry that received the answer but not to the dispatcher of the next
-     * request.
+     * Guards against a limit that is in force at the entry that received the answer but not at the dispatcher of the
+     * next request.
      */
     @Test
     void reportsSetAndLiftLimit() {
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
@@ -342,7 +342,7 @@
 
     /**
      * Guards against short answers that pause while a long prompt is prefilled: an entry that lost a packet requests
-     * the secondary dispatcher, which does not know the primary's short calls and places the prompt on all their
+     * the secondary dispatcher, which has no records of the primary's short calls and places the prompt on all their
      * engines. So a long call waits there until the primary would have been found to be gone; short calls don't.
      */
     @Test
@@ -455,8 +455,8 @@
 
     /**
      * Guards against engines that reject calls beyond their slots: after a power failure of the whole system, callers
-     * whose first attempts were cut off retry at 13 entries at once. No entry knows of the others yet, so each places
-     * its six short calls by itself; packed, all would be placed on the same engine.
+     * whose first attempts were cut off retry at 13 entries at once. No entry has received the others' membership yet,
+     * so each places its six short calls by itself; packed, all would be placed on the same engine.
      */
     @Test
     void uncoordinatedDispatchersSpreadShortCalls() {
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/SimulatedEngine.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/SimulatedEngine.java
@@ -27,10 +27,10 @@
         private double lastEventAtMillis;
         private double longestGapMillis;
 
-        Job(long promptTokens, int events, double askedAt, int aimMillis, int gapMillis) {
+        Job(long promptTokens, int events, double requestedAtMillis, int aimMillis, int gapMillis) {
             this.promptTokens = promptTokens;
             this.eventsLeft = events;
-            this.requestedAtMillis = askedAt;
+            this.requestedAtMillis = requestedAtMillis;
             this.aimMillis = aimMillis;
             this.gapMillis = gapMillis;
         }
