--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
@@ -1,40 +1,50 @@
 package org.elmline.core.dispatch;
 
-/** What a read on an engine does to the answers that are written there: each pass lasts longer by what is read in it. */
+/**
+ * Predicts how a prefill on an engine delays the answers that are decoded there: each pass takes longer by the prefill
+ * done in it. Times are in milliseconds unless a name says otherwise.
+ */
 final class DecodeInterference {
-    /** Part of an allowed pause that a pass may fill: the model does not know when a pass began. */
+    /**
+     * Part of an allowed gap that a pass may fill; the rest is a margin, as the model does not include when the running
+     * pass began.
+     */
     static final double MAX_GAP_FRACTION = 0.85;
 
     private DecodeInterference() {}
 
-    /** Longest reading, in milliseconds, that stretches no answer's pauses there too far; without answers there is no end. */
+    /**
+     * Longest prefill, in milliseconds, that keeps all answers there within their allowed gaps; {@link
+     * Double#MAX_VALUE} if no answer there limits its gap.
+     */
     static double maxPrefillMillis(ServerLoad server, long now) {
-        int gap = server.shortestGapMillis();
-        return gap == Integer.MAX_VALUE
+        int allowedGap = server.shortestGapMillis();
+        return allowedGap == Integer.MAX_VALUE
                 ? Double.MAX_VALUE
-                : MAX_GAP_FRACTION * gap - predictedGapMillis(server, 0, now);
+                : MAX_GAP_FRACTION * allowedGap - predictedGapMillis(server, 0, now);
     }
 
-    /** Whether reading so long would stretch the pauses of an answer there too far. */
-    static boolean exceedsGap(ServerLoad server, double readMillis, long now) {
-        int gap = server.shortestGapMillis();
-        return gap != Integer.MAX_VALUE && predictedGapMillis(server, readMillis, now) > MAX_GAP_FRACTION * gap;
+    /** Whether a prefill of this length would exceed the allowed gap of an answer there. */
+    static boolean exceedsGap(ServerLoad server, double prefillMillis, long now) {
+        int allowedGap = server.shortestGapMillis();
+        return allowedGap != Integer.MAX_VALUE
+                && predictedGapMillis(server, prefillMillis, now) > MAX_GAP_FRACTION * allowedGap;
     }
 
-    /** Sizes, in tokens, of all answers there whose pauses would be stretched too far. */
-    static long affectedWorkTokens(ServerLoad server, double readMillis, long now) {
-        double pause = predictedGapMillis(server, readMillis, now);
-        long size = 0;
+    /** Sum of the work, in tokens, of all answers there whose allowed gap would be exceeded. */
+    static long affectedWorkTokens(ServerLoad server, double prefillMillis, long now) {
+        double predictedGap = predictedGapMillis(server, prefillMillis, now);
+        long totalTokens = 0;
         for (Allocation each : server.allocations()) {
-            int gap = each.call().gapMillis();
-            if (each.isPrimary() && gap > 0 && pause > MAX_GAP_FRACTION * gap) {
-                size += each.call().workTokens();
+            int allowedGap = each.call().gapMillis();
+            if (each.isPrimary() && allowedGap > 0 && predictedGap > MAX_GAP_FRACTION * allowedGap) {
+                totalTokens += each.call().workTokens();
             }
         }
-        return size;
+        return totalTokens;
     }
 
-    private static double predictedGapMillis(ServerLoad server, double readMillis, long now) {
-        return server.passMillis(0, 0) + server.backlogMillis(now) + readMillis;
+    private static double predictedGapMillis(ServerLoad server, double prefillMillis, long now) {
+        return server.passMillis(0, 0) + server.backlogMillis(now) + prefillMillis;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
@@ -5,7 +5,10 @@
 
 import org.elmline.core.common.BackendServerId;
 
-/** Keeps what the servers of one dispatcher are sent within the limits that they name. */
+/**
+ * Keeps the requests granted by one dispatcher within the rate limits that the servers report. Not safe for concurrent
+ * use.
+ */
 final class RateLimitEnforcer {
     private final ServerRateLimits reportedLimits;
     private final ServerLoads serverLoads;
@@ -13,9 +16,9 @@
     private int senderCount = 1;
     private long appliedVersion = -1;
 
-    RateLimitEnforcer(ServerRateLimits named, ServerLoads accounts) {
-        this.reportedLimits = named;
-        this.serverLoads = accounts;
+    RateLimitEnforcer(ServerRateLimits limits, ServerLoads loads) {
+        this.reportedLimits = limits;
+        this.serverLoads = loads;
     }
 
     void entryCount(int count) {
@@ -31,41 +34,42 @@
     }
 
     /**
-     * Takes up what has changed.
+     * Applies limits that have changed since the last call.
      *
-     * @param alone whether all entries send on this dispatcher's word only; else each keeps to its part of a limit
+     * @param isSoleSender whether all entries send only what this dispatcher grants; if not, each keeps to its part of
+     *     a limit
      */
-    void applyChanges(boolean alone, long now) {
-        int parts = alone ? 1 : entryCount;
-        if (appliedVersion != reportedLimits.version() || senderCount != parts) {
+    void applyChanges(boolean isSoleSender, long now) {
+        int senders = isSoleSender ? 1 : entryCount;
+        if (appliedVersion != reportedLimits.version() || senderCount != senders) {
             appliedVersion = reportedLimits.version();
-            senderCount = parts;
-            serverLoads.applyLimits(reportedLimits, parts, now);
+            senderCount = senders;
+            serverLoads.applyLimits(reportedLimits, senders, now);
         }
     }
 
     /**
-     * Servers that may be sent one more request now. A long prompt is read by many servers and has orders beside it, so it
-     * is kept from those in need as long as there are others.
+     * Servers that may be sent one more request now. A long prompt is prefilled by many servers and takes further
+     * requests to each of them, so rate-limited servers get none as long as there are others.
      */
     List<ServerLoad> withinLimits(List<ServerLoad> usable, boolean isLong, long now) {
         if (reportedLimits.isEmpty()) {
             return usable;
         }
-        List<ServerLoad> within = new ArrayList<>(usable.size());
+        List<ServerLoad> ready = new ArrayList<>(usable.size());
         List<ServerLoad> unlimited = new ArrayList<>(usable.size());
         for (ServerLoad each : usable) {
             if (!each.requestPacer().isLimited()) {
                 unlimited.add(each);
             }
             if (each.requestPacer().canSend(now)) {
-                within.add(each);
+                ready.add(each);
             }
         }
-        return isLong && !unlimited.isEmpty() ? unlimited : within;
+        return isLong && !unlimited.isEmpty() ? unlimited : ready;
     }
 
-    /** Milliseconds until the limits let one more be sent after so many; 0 where a server names none. */
+    /** Milliseconds until the limits allow one more request after so many; 0 if no server reports a limit. */
     double waitMillis(List<ServerLoad> usable, int ahead, long now) {
         if (reportedLimits.isEmpty()) {
             return 0;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerRateLimits.java
@@ -8,12 +8,14 @@
 
 import org.elmline.core.common.BackendServerId;
 
-/** The limits that backend servers name in their answers, as far as they have been heard of here. */
+/**
+ * The rate limits that backend servers report in their answers, as far as received here. Not safe for concurrent use.
+ */
 public final class ServerRateLimits {
-    /** An answer without a limit that comes this soon after one with it may have been given before. */
+    /** An answer without a limit that arrives this soon after one with a limit may have been generated before it. */
     private static final long REORDERING_NANOS = Duration.ofMillis(500).toNanos();
 
-    /** Servers remembered; more are those of long ago. */
+    /** Most servers kept; beyond it, the least recently reported limit is evicted. */
     private static final int MAX_SERVERS = 1_024;
 
     private final Map<BackendServerId, ObservedLimit> limitsByServer = new LinkedHashMap<>();
@@ -21,49 +23,49 @@
 
     private record ObservedLimit(ServerRateLimit limit, long observedAtNanos) {}
 
-    /** A server and the limit that it names. */
+    /** A server and the limit that it reports. */
     public record ReportedLimit(BackendServerId server, ServerRateLimit limit) {}
 
     /**
-     * Takes what an answer says.
+     * Records the limit stated in an answer.
      *
      * @param now monotonic time in nanoseconds
-     * @return whether that is new
+     * @return whether the limit of the server changed
      */
     public boolean update(BackendServerId server, ServerRateLimit limit, long now) {
-        ObservedLimit before = limitsByServer.get(server);
+        ObservedLimit previous = limitsByServer.get(server);
         if (limit.isLimited()) {
             limitsByServer.remove(server);
             if (limitsByServer.size() >= MAX_SERVERS) {
                 limitsByServer.remove(limitsByServer.keySet().iterator().next());
             }
             limitsByServer.put(server, new ObservedLimit(limit, now));
-            return recordChange(before == null || !before.limit().equals(limit));
+            return recordChange(previous == null || !previous.limit().equals(limit));
         }
-        boolean over = before != null && now - before.observedAtNanos() >= REORDERING_NANOS;
-        return recordChange(over && limitsByServer.remove(server) != null);
+        boolean lifted = previous != null && now - previous.observedAtNanos() >= REORDERING_NANOS;
+        return recordChange(lifted && limitsByServer.remove(server) != null);
     }
 
-    private boolean recordChange(boolean news) {
-        version += news ? 1 : 0;
-        return news;
+    private boolean recordChange(boolean changed) {
+        version += changed ? 1 : 0;
+        return changed;
     }
 
-    /** Grows with each change. */
+    /** Increases with each change. */
     long version() {
         return version;
     }
 
-    /** The limit of a server, {@link ServerRateLimit#NONE} where it names none. */
+    /** The limit of a server, {@link ServerRateLimit#NONE} if it reports none. */
     public ServerRateLimit limitOf(BackendServerId server) {
-        ObservedLimit heard = limitsByServer.get(server);
-        return heard == null ? ServerRateLimit.NONE : heard.limit();
+        ObservedLimit observed = limitsByServer.get(server);
+        return observed == null ? ServerRateLimit.NONE : observed.limit();
     }
 
-    /** All that name a limit. */
+    /** All servers that report a limit. */
     public List<ReportedLimit> all() {
         List<ReportedLimit> all = new ArrayList<>();
-        limitsByServer.forEach((server, heard) -> all.add(new ReportedLimit(server, heard.limit())));
+        limitsByServer.forEach((server, observed) -> all.add(new ReportedLimit(server, observed.limit())));
         return all;
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
@@ -24,27 +24,27 @@
 import static org.junit.jupiter.api.Assertions.assertNotEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Where a dispatcher places calls, how they wait, and what frees a place. */
+/** Placement, queueing and release of slots by a dispatcher. */
 class DispatcherTest {
     private static final long MILLI = 1_000_000L;
-    private static final ServiceName DESK = ServiceName.of("desk");
+    private static final ServiceName SERVICE = ServiceName.of("desk");
     private static final BatchTiming TIMING =
             new BatchTiming(11, 450_000, 46, 0.925, 0.007, 0.00254, 256, 0.0917, 2048, 0.1);
-    private static final RoutedService ENGINES = new RoutedService(DESK, 819, TIMING);
-    private static final RoutedService PLAIN = new RoutedService(DESK, 248, null);
+    private static final RoutedService ENGINES = new RoutedService(SERVICE, 819, TIMING);
+    private static final RoutedService PLAIN = new RoutedService(SERVICE, 248, null);
     private static final RetryLimit RETRIES = new RetryLimit(0.2, 2, 10_000 * MILLI);
 
-    private int next;
+    private int nextAttempt;
 
-    private static List<Registration> servers(int count, int places) {
+    private static List<Registration> servers(int count, int slots) {
         List<Registration> servers = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             servers.add(new Registration(
                     BackendServerId.of("s" + i),
-                    DESK,
+                    SERVICE,
                     new Address("10.0.0." + (i + 1), 80),
                     FailureDomain.of("a"),
-                    places,
+                    slots,
                     ServerState.READY,
                     1,
                     1));
@@ -52,42 +52,48 @@
         return servers;
     }
 
-    private static Dispatcher dispatcher(RoutedService service, int servers, int places) {
+    private static Dispatcher dispatcher(RoutedService service, int servers, int slots) {
         Dispatcher dispatcher = new Dispatcher(service, RETRIES, 0);
-        dispatcher.updateServers(service, servers(servers, places), 0);
+        dispatcher.updateServers(service, servers(servers, slots), 0);
         return dispatcher;
     }
 
-    private DispatchCall call(long prompt, long answer, long aim, int gap, long deadline, boolean repeated) {
+    private DispatchCall call(
+            long promptTokens,
+            long answerTokens,
+            long aimMillis,
+            int gapMillis,
+            long deadlineMillis,
+            boolean repeated) {
         return new DispatchCall(
-                "c" + next++,
+                "c" + nextAttempt++,
                 HostId.of("e"),
                 1,
                 FailureDomain.of("a"),
-                DESK,
+                SERVICE,
                 Shard.WHOLE,
                 1,
-                prompt,
-                answer,
-                answer,
-                aim,
-                gap,
-                deadline,
-                deadline,
+                promptTokens,
+                answerTokens,
+                answerTokens,
+                aimMillis,
+                gapMillis,
+                deadlineMillis,
+                deadlineMillis,
                 repeated,
                 List.of());
     }
 
-    private DispatchCall question() {
+    private DispatchCall shortCall() {
         return call(5_000, 1_600, 300, 200, 10_000, false);
     }
 
-    private DispatchCall manual(long tokens) {
+    private DispatchCall longCall(long tokens) {
         return call(tokens, 800, 3_000, 800, 15_000, false);
     }
 
-    private DispatchCall booking(long deadline) {
-        return call(0, 0, 100, 0, deadline, false);
+    private DispatchCall plainCall(long deadlineMillis) {
+        return call(0, 0, 100, 0, deadlineMillis, false);
     }
 
     private static DispatchAnswer.Granted granted(DispatchAnswer answer) {
@@ -95,68 +101,70 @@
     }
 
     /**
-     * A guide's answers would stall for over a second: a manual of 210 thousand tokens is read on the engine that writes
-     * them. Questions share few engines, so the manual finds enough without writers.
+     * Guards against answers that stall for over a second because a prompt of 210 thousand tokens is prefilled on the
+     * engine that decodes them. Short calls share few engines, so the long call finds enough without short answers.
      */
     @Test
-    void aLongReadKeepsAwayFromShortAnswers() {
+    void placesLongCallAwayFromShortAnswers() {
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
-        List<BackendServerId> busy = new ArrayList<>();
+        List<BackendServerId> shortCallServers = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            DispatchAnswer.Granted grant = granted(dispatcher.place(question(), 0));
+            DispatchAnswer.Granted grant = granted(dispatcher.place(shortCall(), 0));
             dispatcher.report(new AttemptReport(grant.attempt(), null), 0);
-            busy.add(grant.server());
+            shortCallServers.add(grant.server());
         }
-        assertEquals(1, busy.stream().distinct().count(), "questions are packed");
-        DispatchAnswer.Granted read = granted(dispatcher.place(manual(210_000), 10 * MILLI));
-        assertNotEquals(busy.get(0), read.server());
-        assertTrue(read.helpers().stream().noneMatch(each -> busy.contains(each.server())));
-        assertEquals(4, read.helpers().size(), "all five free engines read");
-        assertTrue(read.firstMillis() < 1_000, "first token in " + read.firstMillis());
+        assertEquals(1, shortCallServers.stream().distinct().count(), "short calls are packed");
+        DispatchAnswer.Granted longGrant = granted(dispatcher.place(longCall(210_000), 10 * MILLI));
+        assertNotEquals(shortCallServers.get(0), longGrant.server());
+        assertTrue(longGrant.helpers().stream().noneMatch(each -> shortCallServers.contains(each.server())));
+        assertEquals(4, longGrant.helpers().size(), "all five free engines prefill");
+        assertTrue(longGrant.firstMillis() < 1_000, "first token in " + longGrant.firstMillis());
     }
 
-    /** A prompt larger than one engine's memory is kept on several, and one larger than all is refused at once. */
+    /**
+     * A prompt larger than one engine's memory is kept on several, and one larger than all of them is refused at once.
+     */
     @Test
-    void hugePromptsAreKeptOnSeveralEngines() {
+    void reservesMemoryOfHugePromptOnSeveralEngines() {
         Dispatcher dispatcher = dispatcher(ENGINES, 10, 11);
-        DispatchAnswer.Granted grant = granted(dispatcher.place(manual(700_000), 0));
+        DispatchAnswer.Granted grant = granted(dispatcher.place(longCall(700_000), 0));
         long reserved = grant.helpers().stream().mapToLong(Helper::memoryTokens).sum();
         assertTrue(reserved >= 700_800 - 450_000, "reserved " + reserved);
         assertTrue(grant.helpers().stream().allMatch(each -> each.memoryTokens() <= 450_000));
         DispatchAnswer.Refused refused = assertInstanceOf(
-                DispatchAnswer.Refused.class, dispatcher(ENGINES, 2, 11).place(manual(1_000_000), 0));
+                DispatchAnswer.Refused.class, dispatcher(ENGINES, 2, 11).place(longCall(1_000_000), 0));
         assertEquals(DispatchAnswer.RefusalCause.TOO_LARGE, refused.why());
     }
 
-    /** A second long prompt waits for engines that read, and is placed when they are done. */
+    /** A second long prompt waits for engines that prefill, and is placed when they have finished. */
     @Test
-    void aLongPromptWaitsForItsTurn() {
+    void queuesLongCallUntilPrefillHasFinished() {
         Dispatcher dispatcher = dispatcher(ENGINES, 4, 11);
-        DispatchAnswer.Granted first = granted(dispatcher.place(manual(210_000), 0));
-        DispatchCall second = manual(210_000);
+        DispatchAnswer.Granted first = granted(dispatcher.place(longCall(210_000), 0));
+        DispatchCall second = longCall(210_000);
         assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(second, 0));
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(second, 100 * MILLI), "asked again");
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(second, 100 * MILLI), "repeated request");
         dispatcher.report(new AttemptReport(first.attempt(), null), 800 * MILLI);
         List<DispatchAnswer> decided = dispatcher.tick(810 * MILLI);
         assertEquals(second.attempt(), granted(decided.get(0)).attempt());
     }
 
     /**
-     * A long prompt would wait until its caller gives up: questions come so fast that some engine always suits them. While
-     * it waits, new questions are kept from some engines, and those run empty.
+     * Guards against a long prompt that waits until its caller times out because short calls arrive so fast that there
+     * are always some on every engine. While it waits, new short calls are kept from some engines until those are free.
      */
     @Test
-    void enginesAreKeptFreeForALongPromptThatWaits() {
+    void reservesEnginesForWaitingLongCall() {
         Dispatcher dispatcher = dispatcher(ENGINES, 3, 11);
         Map<String, Long> ends = new HashMap<>();
-        DispatchCall read = manual(300_000);
+        DispatchCall longCall = longCall(300_000);
         boolean placed = false;
         for (int step = 0; step < 500 && !placed; step++) {
             long now = step * 10L * MILLI;
             if (step == 100) {
-                dispatcher.place(read, now);
+                dispatcher.place(longCall, now);
             }
-            if (step % 2 == 0 && dispatcher.place(question(), now) instanceof DispatchAnswer.Granted grant) {
+            if (step % 2 == 0 && dispatcher.place(shortCall(), now) instanceof DispatchAnswer.Granted grant) {
                 dispatcher.report(new AttemptReport(grant.attempt(), null), now);
                 ends.put(grant.attempt(), now + 400 * MILLI);
             }
@@ -168,122 +176,132 @@
                 return over;
             });
             placed = dispatcher.tick(now).stream()
-                    .anyMatch(each -> each.attempt().equals(read.attempt()) && each instanceof DispatchAnswer.Granted);
+                    .anyMatch(each ->
+                            each.attempt().equals(longCall.attempt()) && each instanceof DispatchAnswer.Granted);
         }
         assertTrue(placed);
     }
 
     @Test
-    void plainCallsSpreadAndWaitOnlyForPlaces() {
+    void spreadsPlainCallsAndQueuesThemOnlyWithoutFreeSlots() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3, 2);
         Map<BackendServerId, Integer> counts = new HashMap<>();
         List<String> attempts = new ArrayList<>();
         for (int i = 0; i < 6; i++) {
-            DispatchAnswer.Granted grant = granted(dispatcher.place(booking(1_000), 0));
+            DispatchAnswer.Granted grant = granted(dispatcher.place(plainCall(1_000), 0));
             counts.merge(grant.server(), 1, Integer::sum);
             attempts.add(grant.attempt());
         }
         assertEquals(List.of(2, 2, 2), List.copyOf(counts.values()));
-        DispatchCall waits = booking(1_000);
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(waits, 0));
+        DispatchCall waitingCall = plainCall(1_000);
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(waitingCall, 0));
         dispatcher.report(new AttemptReport(attempts.get(0), AttemptEnd.DONE), MILLI);
-        assertEquals(waits.attempt(), dispatcher.tick(MILLI).get(0).attempt());
+        assertEquals(waitingCall.attempt(), dispatcher.tick(MILLI).get(0).attempt());
     }
 
-    /** What can't be done in its time is refused at once, with a time to come back, not held to its end. */
+    /**
+     * A call that cannot meet its deadline is refused at once, with a retry time, instead of being queued until its
+     * deadline.
+     */
     @Test
-    void hopelessCallsAreRefusedAtOnce() {
+    void refusesCallThatWouldMissItsDeadline() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1, 1);
-        granted(dispatcher.place(booking(1_000), 0));
+        granted(dispatcher.place(plainCall(1_000), 0));
         for (int i = 0; i < 20; i++) {
-            dispatcher.place(booking(1_000), 0);
+            dispatcher.place(plainCall(1_000), 0);
         }
         DispatchAnswer.Refused refused =
-                assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(booking(1_000), 0));
+                assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(plainCall(1_000), 0));
         assertEquals(DispatchAnswer.RefusalCause.TOO_LATE, refused.why());
         assertTrue(refused.retryAfterMillis() >= 100);
     }
 
-    /** Half the servers fail; without a bound each call would be sent twice and the rest would drown. */
+    /**
+     * Guards against a fault of half the servers that doubles the load on the rest, as each call would be sent twice
+     * without a bound.
+     */
     @Test
-    void repetitionsAreBounded() {
+    void boundsRetries() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3, 100);
         for (int i = 0; i < 10; i++) {
-            granted(dispatcher.place(booking(1_000), 0));
+            granted(dispatcher.place(plainCall(1_000), 0));
         }
         int granted = 0;
         for (int i = 0; i < 10; i++) {
-            DispatchCall again = call(0, 0, 100, 0, 1_000, true);
-            granted += dispatcher.place(again, 0) instanceof DispatchAnswer.Granted ? 1 : 0;
+            DispatchCall retried = call(0, 0, 100, 0, 1_000, true);
+            granted += dispatcher.place(retried, 0) instanceof DispatchAnswer.Granted ? 1 : 0;
         }
-        assertEquals(4, granted, "a fifth of ten, and the slack of two");
+        assertEquals(4, granted, "a fifth of ten calls, and the slack of two");
     }
 
     @Test
-    void aServerThatCantBeReachedRestsAndIsTriedAgain() {
+    void backsOffFromUnreachableServerAndTriesItAgain() {
         Dispatcher dispatcher = dispatcher(PLAIN, 3, 10);
-        DispatchAnswer.Granted grant = granted(dispatcher.place(booking(1_000), 0));
+        DispatchAnswer.Granted grant = granted(dispatcher.place(plainCall(1_000), 0));
         dispatcher.report(new AttemptReport(grant.attempt(), AttemptEnd.NOT_SENT), 0);
         for (int i = 0; i < 9; i++) {
             assertNotEquals(
                     grant.server(),
-                    granted(dispatcher.place(booking(1_000), MILLI)).server());
+                    granted(dispatcher.place(plainCall(1_000), MILLI)).server());
         }
         boolean back = false;
         for (int i = 0; i < 9; i++) {
-            back |= granted(dispatcher.place(booking(1_000), 1_100 * MILLI))
+            back |= granted(dispatcher.place(plainCall(1_000), 1_100 * MILLI))
                     .server()
                     .equals(grant.server());
         }
-        assertTrue(back, "it is tried again after its rest");
+        assertTrue(back, "server is tried again after its backoff");
     }
 
-    /** All callers were refused after a restart of everything: the new dispatcher had not heard of any server yet. */
+    /**
+     * Guards against a new dispatcher that refuses all calls after a restart of the whole system, as it has not
+     * received any server's heartbeat yet.
+     */
     @Test
-    void aNewDispatcherWaitsForServers() {
+    void queuesCallsUntilFirstServersAreKnown() {
         Dispatcher dispatcher = new Dispatcher(PLAIN, RETRIES, 0);
-        DispatchCall first = booking(2_000);
+        DispatchCall first = plainCall(2_000);
         assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(first, 0));
         dispatcher.updateServers(PLAIN, servers(1, 2), 900 * MILLI);
         assertEquals(
                 first.attempt(), granted(dispatcher.tick(900 * MILLI).get(0)).attempt());
         dispatcher.updateServers(PLAIN, List.of(), 1_000 * MILLI);
-        assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(booking(2_000), 1_000 * MILLI));
+        assertInstanceOf(DispatchAnswer.Refused.class, dispatcher.place(plainCall(2_000), 1_000 * MILLI));
     }
 
     @Test
-    void aGoneEntryAndAForgottenCallFreeTheirPlaces() {
+    void freesSlotsOfRemovedEntryAndOfUnreportedCall() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1, 2);
-        granted(dispatcher.place(booking(1_000), 0));
-        granted(dispatcher.place(booking(1_000), 0));
+        granted(dispatcher.place(plainCall(1_000), 0));
+        granted(dispatcher.place(plainCall(1_000), 0));
         dispatcher.removeEntry(HostId.of("e"), 2, 0);
-        assertEquals(2, dispatcher.running(), "another start of the entry");
+        assertEquals(2, dispatcher.running(), "other incarnation of the entry");
         dispatcher.removeEntry(HostId.of("e"), 1, 0);
         assertEquals(0, dispatcher.running());
-        granted(dispatcher.place(booking(1_000), 0));
+        granted(dispatcher.place(plainCall(1_000), 0));
         dispatcher.tick(2_900 * MILLI);
         assertEquals(1, dispatcher.running());
         dispatcher.tick(3_100 * MILLI);
         assertEquals(0, dispatcher.running());
     }
 
-    /** A dispatcher that takes over counts what already runs, or it would give the same places out a second time. */
+    /** A dispatcher that takes over counts the running calls; otherwise it would grant their slots a second time. */
     @Test
-    void adoptedGrantsTakeTheirPlaces() {
+    void adoptedGrantsOccupySlots() {
         Dispatcher old = dispatcher(PLAIN, 1, 1);
-        DispatchCall running = booking(5_000);
+        DispatchCall running = plainCall(5_000);
         DispatchAnswer.Granted grant = granted(old.place(running, 0));
         Dispatcher successor = dispatcher(PLAIN, 1, 1);
         successor.adopt(new OpenGrant(running, grant, false), 0);
-        DispatchCall waits = booking(5_000);
-        assertInstanceOf(DispatchAnswer.Queued.class, successor.place(waits, 0));
+        DispatchCall waitingCall = plainCall(5_000);
+        assertInstanceOf(DispatchAnswer.Queued.class, successor.place(waitingCall, 0));
         successor.report(new AttemptReport(running.attempt(), AttemptEnd.DONE), MILLI);
         assertEquals(1, successor.tick(MILLI).size());
     }
 
-    /** However calls come and end, no server ever has more than its places, and each call gets one decision. */
+    /** In any order of calls and ends, no server has more calls than slots, and each call gets one decision. */
     @Property(tries = 60, seed = "11")
-    void noPlaceIsGivenTwice(@ForAll long seed) {
+    void neverGrantsMoreCallsThanSlots(@ForAll long seed) {
         Random random = new Random(seed);
         boolean engines = random.nextBoolean();
         Dispatcher dispatcher = dispatcher(engines ? ENGINES : PLAIN, 4, 3);
@@ -294,12 +312,13 @@
             long now = step * 7L * MILLI;
             List<DispatchAnswer> answers = new ArrayList<>(dispatcher.tick(now));
             if (random.nextInt(3) > 0) {
-                DispatchCall call = engines ? (random.nextInt(4) == 0 ? manual(150_000) : question()) : booking(1_000);
+                DispatchCall call =
+                        engines ? (random.nextInt(4) == 0 ? longCall(150_000) : shortCall()) : plainCall(1_000);
                 answers.add(dispatcher.place(call, now));
             }
             for (DispatchAnswer each : answers) {
                 if (each instanceof DispatchAnswer.Granted grant) {
-                    assertEquals(null, running.put(grant.attempt(), grant.server()), "one decision each");
+                    assertEquals(null, running.put(grant.attempt(), grant.server()), "one decision per call");
                     decided++;
                 } else if (each instanceof DispatchAnswer.Refused) {
                     refused++;
@@ -313,42 +332,43 @@
             }
             Map<BackendServerId, Integer> counts = new HashMap<>();
             running.values().forEach(each -> counts.merge(each, 1, Integer::sum));
-            int places = engines ? Math.min(3, TIMING.slots()) : 3;
-            counts.values().forEach(each -> assertTrue(each <= places));
+            int slots = engines ? Math.min(3, TIMING.slots()) : 3;
+            counts.values().forEach(each -> assertTrue(each <= slots));
             assertEquals(running.size(), dispatcher.running());
         }
-        assertEquals(next, decided + refused + dispatcher.waiting());
-        next = 0;
+        assertEquals(nextAttempt, decided + refused + dispatcher.waiting());
+        nextAttempt = 0;
     }
 
     /**
-     * An entry that lost a packet asks the second dispatcher, which knows nothing of the questions that the first one has
-     * placed, and a long prompt is read on all their engines: their answers pause for as long as it is read. So it waits
-     * there until the first dispatcher would have been found to be gone; short calls don't.
+     * Guards against short answers that pause while a long prompt is prefilled: an entry that lost a packet requests
+     * the secondary dispatcher, which has no records of the primary's short calls and places the prompt on all their
+     * engines. So a long call waits there until the primary would have been found to be gone; short calls don't.
      */
     @Test
-    void aSecondDispatcherHoldsLongCallsForASecond() {
+    void secondaryHoldsLongCallsForOneSecond() {
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
         dispatcher.updatePrimary(false, 0);
-        granted(dispatcher.place(question(), 0));
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
+        granted(dispatcher.place(shortCall(), 0));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(longCall(210_000), 0));
         assertEquals(List.of(), dispatcher.tick(999 * MILLI));
         assertEquals(1, dispatcher.tick(1_000 * MILLI).size());
     }
 
     /**
-     * Thirty questions are late at once: a prompt of 450 thousand tokens waits at the first dispatcher, which is stopped and
-     * told by all entries to forget what runs. It then takes all engines for free and has the prompt read on them. It holds
-     * the prompt for as long as its entry needs to ask the next dispatcher.
+     * Guards against thirty short calls that are late at once: a prompt of 450 thousand tokens waits at the primary,
+     * which is being stopped and receives cancellations of its running calls from all entries. It would then consider
+     * all engines free and place the prompt on them. So it holds the prompt for as long as the prompt's entry needs to
+     * request the next dispatcher.
      */
     @Test
-    void aDispatcherThatIsNoLongerTheFirstHoldsWhatWaits() {
+    void holdsWaitingLongCallAfterBecomingSecondary() {
         Dispatcher dispatcher = dispatcher(ENGINES, 2, 2);
         List<String> running = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            running.add(granted(dispatcher.place(question(), 0)).attempt());
+            running.add(granted(dispatcher.place(shortCall(), 0)).attempt());
         }
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(longCall(210_000), 0));
         dispatcher.updatePrimary(false, 900 * MILLI);
         running.forEach(each -> dispatcher.report(new AttemptReport(each, AttemptEnd.CANCELLED), 950 * MILLI));
         assertEquals(List.of(), dispatcher.tick(1_100 * MILLI));
@@ -356,44 +376,48 @@
         assertEquals(1, dispatcher.tick(1_900 * MILLI).size());
     }
 
-    /** The first dispatcher is gone, and the one that waited takes over: what it held runs at once. */
+    /** When the primary is gone and the secondary takes over, the calls that it held are placed at once. */
     @Test
-    void aSecondDispatcherThatBecomesTheFirstPlacesLongCalls() {
+    void placesHeldLongCallAfterBecomingPrimary() {
         Dispatcher dispatcher = dispatcher(ENGINES, 6, 11);
         dispatcher.updatePrimary(false, 0);
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(manual(210_000), 0));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(longCall(210_000), 0));
         dispatcher.updatePrimary(true, 5 * MILLI);
         assertEquals(1, dispatcher.tick(10 * MILLI).size());
     }
 
     /**
-     * Callers of questions wait six seconds for a first token and leave: of two engines one reads a long prompt, the other
-     * is closed to questions for a second prompt that waits. A closed engine that answers in time goes before a late one.
+     * Guards against short calls that wait six seconds for a first token, after which their callers disconnect: of two
+     * engines one prefills a long prompt, the other is reserved for a second long prompt that waits. A reserved engine
+     * that answers in time is preferred to a late one.
      */
     @Test
-    void aQuestionDoesNotQueueBehindALongRead() {
+    void prefersReservedEngineToOneWithLongPrefill() {
         Dispatcher dispatcher = dispatcher(ENGINES, 2, 11);
-        DispatchAnswer.Granted first = granted(dispatcher.place(question(), 0));
+        DispatchAnswer.Granted first = granted(dispatcher.place(shortCall(), 0));
         dispatcher.report(new AttemptReport(first.attempt(), null), 0);
-        DispatchAnswer.Granted read = granted(dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), 0));
-        assertNotEquals(first.server(), read.server());
+        DispatchAnswer.Granted longGrant = granted(dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), 0));
+        assertNotEquals(first.server(), longGrant.server());
         assertInstanceOf(
                 DispatchAnswer.Queued.class, dispatcher.place(call(300_000, 800, 1_000, 800, 15_000, false), MILLI));
-        DispatchAnswer.Granted second = granted(dispatcher.place(question(), 2 * MILLI));
+        DispatchAnswer.Granted second = granted(dispatcher.place(shortCall(), 2 * MILLI));
         assertEquals(first.server(), second.server());
         assertTrue(second.firstMillis() <= 300, "first token in " + second.firstMillis());
     }
 
-    /** A first token after the caller has left is of no use: the call waits for a better place, or is refused in time. */
+    /**
+     * A first token after the caller has disconnected is of no use: the call waits for a better placement, or is
+     * refused in time.
+     */
     @Test
-    void noEngineIsTakenForAFirstTokenThatNobodyWaitsFor() {
+    void queuesCallWhoseFirstTokenWouldBeTooLate() {
         Dispatcher dispatcher = dispatcher(ENGINES, 1, 11);
         DispatchCall tooLong = new DispatchCall(
                 "long",
                 HostId.of("e"),
                 1,
                 FailureDomain.of("a"),
-                DESK,
+                SERVICE,
                 Shard.WHOLE,
                 1,
                 400_000,
@@ -409,64 +433,65 @@
     }
 
     /**
-     * New questions wait although engines are free: the dispatcher was frozen for seconds, calls ended meanwhile, and what
-     * their entry reported was lost. Back, it is told all that the entry runs, and forgets the rest.
+     * Guards against new short calls that wait although engines are free: the dispatcher's process was suspended for
+     * seconds, calls ended meanwhile, and their entry's reports were lost. When it resumes, it receives the list of the
+     * entry's running calls and removes the other grants.
      */
     @Test
-    void aDispatcherThatWasFrozenForgetsWhatHasEnded() {
+    void reconcileRemovesGrantsThatEntryNoLongerRuns() {
         Dispatcher dispatcher = dispatcher(ENGINES, 1, 11);
         List<DispatchCall> calls = new ArrayList<>();
         List<DispatchAnswer.Granted> grants = new ArrayList<>();
         for (int i = 0; i < 11; i++) {
-            calls.add(question());
+            calls.add(shortCall());
             grants.add(granted(dispatcher.place(calls.get(i), 0)));
         }
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(question(), MILLI));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(shortCall(), MILLI));
         OpenGrant still = new OpenGrant(calls.get(0), grants.get(0), true);
         dispatcher.reconcileGrants(HostId.of("e"), 1, List.of(still), 4_000 * MILLI);
         assertEquals(1, dispatcher.running());
-        granted(dispatcher.place(question(), 4_001 * MILLI));
+        granted(dispatcher.place(shortCall(), 4_001 * MILLI));
     }
 
     /**
-     * Callers whose first try was cut come back to 13 entries at once after a loss of all power. None of the entries knows
-     * of the others yet, so each places its six questions by itself: packed, all would meet on the same engine, which
-     * turns down what it has no place for.
+     * Guards against engines that reject calls beyond their slots: after a power failure of the whole system, callers
+     * whose first attempts were cut off retry at 13 entries at once. No entry has received the others' membership yet,
+     * so each places its six short calls by itself; packed, all would be placed on the same engine.
      */
     @Test
-    void dispatchersThatDoNotKnowOfEachOtherSpreadTheirQuestions() {
-        int places = 11;
+    void uncoordinatedDispatchersSpreadShortCalls() {
+        int slots = 11;
         Map<BackendServerId, Integer> running = new HashMap<>();
         for (int entry = 0; entry < 13; entry++) {
-            Dispatcher dispatcher = dispatcher(ENGINES, 21, places);
+            Dispatcher dispatcher = dispatcher(ENGINES, 21, slots);
             dispatcher.updatePrimary(false, 0);
             for (int i = 0; i < 6; i++) {
-                running.merge(granted(dispatcher.place(question(), 0)).server(), 1, Integer::sum);
+                running.merge(granted(dispatcher.place(shortCall(), 0)).server(), 1, Integer::sum);
             }
         }
-        int turnedDown = 0;
+        int rejected = 0;
         for (int each : running.values()) {
-            turnedDown += Math.max(0, each - places);
+            rejected += Math.max(0, each - slots);
         }
-        assertTrue(turnedDown <= 1, turnedDown + " of 78 questions turned down");
+        assertTrue(rejected <= 1, rejected + " of 78 short calls rejected");
         assertTrue(running.size() >= 18, "engines used: " + running.size());
     }
 
     /**
-     * Guards against a host that hears nobody for a second: in a burst each new call had all that wait looked through. What
-     * waits is left to the next look, and a new call that is not first waits with it.
+     * Guards against a host that processes no messages for a second, because in a burst each new call had all waiting
+     * calls examined. Waiting calls are left to the next tick; a new call that is not first waits with them.
      */
     @Test
-    void aNewCallHasNobodyElseLookedAt() {
+    void newCallDoesNotPlaceWaitingCalls() {
         Dispatcher dispatcher = dispatcher(PLAIN, 1, 1);
-        DispatchAnswer.Granted running = granted(dispatcher.place(booking(60_000), 0));
-        DispatchCall first = booking(60_000);
+        DispatchAnswer.Granted running = granted(dispatcher.place(plainCall(60_000), 0));
+        DispatchCall first = plainCall(60_000);
         dispatcher.place(first, 0);
         for (int i = 0; i < 300; i++) {
-            dispatcher.place(booking(60_000), 0);
+            dispatcher.place(plainCall(60_000), 0);
         }
         dispatcher.report(new AttemptReport(running.attempt(), AttemptEnd.DONE), MILLI);
-        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(booking(60_000), MILLI));
+        assertInstanceOf(DispatchAnswer.Queued.class, dispatcher.place(plainCall(60_000), MILLI));
         List<DispatchAnswer> decided = dispatcher.tick(MILLI);
         assertEquals(
                 List.of(first.attempt()),
