--- a/elmline-core/src/main/java/org/elmline/core/common/AttemptId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/AttemptId.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Identity of one try of a request on one backend server; pieces carry it so that a late piece of another attempt is dropped. */
+/**
+ * Identity of one attempt to run a request on one backend server. Pieces of the output carry it, so that a late piece
+ * of another attempt is dropped.
+ */
 public record AttemptId(@JsonValue String value) implements Comparable<AttemptId> {
     public AttemptId {
         IdFormat.requireValid("attempt id", value);
--- a/elmline-core/src/main/java/org/elmline/core/common/BackendServerId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/BackendServerId.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Name a backend server announces itself under; a restart keeps it, see its incarnation. */
+/** Name under which a backend server announces itself; unchanged by a restart, which raises the {@link Incarnation}. */
 public record BackendServerId(@JsonValue String value) implements Comparable<BackendServerId> {
     public BackendServerId {
         IdFormat.requireValid("backend server id", value);
--- a/elmline-core/src/main/java/org/elmline/core/common/Closer.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/Closer.java
@@ -3,12 +3,15 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Gathers resources while a process starts and closes them in reverse order, all of them even when one fails. */
+/**
+ * Collects resources during start-up and closes them in reverse order, continuing with the rest when one fails.
+ * Thread-safe.
+ */
 public final class Closer implements AutoCloseable {
     private final Deque<AutoCloseable> resources = new ArrayDeque<>();
     private boolean closed;
 
-    /** Takes ownership of a resource; closes it at once when this closer is closed already. */
+    /** Takes ownership of a resource. Closes it at once if this closer is already closed. */
     public synchronized <T extends AutoCloseable> T register(T resource) {
         if (closed) {
             closeQuietly(resource, null);
@@ -39,7 +42,8 @@
             resource.close();
             return earlier;
         } catch (Exception e) {
-            RuntimeException failure = earlier == null ? new IllegalStateException("closing failed", e) : earlier;
+            RuntimeException failure =
+                    earlier == null ? new IllegalStateException("closing a resource failed", e) : earlier;
             if (earlier != null) {
                 earlier.addSuppressed(e);
             }
--- a/elmline-core/src/main/java/org/elmline/core/common/ConfigVersion.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/ConfigVersion.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Position in the sequence of accepted configuration changes. */
+/** Position in the sequence of accepted configuration changes, starting at 0 for the empty configuration. */
 public record ConfigVersion(@JsonValue long value) implements Comparable<ConfigVersion> {
     public ConfigVersion {
         if (value < 0) {
--- a/elmline-core/src/main/java/org/elmline/core/common/FencingNumber.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/FencingNumber.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Number that grows with each control leader; an order under a lower one is from a deposed leader. */
+/**
+ * Number that increases with each control leader. Receivers reject an order with a lower number, as it is from a
+ * deposed leader.
+ */
 public record FencingNumber(@JsonValue long value) implements Comparable<FencingNumber> {
     public FencingNumber {
         if (value < 0) {
--- a/elmline-core/src/main/java/org/elmline/core/common/HostId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/HostId.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Name of one host that runs an elmline process; unique in a deployment, taken from its settings. */
+/** Name of a host that runs an elmline process, from its settings; unique in a deployment. */
 public record HostId(@JsonValue String value) implements Comparable<HostId> {
     public HostId {
         IdFormat.requireValid("host id", value);
--- a/elmline-core/src/main/java/org/elmline/core/common/IdFormat.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/IdFormat.java
@@ -1,6 +1,6 @@
 package org.elmline.core.common;
 
-/** Checks the form that all ids share: 1 to 128 letters, digits, dot, dash, underscore, colon or slash. */
+/** Validates the format common to all ids: 1 to 128 letters, digits, dots, dashes, underscores, colons or slashes. */
 final class IdFormat {
     private static final int MAX_LENGTH = 128;
     private static final int MAX_LENGTH_IN_MESSAGE = 160;
@@ -8,15 +8,15 @@
 
     private IdFormat() {}
 
-    static void requireValid(String what, String value) {
+    static void requireValid(String idType, String value) {
         if (!isValid(value)) {
-            throw new IllegalArgumentException(what + " must be 1 to 128 of letters, digits and . - _ : / but is '"
+            throw new IllegalArgumentException(idType + " must be 1 to 128 of letters, digits and . - _ : / but is '"
                     + (value == null ? null : value.substring(0, Math.min(value.length(), MAX_LENGTH_IN_MESSAGE)))
                     + "'");
         }
     }
 
-    /** By hand, not by a pattern: each message brings dozens of ids. */
+    /** Checks each character without a regular expression, for speed: every message carries dozens of ids. */
     private static boolean isValid(String value) {
         if (value == null || value.isEmpty() || value.length() > MAX_LENGTH) {
             return false;
--- a/elmline-core/src/main/java/org/elmline/core/common/Incarnation.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/Incarnation.java
@@ -3,7 +3,10 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Counts the starts of a host or backend server under one id; a higher one replaces a lower one. */
+/**
+ * Number that increases with each start of a host or backend server under the same id. The highest incarnation replaces
+ * all lower ones.
+ */
 public record Incarnation(@JsonValue long value) implements Comparable<Incarnation> {
     public Incarnation {
         if (value < 0) {
--- a/elmline-core/src/main/java/org/elmline/core/common/LengthClass.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/LengthClass.java
@@ -1,6 +1,6 @@
 package org.elmline.core.common;
 
-/** Prompt lengths in tokens, as users report time to first token by them. */
+/** Classes of prompt length in tokens, by which time to first token is reported. */
 public enum LengthClass {
     SHORT(4_000),
     MEDIUM(32_000),
--- a/elmline-core/src/main/java/org/elmline/core/common/ManualClock.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/ManualClock.java
@@ -2,7 +2,10 @@
 
 import java.time.Duration;
 
-/** A clock that moves only when told to; drives decisions step by step in tests and in the policy bench. */
+/**
+ * A clock that advances only by {@link #advance}. Tests and the policy bench use it to drive decisions step by step.
+ * Not thread-safe.
+ */
 public final class ManualClock implements MonotonicClock {
     private long nanos;
 
--- a/elmline-core/src/main/java/org/elmline/core/common/ModelName.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/ModelName.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Name under which callers ask for a served model. */
+/** Name by which callers request a served model. */
 public record ModelName(@JsonValue String value) implements Comparable<ModelName> {
     public ModelName {
         IdFormat.requireValid("model name", value);
--- a/elmline-core/src/main/java/org/elmline/core/common/MonotonicClock.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/MonotonicClock.java
@@ -1,8 +1,8 @@
 package org.elmline.core.common;
 
 /**
- * Time that never steps back and is not related to the wall clock. All leases, deadlines and timeouts are counted on
- * it, so that a corrected wall clock can neither extend nor end one.
+ * Time that never steps back and is independent of the wall clock. All leases, deadlines and timeouts use it, so that a
+ * wall clock adjustment can neither extend nor end one.
  */
 @FunctionalInterface
 public interface MonotonicClock {
--- a/elmline-core/src/main/java/org/elmline/core/common/OrganisationId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/OrganisationId.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Name of an organisation whose members call elmline with its keys. */
+/** Name of an organisation whose members call elmline with its API keys. */
 public record OrganisationId(@JsonValue String value) implements Comparable<OrganisationId> {
     public OrganisationId {
         IdFormat.requireValid("organisation id", value);
--- a/elmline-core/src/main/java/org/elmline/core/common/Ran.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/Ran.java
@@ -2,19 +2,19 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** What elmline knows about whether a call reached and ran on a backend server. */
+/** Whether a call reached and ran on a backend server, as far as elmline can tell. */
 public enum Ran {
-    /** Never sent, or refused by the backend server before it ran. A retry is always safe. */
+    /** Never sent, or rejected by the backend server before it ran. A retry is always safe. */
     @JsonProperty("no")
     NO,
     /** Ran, and its outcome is known. */
     @JsonProperty("yes")
     YES,
-    /** Sent, with the answer lost. Only an idempotent call may be tried again. */
+    /** Sent, but the answer was lost. Only an idempotent call may be retried. */
     @JsonProperty("unknown")
     UNKNOWN;
 
-    /** The spelling in answers to callers. */
+    /** The value in answers to callers, in lower case. */
     public String wireName() {
         return name().toLowerCase(java.util.Locale.ROOT);
     }
--- a/elmline-core/src/main/java/org/elmline/core/common/RefusalReason.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/RefusalReason.java
@@ -1,6 +1,6 @@
 package org.elmline.core.common;
 
-/** Why a request got no answer of its own; each reason carries the HTTP status that callers see. */
+/** Why a request was refused; each reason has the HTTP status that callers receive. */
 public enum RefusalReason {
     BAD_REQUEST(400, "invalid_request"),
     UNAUTHENTICATED(401, "invalid_api_key"),
@@ -26,21 +26,21 @@
     private final int httpStatus;
     private final String errorType;
 
-    RefusalReason(int status, String type) {
-        this.httpStatus = status;
-        this.errorType = type;
+    RefusalReason(int httpStatus, String errorType) {
+        this.httpStatus = httpStatus;
+        this.errorType = errorType;
     }
 
     public int httpStatus() {
         return httpStatus;
     }
 
-    /** The machine-readable word in the caller's error body. */
+    /** The machine-readable error type in the body of the answer. */
     public String errorType() {
         return errorType;
     }
 
-    /** Whether the same request may do better later, so that an answer must say when to come back. */
+    /** Whether a retry of the same request may succeed, so that the answer must carry a retry delay. */
     public boolean retryable() {
         return httpStatus == 429 || httpStatus == 503 || httpStatus == 504 || httpStatus == 502;
     }
--- a/elmline-core/src/main/java/org/elmline/core/common/Region.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/Region.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Name of a group of failure domains that are near each other. */
+/** Name of a group of failure domains that are close to each other. */
 public record Region(@JsonValue String value) implements Comparable<Region> {
     public Region {
         IdFormat.requireValid("region", value);
--- a/elmline-core/src/main/java/org/elmline/core/common/RequestId.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/RequestId.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Identity of one caller's request over all processes that touch it. */
+/** Identity of one caller's request in all processes that handle it. */
 public record RequestId(@JsonValue String value) implements Comparable<RequestId> {
     public RequestId {
         IdFormat.requireValid("request id", value);
--- a/elmline-core/src/main/java/org/elmline/core/common/ServiceName.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/ServiceName.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Name of a plain service that elmline passes calls on to. */
+/** Name of a plain service to which elmline forwards calls. */
 public record ServiceName(@JsonValue String value) implements Comparable<ServiceName> {
     public ServiceName {
         IdFormat.requireValid("service name", value);
--- a/elmline-core/src/main/java/org/elmline/core/common/TicketNumber.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/TicketNumber.java
@@ -3,7 +3,7 @@
 import com.fasterxml.jackson.annotation.JsonCreator;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** Number an operator gives a change ticket; a higher number is newer. */
+/** Number that an operator assigns to a change ticket; a higher number is newer. */
 public record TicketNumber(@JsonValue long value) implements Comparable<TicketNumber> {
     public TicketNumber {
         if (value < 0) {
--- a/elmline-core/src/main/java/org/elmline/core/common/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/package-info.java
@@ -1,7 +1,7 @@
 /**
- * Ids, clock, outcomes and clean-up shared by all concerns.
+ * Ids, clock, outcomes of calls and clean-up of resources, used by all packages.
  *
- * <p>Ids that key tables write out equality and hash code: where a record leaves them to the runtime, it makes them at
- * first use, which takes a process that has just started longer than opening its files does.
+ * <p>Ids that serve as map keys define {@code equals} and {@code hashCode} explicitly. The methods generated for a
+ * record are linked by the runtime at first use, which takes a newly started process longer than opening its files.
  */
 package org.elmline.core.common;
--- a/elmline-core/src/main/java/org/elmline/core/config/BackendRole.java
+++ b/elmline-core/src/main/java/org/elmline/core/config/BackendRole.java
@@ -7,10 +7,12 @@
 import org.elmline.core.common.ModelName;
 
 /**
- * What one backend server is wanted to serve. Without one, a backend server serves what it announces.
+ * What one backend server is configured to serve. A backend server without such an object serves what it announces.
  *
- * @param role word for what the engine is used for, which engines know; empty to leave it as it is
- * @param checksFencing whether operators know this server to refuse old fencing numbers
+ * @param version version of the weights that the engine must serve
+ * @param adapters adapters that the engine must load
+ * @param role use of the engine, in a word that the engines define; empty leaves the role unchanged
+ * @param checksFencing whether operators have established that this server rejects old fencing numbers
  */
 @JsonTypeName("backend-role")
 public record BackendRole(
--- a/elmline-core/src/main/java/org/elmline/core/config/Configuration.java
+++ b/elmline-core/src/main/java/org/elmline/core/config/Configuration.java
@@ -12,7 +12,7 @@
 import org.elmline.core.common.OrganisationId;
 import org.elmline.core.common.ServiceName;
 
-/** All accepted objects at one version. Immutable; a change makes a new one. */
+/** All accepted objects at one configuration version. Immutable; each change creates a new instance. */
 public final class Configuration {
     public static final Configuration EMPTY = new Configuration(ConfigVersion.of(0), Map.of(), Map.of());
 
@@ -51,7 +51,11 @@
         return find("organisation/" + id, Organisation.class).filter(o -> !o.removed());
     }
 
-    /** The organisation that a key opens, by the SHA-256 of the key. */
+    /**
+     * The organisation that an API key belongs to.
+     *
+     * @param keyHash SHA-256 of the key in lower-case hexadecimal
+     */
     public Optional<Organisation> organisationByKeyHash(String keyHash) {
         return Optional.ofNullable(organisationsByKeyHash.get(keyHash));
     }
@@ -66,7 +70,7 @@
         return found;
     }
 
-    /** This configuration with a delta on top; a delta that ends at or before this version changes nothing. */
+    /** Applies a delta. A delta that ends at or before this version returns this configuration unchanged. */
     public Configuration with(ConfigDelta delta) {
         if (delta.to().compareTo(version) <= 0) {
             return this;
@@ -78,7 +82,7 @@
         return new Configuration(delta.to(), Map.copyOf(next), indexByKeyHash(next));
     }
 
-    /** The change that brings a holder of {@code from} to this version. */
+    /** The delta that updates a configuration at version {@code from} to this version. */
     public ConfigDelta changesSince(ConfigVersion from) {
         List<VersionedObject> changed = new ArrayList<>();
         for (VersionedObject each : objects.values()) {
--- a/elmline-core/src/main/java/org/elmline/core/config/Organisation.java
+++ b/elmline-core/src/main/java/org/elmline/core/config/Organisation.java
@@ -9,11 +9,11 @@
  * An organisation that shares the fleet.
  *
  * @param weight share of tokens under contention relative to other organisations, at least 1
- * @param priority 0 is the most urgent; shed last
+ * @param priority 0 to 9; 0 is the most urgent and is shed last
  * @param keyHashes SHA-256 of each API key in lower-case hexadecimal; the keys themselves are never stored
  * @param maxConcurrentRequests requests in flight over all entries, 0 for no limit
- * @param maxTokensPerMinute prompt and output tokens admitted a minute over all entries, 0 for no limit
- * @param removed true when its keys no longer open anything
+ * @param maxTokensPerMinute prompt and output tokens admitted per minute over all entries, 0 for no limit
+ * @param removed true when its keys are no longer accepted
  */
 @JsonTypeName("organisation")
 public record Organisation(
--- a/elmline-core/src/main/java/org/elmline/core/config/RoutingDocument.java
+++ b/elmline-core/src/main/java/org/elmline/core/config/RoutingDocument.java
@@ -3,12 +3,14 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
 /**
- * The whole routing table as the operator wrote it, kept byte for byte so that a read gives back what was sent. What it
- * says is read by a {@link org.elmline.core.routing.RoutingFormat}.
+ * The whole routing table as submitted by the operator, stored byte for byte so that a read returns exactly what was
+ * sent. {@link org.elmline.core.routing.RoutingFormat} parses the text.
  */
 @JsonTypeName("routing")
 public record RoutingDocument(String text) implements ConfigObject {
-    /** The one object of this kind: each ticket that touches it replaces all routes, services and keys together. */
+    /**
+     * Key of the only object of this kind: each ticket with a routing document replaces all routes, services and keys.
+     */
     public static final String KEY = "routing";
 
     public RoutingDocument {
--- a/elmline-core/src/main/java/org/elmline/core/config/Service.java
+++ b/elmline-core/src/main/java/org/elmline/core/config/Service.java
@@ -6,11 +6,11 @@
 import org.elmline.core.common.ServiceName;
 
 /**
- * A plain service beside the model engines.
+ * A plain service, routed to besides the model engines.
  *
- * @param idempotentMethods HTTP methods that may be repeated, for example GET; all others run at most once
- * @param timeoutMillis longest time one call may take
- * @param removed true when the service is no longer routed to
+ * @param idempotentMethods HTTP methods that may be retried, for example GET; all others run at most once
+ * @param timeoutMillis longest time one call may take, in milliseconds
+ * @param removed true when calls are no longer routed to the service
  */
 @JsonTypeName("service")
 public record Service(ServiceName name, List<String> idempotentMethods, int timeoutMillis, boolean removed)
--- a/elmline-core/src/main/java/org/elmline/core/config/VersionedObject.java
+++ b/elmline-core/src/main/java/org/elmline/core/config/VersionedObject.java
@@ -3,5 +3,5 @@
 import org.elmline.core.common.ConfigVersion;
 import org.elmline.core.common.TicketNumber;
 
-/** An object with the ticket that set it last and the configuration version that brought it. */
+/** An object with the ticket that last changed it and the configuration version of that change. */
 public record VersionedObject(ConfigObject object, TicketNumber ticket, ConfigVersion version) {}
--- a/elmline-core/src/main/java/org/elmline/core/config/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/config/package-info.java
@@ -1,2 +1,2 @@
-/** Objects that operators set by ticket, and the configuration made of them. */
+/** Objects that operators change by ticket, and the configuration that consists of them. */
 package org.elmline.core.config;
