--- a/elmline-core/src/main/java/org/elmline/core/raft/Elector.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Elector.java
@@ -3,8 +3,8 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Stands for election and answers those who do. Rests on the Raft paper, section 5.2, and the thesis, sections 4.2.3
- * (no votes while a leader is heard) and 9.6 (pre-vote).
+ * Runs elections as a candidate and answers other candidates. Follows the Raft paper, section 5.2, and the Raft thesis,
+ * sections 4.2.3 (no votes while a leader is in contact) and 9.6 (pre-vote).
  */
 final class Elector {
     private final NodeState state;
@@ -18,19 +18,25 @@
         restartTimeout();
     }
 
-    /** Puts the next standing off by a random time between one and two election timeouts, so that votes rarely split. */
+    /**
+     * Restarts the election timeout with a random length between one and two election timeouts, so that split votes are
+     * rare.
+     */
     void restartTimeout() {
         long timeout = state.settings().electionTimeoutNanos();
         electionDeadlineNanos = state.nowNanos() + timeout + random.nextLong(timeout);
     }
 
-    /** Stands when no leader was heard for long. Returns whether the election is won already, as with one voter. */
+    /**
+     * Starts a pre-vote when the election timeout has expired without contact from a leader. Returns whether the
+     * election is won already, as it is with a single voter.
+     */
     boolean tick() {
         if (state.role() == Role.LEADER || state.nowNanos() < electionDeadlineNanos) {
             return false;
         }
         restartTimeout();
-        // A learner, a removed replica and a fresh data folder never stand.
+        // Learners, removed replicas and replicas with an empty data folder never start an election.
         if (!state.isVoter()) {
             return false;
         }
@@ -38,8 +44,8 @@
     }
 
     /**
-     * Asks first whether the election could be won. A replica that was cut off would otherwise raise its term again and
-     * again and depose a healthy leader when it comes back.
+     * Requests pre-votes first, to find out whether an election could be won. A replica that was partitioned away would
+     * otherwise raise its term again and again and depose a healthy leader on its return.
      */
     private boolean startPreVote() {
         state.becomePreCandidate();
@@ -72,7 +78,10 @@
         return tally.hasMajority();
     }
 
-    /** The leader hands over to this replica. Returns whether it leads now. */
+    /**
+     * Starts an election at the request of the leader, which transfers leadership to this replica. Returns whether this
+     * replica is the leader now.
+     */
     boolean onTimeoutNow() {
         if (!state.isVoter() || state.role() == Role.LEADER) {
             return false;
@@ -87,10 +96,11 @@
         }
         boolean granted = request.term() > state.term()
                 && state.log().isCandidateUpToDate(request.lastIndex(), request.lastTerm());
-        boolean yields =
+        boolean withdraws =
                 granted && state.role() == Role.PRE_CANDIDATE && request.from().compareTo(state.self()) > 0;
-        if (yields) {
-            // Of two that ask at the same moment only one goes on; both would split the votes and wait out a timeout.
+        if (withdraws) {
+            // Of two simultaneous pre-candidates only the one with the higher id continues; two would split the votes
+            // and wait for another election timeout.
             state.becomeFollower(state.term());
             restartTimeout();
         }
@@ -98,11 +108,11 @@
         state.send(new Message.PreVoteResponse(state.self(), request.from(), term, granted));
     }
 
-    /** Returns whether this replica may stand for real and has won at once. */
+    /** Counts a pre-vote. Returns whether it started an election that is won already, as with a single voter. */
     boolean onPreVoteResponse(Message.PreVoteResponse response) {
-        boolean counts =
+        boolean isValid =
                 response.granted() && state.role() == Role.PRE_CANDIDATE && response.term() == state.term() + 1;
-        if (!counts) {
+        if (!isValid) {
             return false;
         }
         tally.addVote(response.from());
@@ -110,10 +120,11 @@
     }
 
     /**
-     * Answers a candidate. While a leader was heard within the shortest election timeout the request is passed over,
-     * its term too: the leader's lease rests on this quorum not electing another. That goes for a request of the present
-     * term as well, which this replica may have learnt from a late message since it heard the leader of an earlier one.
-     * Only a candidate whom the leader told to stand, after its lease had ended, is let through.
+     * Answers a vote request. While a leader was in contact within the shortest election timeout, the request is
+     * ignored together with its term, because the leader's lease requires that this quorum elects no other leader. This
+     * includes requests of the current term: this replica may have adopted that term from a delayed message after its
+     * last contact with the leader of an earlier term. The only exception is a candidate of a leadership transfer,
+     * which the leader starts after its lease has ended.
      */
     void onVoteRequest(Message.VoteRequest request) {
         if (!request.transfer() && state.leaderMayHoldLease()) {
@@ -132,7 +143,7 @@
         state.send(new Message.VoteResponse(state.self(), request.from(), state.term(), granted));
     }
 
-    /** Returns whether this vote has won the election. */
+    /** Counts a vote. Returns whether the election is won. */
     boolean onVoteResponse(Message.VoteResponse response) {
         if (state.role() != Role.CANDIDATE || !response.granted()) {
             return false;
--- a/elmline-core/src/main/java/org/elmline/core/raft/Entry.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Entry.java
@@ -2,9 +2,15 @@
 
 import java.util.Arrays;
 
-/** One position of the log. The bytes are shared, not copied: nobody may change them. */
+/**
+ * One entry of the log. The data array is shared, not copied, and must not be modified.
+ *
+ * @param index position in the log, starting at 1
+ * @param term term of the leader that appended the entry, starting at 1
+ * @param data payload, whose format depends on the kind; null is replaced by an empty array
+ */
 public record Entry(long index, long term, EntryKind kind, byte[] data) {
-    /** Bytes that an entry counts for beyond its data, in every bound on bytes. */
+    /** Bytes added to the data length of each entry wherever a limit in bytes applies. */
     public static final int OVERHEAD_BYTES = 32;
 
     private static final byte[] EMPTY_DATA = new byte[0];
@@ -24,7 +30,7 @@
         return new Entry(index, term, EntryKind.MEMBERSHIP, membership.toBytes());
     }
 
-    /** What the entry counts for in bounds. */
+    /** Size in bytes as counted against limits: the data and {@link #OVERHEAD_BYTES}. */
     public int sizeBytes() {
         return data.length + OVERHEAD_BYTES;
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/EntryKind.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/EntryKind.java
@@ -1,12 +1,12 @@
 package org.elmline.core.raft;
 
-/** What an entry's bytes are; the code stands in files and must not change. */
+/** Type of the data of an entry. The codes are stored in files and must not change. */
 public enum EntryKind {
-    /** Empty entry with which a leader starts its term, so that it can commit what earlier terms left. */
+    /** Empty entry that a leader appends at the start of its term, so that it can commit entries of earlier terms. */
     START_OF_TERM(0),
-    /** A command for the state machine, opaque here. */
+    /** A command for the state machine, not interpreted by Raft. */
     COMMAND(1),
-    /** The whole new {@link Membership} in its text form. */
+    /** The complete new {@link Membership} in its text form. */
     MEMBERSHIP(2);
 
     private final int code;
@@ -19,7 +19,7 @@
         return code;
     }
 
-    /** The kind of a code, or null when there is none. */
+    /** Returns the kind with a code, or null for an unknown code. */
     public static EntryKind ofCode(int code) {
         for (EntryKind each : values()) {
             if (each.code == code) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/Follower.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Follower.java
@@ -1,6 +1,6 @@
 package org.elmline.core.raft;
 
-/** Takes what the leader of the term sends: entries, heartbeats and snapshots. */
+/** Handles the requests of the current leader: entries, heartbeats and snapshots. */
 final class Follower {
     private final NodeState state;
     private final SnapshotReceiver snapshotReceiver = new SnapshotReceiver();
@@ -13,7 +13,7 @@
         RaftLog log = state.log();
         long prev = request.prevIndex();
         if (prev < log.committedIndex() && !log.hasTermAt(prev)) {
-            // Everything up to the commit is the leader's as well; it may go on from there.
+            // Committed entries are the same on the leader, so it may continue after the committed index.
             respond(request, true, log.committedIndex());
             return;
         }
@@ -22,7 +22,8 @@
             return;
         }
         log.merge(request.entries());
-        // Only what this request covers is known to be the leader's; entries behind it may be left from another term.
+        // Only the entries covered by this request are known to match the leader's log; later ones may be left over
+        // from another term.
         long match = prev + request.entries().size();
         log.commitTo(Math.min(request.commit(), match));
         respond(request, true, match);
@@ -34,8 +35,8 @@
     }
 
     void onHeartbeat(Message.Heartbeat heartbeat) {
-        // The leader names no commit beyond what this replica has acknowledged as synced; a log that is shorter has
-        // lost what it promised to keep, and the replica must stop.
+        // The leader sends no commit index beyond what this replica has acknowledged as synced. If the log is shorter,
+        // acknowledged entries were lost, and commitTo fails so that the replica stops.
         state.log().commitTo(heartbeat.commit());
         state.send(new Message.HeartbeatResponse(state.self(), heartbeat.from(), state.term(), heartbeat.sentNanos()));
     }
@@ -46,8 +47,8 @@
             respondInstalled(chunk, log.committedIndex());
             return;
         }
-        Snapshot whole = snapshotReceiver.accept(chunk);
-        if (whole == null) {
+        Snapshot snapshot = snapshotReceiver.accept(chunk);
+        if (snapshot == null) {
             state.send(new Message.SnapshotResponse(
                     state.self(),
                     chunk.from(),
@@ -57,13 +58,13 @@
                     chunk.sentNanos()));
             return;
         }
-        if (log.hasTermAt(whole.index()) && log.termAt(whole.index()) == whole.term()) {
-            // The log holds all that the snapshot does, so its entries stay (Raft paper, figure 13, step 6).
-            log.commitTo(whole.index());
+        if (log.hasTermAt(snapshot.index()) && log.termAt(snapshot.index()) == snapshot.term()) {
+            // The log contains everything in the snapshot, so its entries are retained (Raft paper, figure 13, step 6).
+            log.commitTo(snapshot.index());
         } else {
-            log.install(whole);
+            log.install(snapshot);
         }
-        respondInstalled(chunk, whole.index());
+        respondInstalled(chunk, snapshot.index());
     }
 
     private void respondInstalled(Message.SnapshotChunk chunk, long match) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/HardState.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/HardState.java
@@ -3,8 +3,8 @@
 import java.util.Objects;
 
 /**
- * What a replica must never forget: its term and whom it voted for in it (null for nobody). Synced before any message
- * that rests on it leaves; a vote forgotten in a crash could be given twice and elect two leaders.
+ * Term of a replica and the candidate it voted for in that term (null for none). Must be synced before any message that
+ * depends on it is sent: after a crash, a lost vote could be given a second time and elect two leaders in one term.
  */
 public record HardState(long term, ReplicaId vote) {
     public static final HardState NONE = new HardState(0, null);
--- a/elmline-core/src/main/java/org/elmline/core/raft/JoinPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/JoinPlanner.java
@@ -4,23 +4,27 @@
 import java.util.function.Predicate;
 
 /**
- * The next step by which a replica with a fresh data folder comes to vote, and the lost one of the same host goes.
+ * Plans the membership changes that make a replica with an empty data folder a voter and remove the lost replica of the
+ * same host.
  *
- * <p>The new one first catches up as a learner; only then the old one goes and the new one is promoted. In any other
- * order the log would stand longer with a voter that is lost or empty, and the loss of a second host would stop it.
+ * <p>The new replica first catches up as a learner; only then the lost one is removed and the new one promoted. Any
+ * other order would leave the cluster longer with a lost or empty voter, and the loss of a second host would stop the
+ * log.
  */
 public final class JoinPlanner {
     private JoinPlanner() {}
 
-    /** Empty when nothing is to be done now; voters of other hosts stay. */
+    /** Returns the next change, or empty when none is due now. Voters of other hosts are never removed. */
     public static Optional<MembershipChange> nextChange(Membership now, ReplicaId joining, boolean caughtUp) {
         return nextChange(now, joining, caughtUp, each -> false);
     }
 
     /**
-     * Empty when nothing is to be done now.
+     * Returns the next change, or empty when none is due now.
      *
-     * @param lost whether a voter of another host is taken for lost for good; such a one makes room for the new one
+     * @param caughtUp whether the joining replica holds all committed entries
+     * @param lost whether a voter, also of another host, is considered permanently lost; such a voter is removed in
+     *     favour of the joining replica
      */
     public static Optional<MembershipChange> nextChange(
             Membership now, ReplicaId joining, boolean caughtUp, Predicate<ReplicaId> lost) {
@@ -44,8 +48,8 @@
     }
 
     /**
-     * Takes a voter that is lost out of an even number of voters: one fewer has the same majority less one, so the next
-     * loss is borne that was not before.
+     * Removes a lost voter when the number of voters is even: the majority of one voter fewer is smaller by one, so
+     * that the cluster tolerates one more loss than before.
      */
     public static Optional<MembershipChange> removeLostVoter(Membership now, Predicate<ReplicaId> lost) {
         if (now.voters().size() % 2 != 0) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/JoinQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/JoinQueue.java
@@ -7,48 +7,50 @@
 import java.util.function.Predicate;
 
 /**
- * Replicas that asked this leader to join. Their steps follow one another without a further question: as long as a lost
- * replica is not replaced, the next loss counts on top of it.
+ * Replicas that have requested to join, held by the leader. Their membership changes follow one another without further
+ * requests from the replicas, because until a lost replica is replaced the next loss adds to it. Not thread-safe.
  */
 public final class JoinQueue {
     private final long requestTtlNanos;
     private final Map<ReplicaId, Long> requestedAtNanos = new LinkedHashMap<>();
 
-    /** @param keptNanos time after its last question for which a replica is taken to want to join */
-    public JoinQueue(long keptNanos) {
-        this.requestTtlNanos = keptNanos;
+    /** @param requestTtlNanos time in nanoseconds after its latest request until a replica is dropped from the queue */
+    public JoinQueue(long requestTtlNanos) {
+        this.requestTtlNanos = requestTtlNanos;
     }
 
-    /** Takes a question. */
+    /** Adds a request to join, or renews an earlier one. */
     public void addRequest(ReplicaId joining, long nowNanos) {
         requestedAtNanos.put(joining, nowNanos);
     }
 
     /**
-     * The next step that may be proposed, empty when there is none now.
+     * Returns the next change that may be proposed, or empty when none is due now. Drops expired requests and those of
+     * replicas that are voters now.
      *
-     * @param ready whether a replica holds all that is committed and is heard
-     * @param lost whether a voter is taken for lost for good
+     * @param ready whether a joining replica holds all committed entries and is in contact
+     * @param lost whether a voter is considered permanently lost
      */
     public Optional<MembershipChange> nextChange(
             Membership now, Predicate<ReplicaId> ready, Predicate<ReplicaId> lost, long nowNanos) {
-        Iterator<Map.Entry<ReplicaId, Long>> each = requestedAtNanos.entrySet().iterator();
-        while (each.hasNext()) {
-            Map.Entry<ReplicaId, Long> asked = each.next();
-            ReplicaId joining = asked.getKey();
-            if (now.isVoter(joining) || nowNanos - asked.getValue() > requestTtlNanos) {
-                each.remove();
+        Iterator<Map.Entry<ReplicaId, Long>> iterator =
+                requestedAtNanos.entrySet().iterator();
+        while (iterator.hasNext()) {
+            Map.Entry<ReplicaId, Long> request = iterator.next();
+            ReplicaId joining = request.getKey();
+            if (now.isVoter(joining) || nowNanos - request.getValue() > requestTtlNanos) {
+                iterator.remove();
                 continue;
             }
-            Optional<MembershipChange> step = JoinPlanner.nextChange(now, joining, ready.test(joining), lost);
-            if (step.isPresent()) {
-                return step;
+            Optional<MembershipChange> change = JoinPlanner.nextChange(now, joining, ready.test(joining), lost);
+            if (change.isPresent()) {
+                return change;
             }
         }
         return Optional.empty();
     }
 
-    /** Forgets all; another replica leads. */
+    /** Removes all requests, as another replica is the leader now. */
     public void clear() {
         requestedAtNanos.clear();
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Leader.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Leader.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** What a replica does while it leads one term. */
+/** State and behaviour of a replica as leader of one term. */
 final class Leader {
     private final NodeState state;
     private final Replicator replicator;
@@ -37,7 +37,8 @@
 
     void tick() {
         if (!hasQuorum()) {
-            // Cut off from a majority, it could commit nothing and would only keep callers from the new leader.
+            // Without contact to a majority this replica can commit nothing and would only keep callers from the new
+            // leader.
             state.becomeFollower(state.term());
             return;
         }
@@ -55,17 +56,17 @@
     }
 
     private boolean hasQuorum() {
-        // Counted from the coming of answers, not from the sending as the lease is: a leader whose disk stalled for a
-        // moment would step down without need, though a majority still answers it.
-        long heard = Quorum.highestReached(state.log().membership(), replicator::lastContactNanos);
-        return state.nowNanos() - Math.max(heard, electedAtNanos)
+        // Measured from the receipt of answers, not from the send time as the lease is. Measured from the send time, a
+        // leader whose disk stalled for a moment would step down although a majority still answers.
+        long quorumContactNanos = Quorum.highestReached(state.log().membership(), replicator::lastContactNanos);
+        return state.nowNanos() - Math.max(quorumContactNanos, electedAtNanos)
                 < state.settings().electionTimeoutNanos();
     }
 
     private void updateQuorumContact() {
-        long answered = Quorum.highestReached(state.log().membership(), replicator::ackedSentNanos);
-        lease.extend(answered);
-        readQueue.confirmUpTo(answered);
+        long quorumSentNanos = Quorum.highestReached(state.log().membership(), replicator::ackedSentNanos);
+        lease.extend(quorumSentNanos);
+        readQueue.confirmUpTo(quorumSentNanos);
     }
 
     ProposeOutcome propose(List<byte[]> commands) {
@@ -73,12 +74,12 @@
         if (refusal != null) {
             return new ProposeOutcome.Refused(refusal);
         }
-        long first = state.log().lastIndex() + 1;
+        long firstIndex = state.log().lastIndex() + 1;
         for (byte[] each : commands) {
             append(new Entry(state.log().lastIndex() + 1, state.term(), EntryKind.COMMAND, each));
         }
         replicator.sendToAll();
-        return new ProposeOutcome.Appended(first, state.log().lastIndex(), state.term());
+        return new ProposeOutcome.Appended(firstIndex, state.log().lastIndex(), state.term());
     }
 
     private ProposeRefusal refusal(List<byte[]> commands) {
@@ -129,7 +130,10 @@
         return state.log().committedIndex() >= termStartIndex;
     }
 
-    /** No lease before the own term has a commit: until then the state may lack what earlier leaders committed. */
+    /**
+     * Until when the lease holds. There is no lease before an entry of the current term is committed: until then the
+     * state machine may lack entries that earlier leaders committed.
+     */
     long leaseUntilNanos() {
         return hasCommittedInTerm() ? lease.leaseUntilNanos() : RaftNode.NO_LEASE;
     }
@@ -146,7 +150,7 @@
         return possible;
     }
 
-    /** The voter that holds most of the log, null when there is no other. */
+    /** The other voter with the longest matching log, null when there is none. */
     ReplicaId mostUpToDateVoter() {
         ReplicaId best = null;
         for (ReplicaId each : state.log().membership().voters()) {
@@ -166,13 +170,13 @@
             transfer.refuseProposals(state.nowNanos(), state.settings().electionTimeoutNanos());
         }
         if (transfer.hasTimedOut(state.nowNanos())) {
-            // The lease can't start again in this term, so this leader is of little use; let any voter be elected.
+            // The lease cannot be extended again in this term, so this replica steps down and any voter may be elected.
             state.becomeFollower(state.term());
             return;
         }
-        boolean holdsAll =
+        boolean targetCaughtUp =
                 replicator.matchIndex(transfer.target()) == state.log().lastIndex();
-        if (holdsAll
+        if (targetCaughtUp
                 && transfer.isTimeoutNowDue(state.nowNanos(), state.settings().heartbeatNanos())) {
             transfer.onTimeoutNowSent(state.nowNanos());
             state.send(new Message.TimeoutNow(state.self(), transfer.target(), state.term()));
@@ -198,7 +202,7 @@
         }
     }
 
-    /** Returns whether the answer is from a member. */
+    /** Records the contact and extends the lease. Returns whether the answer is from a member. */
     private boolean recordAck(ReplicaId from, long sentNanos) {
         Progress progress = replicator.progressOf(from);
         if (progress == null) {
@@ -210,21 +214,21 @@
     }
 
     /**
-     * Commits what a majority has synced. Only an entry of the own term commits by count; earlier ones commit with it
-     * (Raft paper, section 5.4.2).
+     * Commits the entries that a majority has synced. Only an entry of the current term is committed by counting
+     * replicas; entries of earlier terms are committed together with it (Raft paper, section 5.4.2).
      */
     void commit() {
         RaftLog log = state.log();
-        long reached = Quorum.highestReached(log.membership(), replicator::matchIndex);
-        if (reached <= log.committedIndex() || log.termAt(reached) != state.term()) {
+        long quorumIndex = Quorum.highestReached(log.membership(), replicator::matchIndex);
+        if (quorumIndex <= log.committedIndex() || log.termAt(quorumIndex) != state.term()) {
             return;
         }
-        for (long i = log.committedIndex() + 1; i <= reached; i++) {
+        for (long i = log.committedIndex() + 1; i <= quorumIndex; i++) {
             uncommittedBytes -= log.entryAt(i).sizeBytes();
         }
-        log.commitTo(reached);
-        boolean removed = !state.isVoter() && log.committedIndex() >= log.membershipIndex();
-        if (removed) {
+        log.commitTo(quorumIndex);
+        boolean removedFromVoters = !state.isVoter() && log.committedIndex() >= log.membershipIndex();
+        if (removedFromVoters) {
             replicator.sendHeartbeats();
             state.becomeFollower(state.term());
         }
@@ -238,7 +242,7 @@
         return readQueue;
     }
 
-    /** Nanoseconds since the last sign of life of a member, counted from the election at the earliest. */
+    /** Nanoseconds since the last contact of a member, or since the election if that is later. */
     long nanosSinceContact(ReplicaId id) {
         return state.nowNanos() - Math.max(replicator.lastContactNanos(id), electedAtNanos);
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/LeadershipTransfer.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/LeadershipTransfer.java
@@ -1,8 +1,9 @@
 package org.elmline.core.raft;
 
 /**
- * Hands leadership to a chosen voter (Raft thesis, section 3.10): freezes the lease and waits for its end while still
- * serving, then takes no proposals until the target holds the whole log, and tells it to stand.
+ * Transfers leadership to a chosen voter (Raft thesis, section 3.10). The lease is frozen first, and the leader keeps
+ * serving until it has ended. Then the leader refuses proposals until the target holds the whole log, and sends it
+ * {@link Message.TimeoutNow}. Times are nanoseconds of the leader's monotonic clock.
  */
 final class LeadershipTransfer {
     private final ReplicaId target;
@@ -17,12 +18,12 @@
         return target;
     }
 
-    /** Whether proposals are refused, so that the target can reach the log's end. */
+    /** Whether proposals are refused, so that the target can reach the end of the log. */
     boolean refusesProposals() {
         return deadlineNanos != Long.MAX_VALUE;
     }
 
-    /** Starts the last phase, which is bounded by an election timeout. */
+    /** Starts the last phase, which times out after one election timeout. */
     void refuseProposals(long now, long electionTimeoutNanos) {
         deadlineNanos = now + electionTimeoutNanos;
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Membership.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Membership.java
@@ -7,8 +7,9 @@
 import java.util.TreeSet;
 
 /**
- * The replicas that hold the log: voters decide, learners only receive. Both lists are sorted and disjoint. Takes
- * effect on a replica as soon as it stands in its log (Raft thesis, section 4.1).
+ * The replicas that hold the log: voters elect leaders and commit entries, learners only receive entries. Both lists
+ * are sorted and disjoint. A membership takes effect on a replica as soon as it is in its log (Raft thesis, section
+ * 4.1).
  */
 public record Membership(List<ReplicaId> voters, List<ReplicaId> learners) {
     public static final Membership EMPTY = new Membership(List.of(), List.of());
@@ -30,7 +31,7 @@
         return new Membership(List.copyOf(voters), List.of());
     }
 
-    /** Replicas that make a majority of the voters. */
+    /** Number of replicas that form a majority of the voters. */
     public int quorum() {
         return voters.size() / 2 + 1;
     }
@@ -47,13 +48,13 @@
         return isVoter(id) || isLearner(id);
     }
 
-    /** All replicas, the voters first. */
+    /** All replicas, voters first. */
     public List<ReplicaId> all() {
-        ReplicaId[] both = Arrays.copyOf(voters.toArray(new ReplicaId[0]), voters.size() + learners.size());
+        ReplicaId[] all = Arrays.copyOf(voters.toArray(new ReplicaId[0]), voters.size() + learners.size());
         for (int i = 0; i < learners.size(); i++) {
-            both[voters.size() + i] = learners.get(i);
+            all[voters.size() + i] = learners.get(i);
         }
-        return List.of(both);
+        return List.of(all);
     }
 
     Membership with(ReplicaId id, boolean voter) {
@@ -72,7 +73,10 @@
         return new Membership(List.copyOf(newVoters), List.copyOf(newLearners));
     }
 
-    /** The text form, UTF-8, one {@code voter HOST@HEX} or {@code learner HOST@HEX} a line. */
+    /**
+     * Encodes this membership as UTF-8 text with one line {@code voter HOST@HEX} or {@code learner HOST@HEX} per
+     * replica.
+     */
     public byte[] toBytes() {
         StringBuilder text = new StringBuilder();
         voters.forEach(each -> text.append(VOTER).append(each).append('\n'));
@@ -80,7 +84,7 @@
         return text.toString().getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Reads {@link #toBytes()}; throws IllegalArgumentException on anything else. */
+    /** Decodes the result of {@link #toBytes()}; throws IllegalArgumentException for anything else. */
     public static Membership ofBytes(byte[] bytes) {
         TreeSet<ReplicaId> voters = new TreeSet<>();
         TreeSet<ReplicaId> learners = new TreeSet<>();
--- a/elmline-core/src/main/java/org/elmline/core/raft/MembershipChange.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/MembershipChange.java
@@ -1,16 +1,16 @@
 package org.elmline.core.raft;
 
 /**
- * One step from a membership to the next. Each moves at most one voter, so that majorities before and after it share a
- * replica (Raft thesis, section 4.1); a replacement is a sequence of them.
+ * A single change of the membership. It adds or removes at most one voter, so that majorities before and after it share
+ * a replica (Raft thesis, section 4.1); replacing a replica takes several changes.
  */
 public sealed interface MembershipChange {
     ReplicaId replica();
 
-    /** The membership after this change; the same when it changes nothing. */
+    /** The membership after this change; equal to {@code before} when it has no effect. */
     Membership applyTo(Membership before);
 
-    /** Starts to send the log to a replica that decides nothing yet. */
+    /** Adds a learner, which receives the log but does not vote. */
     record AddLearner(ReplicaId replica) implements MembershipChange {
         @Override
         public Membership applyTo(Membership before) {
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Makes a learner that holds the log a voter. */
+    /** Makes a learner a voter once it holds all committed entries. */
     record Promote(ReplicaId replica) implements MembershipChange {
         @Override
         public Membership applyTo(Membership before) {
@@ -26,7 +26,7 @@
         }
     }
 
-    /** Takes a voter or learner out. */
+    /** Removes a voter or learner. */
     record Remove(ReplicaId replica) implements MembershipChange {
         @Override
         public Membership applyTo(Membership before) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/Message.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Message.java
@@ -7,10 +7,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 
 /**
- * What replicas say to each other. Messages may be lost, repeated, reordered or late; all are harmless then.
+ * Messages between replicas. They may be lost, repeated, reordered or delayed without harm.
  *
- * <p>{@code sentNanos} is the leader's own monotonic clock when it sent the request; the answer returns it untouched, so
- * that the leader's lease counts from the sending and no two clocks are ever compared.
+ * <p>{@code sentNanos} is the sender's monotonic clock at the time of the request, in nanoseconds. The answer returns
+ * it unchanged, so that the leader's lease is measured from the send time and clocks of two hosts are never compared.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
 public sealed interface Message {
@@ -20,34 +20,37 @@
 
     long term();
 
-    /** Whether only the leader of the term sends it. */
+    /** Whether only the leader of the term sends this message. */
     @JsonIgnore
     default boolean fromLeader() {
         return this instanceof AppendRequest || this instanceof Heartbeat || this instanceof SnapshotChunk;
     }
 
-    /** Asks whether the sender could win the term, which nobody enters for it. */
+    /** Requests a pre-vote: whether the sender could win an election in {@code term}. Neither side enters that term. */
     @JsonTypeName("pre-vote")
     record PreVoteRequest(ReplicaId from, ReplicaId to, long term, long lastIndex, long lastTerm) implements Message {}
 
-    /** A granted one carries the term asked for, a refused one the answerer's own. */
+    /**
+     * Answers a pre-vote request. If granted, {@code term} is the requested term, otherwise the current term of the
+     * answering replica.
+     */
     @JsonTypeName("pre-vote-answer")
     record PreVoteResponse(ReplicaId from, ReplicaId to, long term, boolean granted) implements Message {}
 
     /**
-     * Asks for the vote of the term.
+     * Requests the vote for the term.
      *
-     * @param transfer true when the leader itself told the sender to stand, after its lease had ended
+     * @param transfer true when the leader started this election by {@link TimeoutNow}, after its lease had ended
      */
     @JsonTypeName("vote")
     record VoteRequest(ReplicaId from, ReplicaId to, long term, long lastIndex, long lastTerm, boolean transfer)
             implements Message {}
 
-    /** Grants or refuses the vote of the term. */
+    /** Grants or refuses the vote for the term. */
     @JsonTypeName("vote-answer")
     record VoteResponse(ReplicaId from, ReplicaId to, long term, boolean granted) implements Message {}
 
-    /** Entries that follow {@code prevIndex}, and how far the log is committed. */
+    /** Entries that follow {@code prevIndex}, and the index up to which the log is committed. */
     @JsonTypeName("append")
     record AppendRequest(
             ReplicaId from,
@@ -61,25 +64,29 @@
             implements Message {}
 
     /**
-     * Says how far the logs agree.
+     * Reports how far the logs match.
      *
-     * @param prevIndex of the request
-     * @param matchIndex when accepted, up to where the logs agree; when not, where the leader should look next
+     * @param prevIndex that of the request
+     * @param matchIndex if accepted, the index up to which the logs match; otherwise the previous index that the leader
+     *     should try next
      */
     @JsonTypeName("append-answer")
     record AppendResponse(
             ReplicaId from, ReplicaId to, long term, boolean accepted, long prevIndex, long matchIndex, long sentNanos)
             implements Message {}
 
-    /** The leader lives; entries up to {@code commit} are committed and in the receiver's log. */
+    /** Sent regularly by the leader. Entries up to {@code commit} are committed and in the receiver's log. */
     @JsonTypeName("heartbeat")
     record Heartbeat(ReplicaId from, ReplicaId to, long term, long commit, long sentNanos) implements Message {}
 
-    /** The sender won't vote for another before the shortest election timeout has passed. */
+    /**
+     * Acknowledges a heartbeat. The sender grants no other replica a vote until the shortest election timeout has
+     * passed.
+     */
     @JsonTypeName("heartbeat-answer")
     record HeartbeatResponse(ReplicaId from, ReplicaId to, long term, long sentNanos) implements Message {}
 
-    /** A piece of the snapshot at {@code index}, from byte {@code offset} of {@code total}. */
+    /** A chunk of the snapshot at {@code index}, starting at byte {@code offset} of {@code total}. */
     @JsonTypeName("snapshot")
     record SnapshotChunk(
             ReplicaId from,
@@ -94,12 +101,12 @@
             long sentNanos)
             implements Message {}
 
-    /** How many bytes of the snapshot at {@code index} are held; the next piece starts there. */
+    /** Number of bytes received of the snapshot at {@code index}; the next chunk starts there. */
     @JsonTypeName("snapshot-answer")
     record SnapshotResponse(ReplicaId from, ReplicaId to, long term, long index, long nextOffset, long sentNanos)
             implements Message {}
 
-    /** The leader hands over: stand for election at once. */
+    /** Sent by the leader to transfer leadership: the receiver starts an election at once. */
     @JsonTypeName("stand")
     record TimeoutNow(ReplicaId from, ReplicaId to, long term) implements Message {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/NodeState.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/NodeState.java
@@ -1,6 +1,6 @@
 package org.elmline.core.raft;
 
-/** What all parts of one replica share: term, vote, role, the time of the present input, the log and the outbox. */
+/** State shared by all parts of one replica: term, vote, role, time of the current input, log and outbox. */
 final class NodeState {
     private final ReplicaId self;
     private final RaftSettings settings;
@@ -22,8 +22,9 @@
         this.vote = restored.hardState().vote();
         this.syncedHardState = restored.hardState();
         this.nowNanos = nowNanos;
-        // A restarted replica has forgotten that it acknowledged a heartbeat just before, and that the leader's lease
-        // rests on it. Counting the start as a contact makes it refuse votes until any such lease has ended.
+        // After a restart a replica no longer has the time of its last contact with the leader, though the leader's
+        // lease may depend on a heartbeat acknowledged just before. Treating the start as a contact makes the replica
+        // refuse votes until any such lease has ended.
         this.leaderContactNanos = nowNanos;
     }
 
@@ -51,7 +52,7 @@
         return role;
     }
 
-    /** The leader of the term, null when none is known. */
+    /** The leader of the term, null when unknown. */
     ReplicaId leader() {
         return leader;
     }
@@ -60,7 +61,7 @@
         return nowNanos;
     }
 
-    /** Moves the time on; a time that steps back is not taken. */
+    /** Sets the current time; an earlier time than the last is ignored. */
     void advanceTime(long nanos) {
         nowNanos = Math.max(nowNanos, nanos);
     }
@@ -81,12 +82,12 @@
         syncedHardState = written;
     }
 
-    /** Whether a leader was heard so lately that its lease may still run. */
+    /** Whether the last contact with a leader is so recent that its lease may still run. */
     boolean leaderMayHoldLease() {
         return role == Role.LEADER || nowNanos - leaderContactNanos < settings.electionTimeoutNanos();
     }
 
-    /** Notes a sign of life of the term's leader. */
+    /** Records a contact from the leader of the term. */
     void onLeaderContact(ReplicaId from) {
         if (role == Role.LEADER) {
             throw new IllegalStateException("two leaders in term " + term + ": " + self + " and " + from);
@@ -98,11 +99,11 @@
 
     void becomeFollower(long newTerm) {
         if (newTerm < term) {
-            throw new IllegalStateException("term would step back from " + term + " to " + newTerm);
+            throw new IllegalStateException("term must not decrease from " + term + " to " + newTerm);
         }
         if (role == Role.LEADER) {
-            // A leader that is deposed by a higher term may have handed out a lease that rests on itself and one more;
-            // it is bound by it as much as the followers that acknowledged it.
+            // A leader deposed by a higher term may hold a lease that depends on itself and one other voter. It must
+            // refuse votes until that lease has ended, as the followers that acknowledged it do.
             leaderContactNanos = nowNanos;
         }
         if (newTerm > term) {
@@ -130,7 +131,7 @@
         leader = self;
     }
 
-    /** Gives the term's vote if it is not given to another already. */
+    /** Gives the vote of the term to a candidate. Returns false if it was given to another candidate. */
     boolean voteFor(ReplicaId candidate) {
         if (vote != null && !vote.equals(candidate)) {
             return false;
--- a/elmline-core/src/main/java/org/elmline/core/raft/Outbox.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Outbox.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Messages made since the last {@link Ready}. */
+/** Messages queued since the last {@link Ready}. */
 final class Outbox {
     private final List<Message> messages = new ArrayList<>();
 
@@ -15,7 +15,11 @@
         return messages.isEmpty();
     }
 
-    /** Takes those of one kind out, in their order. */
+    /**
+     * Removes and returns the messages that are from a leader, or those that are not, in their order.
+     *
+     * @param fromLeader which of the two to return, see {@link Message#fromLeader}
+     */
     List<Message> drain(boolean fromLeader) {
         List<Message> result = new ArrayList<>();
         for (Message each : messages) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/Progress.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Progress.java
@@ -3,9 +3,12 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What a leader knows of one other replica. */
+/**
+ * Replication state of one other replica, held by the leader. Indexes are log positions, times are nanoseconds of the
+ * leader's monotonic clock.
+ */
 final class Progress {
-    /** Sent time of a replica that has not acknowledged anything in this term. */
+    /** Send and contact time of a replica that has not acknowledged anything in this term. */
     static final long NEVER = Long.MIN_VALUE;
 
     private record Inflight(long lastIndex, long bytes) {}
@@ -31,7 +34,7 @@
         return state;
     }
 
-    /** Up to where the replica's log is synced and the leader's. */
+    /** Index up to which the replica's log is synced and matches the leader's. */
     long matchIndex() {
         return matchIndex;
     }
@@ -40,12 +43,12 @@
         return nextIndex;
     }
 
-    /** When the newest request that the replica has answered was sent, on the leader's clock. */
+    /** Send time of the newest request that the replica has answered. */
     long ackedSentNanos() {
         return ackedSentNanos;
     }
 
-    /** When the replica's last answer of this term came. */
+    /** Time at which the replica's last answer of this term arrived. */
     long lastContactNanos() {
         return lastContactNanos;
     }
@@ -77,13 +80,13 @@
         nextIndex = lastIndex + 1;
     }
 
-    /** The logs agree up to an index. Returns whether that is news. */
+    /** Records that the logs match up to an index. Returns whether the match index has advanced. */
     boolean recordMatch(long index, long now) {
         while (!inflightAppends.isEmpty() && inflightAppends.peek().lastIndex() <= index) {
             inflightBytes -= inflightAppends.poll().bytes();
         }
-        boolean news = index > matchIndex;
-        if (news || state == ProgressState.PROBE) {
+        boolean advanced = index > matchIndex;
+        if (advanced || state == ProgressState.PROBE) {
             lastProgressNanos = now;
         }
         matchIndex = Math.max(matchIndex, index);
@@ -95,10 +98,10 @@
             snapshot = null;
             probeSent = false;
         }
-        return news;
+        return advanced;
     }
 
-    /** The replica's log does not agree at the request's previous entry. Returns whether that is news. */
+    /** Records that the logs do not match at the previous entry of a request. Returns false for an outdated answer. */
     boolean recordReject(long prevIndex, long hint, long now) {
         boolean stale = prevIndex <= matchIndex
                 || state == ProgressState.SNAPSHOT
@@ -119,7 +122,7 @@
         lastProgressNanos = now;
     }
 
-    /** Nothing has moved for a while although something was sent: it was lost, or its answer was. */
+    /** Prepares to send again after a time without progress, as a request or its answer was lost. */
     void prepareResend(long now) {
         if (state == ProgressState.SNAPSHOT) {
             lastProgressNanos = now;
@@ -132,10 +135,10 @@
         return now - lastProgressNanos >= after;
     }
 
-    void startSnapshot(Snapshot newest, long now) {
-        probeFrom(newest.index() + 1, now);
+    void startSnapshot(Snapshot newSnapshot, long now) {
+        probeFrom(newSnapshot.index() + 1, now);
         state = ProgressState.SNAPSHOT;
-        snapshot = newest;
+        snapshot = newSnapshot;
         snapshotOffset = 0;
     }
 
@@ -147,13 +150,13 @@
         return snapshotOffset;
     }
 
-    /** The replica holds the snapshot up to an offset. Returns whether the next piece is due. */
+    /** Records how many bytes of the snapshot the replica has received. Returns whether to send the next chunk. */
     boolean recordSnapshotProgress(long index, long offset, long now) {
-        boolean counts = state == ProgressState.SNAPSHOT && snapshot.index() == index && offset != snapshotOffset;
-        if (counts) {
+        boolean isCurrent = state == ProgressState.SNAPSHOT && snapshot.index() == index && offset != snapshotOffset;
+        if (isCurrent) {
             snapshotOffset = Math.min(offset, snapshot.data().length);
             lastProgressNanos = now;
         }
-        return counts;
+        return isCurrent;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/ProgressState.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/ProgressState.java
@@ -2,10 +2,10 @@
 
 /** How a leader sends to one replica. */
 enum ProgressState {
-    /** One request at a time, until the logs are known to agree somewhere. */
+    /** One request at a time, until an index is found at which the logs match. */
     PROBE,
-    /** Requests follow each other without waiting for answers. */
+    /** Requests are sent without waiting for the answers to earlier ones. */
     REPLICATE,
-    /** The entries it lacks are compacted; pieces of a snapshot go out one at a time. */
+    /** The entries that the replica lacks are compacted; chunks of a snapshot are sent one at a time. */
     SNAPSHOT
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/ProposeOutcome.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/ProposeOutcome.java
@@ -1,13 +1,19 @@
 package org.elmline.core.raft;
 
-/** What became of a proposal at the moment it was made; whether it commits shows later. */
+/**
+ * Immediate outcome of a proposal. Whether it is committed is known only later, from {@link Ready#committedEntries()}.
+ */
 public sealed interface ProposeOutcome {
-    /** In the leader's log at these positions, not yet committed. */
+    /** Appended to the leader's log at these indexes, not yet committed. */
     record Appended(long firstIndex, long lastIndex, long term) implements ProposeOutcome {}
 
-    /** Not taken; ask the leader, null when none is known. */
+    /**
+     * Refused because this replica is not the leader.
+     *
+     * @param leader the leader to send the proposal to, null when unknown
+     */
     record NotLeader(ReplicaId leader) implements ProposeOutcome {}
 
-    /** Not taken. */
+    /** Refused by the leader. */
     record Refused(ProposeRefusal reason) implements ProposeOutcome {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Quorum.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Quorum.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.ToLongFunction;
 
-/** The highest value that a majority of the voters has reached. */
+/** Computes the highest value that a majority of the voters has reached. */
 final class Quorum {
     private Quorum() {}
 
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftLog.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftLog.java
@@ -6,8 +6,9 @@
 import java.util.TreeMap;
 
 /**
- * The entries in memory behind the newest snapshot, and how far they are synced, committed and handed out. Positions
- * run from 1; {@code base} is the last one that is no longer held.
+ * The part of the log held in memory: the newest snapshot, the entries after {@code compactedIndex}, and the indexes up
+ * to which they are synced, committed and applied. Indexes start at 1; {@code compactedIndex} is the last one whose
+ * entry is no longer held. Not thread-safe.
  */
 final class RaftLog {
     private final List<Entry> entries = new ArrayList<>();
@@ -48,7 +49,7 @@
                 : entries.get(entries.size() - 1).term();
     }
 
-    /** Whether {@link #termAt} knows the position. */
+    /** Whether {@link #termAt} can return the term of an index. */
     boolean hasTermAt(long index) {
         return index >= compactedIndex && index <= lastIndex();
     }
@@ -81,12 +82,15 @@
         return memberships.lastEntry().getValue();
     }
 
-    /** Position of the newest membership, committed or not. */
+    /** Index of the newest membership, committed or not. */
     long membershipIndex() {
         return memberships.lastKey();
     }
 
-    /** Whether a log that ends there holds everything that this one may have committed (Raft paper, section 5.4.1). */
+    /**
+     * Whether a log with this last entry contains everything that this log may have committed (Raft paper, section
+     * 5.4.1).
+     */
     boolean isCandidateUpToDate(long otherLastIndex, long otherLastTerm) {
         if (otherLastTerm != lastTerm()) {
             return otherLastTerm > lastTerm();
@@ -94,10 +98,10 @@
         return otherLastIndex >= lastIndex();
     }
 
-    /** Adds the next entry. */
+    /** Appends the entry that follows the last one. */
     void append(Entry entry) {
         if (entry.index() != lastIndex() + 1) {
-            throw new IllegalStateException("entry " + entry + " does not follow " + lastIndex());
+            throw new IllegalStateException("entry " + entry + " does not follow the last index " + lastIndex());
         }
         entries.add(entry);
         if (entry.kind() == EntryKind.MEMBERSHIP) {
@@ -105,9 +109,12 @@
         }
     }
 
-    /** Takes entries from the leader: what is held already stays, what conflicts is cut off with all behind it. */
-    void merge(List<Entry> offered) {
-        for (Entry each : offered) {
+    /**
+     * Merges entries from the leader. Entries held already stay; a conflicting one is removed together with all after
+     * it.
+     */
+    void merge(List<Entry> received) {
+        for (Entry each : received) {
             if (each.index() <= compactedIndex) {
                 continue;
             }
@@ -123,7 +130,8 @@
 
     private void truncate(long from) {
         if (from <= committedIndex) {
-            throw new IllegalStateException("a committed entry would be lost: " + from + " of " + committedIndex);
+            throw new IllegalStateException(
+                    "cannot truncate from entry " + from + ": committed up to " + committedIndex);
         }
         entries.subList((int) (from - compactedIndex - 1), entries.size()).clear();
         memberships.tailMap(from, true).clear();
@@ -132,12 +140,12 @@
 
     void commitTo(long index) {
         if (index > lastIndex()) {
-            throw new IllegalStateException("commit " + index + " beyond the log's end " + lastIndex());
+            throw new IllegalStateException("commit index " + index + " is beyond the last index " + lastIndex());
         }
         committedIndex = Math.max(committedIndex, index);
     }
 
-    /** The entries from an index on, as many as fit in the bytes but at least one if there is one. */
+    /** Returns the entries from an index on, up to {@code maxBytes} in total but at least one if there is any. */
     List<Entry> entriesFrom(long index, int maxBytes) {
         List<Entry> result = new ArrayList<>();
         long bytes = 0;
@@ -169,7 +177,7 @@
                 entries.subList((int) (appliedIndex - compactedIndex), (int) (committedIndex - compactedIndex)));
     }
 
-    /** The driver has synced and applied everything that was handed out. */
+    /** Records that everything in a {@link Ready} is synced and applied. */
     void advance(Ready ready) {
         if (ready.snapshotToInstall() != null) {
             snapshotToInstall = null;
@@ -184,52 +192,58 @@
         }
     }
 
-    /** Replaces the whole log by a snapshot of the leader. */
-    void install(Snapshot newer) {
-        reset(newer);
-        snapshotToInstall = newer;
+    /** Replaces the whole log by a snapshot from the leader. */
+    void install(Snapshot newSnapshot) {
+        reset(newSnapshot);
+        snapshotToInstall = newSnapshot;
     }
 
-    private void reset(Snapshot newer) {
+    private void reset(Snapshot newSnapshot) {
         entries.clear();
         memberships.clear();
-        memberships.put(newer.index(), newer.membership());
-        snapshot = newer;
-        compactedIndex = newer.index();
-        compactedTerm = newer.term();
+        memberships.put(newSnapshot.index(), newSnapshot.membership());
+        snapshot = newSnapshot;
+        compactedIndex = newSnapshot.index();
+        compactedTerm = newSnapshot.term();
         syncedIndex = compactedIndex;
         committedIndex = compactedIndex;
         appliedIndex = compactedIndex;
     }
 
     /**
-     * Puts the state after {@code index} in place of the entries up to there, but for the last ones, at most {@code
-     * retained} of at most {@code retainedBytes}.
+     * Replaces the entries up to {@code index} by a snapshot, except for the last ones, which are retained for
+     * followers that lag a little.
+     *
+     * @param state the state machine after the entry at {@code index}
+     * @param retained maximum number of entries retained
+     * @param retainedBytes maximum total size of the entries retained, in bytes
      */
     Snapshot compact(long index, byte[] state, int retained, long retainedBytes) {
         if (index > appliedIndex || (snapshot != null && index <= snapshot.index())) {
             throw new IllegalStateException("snapshot at " + index + " of " + appliedIndex + " applied");
         }
-        Membership asOf = memberships.floorEntry(index).getValue();
-        snapshot = new Snapshot(index, termAt(index), asOf, state);
-        long newBase = index;
+        Membership membershipAtIndex = memberships.floorEntry(index).getValue();
+        snapshot = new Snapshot(index, termAt(index), membershipAtIndex, state);
+        long newCompactedIndex = index;
         long bytes = 0;
-        while (newBase > compactedIndex
-                && index - newBase < retained
-                && bytes + entryAt(newBase).sizeBytes() <= retainedBytes) {
-            bytes += entryAt(newBase).sizeBytes();
-            newBase--;
-        }
-        long newBaseTerm = termAt(newBase);
-        entries.subList(0, (int) (newBase - compactedIndex)).clear();
-        compactedIndex = newBase;
-        compactedTerm = newBaseTerm;
+        while (newCompactedIndex > compactedIndex
+                && index - newCompactedIndex < retained
+                && bytes + entryAt(newCompactedIndex).sizeBytes() <= retainedBytes) {
+            bytes += entryAt(newCompactedIndex).sizeBytes();
+            newCompactedIndex--;
+        }
+        long newCompactedTerm = termAt(newCompactedIndex);
+        entries.subList(0, (int) (newCompactedIndex - compactedIndex)).clear();
+        compactedIndex = newCompactedIndex;
+        compactedTerm = newCompactedTerm;
         Map.Entry<Long, Membership> oldest = memberships.floorEntry(index);
         memberships.headMap(oldest.getKey(), false).clear();
         return snapshot;
     }
 
-    /** Where a leader should look next when its entry at {@code prevIndex} is not ours. */
+    /**
+     * Returns the index that a leader should try next as the previous one when the entry at {@code prevIndex} differs.
+     */
     long conflictHint(long prevIndex) {
         if (prevIndex > lastIndex()) {
             return lastIndex();
@@ -237,7 +251,7 @@
         if (prevIndex <= compactedIndex) {
             return Math.max(committedIndex, compactedIndex);
         }
-        // All entries of the conflicting term are skipped at once: one round trip a term, not one an entry.
+        // Skips all entries of the conflicting term at once: one round trip per term instead of one per entry.
         long term = termAt(prevIndex);
         long index = prevIndex - 1;
         while (index > committedIndex && index > compactedIndex && termAt(index) == term) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftNode.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftNode.java
@@ -4,14 +4,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * One replica of the log. Every input carries the monotonic time; after any input, {@link #ready} says what to write,
- * send and apply, until {@link #hasReady} is false. Not safe for use by several threads.
+ * One replica of the log. Each input carries the monotonic time in nanoseconds. After each input, {@link #ready}
+ * returns what to write, send and apply, until {@link #hasReady} returns false. Not thread-safe.
  *
- * <p>The time must be read after the message it comes with was received: an earlier reading would let this replica vote
- * before a lease that it has acknowledged has ended.
+ * <p>The time must be read after the message that it comes with was received. With an earlier reading this replica
+ * could vote before a lease that it has acknowledged has ended.
  */
 public final class RaftNode {
-    /** What {@link #leaseUntilNanos} returns without a lease; earlier than any time. */
+    /** Result of {@link #leaseUntilNanos} without a lease; earlier than any time. */
     public static final long NO_LEASE = Long.MIN_VALUE;
 
     private final NodeState state;
@@ -28,7 +28,7 @@
         this.follower = new Follower(state);
     }
 
-    /** Lets time pass; to be called several times a heartbeat. */
+    /** Processes timeouts; to be called several times per heartbeat interval. */
     public void tick(long nowNanos) {
         beginInput(nowNanos);
         if (leader != null) {
@@ -39,7 +39,7 @@
         endInput();
     }
 
-    /** Takes a message. One for another incarnation of this host's data folder is dropped. */
+    /** Processes a message. A message for another incarnation of this host's data folder is dropped. */
     public void step(long nowNanos, Message message) {
         beginInput(nowNanos);
         if (message.to().equals(state.self())) {
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Tells a deposed leader the newer term, so that it stops at once. */
+    /** Sends the newer term to a deposed leader, so that it steps down at once. */
     private void rejectStale(Message message) {
         if (message.fromLeader()) {
             state.send(new Message.HeartbeatResponse(state.self(), message.from(), state.term(), 0));
@@ -118,7 +118,7 @@
         leader = new Leader(state);
     }
 
-    /** Appends commands in one batch, all or none. */
+    /** Appends commands as one batch, either all of them or none. */
     public ProposeOutcome propose(long nowNanos, List<byte[]> commands) {
         beginInput(nowNanos);
         ProposeOutcome outcome = isLeader() ? leader.propose(commands) : new ProposeOutcome.NotLeader(state.leader());
@@ -126,7 +126,7 @@
         return outcome;
     }
 
-    /** Starts one change of membership. */
+    /** Starts a change of membership. */
     public ProposeOutcome propose(long nowNanos, MembershipChange change) {
         beginInput(nowNanos);
         ProposeOutcome outcome = isLeader() ? leader.propose(change) : new ProposeOutcome.NotLeader(state.leader());
@@ -134,7 +134,10 @@
         return outcome;
     }
 
-    /** Asks for a position from which the latest committed state can be read. */
+    /**
+     * Requests a read of the latest committed state. {@link Ready#confirmedReads()} returns the index to read at once
+     * the leader is confirmed.
+     */
     public ReadOutcome readIndex(long nowNanos) {
         beginInput(nowNanos);
         ReadOutcome outcome =
@@ -143,7 +146,7 @@
         return outcome;
     }
 
-    /** Starts to hand leadership to a voter. Returns whether that is possible. */
+    /** Starts a transfer of leadership to a voter. Returns whether the transfer has started. */
     public boolean transferLeadership(long nowNanos, ReplicaId target) {
         beginInput(nowNanos);
         boolean started = isLeader() && leader.startTransfer(target);
@@ -151,7 +154,10 @@
         return started;
     }
 
-    /** Starts to hand leadership to the voter that holds most of the log. */
+    /**
+     * Starts a transfer of leadership to the voter with the longest matching log. Returns whether the transfer has
+     * started.
+     */
     public boolean transferLeadership(long nowNanos) {
         ReplicaId target = isLeader() ? leader.mostUpToDateVoter() : null;
         return target != null && transferLeadership(nowNanos, target);
@@ -167,15 +173,16 @@
                 || (leader != null && leader.readQueue().hasConfirmed());
     }
 
-    /** What is to be done now. {@link #advance} must follow before any other input. */
+    /** Returns the work that is due now. {@link #advance} must be called before any other input. */
     public Ready ready() {
         if (readyPending) {
-            throw new IllegalStateException("the last ready is not done");
+            throw new IllegalStateException("the previous Ready was not passed to advance yet");
         }
         readyPending = true;
         RaftLog log = state.log();
         HardState hardState = state.hasUnsyncedHardState() ? state.hardState() : null;
-        // A leader whose own term is not synced yet could lead the same term twice if it crashed now.
+        // If the leader crashed before its term is synced, it could lead the same term a second time, so nothing is
+        // sent early until then.
         boolean early = hardState == null && leader != null;
         List<Message> before = early ? state.outbox().drain(true) : List.of();
         return new Ready(
@@ -188,7 +195,7 @@
                 leader == null ? List.of() : leader.readQueue().drainConfirmed());
     }
 
-    /** Everything of the last ready is synced, sent and applied. */
+    /** Reports that everything in the last {@link Ready} is synced, sent and applied. */
     public void advance(long nowNanos, Ready done) {
         readyPending = false;
         beginInput(nowNanos);
@@ -202,15 +209,20 @@
         endInput();
     }
 
-    /** Puts the applied state in place of the log up to {@code index}. Returns the snapshot to be written. */
+    /**
+     * Replaces the log up to {@code index} by a snapshot.
+     *
+     * @param appliedState the state machine after the entry at {@code index}
+     * @return the snapshot, which the caller must write
+     */
     public Snapshot compact(long index, byte[] appliedState) {
-        RaftSettings bounds = state.settings();
-        return state.log().compact(index, appliedState, bounds.retainedEntries(), bounds.maxInflightBytes());
+        RaftSettings settings = state.settings();
+        return state.log().compact(index, appliedState, settings.retainedEntries(), settings.maxInflightBytes());
     }
 
     private void beginInput(long nowNanos) {
         if (readyPending) {
-            throw new IllegalStateException("the last ready is not done");
+            throw new IllegalStateException("the previous Ready was not passed to advance yet");
         }
         state.advanceTime(nowNanos);
     }
@@ -223,8 +235,8 @@
     }
 
     /**
-     * Until when no other replica can be elected, on this replica's clock; {@link #NO_LEASE} without a lease. A caller
-     * compares it with the clock just before it acts. {@link Lease} states why.
+     * Until when no other replica can be elected, in nanoseconds of this replica's clock; {@link #NO_LEASE} without a
+     * lease. Callers compare it with the clock immediately before they act. {@link Lease} explains why this holds.
      */
     public long leaseUntilNanos() {
         return leader == null ? NO_LEASE : leader.leaseUntilNanos();
@@ -234,17 +246,21 @@
         return leader != null;
     }
 
-    /** The leader of the term, null when none is known. */
+    /** The leader of the term, null when unknown. */
     public ReplicaId leader() {
         return state.leader();
     }
 
-    /** Whether a replica holds all that is committed, as far as this leader knows. */
+    /**
+     * Whether a replica holds all committed entries, according to this leader; false if this replica is not the leader.
+     */
     public boolean isCaughtUp(ReplicaId id) {
         return leader != null && leader.isCaughtUp(id);
     }
 
-    /** Nanoseconds without a sign of life of a member, as far as this leader knows; 0 where another leads. */
+    /**
+     * Nanoseconds since the last contact of a member, according to this leader; 0 if this replica is not the leader.
+     */
     public long nanosSinceContact(ReplicaId id) {
         return leader == null ? 0 : leader.nanosSinceContact(id);
     }
@@ -277,7 +293,7 @@
         return state.log().lastIndex();
     }
 
-    /** Entries held in memory. */
+    /** Number of entries held in memory. */
     public long retainedEntries() {
         return state.log().lastIndex() - state.log().firstIndex() + 1;
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftSettings.java
@@ -2,7 +2,10 @@
 
 import java.time.Duration;
 
-/** Times and bounds of the replicated log. Must be the same on all replicas, as the leader's lease rests on them. */
+/**
+ * Timeouts and limits of the replicated log. Must be the same on all replicas, because the leader's lease depends on
+ * them. Sizes are in bytes.
+ */
 public record RaftSettings(
         Duration electionTimeout,
         Duration heartbeat,
@@ -40,12 +43,12 @@
         return heartbeat.toNanos();
     }
 
-    /** Shorter than the election timeout by the margin for clocks that run at unlike speeds. */
+    /** Length of the lease: the election timeout less the margin for clocks that run at different speeds. */
     long leaseNanos() {
         return electionTimeoutNanos() / PERCENT * (PERCENT - leaseMarginPercent);
     }
 
-    /** Builds settings; unset ones keep their default. */
+    /** Builds settings; values that are not set have their default. */
     public static final class Builder {
         private Duration electionTimeout = Duration.ofMillis(1_000);
         private Duration heartbeat = Duration.ofMillis(100);
@@ -59,7 +62,10 @@
 
         private Builder() {}
 
-        /** Shortest time without a leader after which a replica stands; the longest is twice that. */
+        /**
+         * Shortest time without contact from a leader after which a replica starts an election; the longest is twice
+         * that.
+         */
         public Builder electionTimeout(Duration value) {
             electionTimeout = value;
             return this;
@@ -70,7 +76,7 @@
             return this;
         }
 
-        /** How much faster one clock may run than another, in percent; shortens the leader's lease. */
+        /** Greatest difference in speed between two clocks, in percent; shortens the leader's lease. */
         public Builder leaseMarginPercent(int value) {
             leaseMarginPercent = value;
             return this;
@@ -81,13 +87,15 @@
             return this;
         }
 
-        /** Bytes on their way to one follower, unacknowledged; also the most that is retained behind a snapshot. */
+        /**
+         * Bytes in flight to one follower, not yet acknowledged; also the limit of what is retained before a snapshot.
+         */
         public Builder maxInflightBytes(int value) {
             maxInflightBytes = value;
             return this;
         }
 
-        /** Bytes proposed and not committed; a proposal beyond is refused. */
+        /** Bytes proposed and not yet committed; further proposals are refused. */
         public Builder maxUncommittedBytes(int value) {
             maxUncommittedBytes = value;
             return this;
@@ -103,7 +111,7 @@
             return this;
         }
 
-        /** Entries kept in memory behind a snapshot, for followers that are only a little behind. */
+        /** Entries retained in memory before a snapshot, for followers that lag only a little. */
         public Builder retainedEntries(int value) {
             retainedEntries = value;
             return this;
--- a/elmline-core/src/main/java/org/elmline/core/raft/ReadOutcome.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/ReadOutcome.java
@@ -1,13 +1,22 @@
 package org.elmline.core.raft;
 
-/** What became of a request to read the latest committed state. */
+/** Outcome of a request to read the latest committed state. */
 public sealed interface ReadOutcome {
-    /** {@link Ready#confirmedReads()} will carry this number once a quorum has confirmed the leader. */
+    /**
+     * The read waits until a quorum has confirmed the leader; then {@link Ready#confirmedReads()} contains this number.
+     */
     record AwaitingQuorum(long number) implements ReadOutcome {}
 
-    /** Ask the leader, null when none is known. */
+    /**
+     * Refused because this replica is not the leader.
+     *
+     * @param leader the leader to send the read to, null when unknown
+     */
     record NotLeader(ReplicaId leader) implements ReadOutcome {}
 
-    /** The leader has not committed an entry of its own term yet and can't know what earlier ones committed. */
+    /**
+     * Refused because the leader has not committed an entry of its own term yet, and so cannot determine what earlier
+     * leaders committed.
+     */
     record StartOfTermPending() implements ReadOutcome {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/ReadQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/ReadQueue.java
@@ -6,8 +6,8 @@
 import java.util.List;
 
 /**
- * Reads that wait for a majority to answer a request sent no earlier than they came (Raft thesis, section 6.4). A
- * deposed leader that was frozen would otherwise answer from a state that others have changed.
+ * Reads that wait until a majority has answered a request sent no earlier than the read was requested (Raft thesis,
+ * section 6.4). Without this wait, a leader that was suspended and deposed would answer from outdated state.
  */
 final class ReadQueue {
     private record PendingRead(long number, long index, long requestedAtNanos) {}
@@ -15,8 +15,8 @@
     private final Deque<PendingRead> pendingReads = new ArrayDeque<>();
     private final List<ConfirmedRead> confirmedReads = new ArrayList<>();
 
-    void add(long number, long index, long askedNanos) {
-        pendingReads.add(new PendingRead(number, index, askedNanos));
+    void add(long number, long index, long requestedAtNanos) {
+        pendingReads.add(new PendingRead(number, index, requestedAtNanos));
     }
 
     void confirmUpTo(long quorumSentNanos) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/ReplicaId.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/ReplicaId.java
@@ -7,9 +7,9 @@
 /**
  * Identity of one copy of the log: the host and the incarnation of its data folder, written {@code host@hex}.
  *
- * <p>A host whose disk was lost has forgotten its votes. Were it to vote again under its old identity, two leaders could
- * be elected in one term. A fresh folder draws a new incarnation, so messages to the old identity are dropped and votes
- * of the new one count for nothing until the members have promoted it.
+ * <p>A host that lost its disk has also lost the record of its votes. If it voted again under its old identity, two
+ * leaders could be elected in one term. An empty data folder therefore gets a new random incarnation: messages to the
+ * old identity are dropped, and votes of the new one are not counted until the members have promoted it.
  */
 public record ReplicaId(HostId host, long incarnation) implements Comparable<ReplicaId> {
     private static final char SEPARATOR = '@';
--- a/elmline-core/src/main/java/org/elmline/core/raft/Replicator.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Replicator.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import java.util.Map;
 
-/** Sends a leader's log to the other replicas and keeps count of what each holds. */
+/**
+ * Sends a leader's log to the other replicas and tracks the progress of each. Indexes are log positions, times are
+ * nanoseconds of the leader's monotonic clock.
+ */
 final class Replicator {
     private final NodeState state;
     private final Map<ReplicaId, Progress> progressByReplica = new HashMap<>();
@@ -14,7 +17,7 @@
         onMembershipChange();
     }
 
-    /** Starts to count replicas that are new and forgets those that are gone. */
+    /** Starts tracking new members and stops tracking removed ones. */
     void onMembershipChange() {
         Membership membership = state.log().membership();
         progressByReplica.keySet().removeIf(each -> !membership.contains(each));
@@ -26,12 +29,12 @@
         }
     }
 
-    /** Null for a replica that is not a member, and for the leader itself. */
+    /** Returns null for a replica that is not a member, and for the leader itself. */
     Progress progressOf(ReplicaId id) {
         return progressByReplica.get(id);
     }
 
-    /** Up to where a replica's synced log is the leader's. */
+    /** Index up to which a replica's log is synced and matches the leader's, 0 when unknown. */
     long matchIndex(ReplicaId id) {
         if (id.equals(state.self())) {
             return state.log().syncedIndex();
@@ -48,7 +51,7 @@
         return known == null ? Progress.NEVER : known.ackedSentNanos();
     }
 
-    /** When the last answer of a replica came. */
+    /** Time at which the last answer of a replica arrived, {@link Progress#NEVER} when there is none. */
     long lastContactNanos(ReplicaId id) {
         if (id.equals(state.self())) {
             return state.nowNanos();
@@ -63,15 +66,15 @@
         }
     }
 
-    /** Sends what the replica lacks, as far as the bounds allow. */
+    /** Sends the entries or the snapshot that the replica lacks, as far as the limits allow. */
     void sendTo(ReplicaId id) {
         Progress to = progressByReplica.get(id);
         if (to == null) {
             return;
         }
         while (to.canSend(state.settings().maxInflightBytes())) {
-            boolean nothingNew = to.nextIndex() > state.log().lastIndex();
-            if (nothingNew && to.state() == ProgressState.REPLICATE) {
+            boolean nothingToSend = to.nextIndex() > state.log().lastIndex();
+            if (nothingToSend && to.state() == ProgressState.REPLICATE) {
                 return;
             }
             if (!state.log().hasTermAt(to.nextIndex() - 1)) {
@@ -142,17 +145,18 @@
         }
     }
 
-    /** Returns whether the replica's known position moved. */
+    /** Returns whether the match index of the replica has advanced. */
     boolean onAppendResponse(Message.AppendResponse answer) {
         Progress from = progressByReplica.get(answer.from());
-        boolean news;
+        boolean advanced;
         if (answer.accepted()) {
-            news = from.recordMatch(Math.min(answer.matchIndex(), state.log().lastIndex()), state.nowNanos());
+            advanced =
+                    from.recordMatch(Math.min(answer.matchIndex(), state.log().lastIndex()), state.nowNanos());
         } else {
-            news = from.recordReject(answer.prevIndex(), answer.matchIndex(), state.nowNanos());
+            advanced = from.recordReject(answer.prevIndex(), answer.matchIndex(), state.nowNanos());
         }
         sendTo(answer.from());
-        return news && answer.accepted();
+        return advanced && answer.accepted();
     }
 
     void onSnapshotResponse(Message.SnapshotResponse answer) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/RestoredState.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RestoredState.java
@@ -3,15 +3,16 @@
 import java.util.List;
 
 /**
- * What a replica finds in its data folder when it starts.
+ * State that a replica reads from its data folder when it starts.
  *
+ * @param hardState synced term and vote, {@link HardState#NONE} in an empty folder
  * @param snapshot null when there is none
- * @param entries those after the snapshot
- * @param committedIndex an index up to which they are known to be committed, 0 when none is known. It need not be the newest:
- *     it only lets a restarted replica show what it knew before a leader is elected
+ * @param entries the entries after the snapshot
+ * @param committedIndex an index up to which the entries are known to be committed, 0 when none is known. It need not
+ *     be the newest: it only lets a restarted replica provide its last known state before a leader is elected
  */
 public record RestoredState(HardState hardState, Snapshot snapshot, List<Entry> entries, long committedIndex) {
-    /** An empty folder: a replica that waits to be added as a learner and never stands for election. */
+    /** An empty data folder. The replica waits to be added as a learner and never starts an election. */
     public static final RestoredState EMPTY = new RestoredState(HardState.NONE, null, List.of());
 
     private static final long FIRST_INDEX_AND_TERM = 1;
@@ -24,7 +25,9 @@
         this(hardState, snapshot, entries, 0);
     }
 
-    /** The first state of a new cluster, the same on each of its first voters. Only an explicit bootstrap writes it. */
+    /**
+     * The initial state of a new cluster, the same on each of its first voters. Only an explicit bootstrap writes it.
+     */
     public static RestoredState bootstrap(Membership first) {
         if (first.voters().isEmpty()) {
             throw new IllegalArgumentException("a cluster needs a voter");
--- a/elmline-core/src/main/java/org/elmline/core/raft/Role.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Role.java
@@ -1,9 +1,12 @@
 package org.elmline.core.raft;
 
-/** What a replica does in its term. */
+/** Role of a replica in its current term. */
 public enum Role {
     FOLLOWER,
-    /** Asks whether it could win, without raising its term (Raft thesis, section 9.6). */
+    /**
+     * Requests pre-votes to find out whether it could win an election, without raising its term (Raft thesis, section
+     * 9.6).
+     */
     PRE_CANDIDATE,
     CANDIDATE,
     LEADER
--- a/elmline-core/src/main/java/org/elmline/core/raft/Snapshot.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Snapshot.java
@@ -1,9 +1,11 @@
 package org.elmline.core.raft;
 
 /**
- * The state machine's whole state after the entry {@code index}, in place of the log up to there.
+ * The whole state of the state machine after the entry at {@code index}. Replaces the log up to that entry.
  *
- * @param membership the members as of {@code index}
+ * @param term term of the entry at {@code index}
+ * @param membership the membership as of {@code index}
+ * @param data the state as encoded by the state machine; not copied, must not be modified
  */
 public record Snapshot(long index, long term, Membership membership, byte[] data) {
     public Snapshot {
--- a/elmline-core/src/main/java/org/elmline/core/raft/SnapshotReceiver.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/SnapshotReceiver.java
@@ -2,14 +2,14 @@
 
 import java.io.ByteArrayOutputStream;
 
-/** Puts a snapshot together from pieces that may be lost, repeated or come from another leader meanwhile. */
+/** Assembles a snapshot from chunks that may be lost or repeated, or come from a new leader midway. */
 final class SnapshotReceiver {
     private ReplicaId leader;
     private long index;
     private long indexTerm;
     private ByteArrayOutputStream buffer;
 
-    /** Takes a piece. Returns the whole snapshot when this was the last one missing, else null. */
+    /** Adds a chunk. Returns the complete snapshot when this was the last one missing, otherwise null. */
     Snapshot accept(Message.SnapshotChunk chunk) {
         if (!isCurrentSnapshot(chunk)) {
             leader = chunk.from();
@@ -23,12 +23,12 @@
         if (buffer.size() < chunk.total()) {
             return null;
         }
-        Snapshot whole = new Snapshot(index, indexTerm, chunk.membership(), buffer.toByteArray());
+        Snapshot snapshot = new Snapshot(index, indexTerm, chunk.membership(), buffer.toByteArray());
         buffer = null;
-        return whole;
+        return snapshot;
     }
 
-    /** Bytes held of the snapshot that is under way. */
+    /** Bytes received of the current snapshot. */
     long receivedBytes() {
         return buffer == null ? 0 : buffer.size();
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/VoteTally.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/VoteTally.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Counts the votes of one election; votes of replicas that are not voters don't count. */
+/** Counts the votes of one election. Votes of replicas that are not voters are ignored. */
 final class VoteTally {
     private final Membership membership;
     private final Set<ReplicaId> grantedBy = new HashSet<>();
@@ -12,9 +12,9 @@
         this.membership = membership;
     }
 
-    void addVote(ReplicaId by) {
-        if (membership.isVoter(by)) {
-            grantedBy.add(by);
+    void addVote(ReplicaId voter) {
+        if (membership.isVoter(voter)) {
+            grantedBy.add(voter);
         }
     }
 
