--- a/elmline-core/src/test/java/org/elmline/core/ArchitectureTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/ArchitectureTest.java
@@ -7,7 +7,9 @@
 
 import static com.tngtech.archunit.lang.syntax.ArchRuleDefinition.noClasses;
 
-/** Holds the core free of I/O, threads and clocks of its own, so that a test can drive every decision step by step. */
+/**
+ * Checks that the core has no I/O, threads or clocks of its own, so that tests can drive every decision step by step.
+ */
 class ArchitectureTest {
     private static final JavaClasses CORE = new ClassFileImporter()
             .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
@@ -19,7 +21,7 @@
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage("java.net..", "java.nio.channels..", "java.nio.file..", "org.jboss.logging..")
-                .because("core decides; platform modules read and write")
+                .because("core makes decisions; other modules do the input and output")
                 .check(CORE);
     }
 
@@ -30,7 +32,7 @@
                 .dependOnClassesThat()
                 .haveNameMatching("java\\.lang\\.Thread|java\\.util\\.concurrent\\.(Executor.*|Scheduled.*)|java\\.util"
                         + "\\.Timer")
-                .because("time and workers are passed in")
+                .because("time and executors are passed in")
                 .check(CORE);
     }
 
@@ -41,7 +43,7 @@
                 .callMethod(System.class, "currentTimeMillis")
                 .orShould()
                 .callMethod(System.class, "nanoTime")
-                .because("a decision that reads a clock of its own can't be driven by a test")
+                .because("a decision that reads the system clock cannot be tested step by step")
                 .check(CORE);
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/raft/Disk.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/Disk.java
@@ -3,7 +3,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What a replica has synced; outlives its crashes. */
+/** The synced data of a replica, which outlives its crashes. */
 final class Disk {
     private HardState hardState;
     private Snapshot snapshot;
--- a/elmline-core/src/test/java/org/elmline/core/raft/FailoverMeasurement.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/FailoverMeasurement.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Prints the time without a leader after the leader is killed, as a multiple of the shortest election timeout, in the
- * deterministic network. The same seeds print the same figures.
+ * Prints the time without a leader after the leader is killed or transfers leadership, as a multiple of the shortest
+ * election timeout, in the simulated network. The same seeds print the same figures.
  */
 public final class FailoverMeasurement {
     private static final int RUNS = 500;
@@ -28,7 +28,9 @@
         }
     }
 
-    /** Time from the last moment with a leader that takes proposals to the first with a new one. */
+    /**
+     * Time from the last moment with a leader that accepts proposals to the first with a new one, in election timeouts.
+     */
     private static double withoutLeader(int size, int loss, int seed, boolean transfer) {
         SimCluster cluster = new SimCluster(size, seed);
         SimHost old = cluster.awaitLeader();
@@ -40,21 +42,21 @@
         } else {
             old.crash();
         }
-        long stopped = cluster.now();
+        long stoppedAt = cluster.now();
         long term = cluster.hosts.stream()
                 .filter(each -> each.node != null)
                 .mapToLong(each -> each.node.term())
                 .max()
                 .orElse(0);
-        while (cluster.now() < stopped + 1_000 * SimCluster.TIMEOUT) {
+        while (cluster.now() < stoppedAt + 1_000 * SimCluster.TIMEOUT) {
             SimHost leader = cluster.leader();
             boolean committed =
                     leader != null && leader.node.term() > term && leader.node.leaseUntilNanos() != RaftNode.NO_LEASE;
             if (committed) {
-                return (cluster.now() - stopped) / (double) SimCluster.TIMEOUT;
+                return (cluster.now() - stoppedAt) / (double) SimCluster.TIMEOUT;
             }
             if (leader == old && old.node.term() == term && takesProposals(old)) {
-                stopped = cluster.now();
+                stoppedAt = cluster.now();
             }
             cluster.run(STEP);
         }
--- a/elmline-core/src/test/java/org/elmline/core/raft/FaultScheduleTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/FaultScheduleTest.java
@@ -11,7 +11,8 @@
 
 /**
  * Random schedules of faults, two and more at once, against the invariants that {@link SimCluster} checks after each
- * step. After each schedule everything heals and the log must go on. A failure is shrunk to the fewest faults.
+ * step. After each schedule all faults end, and the cluster must commit again. jqwik shrinks a failing schedule to the
+ * fewest faults.
  */
 class FaultScheduleTest {
     enum Kind {
@@ -75,7 +76,7 @@
         cluster.run(5 * SimCluster.TIMEOUT);
         for (SimHost each : cluster.hosts) {
             cluster.require(each.appliedIndex == cluster.committedIndex(), each.id + " has caught up");
-            cluster.require(cluster.committedMembership().isVoter(each.id), each.id + " votes again");
+            cluster.require(cluster.committedMembership().isVoter(each.id), each.id + " is a voter again");
         }
     }
 
@@ -116,7 +117,10 @@
         }
     }
 
-    /** More lost disks at once than a minority of the voters are beyond what any replicated log survives. */
+    /**
+     * Loses the disk of a voter only if no more than a minority of the voters has then lost theirs; no replicated log
+     * survives more.
+     */
     private static void loseDisk(SimCluster cluster, SimHost host) {
         int tolerated = (cluster.committedMembership().voters().size() - 1) / 2;
         boolean votes = cluster.committedMembership().isVoter(host.id);
--- a/elmline-core/src/test/java/org/elmline/core/raft/JoinPlanTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/JoinPlanTest.java
@@ -9,7 +9,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** How lost voters are replaced by hosts that join. */
+/** Replacement of lost voters by hosts that join. */
 class JoinPlanTest {
     private static final ReplicaId A = replica("a", 0);
     private static final ReplicaId B = replica("b", 0);
@@ -22,8 +22,8 @@
     }
 
     /**
-     * Tickets can't be decided after the next loss: a control host was lost for good and another stands in at a new
-     * address, but the lost one stays a voter. The lost one goes once the new one holds the log, never before.
+     * A control host is lost for good and another joins at a new address. If the lost one stayed a voter, no ticket
+     * could be decided after the next loss. The lost one is removed once the new one holds the log, never before.
      */
     @Test
     void aLostVoterMakesRoomForACaughtUpHost() {
@@ -48,7 +48,10 @@
                 JoinPlanner.nextChange(THREE.with(NEW, false), NEW, true, each -> false));
     }
 
-    /** A lost voter among an even number costs a majority of one more; among an odd number it may come back. */
+    /**
+     * Among an even number of voters, a lost one raises the majority by one and is removed; among an odd number it
+     * stays, as it may return.
+     */
     @Test
     void onlyAnEvenNumberIsPruned() {
         Membership four = THREE.with(NEW, true);
--- a/elmline-core/src/test/java/org/elmline/core/raft/JoinQueueTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/JoinQueueTest.java
@@ -11,6 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+/** Replacement of several lost replicas by replicas that have requested to join. */
 class JoinQueueTest {
     private static final long KEPT = 1_000;
     private static final Predicate<ReplicaId> NONE = each -> false;
@@ -25,7 +26,7 @@
         return new ReplicaId(HostId.of(host), incarnation);
     }
 
-    /** Guards against a replacement that stops half way, with one voter fewer or one learner more. */
+    /** Guards against a replacement that stops midway, leaving one voter fewer or one learner more. */
     @Test
     void twoLostReplicasAreReplacedStepByStep() {
         JoinQueue queue = new JoinQueue(KEPT);
@@ -43,7 +44,7 @@
         assertEquals(Membership.ofVoters(List.of(A, NEW_B, NEW_C)), now);
     }
 
-    /** Guards against a replica that can't catch up and keeps the others out. */
+    /** Guards against a replica that cannot catch up and blocks the others. */
     @Test
     void oneThatIsNotReadyHoldsUpNobody() {
         JoinQueue queue = new JoinQueue(KEPT);
@@ -53,7 +54,7 @@
         assertEquals(Optional.of(new MembershipChange.AddLearner(NEW_C)), queue.nextChange(learning, NONE, NONE, 0));
     }
 
-    /** Guards against a voter that is gone again before its first vote. */
+    /** Guards against promoting a replica that is gone again before its first vote. */
     @Test
     void oneThatAsksNoMoreIsForgotten() {
         JoinQueue queue = new JoinQueue(KEPT);
--- a/elmline-core/src/test/java/org/elmline/core/raft/RaftNodeTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/RaftNodeTest.java
@@ -11,13 +11,13 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** One failure and its safeguard at a time. */
+/** Each test plays one failure and checks its safeguard, in the simulated cluster. */
 class RaftNodeTest {
-    private static final long T = SimCluster.TIMEOUT;
+    private static final long TIMEOUT_NANOS = SimCluster.TIMEOUT;
 
     /**
-     * A host is cut off for long and comes back. Its elections failed meanwhile; had each raised its term, the first
-     * message after its return would depose the leader, and callers would wait for an election that nobody needs.
+     * A host is isolated for long and returns. If its failed elections had raised its term, the first message after its
+     * return would depose the leader, and callers would wait for a needless election.
      */
     @Test
     void aReturningReplicaDoesNotDeposeTheLeader() {
@@ -26,60 +26,61 @@
         long term = leader.node.term();
         int other = (cluster.hosts.indexOf(leader) + 1) % 3;
         cluster.cutOff(other);
-        cluster.run(20 * T);
+        cluster.run(20 * TIMEOUT_NANOS);
         cluster.heal();
-        cluster.run(5 * T);
+        cluster.run(5 * TIMEOUT_NANOS);
         assertEquals(term, cluster.leader().node.term());
         assertTrue(leader.node.isLeader());
     }
 
     /**
-     * The leader hears nobody while its own messages still reach the others, who so never elect another. It must step
-     * down by itself, or callers would wait on a leader that can commit nothing.
+     * The leader receives no messages, while its own still reach the others, which therefore elect no other leader. It
+     * must step down by itself, or callers would wait for a leader that can commit nothing.
      */
     @Test
     void aLeaderThatHearsNobodyStepsDown() {
         SimCluster cluster = new SimCluster(3, 2);
         SimHost leader = cluster.awaitLeader();
-        cluster.run(2 * T);
+        cluster.run(2 * TIMEOUT_NANOS);
         int cutOff = cluster.hosts.indexOf(leader);
         cluster.cut((cutOff + 1) % 3, cutOff);
         cluster.cut((cutOff + 2) % 3, cutOff);
-        cluster.run(4 * T);
+        cluster.run(4 * TIMEOUT_NANOS);
         assertFalse(leader.node.isLeader());
         assertTrue(cluster.awaitLeader() != leader);
     }
 
     /**
-     * The leader's process is frozen, another is elected, the frozen one wakes. Before it reads any message it still
-     * believes to lead; its lease must have ended by its own clock before the other was elected.
+     * The leader's process is suspended, another leader is elected, and the process resumes. Until it handles its first
+     * message it still has the role of leader; its lease must have ended by its own clock before the other was elected.
      */
     @Test
     void aFrozenLeaderWakesWithoutLease() {
         SimCluster cluster = new SimCluster(3, 3);
         SimHost frozen = cluster.awaitLeader();
-        cluster.run(2 * T);
+        cluster.run(2 * TIMEOUT_NANOS);
         assertTrue(frozen.node.leaseUntilNanos() > frozen.clock());
         frozen.frozen = true;
-        cluster.run(5 * T);
+        cluster.run(5 * TIMEOUT_NANOS);
         assertTrue(cluster.leader() != frozen);
         assertTrue(frozen.node.isLeader());
         assertTrue(frozen.node.leaseUntilNanos() <= frozen.clock());
         assertInstanceOf(ReadOutcome.AwaitingQuorum.class, frozen.node.readIndex(frozen.clock()));
         frozen.frozen = false;
-        cluster.run(2 * T);
+        cluster.run(2 * TIMEOUT_NANOS);
         assertFalse(frozen.node.isLeader());
     }
 
     /**
-     * A planned stop hands leadership over: proposals go on until the lease has run out, and the target leads without
-     * an election timeout. Were it told to stand at once, it would lead while the old lease still runs.
+     * A planned stop transfers leadership: proposals are accepted until the lease has ended, and the target becomes
+     * leader without waiting for an election timeout. A target that started its election at once would lead while the
+     * old lease still runs.
      */
     @Test
     void leadershipIsHandedOverAfterTheLease() {
         SimCluster cluster = new SimCluster(3, 4);
         SimHost old = cluster.awaitLeader();
-        cluster.run(2 * T);
+        cluster.run(2 * TIMEOUT_NANOS);
         long lease = old.node.leaseUntilNanos();
         assertTrue(old.node.transferLeadership(old.clock()));
         old.work();
@@ -87,16 +88,16 @@
         old.work();
         while (old.node.isLeader()) {
             assertEquals(lease, old.node.leaseUntilNanos());
-            cluster.run(T / 20);
+            cluster.run(TIMEOUT_NANOS / 20);
         }
         assertTrue(old.clock() >= lease);
-        assertTrue(old.clock() < lease + T, "sooner than by an election");
+        assertTrue(old.clock() < lease + TIMEOUT_NANOS, "sooner than by an election");
         assertTrue(cluster.awaitLeader() != old);
     }
 
     /**
-     * A replica misses hundreds of changes; the entries it lacks are compacted. It is brought back by a snapshot in
-     * many pieces while messages are lost.
+     * A replica misses hundreds of entries, which are compacted meanwhile. It catches up by a snapshot in many chunks
+     * while messages are lost.
      */
     @Test
     void aReplicaFarBehindIsBroughtBackBySnapshot() {
@@ -108,20 +109,20 @@
         behind.crash();
         for (int i = 0; i < 500; i++) {
             cluster.propose();
-            cluster.run(T / 20);
+            cluster.run(TIMEOUT_NANOS / 20);
         }
-        cluster.run(T);
+        cluster.run(TIMEOUT_NANOS);
         cluster.leader().compact();
         behind.start();
         cluster.lossPercent = 20;
-        cluster.run(10 * T);
+        cluster.run(10 * TIMEOUT_NANOS);
         assertEquals(cluster.committedIndex(), behind.appliedIndex);
         assertEquals(leader.node.snapshot().index(), behind.node.snapshot().index());
     }
 
     /**
-     * A host loses its disk and is replaced; right after, a second host loses its disk as well. Nothing committed may
-     * be lost, and the log goes on.
+     * A host loses its disk and is replaced; immediately after that a second host loses its disk as well. No committed
+     * entry may be lost, and the cluster must commit again.
      */
     @Test
     void aSecondDiskIsLostRightAfterTheFirstIsReplaced() {
@@ -130,18 +131,20 @@
         cluster.propose();
         cluster.hosts.get(0).loseDisk();
         while (!cluster.committedMembership().isVoter(cluster.hosts.get(0).id)) {
-            cluster.run(T / 20);
+            cluster.run(TIMEOUT_NANOS / 20);
         }
         cluster.hosts.get(1).loseDisk();
-        cluster.run(20 * T);
+        cluster.run(20 * TIMEOUT_NANOS);
         cluster.propose();
-        cluster.run(T);
+        cluster.run(TIMEOUT_NANOS);
         assertEquals(0, cluster.lostVoters());
         assertEquals(3, cluster.committedMembership().voters().size());
         cluster.hosts.forEach(each -> assertEquals(cluster.committedIndex(), each.appliedIndex));
     }
 
-    /** An empty folder never stands and grants no vote under the id that its host had before. */
+    /**
+     * A replica with an empty data folder starts no election and grants no vote under the id that its host had before.
+     */
     @Test
     void anEmptyFolderNeitherStandsNorVotesAsItsPredecessor() {
         ReplicaId old = new ReplicaId(HostId.of("h0"), 1);
@@ -156,12 +159,15 @@
         assertEquals(Role.FOLLOWER, node.role());
     }
 
-    /** With the majority gone, proposals pile up to the bound and are refused beyond it, none of a batch taken. */
+    /**
+     * Without a majority, uncommitted proposals accumulate up to the limit. Further ones are refused, and no part of a
+     * refused batch is appended.
+     */
     @Test
     void proposalsBeyondTheBoundAreRefused() {
         SimCluster cluster = new SimCluster(3, 7, RaftSettings.builder().maxUncommittedBytes(900));
         SimHost leader = cluster.awaitLeader();
-        cluster.run(T);
+        cluster.run(TIMEOUT_NANOS);
         cluster.cutOff(cluster.hosts.indexOf(leader));
         byte[] command = new byte[300];
         long before = leader.node.lastIndex();
@@ -176,14 +182,14 @@
     void membershipChangesComeOneAtATimeAndOnlyWhenSafe() {
         SimCluster cluster = new SimCluster(3, 8);
         SimHost leader = cluster.awaitLeader();
-        cluster.run(T);
+        cluster.run(TIMEOUT_NANOS);
         ReplicaId fresh = new ReplicaId(HostId.of("new"), 1);
         ReplicaId voter = cluster.hosts.get(0).id;
         assertEquals(ProposeRefusal.UNKNOWN_REPLICA, refusal(leader, new MembershipChange.Promote(fresh)));
         assertEquals(ProposeRefusal.ALREADY_MEMBER, refusal(leader, new MembershipChange.AddLearner(voter)));
         assertNull(refusal(leader, new MembershipChange.AddLearner(fresh)));
         assertEquals(ProposeRefusal.CHANGE_IN_PROGRESS, refusal(leader, new MembershipChange.Remove(fresh)));
-        cluster.run(T);
+        cluster.run(TIMEOUT_NANOS);
         assertEquals(ProposeRefusal.NOT_CAUGHT_UP, refusal(leader, new MembershipChange.Promote(fresh)));
         assertNull(refusal(leader, new MembershipChange.Remove(fresh)));
     }
@@ -194,7 +200,7 @@
         return outcome instanceof ProposeOutcome.Refused refused ? refused.reason() : null;
     }
 
-    /** Large entries retained by count alone would fill the memory. */
+    /** Large entries limited only by number would fill the memory. */
     @Test
     void entriesRetainedBehindASnapshotAreBoundedInBytes() {
         RaftSettings.Builder bounds =
--- a/elmline-core/src/test/java/org/elmline/core/raft/SafeguardTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SafeguardTest.java
@@ -11,13 +11,15 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Orders of events too rare for random schedules, played message by message against replica A of A, B and C. */
+/**
+ * Event sequences too rare for random schedules, played message by message against replica A of the voters A, B and C.
+ */
 class SafeguardTest {
     private static final ReplicaId A = new ReplicaId(HostId.of("a"), 1);
     private static final ReplicaId B = new ReplicaId(HostId.of("b"), 1);
     private static final ReplicaId C = new ReplicaId(HostId.of("c"), 1);
     private static final RaftSettings SETTINGS = RaftSettings.builder().build();
-    private static final long T = SETTINGS.electionTimeoutNanos();
+    private static final long TIMEOUT_NANOS = SETTINGS.electionTimeoutNanos();
 
     private final Disk disk = new Disk(RestoredState.bootstrap(Membership.ofVoters(List.of(A, B, C))));
     private RaftNode node = start(0);
@@ -26,7 +28,7 @@
         return new RaftNode(A, SETTINGS, disk.read(), new SplittableRandom(1), now);
     }
 
-    /** Does all that is ready and returns what was sent. */
+    /** Processes everything that is ready and returns the messages sent. */
     private List<Message> work(long now) {
         List<Message> sent = new ArrayList<>();
         while (node.hasReady()) {
@@ -48,7 +50,7 @@
         return new Message.VoteRequest(from, A, term, 9, term - 1, false);
     }
 
-    /** A leads term 2 from now on; B has answered its first heartbeat. */
+    /** Makes A the leader of term 2, with its first entry acknowledged by B. */
     private void lead(long now) {
         node.tick(now);
         work(now);
@@ -59,79 +61,100 @@
     }
 
     /**
-     * A votes for B and crashes; C asks for the vote of the same term. A forgotten vote would elect two leaders, and
-     * callers would see two histories.
+     * A votes for B and crashes, then C requests the vote of the same term. If the vote were lost, two leaders could be
+     * elected in one term, and callers would see two histories.
      */
     @Test
     void aVoteOutlivesARestart() {
-        assertTrue(((Message.VoteResponse) step(2 * T, vote(B, 5)).get(0)).granted());
-        node = start(3 * T);
-        assertFalse(((Message.VoteResponse) step(5 * T, vote(C, 5)).get(0)).granted());
+        assertTrue(((Message.VoteResponse) step(2 * TIMEOUT_NANOS, vote(B, 5)).get(0)).granted());
+        node = start(3 * TIMEOUT_NANOS);
+        assertFalse(((Message.VoteResponse) step(5 * TIMEOUT_NANOS, vote(C, 5)).get(0)).granted());
     }
 
-    /** A acknowledges B's heartbeat, restarts and is asked by C at once, while B's lease still rests on A. */
+    /**
+     * A acknowledges B's heartbeat and restarts, and C requests its vote at once, while B's lease still depends on A.
+     */
     @Test
     void aRestartedVoterRefusesUntilALeaseMustHaveEnded() {
-        step(2 * T, new Message.Heartbeat(B, A, 3, 0, 1));
-        node = start(2 * T + T / 4);
-        assertEquals(List.of(), step(2 * T + T / 2, vote(C, 4)));
-        assertEquals(1, step(4 * T, vote(C, 4)).size());
+        step(2 * TIMEOUT_NANOS, new Message.Heartbeat(B, A, 3, 0, 1));
+        node = start(2 * TIMEOUT_NANOS + TIMEOUT_NANOS / 4);
+        assertEquals(List.of(), step(2 * TIMEOUT_NANOS + TIMEOUT_NANOS / 2, vote(C, 4)));
+        assertEquals(1, step(4 * TIMEOUT_NANOS, vote(C, 4)).size());
     }
 
-    /** A's lease rests on A and B; C's late answer of a higher term deposes A, and C asks A for its vote at once. */
+    /**
+     * A's lease depends on A and B. C's delayed answer with a higher term deposes A, and C requests A's vote at once.
+     */
     @Test
     void aDeposedLeaderKeepsToItsOwnLease() {
-        lead(3 * T);
-        assertTrue(node.leaseUntilNanos() > 3 * T);
-        step(3 * T + 1, new Message.HeartbeatResponse(C, A, 7, 0));
+        lead(3 * TIMEOUT_NANOS);
+        assertTrue(node.leaseUntilNanos() > 3 * TIMEOUT_NANOS);
+        step(3 * TIMEOUT_NANOS + 1, new Message.HeartbeatResponse(C, A, 7, 0));
         assertFalse(node.isLeader());
-        assertEquals(List.of(), step(3 * T + 2, vote(C, 8)));
+        assertEquals(List.of(), step(3 * TIMEOUT_NANOS + 2, vote(C, 8)));
     }
 
-    /** A hears the leader B, then learns C's term from a late answer; C's request is of the present term now. */
+    /**
+     * A receives a heartbeat from leader B, then adopts C's higher term from a delayed answer. C's vote request is of
+     * the current term now, but B's lease still runs.
+     */
     @Test
     void aTermLearntLateDoesNotOpenTheLease() {
-        step(2 * T, new Message.Heartbeat(B, A, 3, 0, 1));
-        step(2 * T + 1, new Message.PreVoteResponse(C, A, 6, false));
+        step(2 * TIMEOUT_NANOS, new Message.Heartbeat(B, A, 3, 0, 1));
+        step(2 * TIMEOUT_NANOS + 1, new Message.PreVoteResponse(C, A, 6, false));
         assertEquals(6, node.term());
-        assertEquals(List.of(), step(2 * T + 2, vote(C, 6)));
+        assertEquals(List.of(), step(2 * TIMEOUT_NANOS + 2, vote(C, 6)));
     }
 
-    /** B answers the entry of an earlier term only; committed by count, a leader without it could still be elected. */
+    /**
+     * B acknowledges only the entry of an earlier term. If that entry were committed by counting replicas, a leader
+     * without it could still be elected.
+     */
     @Test
     void anEntryOfAnEarlierTermIsNotCommittedByCount() {
-        node.tick(3 * T);
-        work(3 * T);
-        step(3 * T, new Message.PreVoteResponse(B, A, 2, true));
-        step(3 * T, new Message.VoteResponse(B, A, 2, true));
-        step(3 * T, new Message.AppendResponse(B, A, 2, true, 0, 1, 3 * T));
+        node.tick(3 * TIMEOUT_NANOS);
+        work(3 * TIMEOUT_NANOS);
+        step(3 * TIMEOUT_NANOS, new Message.PreVoteResponse(B, A, 2, true));
+        step(3 * TIMEOUT_NANOS, new Message.VoteResponse(B, A, 2, true));
+        step(3 * TIMEOUT_NANOS, new Message.AppendResponse(B, A, 2, true, 0, 1, 3 * TIMEOUT_NANOS));
         assertEquals(0, node.committedIndex());
         assertEquals(RaftNode.NO_LEASE, node.leaseUntilNanos());
-        step(3 * T, new Message.AppendResponse(B, A, 2, true, 1, 2, 3 * T));
+        step(3 * TIMEOUT_NANOS, new Message.AppendResponse(B, A, 2, true, 1, 2, 3 * TIMEOUT_NANOS));
         assertEquals(2, node.committedIndex());
     }
 
-    /** Clocks differ in speed: the lease counts from the sending and ends a tenth before the timeout. */
+    /**
+     * Clocks run at different speeds: the lease is measured from the send time and is a tenth shorter than the election
+     * timeout.
+     */
     @Test
     void theLeaseCountsFromTheSendingLessTheMargin() {
-        lead(3 * T);
-        step(3 * T + T / 2, new Message.HeartbeatResponse(B, A, 2, 3 * T + T / 4));
-        assertEquals(3 * T + T / 4 + T / 10 * 9, node.leaseUntilNanos());
+        lead(3 * TIMEOUT_NANOS);
+        step(
+                3 * TIMEOUT_NANOS + TIMEOUT_NANOS / 2,
+                new Message.HeartbeatResponse(B, A, 2, 3 * TIMEOUT_NANOS + TIMEOUT_NANOS / 4));
+        assertEquals(3 * TIMEOUT_NANOS + TIMEOUT_NANOS / 4 + TIMEOUT_NANOS / 10 * 9, node.leaseUntilNanos());
     }
 
-    /** A lone voter that crashes before its term is synced would lead that term twice if its requests had left. */
+    /**
+     * A single voter that crashes before its term is synced could lead that term a second time if its requests had been
+     * sent.
+     */
     @Test
     void nothingOfANewTermLeavesBeforeTheTermIsSynced() {
         Membership one = new Membership(List.of(A), List.of(B));
         node = new RaftNode(A, SETTINGS, RestoredState.bootstrap(one), new SplittableRandom(1), 0);
-        node.tick(3 * T);
+        node.tick(3 * TIMEOUT_NANOS);
         Ready first = node.ready();
         assertTrue(node.isLeader());
         assertEquals(List.of(), first.messagesBeforeSync());
         assertFalse(first.messagesAfterSync().isEmpty());
     }
 
-    /** Removed before the newcomer holds the log, the old voter would leave a majority of one less for longer. */
+    /**
+     * If the lost voter were removed before the new replica holds the log, the cluster would have one voter fewer for
+     * longer.
+     */
     @Test
     void aNewcomerCatchesUpBeforeTheLostOneGoes() {
         ReplicaId fresh = new ReplicaId(C.host(), 2);
--- a/elmline-core/src/test/java/org/elmline/core/raft/SimCluster.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SimCluster.java
@@ -13,9 +13,10 @@
 import org.elmline.core.common.HostId;
 
 /**
- * A deterministic network of replicas that checks the invariants after each step: one leader a term, no vote twice in a
- * term, no vote that counts from a replica nobody promoted, committed entries stay and are applied in one order, and no
- * leader is elected before every lease of another has ended. Messages are routed by host, as in the real network.
+ * A deterministic network of replicas that checks these invariants after each step: one leader per term; no replica
+ * votes for two candidates in one term; no vote is from a replica that was never promoted; committed entries are never
+ * lost and are applied in the same order on all replicas; no leader is elected before every lease of another has ended.
+ * Messages are routed by host, as in the real network.
  */
 final class SimCluster {
     static final long TIMEOUT = Duration.ofMillis(100).toNanos();
@@ -77,7 +78,7 @@
         return committedMembership;
     }
 
-    /** How many of the committed voters have lost their data folder. */
+    /** Number of committed voters that have lost their data folder. */
     long lostVoters() {
         return committedMembership.voters().stream()
                 .filter(each -> hosts.stream().noneMatch(host -> host.id.equals(each)))
@@ -103,7 +104,7 @@
             }
             boolean late = random.nextInt(4) == 0;
             if (late || chance < lossPercent + repeatPercent) {
-                // Comes again later, so behind others.
+                // Delivered again later, after other messages.
                 inFlight.add(each);
             }
             if (!late) {
@@ -151,7 +152,9 @@
         return leader();
     }
 
-    /** Proposes on every host that believes to lead, also a deposed one. */
+    /**
+     * Proposes on every running host with the role of leader, including deposed ones that have not stepped down yet.
+     */
     void propose() {
         for (SimHost each : hosts) {
             if (each.runs() && each.node.isLeader()) {
@@ -191,14 +194,14 @@
     private void voted(ReplicaId voter, long term, ReplicaId candidate) {
         ReplicaId earlier = votes.putIfAbsent(voter + " in " + term, candidate);
         require(earlier == null || earlier.equals(candidate), voter + " voted twice in term " + term);
-        require(everVoters.contains(voter), voter + " voted with a data folder nobody promoted");
+        require(everVoters.contains(voter), voter + " voted with a data folder that was never promoted");
     }
 
     void applied(SimHost host, Entry entry) {
         Entry earlier = committed.putIfAbsent(entry.index(), entry);
-        require(earlier == null || earlier.equals(entry), "committed " + earlier + " became " + entry);
+        require(earlier == null || earlier.equals(entry), "committed entry " + earlier + " was replaced by " + entry);
         long hash = hashes.computeIfAbsent(entry.index(), index -> host.appliedHash);
-        require(hash == host.appliedHash, "one order of entries on all replicas");
+        require(hash == host.appliedHash, "all replicas apply the same entries in the same order");
         if (entry.index() > committedIndex) {
             committedIndex = entry.index();
             if (entry.kind() == EntryKind.MEMBERSHIP) {
@@ -208,10 +211,10 @@
     }
 
     void restored(SimHost host) {
-        require(hashes.get(host.appliedIndex) == host.appliedHash, "a snapshot holds the committed state");
+        require(hashes.get(host.appliedIndex) == host.appliedHash, "a restored snapshot has the committed state");
     }
 
-    /** Called after each input of a host. */
+    /** Checks the invariants of leadership and leases; called after each input of a host. */
     void check(SimHost host) {
         if (host.node == null || !host.node.isLeader()) {
             return;
@@ -229,8 +232,8 @@
     }
 
     /**
-     * No lease reaches past the election of another replica in a later term. A candidate that was frozen may count late
-     * votes and believe to lead an earlier term; it gets no lease by that.
+     * Checks that no lease extends past the election of another replica in a later term. A candidate that was suspended
+     * may count late votes and become leader of an earlier term; that gives it no lease.
      */
     private void checkLeases(ReplicaId id, long term) {
         leaseEnds
@@ -245,9 +248,9 @@
                         id + " holds a lease of term " + term + " while " + leaders.get(later) + " leads"));
     }
 
-    void require(boolean holds, String what) {
-        if (!holds) {
-            throw new AssertionError(what + " (at " + now / 1_000_000 + " ms)");
+    void require(boolean condition, String invariant) {
+        if (!condition) {
+            throw new AssertionError(invariant + " (at " + now / 1_000_000 + " ms)");
         }
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-/** One simulated host: its disk outlives the process, its clock has an own origin and speed. */
+/** One simulated host. Its disk outlives the process; its clock has its own origin and speed. */
 final class SimHost {
     enum CrashPoint {
         NONE,
@@ -42,7 +42,7 @@
         return clockOrigin + (long) (cluster.now() * clockSpeed);
     }
 
-    /** The simulation's time at a reading of this host's clock. */
+    /** Converts a reading of this host's clock to the time of the simulation. */
     double trueTime(long clockNanos) {
         return (clockNanos - clockOrigin) / clockSpeed;
     }
@@ -68,13 +68,13 @@
         readFloors.clear();
     }
 
-    /** No fault is pending any more. */
+    /** Clears all pending faults. */
     void recover() {
         frozen = false;
         crashPoint = CrashPoint.NONE;
     }
 
-    /** The host comes back with an empty data folder, so under a new incarnation. */
+    /** Restarts the host with an empty data folder and therefore a new incarnation. */
     void loseDisk() {
         crash();
         id = new ReplicaId(id.host(), id.incarnation() + 1);
@@ -131,7 +131,9 @@
             }
             ready.committedEntries().forEach(this::apply);
             for (ConfirmedRead each : ready.confirmedReads()) {
-                cluster.require(each.index() >= readFloors.remove(each.number()), "a read misses a commit");
+                cluster.require(
+                        each.index() >= readFloors.remove(each.number()),
+                        "a read includes everything committed before it");
             }
             node.advance(clock(), ready);
         }
@@ -149,7 +151,7 @@
         ByteBuffer state = ByteBuffer.wrap(snapshot.data());
         appliedIndex = state.getLong();
         appliedHash = state.getLong();
-        cluster.require(appliedIndex == snapshot.index(), "a snapshot holds its index");
+        cluster.require(appliedIndex == snapshot.index(), "the state in a snapshot is that of its index");
         cluster.restored(this);
     }
 
