--- a/elmline-core/src/main/java/org/elmline/core/config/Model.java
+++ b/elmline-core/src/main/java/org/elmline/core/config/Model.java
@@ -11,7 +11,7 @@
  * @param version version of the weights that engines must serve
  * @param adapters adapters that callers may request, each loaded on engines of the model
  * @param maxPromptTokens longest prompt accepted, in tokens; may exceed the memory of one engine
- * @param maxOutputTokens longest output that a request may ask for, in tokens
+ * @param maxOutputTokens longest output of a request, in tokens
  * @param minReadyReplicas engines that must stay ready while roles and versions change
  * @param removed true when the model is no longer served
  */
