--- a/elmline-core/src/main/java/org/elmline/core/raft/JoinPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/JoinPlanner.java
@@ -39,8 +39,8 @@
         }
         for (ReplicaId each : now.all()) {
             boolean replaced = each.host().equals(joining.host()) && !each.equals(joining);
-            boolean gone = now.isVoter(each) && lost.test(each);
-            if ((replaced || gone) && now.voters().size() > 1) {
+            boolean lostVoter = now.isVoter(each) && lost.test(each);
+            if ((replaced || lostVoter) && now.voters().size() > 1) {
                 return Optional.of(new MembershipChange.Remove(each));
             }
         }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Replicator.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Replicator.java
@@ -39,16 +39,16 @@
         if (id.equals(state.self())) {
             return state.log().syncedIndex();
         }
-        Progress known = progressByReplica.get(id);
-        return known == null ? 0 : known.matchIndex();
+        Progress progress = progressByReplica.get(id);
+        return progress == null ? 0 : progress.matchIndex();
     }
 
     long ackedSentNanos(ReplicaId id) {
         if (id.equals(state.self())) {
             return state.nowNanos();
         }
-        Progress known = progressByReplica.get(id);
-        return known == null ? Progress.NEVER : known.ackedSentNanos();
+        Progress progress = progressByReplica.get(id);
+        return progress == null ? Progress.NEVER : progress.ackedSentNanos();
     }
 
     /** Time at which the last answer of a replica arrived, {@link Progress#NEVER} when there is none. */
@@ -56,8 +56,8 @@
         if (id.equals(state.self())) {
             return state.nowNanos();
         }
-        Progress known = progressByReplica.get(id);
-        return known == null ? Progress.NEVER : known.lastContactNanos();
+        Progress progress = progressByReplica.get(id);
+        return progress == null ? Progress.NEVER : progress.lastContactNanos();
     }
 
     void sendToAll() {
--- a/elmline-core/src/test/java/org/elmline/core/raft/FailoverMeasurement.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/FailoverMeasurement.java
@@ -9,7 +9,7 @@
  */
 public final class FailoverMeasurement {
     private static final int RUNS = 500;
-    private static final long STEP = SimCluster.TIMEOUT / 20;
+    private static final long STEP_NANOS = SimCluster.TIMEOUT_NANOS / 20;
 
     private FailoverMeasurement() {}
 
@@ -19,11 +19,12 @@
                 List<Double> crash = new ArrayList<>();
                 List<Double> transfer = new ArrayList<>();
                 for (int seed = 0; seed < RUNS; seed++) {
-                    crash.add(withoutLeader(size, loss, seed, false));
-                    transfer.add(withoutLeader(size, loss, seed, true));
+                    crash.add(timeWithoutLeader(size, loss, seed, false));
+                    transfer.add(timeWithoutLeader(size, loss, seed, true));
                 }
                 System.out.printf(
-                        "replicas %d loss %d%%: killed %s, handed over %s%n", size, loss, of(crash), of(transfer));
+                        "replicas %d loss %d%%: killed %s, handed over %s%n",
+                        size, loss, format(crash), format(transfer));
             }
         }
     }
@@ -31,14 +32,14 @@
     /**
      * Time from the last moment with a leader that accepts proposals to the first with a new one, in election timeouts.
      */
-    private static double withoutLeader(int size, int loss, int seed, boolean transfer) {
+    private static double timeWithoutLeader(int size, int loss, int seed, boolean transfer) {
         SimCluster cluster = new SimCluster(size, seed);
         SimHost old = cluster.awaitLeader();
-        cluster.run(5 * SimCluster.TIMEOUT + seed % 20 * STEP);
+        cluster.run(5 * SimCluster.TIMEOUT_NANOS + seed % 20 * STEP_NANOS);
         cluster.lossPercent = loss;
         if (transfer) {
             old.node.transferLeadership(old.clock());
-            old.work();
+            old.processReady();
         } else {
             old.crash();
         }
@@ -48,28 +49,28 @@
                 .mapToLong(each -> each.node.term())
                 .max()
                 .orElse(0);
-        while (cluster.now() < stoppedAt + 1_000 * SimCluster.TIMEOUT) {
+        while (cluster.now() < stoppedAt + 1_000 * SimCluster.TIMEOUT_NANOS) {
             SimHost leader = cluster.leader();
             boolean committed =
                     leader != null && leader.node.term() > term && leader.node.leaseUntilNanos() != RaftNode.NO_LEASE;
             if (committed) {
-                return (cluster.now() - stoppedAt) / (double) SimCluster.TIMEOUT;
+                return (cluster.now() - stoppedAt) / (double) SimCluster.TIMEOUT_NANOS;
             }
             if (leader == old && old.node.term() == term && takesProposals(old)) {
                 stoppedAt = cluster.now();
             }
-            cluster.run(STEP);
+            cluster.run(STEP_NANOS);
         }
         throw new IllegalStateException("no leader with seed " + seed);
     }
 
     private static boolean takesProposals(SimHost leader) {
         boolean taken = leader.node.propose(leader.clock(), List.of(new byte[1])) instanceof ProposeOutcome.Appended;
-        leader.work();
+        leader.processReady();
         return taken;
     }
 
-    private static String of(List<Double> values) {
+    private static String format(List<Double> values) {
         List<Double> sorted = values.stream().sorted().toList();
         return String.format(
                 "median %.2f (5%% %.2f, 95%% %.2f, most %.2f)",
--- a/elmline-core/src/test/java/org/elmline/core/raft/FaultScheduleTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/FaultScheduleTest.java
@@ -23,8 +23,8 @@
         CRASH_AFTER_SYNC,
         RESTART,
         FREEZE,
-        WAKE,
-        CUT_OFF,
+        RESUME,
+        ISOLATE,
         CUT_ONE_WAY,
         HEAL,
         LOSE_MESSAGES,
@@ -50,30 +50,30 @@
 
     @Property(seed = "20260417", tries = 400)
     void threeReplicasKeepTheInvariants(@ForAll("schedules") List<Step> schedule, @ForAll long seed) {
-        play(new SimCluster(3, seed, smallBounds()), schedule);
+        runSchedule(new SimCluster(3, seed, smallBounds()), schedule);
     }
 
     @Property(seed = "20260418", tries = 200)
     void fiveReplicasKeepTheInvariants(@ForAll("schedules") List<Step> schedule, @ForAll long seed) {
-        play(new SimCluster(5, seed, smallBounds()), schedule);
+        runSchedule(new SimCluster(5, seed, smallBounds()), schedule);
     }
 
     private static RaftSettings.Builder smallBounds() {
         return RaftSettings.builder().snapshotChunkBytes(20).retainedEntries(2).maxAppendBytes(200);
     }
 
-    private static void play(SimCluster cluster, List<Step> schedule) {
-        cluster.run(2 * SimCluster.TIMEOUT);
+    private static void runSchedule(SimCluster cluster, List<Step> schedule) {
+        cluster.run(2 * SimCluster.TIMEOUT_NANOS);
         for (Step each : schedule) {
             apply(cluster, each);
-            cluster.run(SimCluster.TIMEOUT / 4);
+            cluster.run(SimCluster.TIMEOUT_NANOS / 4);
         }
         cluster.heal();
         cluster.hosts.forEach(SimHost::start);
-        cluster.hosts.forEach(SimHost::recover);
-        cluster.run(30 * SimCluster.TIMEOUT);
+        cluster.hosts.forEach(SimHost::clearFaults);
+        cluster.run(30 * SimCluster.TIMEOUT_NANOS);
         cluster.propose();
-        cluster.run(5 * SimCluster.TIMEOUT);
+        cluster.run(5 * SimCluster.TIMEOUT_NANOS);
         for (SimHost each : cluster.hosts) {
             cluster.require(each.appliedIndex == cluster.committedIndex(), each.id + " has caught up");
             cluster.require(cluster.committedMembership().isVoter(each.id), each.id + " is a voter again");
@@ -82,19 +82,19 @@
 
     private static void apply(SimCluster cluster, Step step) {
         SimHost host = cluster.hosts.get(step.host() % cluster.hosts.size());
-        int host1 = step.host() % cluster.hosts.size();
-        int host2 = step.other() % cluster.hosts.size();
+        int hostIndex = step.host() % cluster.hosts.size();
+        int otherIndex = step.other() % cluster.hosts.size();
         switch (step.kind()) {
-            case RUN -> cluster.run(SimCluster.TIMEOUT * (1 + step.other()));
+            case RUN -> cluster.run(SimCluster.TIMEOUT_NANOS * (1 + step.other()));
             case PROPOSE -> cluster.propose();
             case CRASH -> host.crash();
             case CRASH_BEFORE_SYNC -> host.crashPoint = SimHost.CrashPoint.BEFORE_SYNC;
             case CRASH_AFTER_SYNC -> host.crashPoint = SimHost.CrashPoint.AFTER_SYNC;
             case RESTART -> host.start();
             case FREEZE -> host.frozen = host.node != null;
-            case WAKE -> host.frozen = false;
-            case CUT_OFF -> cluster.cutOff(host1);
-            case CUT_ONE_WAY -> cluster.cut(host1, host2);
+            case RESUME -> host.frozen = false;
+            case ISOLATE -> cluster.isolate(hostIndex);
+            case CUT_ONE_WAY -> cluster.cutLink(hostIndex, otherIndex);
             case HEAL -> cluster.heal();
             case LOSE_MESSAGES -> cluster.lossPercent = 10 * step.other();
             case REPEAT_MESSAGES -> cluster.repeatPercent = 10 * step.other();
@@ -104,16 +104,16 @@
     }
 
     private static void onRunning(SimHost host, Step step) {
-        if (!host.runs()) {
+        if (!host.isRunning()) {
             return;
         }
         switch (step.kind()) {
             case TRANSFER -> {
                 host.node.transferLeadership(host.clock());
-                host.work();
+                host.processReady();
             }
             case COMPACT -> host.compact();
-            default -> host.read();
+            default -> host.requestRead();
         }
     }
 
--- a/elmline-core/src/test/java/org/elmline/core/raft/JoinPlanTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/JoinPlanTest.java
@@ -26,7 +26,7 @@
      * could be decided after the next loss. The lost one is removed once the new one holds the log, never before.
      */
     @Test
-    void aLostVoterMakesRoomForACaughtUpHost() {
+    void removesLostVoterOnceNewReplicaHasCaughtUp() {
         assertEquals(
                 Optional.of(new MembershipChange.AddLearner(NEW)),
                 JoinPlanner.nextChange(THREE, NEW, false, each -> each.equals(C)));
@@ -42,7 +42,7 @@
     }
 
     @Test
-    void aHostThatOnlyJoinsReplacesNobody() {
+    void joiningReplicaRemovesNoVoterThatIsNotLost() {
         assertEquals(
                 Optional.of(new MembershipChange.Promote(NEW)),
                 JoinPlanner.nextChange(THREE.with(NEW, false), NEW, true, each -> false));
@@ -53,7 +53,7 @@
      * stays, as it may return.
      */
     @Test
-    void onlyAnEvenNumberIsPruned() {
+    void removesLostVoterOnlyFromEvenNumberOfVoters() {
         Membership four = THREE.with(NEW, true);
         assertEquals(
                 Optional.of(new MembershipChange.Remove(B)), JoinPlanner.removeLostVoter(four, each -> each.equals(B)));
--- a/elmline-core/src/test/java/org/elmline/core/raft/JoinQueueTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/JoinQueueTest.java
@@ -13,7 +13,7 @@
 
 /** Replacement of several lost replicas by replicas that have requested to join. */
 class JoinQueueTest {
-    private static final long KEPT = 1_000;
+    private static final long REQUEST_TTL_NANOS = 1_000;
     private static final Predicate<ReplicaId> NONE = each -> false;
     private static final Predicate<ReplicaId> ALL = each -> true;
     private static final ReplicaId A = replica("a", 0);
@@ -29,7 +29,7 @@
     /** Guards against a replacement that stops midway, leaving one voter fewer or one learner more. */
     @Test
     void twoLostReplicasAreReplacedStepByStep() {
-        JoinQueue queue = new JoinQueue(KEPT);
+        JoinQueue queue = new JoinQueue(REQUEST_TTL_NANOS);
         queue.addRequest(NEW_B, 0);
         queue.addRequest(NEW_C, 1);
         Membership now = Membership.ofVoters(List.of(A, LOST_B, LOST_C));
@@ -46,21 +46,21 @@
 
     /** Guards against a replica that cannot catch up and blocks the others. */
     @Test
-    void oneThatIsNotReadyHoldsUpNobody() {
-        JoinQueue queue = new JoinQueue(KEPT);
+    void replicaThatIsNotReadyDoesNotBlockOthers() {
+        JoinQueue queue = new JoinQueue(REQUEST_TTL_NANOS);
         queue.addRequest(NEW_B, 0);
         queue.addRequest(NEW_C, 0);
         Membership learning = Membership.ofVoters(List.of(A, LOST_B, LOST_C)).with(NEW_B, false);
         assertEquals(Optional.of(new MembershipChange.AddLearner(NEW_C)), queue.nextChange(learning, NONE, NONE, 0));
     }
 
-    /** Guards against promoting a replica that is gone again before its first vote. */
+    /** Guards against promoting a replica that fails again before its first vote. */
     @Test
-    void oneThatAsksNoMoreIsForgotten() {
-        JoinQueue queue = new JoinQueue(KEPT);
+    void requestExpiresUnlessRepeated() {
+        JoinQueue queue = new JoinQueue(REQUEST_TTL_NANOS);
         queue.addRequest(NEW_B, 0);
         Membership now = Membership.ofVoters(List.of(A, LOST_B, LOST_C));
-        assertTrue(queue.nextChange(now, ALL, NONE, KEPT).isPresent());
-        assertTrue(queue.nextChange(now, ALL, NONE, KEPT + 1).isEmpty());
+        assertTrue(queue.nextChange(now, ALL, NONE, REQUEST_TTL_NANOS).isPresent());
+        assertTrue(queue.nextChange(now, ALL, NONE, REQUEST_TTL_NANOS + 1).isEmpty());
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/raft/RaftNodeTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/RaftNodeTest.java
@@ -13,7 +13,7 @@
 
 /** Each test plays one failure and checks its safeguard, in the simulated cluster. */
 class RaftNodeTest {
-    private static final long TIMEOUT_NANOS = SimCluster.TIMEOUT;
+    private static final long TIMEOUT_NANOS = SimCluster.TIMEOUT_NANOS;
 
     /**
      * A host is isolated for long and returns. If its failed elections had raised its term, the first message after its
@@ -25,7 +25,7 @@
         SimHost leader = cluster.awaitLeader();
         long term = leader.node.term();
         int other = (cluster.hosts.indexOf(leader) + 1) % 3;
-        cluster.cutOff(other);
+        cluster.isolate(other);
         cluster.run(20 * TIMEOUT_NANOS);
         cluster.heal();
         cluster.run(5 * TIMEOUT_NANOS);
@@ -38,13 +38,13 @@
      * must step down by itself, or callers would wait for a leader that can commit nothing.
      */
     @Test
-    void aLeaderThatHearsNobodyStepsDown() {
+    void leaderThatReceivesNothingStepsDown() {
         SimCluster cluster = new SimCluster(3, 2);
         SimHost leader = cluster.awaitLeader();
         cluster.run(2 * TIMEOUT_NANOS);
-        int cutOff = cluster.hosts.indexOf(leader);
-        cluster.cut((cutOff + 1) % 3, cutOff);
-        cluster.cut((cutOff + 2) % 3, cutOff);
+        int leaderIndex = cluster.hosts.indexOf(leader);
+        cluster.cutLink((leaderIndex + 1) % 3, leaderIndex);
+        cluster.cutLink((leaderIndex + 2) % 3, leaderIndex);
         cluster.run(4 * TIMEOUT_NANOS);
         assertFalse(leader.node.isLeader());
         assertTrue(cluster.awaitLeader() != leader);
@@ -55,7 +55,7 @@
      * message it still has the role of leader; its lease must have ended by its own clock before the other was elected.
      */
     @Test
-    void aFrozenLeaderWakesWithoutLease() {
+    void suspendedLeaderResumesWithoutLease() {
         SimCluster cluster = new SimCluster(3, 3);
         SimHost frozen = cluster.awaitLeader();
         cluster.run(2 * TIMEOUT_NANOS);
@@ -77,15 +77,15 @@
      * old lease still runs.
      */
     @Test
-    void leadershipIsHandedOverAfterTheLease() {
+    void transfersLeadershipAfterLeaseEnds() {
         SimCluster cluster = new SimCluster(3, 4);
         SimHost old = cluster.awaitLeader();
         cluster.run(2 * TIMEOUT_NANOS);
         long lease = old.node.leaseUntilNanos();
         assertTrue(old.node.transferLeadership(old.clock()));
-        old.work();
+        old.processReady();
         assertInstanceOf(ProposeOutcome.Appended.class, old.node.propose(old.clock(), List.of(new byte[] {1})));
-        old.work();
+        old.processReady();
         while (old.node.isLeader()) {
             assertEquals(lease, old.node.leaseUntilNanos());
             cluster.run(TIMEOUT_NANOS / 20);
@@ -100,24 +100,24 @@
      * while messages are lost.
      */
     @Test
-    void aReplicaFarBehindIsBroughtBackBySnapshot() {
+    void laggingReplicaCatchesUpBySnapshot() {
         RaftSettings.Builder bounds =
                 RaftSettings.builder().snapshotChunkBytes(10).retainedEntries(5);
         SimCluster cluster = new SimCluster(3, 5, bounds);
         SimHost leader = cluster.awaitLeader();
-        SimHost behind = cluster.hosts.get((cluster.hosts.indexOf(leader) + 1) % 3);
-        behind.crash();
+        SimHost lagging = cluster.hosts.get((cluster.hosts.indexOf(leader) + 1) % 3);
+        lagging.crash();
         for (int i = 0; i < 500; i++) {
             cluster.propose();
             cluster.run(TIMEOUT_NANOS / 20);
         }
         cluster.run(TIMEOUT_NANOS);
         cluster.leader().compact();
-        behind.start();
+        lagging.start();
         cluster.lossPercent = 20;
         cluster.run(10 * TIMEOUT_NANOS);
-        assertEquals(cluster.committedIndex(), behind.appliedIndex);
-        assertEquals(leader.node.snapshot().index(), behind.node.snapshot().index());
+        assertEquals(cluster.committedIndex(), lagging.appliedIndex);
+        assertEquals(leader.node.snapshot().index(), lagging.node.snapshot().index());
     }
 
     /**
@@ -125,7 +125,7 @@
      * entry may be lost, and the cluster must commit again.
      */
     @Test
-    void aSecondDiskIsLostRightAfterTheFirstIsReplaced() {
+    void survivesSecondDiskLossRightAfterFirstReplacement() {
         SimCluster cluster = new SimCluster(3, 6);
         cluster.awaitLeader();
         cluster.propose();
@@ -146,7 +146,7 @@
      * A replica with an empty data folder starts no election and grants no vote under the id that its host had before.
      */
     @Test
-    void anEmptyFolderNeitherStandsNorVotesAsItsPredecessor() {
+    void replicaWithEmptyFolderStartsNoElectionAndGrantsNoVoteForOldId() {
         ReplicaId old = new ReplicaId(HostId.of("h0"), 1);
         ReplicaId fresh = new ReplicaId(HostId.of("h0"), 2);
         ReplicaId other = new ReplicaId(HostId.of("h1"), 1);
@@ -164,11 +164,11 @@
      * refused batch is appended.
      */
     @Test
-    void proposalsBeyondTheBoundAreRefused() {
+    void refusesProposalsBeyondUncommittedLimit() {
         SimCluster cluster = new SimCluster(3, 7, RaftSettings.builder().maxUncommittedBytes(900));
         SimHost leader = cluster.awaitLeader();
         cluster.run(TIMEOUT_NANOS);
-        cluster.cutOff(cluster.hosts.indexOf(leader));
+        cluster.isolate(cluster.hosts.indexOf(leader));
         byte[] command = new byte[300];
         long before = leader.node.lastIndex();
         assertInstanceOf(ProposeOutcome.Appended.class, leader.node.propose(leader.clock(), List.of(command)));
@@ -179,7 +179,7 @@
     }
 
     @Test
-    void membershipChangesComeOneAtATimeAndOnlyWhenSafe() {
+    void acceptsMembershipChangesOneAtATimeAndOnlyWhenSafe() {
         SimCluster cluster = new SimCluster(3, 8);
         SimHost leader = cluster.awaitLeader();
         cluster.run(TIMEOUT_NANOS);
@@ -196,7 +196,7 @@
 
     private static ProposeRefusal refusal(SimHost leader, MembershipChange change) {
         ProposeOutcome outcome = leader.node.propose(leader.clock(), change);
-        leader.work();
+        leader.processReady();
         return outcome instanceof ProposeOutcome.Refused refused ? refused.reason() : null;
     }
 
@@ -217,7 +217,7 @@
     }
 
     @Test
-    void oneVoterLeadsAndCommitsAlone() {
+    void singleVoterLeadsAndCommits() {
         SimCluster cluster = new SimCluster(1, 9);
         SimHost only = cluster.awaitLeader();
         cluster.propose();
--- a/elmline-core/src/test/java/org/elmline/core/raft/SafeguardTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SafeguardTest.java
@@ -29,7 +29,7 @@
     }
 
     /** Processes everything that is ready and returns the messages sent. */
-    private List<Message> work(long now) {
+    private List<Message> processReady(long now) {
         List<Message> sent = new ArrayList<>();
         while (node.hasReady()) {
             Ready ready = node.ready();
@@ -43,17 +43,17 @@
 
     private List<Message> step(long now, Message message) {
         node.step(now, message);
-        return work(now);
+        return processReady(now);
     }
 
-    private static Message vote(ReplicaId from, long term) {
+    private static Message voteRequest(ReplicaId from, long term) {
         return new Message.VoteRequest(from, A, term, 9, term - 1, false);
     }
 
     /** Makes A the leader of term 2, with its first entry acknowledged by B. */
-    private void lead(long now) {
+    private void becomeLeader(long now) {
         node.tick(now);
-        work(now);
+        processReady(now);
         step(now, new Message.PreVoteResponse(B, A, 2, true));
         step(now, new Message.VoteResponse(B, A, 2, true));
         step(now, new Message.AppendResponse(B, A, 2, true, 1, 2, now));
@@ -65,33 +65,37 @@
      * elected in one term, and callers would see two histories.
      */
     @Test
-    void aVoteOutlivesARestart() {
-        assertTrue(((Message.VoteResponse) step(2 * TIMEOUT_NANOS, vote(B, 5)).get(0)).granted());
+    void votePersistsAcrossRestart() {
+        assertTrue(((Message.VoteResponse)
+                        step(2 * TIMEOUT_NANOS, voteRequest(B, 5)).get(0))
+                .granted());
         node = start(3 * TIMEOUT_NANOS);
-        assertFalse(((Message.VoteResponse) step(5 * TIMEOUT_NANOS, vote(C, 5)).get(0)).granted());
+        assertFalse(((Message.VoteResponse)
+                        step(5 * TIMEOUT_NANOS, voteRequest(C, 5)).get(0))
+                .granted());
     }
 
     /**
      * A acknowledges B's heartbeat and restarts, and C requests its vote at once, while B's lease still depends on A.
      */
     @Test
-    void aRestartedVoterRefusesUntilALeaseMustHaveEnded() {
+    void restartedVoterIgnoresVoteRequestsUntilAnyLeaseHasEnded() {
         step(2 * TIMEOUT_NANOS, new Message.Heartbeat(B, A, 3, 0, 1));
         node = start(2 * TIMEOUT_NANOS + TIMEOUT_NANOS / 4);
-        assertEquals(List.of(), step(2 * TIMEOUT_NANOS + TIMEOUT_NANOS / 2, vote(C, 4)));
-        assertEquals(1, step(4 * TIMEOUT_NANOS, vote(C, 4)).size());
+        assertEquals(List.of(), step(2 * TIMEOUT_NANOS + TIMEOUT_NANOS / 2, voteRequest(C, 4)));
+        assertEquals(1, step(4 * TIMEOUT_NANOS, voteRequest(C, 4)).size());
     }
 
     /**
      * A's lease depends on A and B. C's delayed answer with a higher term deposes A, and C requests A's vote at once.
      */
     @Test
-    void aDeposedLeaderKeepsToItsOwnLease() {
-        lead(3 * TIMEOUT_NANOS);
+    void deposedLeaderIgnoresVoteRequestsDuringItsOwnLease() {
+        becomeLeader(3 * TIMEOUT_NANOS);
         assertTrue(node.leaseUntilNanos() > 3 * TIMEOUT_NANOS);
         step(3 * TIMEOUT_NANOS + 1, new Message.HeartbeatResponse(C, A, 7, 0));
         assertFalse(node.isLeader());
-        assertEquals(List.of(), step(3 * TIMEOUT_NANOS + 2, vote(C, 8)));
+        assertEquals(List.of(), step(3 * TIMEOUT_NANOS + 2, voteRequest(C, 8)));
     }
 
     /**
@@ -99,11 +103,11 @@
      * the current term now, but B's lease still runs.
      */
     @Test
-    void aTermLearntLateDoesNotOpenTheLease() {
+    void ignoresVoteRequestDuringLeaseDespiteLaterTerm() {
         step(2 * TIMEOUT_NANOS, new Message.Heartbeat(B, A, 3, 0, 1));
         step(2 * TIMEOUT_NANOS + 1, new Message.PreVoteResponse(C, A, 6, false));
         assertEquals(6, node.term());
-        assertEquals(List.of(), step(2 * TIMEOUT_NANOS + 2, vote(C, 6)));
+        assertEquals(List.of(), step(2 * TIMEOUT_NANOS + 2, voteRequest(C, 6)));
     }
 
     /**
@@ -111,9 +115,9 @@
      * without it could still be elected.
      */
     @Test
-    void anEntryOfAnEarlierTermIsNotCommittedByCount() {
+    void entryOfEarlierTermIsNotCommittedByCount() {
         node.tick(3 * TIMEOUT_NANOS);
-        work(3 * TIMEOUT_NANOS);
+        processReady(3 * TIMEOUT_NANOS);
         step(3 * TIMEOUT_NANOS, new Message.PreVoteResponse(B, A, 2, true));
         step(3 * TIMEOUT_NANOS, new Message.VoteResponse(B, A, 2, true));
         step(3 * TIMEOUT_NANOS, new Message.AppendResponse(B, A, 2, true, 0, 1, 3 * TIMEOUT_NANOS));
@@ -128,8 +132,8 @@
      * timeout.
      */
     @Test
-    void theLeaseCountsFromTheSendingLessTheMargin() {
-        lead(3 * TIMEOUT_NANOS);
+    void leaseCountsFromSendTimeLessMargin() {
+        becomeLeader(3 * TIMEOUT_NANOS);
         step(
                 3 * TIMEOUT_NANOS + TIMEOUT_NANOS / 2,
                 new Message.HeartbeatResponse(B, A, 2, 3 * TIMEOUT_NANOS + TIMEOUT_NANOS / 4));
@@ -141,7 +145,7 @@
      * sent.
      */
     @Test
-    void nothingOfANewTermLeavesBeforeTheTermIsSynced() {
+    void sendsNothingOfNewTermBeforeTermIsSynced() {
         Membership one = new Membership(List.of(A), List.of(B));
         node = new RaftNode(A, SETTINGS, RestoredState.bootstrap(one), new SplittableRandom(1), 0);
         node.tick(3 * TIMEOUT_NANOS);
@@ -156,7 +160,7 @@
      * longer.
      */
     @Test
-    void aNewcomerCatchesUpBeforeTheLostOneGoes() {
+    void newReplicaCatchesUpBeforeLostVoterIsRemoved() {
         ReplicaId fresh = new ReplicaId(C.host(), 2);
         Membership now = Membership.ofVoters(List.of(A, B, C));
         List<MembershipChange> done = new ArrayList<>();
--- a/elmline-core/src/test/java/org/elmline/core/raft/SimCluster.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SimCluster.java
@@ -19,23 +19,23 @@
  * Messages are routed by host, as in the real network.
  */
 final class SimCluster {
-    static final long TIMEOUT = Duration.ofMillis(100).toNanos();
-    private static final long STEP = Duration.ofMillis(5).toNanos();
+    static final long TIMEOUT_NANOS = Duration.ofMillis(100).toNanos();
+    private static final long STEP_NANOS = Duration.ofMillis(5).toNanos();
 
     final List<SimHost> hosts = new ArrayList<>();
     int lossPercent;
     int repeatPercent;
     private final SplittableRandom random;
     private final RaftSettings settings;
-    private final Set<String> cuts = new HashSet<>();
+    private final Set<String> cutLinks = new HashSet<>();
     private final List<Message> inFlight = new ArrayList<>();
-    private final Map<Long, ReplicaId> leaders = new HashMap<>();
+    private final Map<Long, ReplicaId> leaderByTerm = new HashMap<>();
     private final Map<String, ReplicaId> votes = new HashMap<>();
-    private final Set<ReplicaId> everVoters = new HashSet<>();
-    private final Map<Long, Entry> committed = new HashMap<>();
-    private final Map<Long, Long> hashes = new HashMap<>();
-    private final TreeMap<Long, Double> leaseEnds = new TreeMap<>();
-    private final TreeMap<Long, Long> electedAt = new TreeMap<>();
+    private final Set<ReplicaId> promotedReplicas = new HashSet<>();
+    private final Map<Long, Entry> committedEntries = new HashMap<>();
+    private final Map<Long, Long> appliedHashes = new HashMap<>();
+    private final TreeMap<Long, Double> leaseEndByTerm = new TreeMap<>();
+    private final TreeMap<Long, Long> electionTimeByTerm = new TreeMap<>();
     private long now;
     private long committedIndex;
     private Membership committedMembership;
@@ -47,7 +47,7 @@
 
     SimCluster(int size, long seed, RaftSettings.Builder bounds) {
         random = new SplittableRandom(seed);
-        settings = bounds.electionTimeout(Duration.ofNanos(TIMEOUT))
+        settings = bounds.electionTimeout(Duration.ofNanos(TIMEOUT_NANOS))
                 .heartbeat(Duration.ofMillis(20))
                 .build();
         List<ReplicaId> ids = new ArrayList<>();
@@ -55,7 +55,7 @@
             ids.add(new ReplicaId(HostId.of("h" + i), 1));
         }
         committedMembership = Membership.ofVoters(ids);
-        everVoters.addAll(ids);
+        promotedReplicas.addAll(ids);
         for (ReplicaId each : ids) {
             hosts.add(new SimHost(this, each, RestoredState.bootstrap(committedMembership), random.split()));
         }
@@ -86,9 +86,9 @@
     }
 
     void run(long nanos) {
-        for (long until = now + nanos; now < until; now += STEP) {
+        for (long until = now + nanos; now < until; now += STEP_NANOS) {
             deliver();
-            hosts.forEach(SimHost::turn);
+            hosts.forEach(SimHost::processInputs);
             joinFreshReplicas();
         }
     }
@@ -98,7 +98,7 @@
         inFlight.clear();
         for (Message each : due) {
             int chance = random.nextInt(100);
-            boolean cut = cuts.contains(each.from().host() + ">" + each.to().host());
+            boolean cut = cutLinks.contains(each.from().host() + ">" + each.to().host());
             if (cut || chance < lossPercent) {
                 continue;
             }
@@ -123,11 +123,11 @@
                 return;
             }
             JoinPlanner.nextChange(leader.node.membership(), each.id, leader.node.isCaughtUp(each.id))
-                    .filter(change -> each.runs())
+                    .filter(change -> each.isRunning())
                     .ifPresent(change -> {
                         leader.node.propose(leader.clock(), change);
-                        everVoters.addAll(leader.node.membership().voters());
-                        leader.work();
+                        promotedReplicas.addAll(leader.node.membership().voters());
+                        leader.processReady();
                     });
         }
     }
@@ -136,7 +136,7 @@
     SimHost leader() {
         SimHost best = null;
         for (SimHost each : hosts) {
-            boolean leads = each.runs() && each.node.isLeader();
+            boolean leads = each.isRunning() && each.node.isLeader();
             if (leads && (best == null || each.node.term() > best.node.term())) {
                 best = each;
             }
@@ -146,7 +146,7 @@
 
     SimHost awaitLeader() {
         for (int i = 0; i < 200 && leader() == null; i++) {
-            run(STEP);
+            run(STEP_NANOS);
         }
         require(leader() != null, "a leader is elected");
         return leader();
@@ -157,26 +157,26 @@
      */
     void propose() {
         for (SimHost each : hosts) {
-            if (each.runs() && each.node.isLeader()) {
+            if (each.isRunning() && each.node.isLeader()) {
                 each.node.propose(each.clock(), List.of(("command " + ++proposals).getBytes()));
-                each.work();
+                each.processReady();
             }
         }
     }
 
-    void cut(int from, int to) {
-        cuts.add(hosts.get(from).id.host() + ">" + hosts.get(to).id.host());
+    void cutLink(int from, int to) {
+        cutLinks.add(hosts.get(from).id.host() + ">" + hosts.get(to).id.host());
     }
 
-    void cutOff(int host) {
+    void isolate(int host) {
         for (int i = 0; i < hosts.size(); i++) {
-            cut(host, i);
-            cut(i, host);
+            cutLink(host, i);
+            cutLink(i, host);
         }
     }
 
     void heal() {
-        cuts.clear();
+        cutLinks.clear();
         lossPercent = 0;
         repeatPercent = 0;
     }
@@ -184,23 +184,23 @@
     void send(Message message) {
         inFlight.add(message);
         if (message instanceof Message.VoteRequest request) {
-            voted(request.from(), request.term(), request.from());
+            recordVote(request.from(), request.term(), request.from());
         }
         if (message instanceof Message.VoteResponse response && response.granted()) {
-            voted(response.from(), response.term(), response.to());
+            recordVote(response.from(), response.term(), response.to());
         }
     }
 
-    private void voted(ReplicaId voter, long term, ReplicaId candidate) {
+    private void recordVote(ReplicaId voter, long term, ReplicaId candidate) {
         ReplicaId earlier = votes.putIfAbsent(voter + " in " + term, candidate);
         require(earlier == null || earlier.equals(candidate), voter + " voted twice in term " + term);
-        require(everVoters.contains(voter), voter + " voted with a data folder that was never promoted");
+        require(promotedReplicas.contains(voter), voter + " voted with a data folder that was never promoted");
     }
 
-    void applied(SimHost host, Entry entry) {
-        Entry earlier = committed.putIfAbsent(entry.index(), entry);
+    void recordApplied(SimHost host, Entry entry) {
+        Entry earlier = committedEntries.putIfAbsent(entry.index(), entry);
         require(earlier == null || earlier.equals(entry), "committed entry " + earlier + " was replaced by " + entry);
-        long hash = hashes.computeIfAbsent(entry.index(), index -> host.appliedHash);
+        long hash = appliedHashes.computeIfAbsent(entry.index(), index -> host.appliedHash);
         require(hash == host.appliedHash, "all replicas apply the same entries in the same order");
         if (entry.index() > committedIndex) {
             committedIndex = entry.index();
@@ -210,23 +210,25 @@
         }
     }
 
-    void restored(SimHost host) {
-        require(hashes.get(host.appliedIndex) == host.appliedHash, "a restored snapshot has the committed state");
+    void checkRestored(SimHost host) {
+        require(
+                appliedHashes.get(host.appliedIndex) == host.appliedHash,
+                "a restored snapshot has the committed state");
     }
 
     /** Checks the invariants of leadership and leases; called after each input of a host. */
-    void check(SimHost host) {
+    void checkInvariants(SimHost host) {
         if (host.node == null || !host.node.isLeader()) {
             return;
         }
-        everVoters.addAll(host.node.membership().voters());
+        promotedReplicas.addAll(host.node.membership().voters());
         long term = host.node.term();
-        if (leaders.putIfAbsent(term, host.id) == null) {
-            electedAt.put(term, now);
+        if (leaderByTerm.putIfAbsent(term, host.id) == null) {
+            electionTimeByTerm.put(term, now);
         }
-        require(leaders.get(term).equals(host.id), "two leaders in term " + term);
+        require(leaderByTerm.get(term).equals(host.id), "two leaders in term " + term);
         if (host.node.leaseUntilNanos() != RaftNode.NO_LEASE) {
-            leaseEnds.merge(term, host.trueTime(host.node.leaseUntilNanos()), Math::max);
+            leaseEndByTerm.merge(term, host.simulationTime(host.node.leaseUntilNanos()), Math::max);
         }
         checkLeases(host.id, term);
     }
@@ -236,16 +238,17 @@
      * may count late votes and become leader of an earlier term; that gives it no lease.
      */
     private void checkLeases(ReplicaId id, long term) {
-        leaseEnds
+        leaseEndByTerm
                 .headMap(term)
                 .forEach((earlier, end) -> require(
-                        leaders.get(earlier).equals(id) || end <= electedAt.get(term),
-                        id + " leads term " + term + " before the lease of " + leaders.get(earlier) + " has ended"));
-        electedAt
+                        leaderByTerm.get(earlier).equals(id) || end <= electionTimeByTerm.get(term),
+                        id + " leads term " + term + " before the lease of " + leaderByTerm.get(earlier)
+                                + " has ended"));
+        electionTimeByTerm
                 .tailMap(term, false)
                 .forEach((later, at) -> require(
-                        leaders.get(later).equals(id) || leaseEnds.getOrDefault(term, 0.0) <= at,
-                        id + " holds a lease of term " + term + " while " + leaders.get(later) + " leads"));
+                        leaderByTerm.get(later).equals(id) || leaseEndByTerm.getOrDefault(term, 0.0) <= at,
+                        id + " holds a lease of term " + term + " while " + leaderByTerm.get(later) + " leads"));
     }
 
     void require(boolean condition, String invariant) {
--- a/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
@@ -43,7 +43,7 @@
     }
 
     /** Converts a reading of this host's clock to the time of the simulation. */
-    double trueTime(long clockNanos) {
+    double simulationTime(long clockNanos) {
         return (clockNanos - clockOrigin) / clockSpeed;
     }
 
@@ -69,7 +69,7 @@
     }
 
     /** Clears all pending faults. */
-    void recover() {
+    void clearFaults() {
         frozen = false;
         crashPoint = CrashPoint.NONE;
     }
@@ -82,27 +82,27 @@
         start();
     }
 
-    boolean runs() {
+    boolean isRunning() {
         return node != null && !frozen;
     }
 
-    void turn() {
-        while (runs() && !inbox.isEmpty()) {
+    void processInputs() {
+        while (isRunning() && !inbox.isEmpty()) {
             node.step(clock(), inbox.poll());
-            work();
+            processReady();
         }
-        if (runs()) {
+        if (isRunning()) {
             node.tick(clock());
-            work();
+            processReady();
         }
     }
 
-    void read() {
+    void requestRead() {
         long floor = cluster.committedIndex();
         if (node.readIndex(clock()) instanceof ReadOutcome.AwaitingQuorum waiting) {
             readFloors.put(waiting.number(), floor);
         }
-        work();
+        processReady();
     }
 
     void compact() {
@@ -112,7 +112,7 @@
         }
     }
 
-    void work() {
+    void processReady() {
         while (node != null && node.hasReady()) {
             Ready ready = node.ready();
             ready.messagesBeforeSync().forEach(cluster::send);
@@ -137,14 +137,14 @@
             }
             node.advance(clock(), ready);
         }
-        cluster.check(this);
+        cluster.checkInvariants(this);
     }
 
     private void apply(Entry entry) {
         cluster.require(entry.index() == appliedIndex + 1, "entries are applied in order");
         appliedIndex = entry.index();
         appliedHash = appliedHash * 31 + entry.hashCode();
-        cluster.applied(this, entry);
+        cluster.recordApplied(this, entry);
     }
 
     private void restore(Snapshot snapshot) {
@@ -152,7 +152,7 @@
         appliedIndex = state.getLong();
         appliedHash = state.getLong();
         cluster.require(appliedIndex == snapshot.index(), "the state in a snapshot is that of its index");
-        cluster.restored(this);
+        cluster.checkRestored(this);
     }
 
     private byte[] stateBytes() {
