--- a/elmline-core/src/main/java/org/elmline/core/raft/MembershipRules.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/MembershipRules.java
@@ -14,8 +14,8 @@
         if (log.membershipIndex() > log.committedIndex()) {
             return ProposeRefusal.CHANGE_IN_PROGRESS;
         }
-        // A change by an earlier leader may be replicated to a minority only; a commit in the own term settles it
-        // (Ongaro, raft-dev, July 2015).
+        // A change by an earlier leader may be replicated only in part; a commit in the own term settles it (Ongaro,
+        // raft-dev, July 2015).
         if (log.termAt(log.committedIndex()) != term) {
             return ProposeRefusal.START_OF_TERM_PENDING;
         }
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftLog.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftLog.java
@@ -220,8 +220,8 @@
      */
     Snapshot compact(long index, byte[] state, int retained, long retainedBytes) {
         if (index > appliedIndex || (snapshot != null && index <= snapshot.index())) {
-            throw new IllegalStateException("snapshot index " + index
-                    + " must be above the last snapshot and at most the applied index " + appliedIndex);
+            throw new IllegalStateException("snapshot index " + index + " must be above the last snapshot and at most "
+                    + appliedIndex + ", the applied index");
         }
         Membership membershipAtIndex = memberships.floorEntry(index).getValue();
         snapshot = new Snapshot(index, termAt(index), membershipAtIndex, state);
