--- a/elmline-core/src/main/java/org/elmline/core/raft/JoinPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/JoinPlanner.java
@@ -15,8 +15,8 @@
     private JoinPlanner() {}
 
     /** Returns the next change, or empty when none is due now. Voters of other hosts are never removed. */
-    public static Optional<MembershipChange> nextChange(Membership now, ReplicaId joining, boolean caughtUp) {
-        return nextChange(now, joining, caughtUp, each -> false);
+    public static Optional<MembershipChange> nextChange(Membership current, ReplicaId joining, boolean caughtUp) {
+        return nextChange(current, joining, caughtUp, each -> false);
     }
 
     /**
@@ -27,20 +27,20 @@
      *     favour of the joining replica
      */
     public static Optional<MembershipChange> nextChange(
-            Membership now, ReplicaId joining, boolean caughtUp, Predicate<ReplicaId> lost) {
-        if (now.isVoter(joining)) {
+            Membership current, ReplicaId joining, boolean caughtUp, Predicate<ReplicaId> lost) {
+        if (current.isVoter(joining)) {
             return Optional.empty();
         }
-        if (!now.contains(joining)) {
+        if (!current.contains(joining)) {
             return Optional.of(new MembershipChange.AddLearner(joining));
         }
         if (!caughtUp) {
             return Optional.empty();
         }
-        for (ReplicaId each : now.all()) {
+        for (ReplicaId each : current.all()) {
             boolean replaced = each.host().equals(joining.host()) && !each.equals(joining);
-            boolean lostVoter = now.isVoter(each) && lost.test(each);
-            if ((replaced || lostVoter) && now.voters().size() > 1) {
+            boolean lostVoter = current.isVoter(each) && lost.test(each);
+            if ((replaced || lostVoter) && current.voters().size() > 1) {
                 return Optional.of(new MembershipChange.Remove(each));
             }
         }
@@ -51,11 +51,11 @@
      * Removes a lost voter when the number of voters is even: the majority of one voter fewer is smaller by one, so
      * that the cluster tolerates one more loss than before.
      */
-    public static Optional<MembershipChange> removeLostVoter(Membership now, Predicate<ReplicaId> lost) {
-        if (now.voters().size() % 2 != 0) {
+    public static Optional<MembershipChange> removeLostVoter(Membership current, Predicate<ReplicaId> lost) {
+        if (current.voters().size() % 2 != 0) {
             return Optional.empty();
         }
-        for (ReplicaId each : now.voters()) {
+        for (ReplicaId each : current.voters()) {
             if (lost.test(each)) {
                 return Optional.of(new MembershipChange.Remove(each));
             }
--- a/elmline-core/src/main/java/org/elmline/core/raft/JoinQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/JoinQueue.java
@@ -32,17 +32,17 @@
      * @param lost whether a voter is considered permanently lost
      */
     public Optional<MembershipChange> nextChange(
-            Membership now, Predicate<ReplicaId> ready, Predicate<ReplicaId> lost, long nowNanos) {
+            Membership current, Predicate<ReplicaId> ready, Predicate<ReplicaId> lost, long nowNanos) {
         Iterator<Map.Entry<ReplicaId, Long>> iterator =
                 requestedAtNanos.entrySet().iterator();
         while (iterator.hasNext()) {
             Map.Entry<ReplicaId, Long> request = iterator.next();
             ReplicaId joining = request.getKey();
-            if (now.isVoter(joining) || nowNanos - request.getValue() > requestTtlNanos) {
+            if (current.isVoter(joining) || nowNanos - request.getValue() > requestTtlNanos) {
                 iterator.remove();
                 continue;
             }
-            Optional<MembershipChange> change = JoinPlanner.nextChange(now, joining, ready.test(joining), lost);
+            Optional<MembershipChange> change = JoinPlanner.nextChange(current, joining, ready.test(joining), lost);
             if (change.isPresent()) {
                 return change;
             }
--- a/elmline-core/src/main/java/org/elmline/core/raft/LeadershipTransfer.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/LeadershipTransfer.java
@@ -24,19 +24,19 @@
     }
 
     /** Starts the last phase, which times out after one election timeout. */
-    void refuseProposals(long now, long electionTimeoutNanos) {
-        deadlineNanos = now + electionTimeoutNanos;
+    void refuseProposals(long nowNanos, long electionTimeoutNanos) {
+        deadlineNanos = nowNanos + electionTimeoutNanos;
     }
 
-    boolean hasTimedOut(long now) {
-        return now >= deadlineNanos;
+    boolean hasTimedOut(long nowNanos) {
+        return nowNanos >= deadlineNanos;
     }
 
-    boolean isTimeoutNowDue(long now, long heartbeatNanos) {
-        return timeoutNowSentNanos == Progress.NEVER || now - timeoutNowSentNanos >= heartbeatNanos;
+    boolean isTimeoutNowDue(long nowNanos, long retryNanos) {
+        return timeoutNowSentNanos == Progress.NEVER || nowNanos - timeoutNowSentNanos >= retryNanos;
     }
 
-    void onTimeoutNowSent(long now) {
-        timeoutNowSentNanos = now;
+    void onTimeoutNowSent(long nowNanos) {
+        timeoutNowSentNanos = nowNanos;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Lease.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Lease.java
@@ -51,8 +51,8 @@
         return frozen;
     }
 
-    boolean hasEnded(long now) {
-        return now >= untilNanos;
+    boolean hasEnded(long nowNanos) {
+        return nowNanos >= untilNanos;
     }
 
     long leaseUntilNanos() {
--- a/elmline-core/src/main/java/org/elmline/core/raft/Progress.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Progress.java
@@ -25,9 +25,9 @@
     private Snapshot snapshot;
     private long snapshotOffset;
 
-    Progress(long next, long now) {
-        this.nextIndex = next;
-        this.lastProgressNanos = now;
+    Progress(long nextIndex, long nowNanos) {
+        this.nextIndex = nextIndex;
+        this.lastProgressNanos = nowNanos;
     }
 
     ProgressState state() {
@@ -53,9 +53,9 @@
         return lastContactNanos;
     }
 
-    void recordAck(long sentNanos, long now) {
+    void recordAck(long sentNanos, long nowNanos) {
         ackedSentNanos = Math.max(ackedSentNanos, sentNanos);
-        lastContactNanos = now;
+        lastContactNanos = nowNanos;
     }
 
     boolean canSend(int maxInflightBytes) {
@@ -66,14 +66,14 @@
         };
     }
 
-    void recordSent(long lastIndex, long bytes, long now) {
+    void recordSent(long lastIndex, long bytes, long nowNanos) {
         if (state == ProgressState.PROBE) {
             probeSent = true;
-            lastProgressNanos = now;
+            lastProgressNanos = nowNanos;
             return;
         }
         if (inflightAppends.isEmpty()) {
-            lastProgressNanos = now;
+            lastProgressNanos = nowNanos;
         }
         inflightAppends.add(new Inflight(lastIndex, bytes));
         inflightBytes += bytes;
@@ -81,13 +81,13 @@
     }
 
     /** Records that the logs match up to an index. Returns whether the match index has advanced. */
-    boolean recordMatch(long index, long now) {
+    boolean recordMatch(long index, long nowNanos) {
         while (!inflightAppends.isEmpty() && inflightAppends.peek().lastIndex() <= index) {
             inflightBytes -= inflightAppends.poll().bytes();
         }
         boolean advanced = index > matchIndex;
         if (advanced || state == ProgressState.PROBE) {
-            lastProgressNanos = now;
+            lastProgressNanos = nowNanos;
         }
         matchIndex = Math.max(matchIndex, index);
         nextIndex = Math.max(nextIndex, matchIndex + 1);
@@ -102,41 +102,41 @@
     }
 
     /** Records that the logs do not match at the previous entry of a request. Returns false for an outdated answer. */
-    boolean recordReject(long prevIndex, long hint, long now) {
+    boolean recordReject(long prevIndex, long conflictHint, long nowNanos) {
         boolean stale = prevIndex <= matchIndex
                 || state == ProgressState.SNAPSHOT
                 || (state == ProgressState.PROBE && prevIndex != nextIndex - 1);
         if (stale) {
             return false;
         }
-        probeFrom(Math.max(matchIndex, Math.min(hint, prevIndex - 1)) + 1, now);
+        probeFrom(Math.max(matchIndex, Math.min(conflictHint, prevIndex - 1)) + 1, nowNanos);
         return true;
     }
 
-    private void probeFrom(long index, long now) {
+    private void probeFrom(long index, long nowNanos) {
         state = ProgressState.PROBE;
         nextIndex = index;
         probeSent = false;
         inflightAppends.clear();
         inflightBytes = 0;
-        lastProgressNanos = now;
+        lastProgressNanos = nowNanos;
     }
 
     /** Prepares to send again after a time without progress, as a request or its answer was lost. */
-    void prepareResend(long now) {
+    void prepareResend(long nowNanos) {
         if (state == ProgressState.SNAPSHOT) {
-            lastProgressNanos = now;
+            lastProgressNanos = nowNanos;
             return;
         }
-        probeFrom(matchIndex + 1, now);
+        probeFrom(matchIndex + 1, nowNanos);
     }
 
-    boolean isStalled(long now, long after) {
-        return now - lastProgressNanos >= after;
+    boolean isStalled(long nowNanos, long timeoutNanos) {
+        return nowNanos - lastProgressNanos >= timeoutNanos;
     }
 
-    void startSnapshot(Snapshot newSnapshot, long now) {
-        probeFrom(newSnapshot.index() + 1, now);
+    void startSnapshot(Snapshot newSnapshot, long nowNanos) {
+        probeFrom(newSnapshot.index() + 1, nowNanos);
         state = ProgressState.SNAPSHOT;
         snapshot = newSnapshot;
         snapshotOffset = 0;
@@ -151,11 +151,11 @@
     }
 
     /** Records how many bytes of the snapshot the replica has received. Returns whether to send the next chunk. */
-    boolean recordSnapshotProgress(long index, long offset, long now) {
+    boolean recordSnapshotProgress(long index, long offset, long nowNanos) {
         boolean isCurrent = state == ProgressState.SNAPSHOT && snapshot.index() == index && offset != snapshotOffset;
         if (isCurrent) {
             snapshotOffset = Math.min(offset, snapshot.data().length);
-            lastProgressNanos = now;
+            lastProgressNanos = nowNanos;
         }
         return isCurrent;
     }
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftNode.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftNode.java
@@ -183,13 +183,13 @@
         HardState hardState = state.hasUnsyncedHardState() ? state.hardState() : null;
         // If the leader crashed before its term is synced, it could lead the same term a second time, so nothing is
         // sent early until then.
-        boolean early = hardState == null && leader != null;
-        List<Message> before = early ? state.outbox().drain(true) : List.of();
+        boolean canSendBeforeSync = hardState == null && leader != null;
+        List<Message> messagesBeforeSync = canSendBeforeSync ? state.outbox().drain(true) : List.of();
         return new Ready(
                 hardState,
                 log.snapshotToInstall(),
                 log.unsyncedEntries(),
-                before,
+                messagesBeforeSync,
                 state.outbox().drainAll(),
                 log.entriesToApply(),
                 leader == null ? List.of() : leader.readQueue().drainConfirmed());
--- a/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
@@ -18,7 +18,7 @@
     final Deque<Message> inbox = new ArrayDeque<>();
     private final SimCluster cluster;
     private final double clockSpeed;
-    private final long clockOrigin;
+    private final long clockOriginNanos;
     private final RandomGenerator random;
     private final Map<Long, Long> readFloors = new HashMap<>();
     ReplicaId id;
@@ -35,16 +35,16 @@
         this.disk = new Disk(first);
         this.random = random;
         this.clockSpeed = 0.97 + 0.06 * random.nextDouble();
-        this.clockOrigin = random.nextLong(1_000_000_000L);
+        this.clockOriginNanos = random.nextLong(1_000_000_000L);
     }
 
     long clock() {
-        return clockOrigin + (long) (cluster.now() * clockSpeed);
+        return clockOriginNanos + (long) (cluster.now() * clockSpeed);
     }
 
     /** Converts a reading of this host's clock to the time of the simulation. */
     double simulationTime(long clockNanos) {
-        return (clockNanos - clockOrigin) / clockSpeed;
+        return (clockNanos - clockOriginNanos) / clockSpeed;
     }
 
     void start() {
