--- a/elmline-core/src/main/java/org/elmline/core/raft/JoinPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/JoinPlanner.java
@@ -4,39 +4,43 @@
 import java.util.function.Predicate;
 
 /**
- * The next step by which a replica with a fresh data folder comes to vote, and the lost one of the same host goes.
+ * Plans the membership changes that make a replica with an empty data folder a voter and remove the lost replica of the
+ * same host.
  *
- * <p>The new one first catches up as a learner; only then the old one goes and the new one is promoted. In any other
- * order the log would stand longer with a voter that is lost or empty, and the loss of a second host would stop it.
+ * <p>The new replica first catches up as a learner; only then the lost one is removed and the new one promoted. Any
+ * other order would leave the cluster longer with a lost or empty voter, and the loss of a second host would stop the
+ * log.
  */
 public final class JoinPlanner {
     private JoinPlanner() {}
 
-    /** Empty when nothing is to be done now; voters of other hosts stay. */
-    public static Optional<MembershipChange> nextChange(Membership now, ReplicaId joining, boolean caughtUp) {
-        return nextChange(now, joining, caughtUp, each -> false);
+    /** Returns the next change, or empty when none is due now. Voters of other hosts are never removed. */
+    public static Optional<MembershipChange> nextChange(Membership current, ReplicaId joining, boolean caughtUp) {
+        return nextChange(current, joining, caughtUp, each -> false);
     }
 
     /**
-     * Empty when nothing is to be done now.
+     * Returns the next change, or empty when none is due now.
      *
-     * @param lost whether a voter of another host is taken for lost for good; such a one makes room for the new one
+     * @param caughtUp whether the joining replica holds all committed entries
+     * @param lost whether a voter, also of another host, is considered permanently lost; such a voter is removed in
+     *     favour of the joining replica
      */
     public static Optional<MembershipChange> nextChange(
-            Membership now, ReplicaId joining, boolean caughtUp, Predicate<ReplicaId> lost) {
-        if (now.isVoter(joining)) {
+            Membership current, ReplicaId joining, boolean caughtUp, Predicate<ReplicaId> lost) {
+        if (current.isVoter(joining)) {
             return Optional.empty();
         }
-        if (!now.contains(joining)) {
+        if (!current.contains(joining)) {
             return Optional.of(new MembershipChange.AddLearner(joining));
         }
         if (!caughtUp) {
             return Optional.empty();
         }
-        for (ReplicaId each : now.all()) {
+        for (ReplicaId each : current.all()) {
             boolean replaced = each.host().equals(joining.host()) && !each.equals(joining);
-            boolean gone = now.isVoter(each) && lost.test(each);
-            if ((replaced || gone) && now.voters().size() > 1) {
+            boolean lostVoter = current.isVoter(each) && lost.test(each);
+            if ((replaced || lostVoter) && current.voters().size() > 1) {
                 return Optional.of(new MembershipChange.Remove(each));
             }
         }
@@ -44,14 +48,14 @@
     }
 
     /**
-     * Takes a voter that is lost out of an even number of voters: one fewer has the same majority less one, so the next
-     * loss is borne that was not before.
+     * Removes a lost voter when the number of voters is even: the majority of one voter fewer is smaller by one, so
+     * that the cluster tolerates one more loss than before.
      */
-    public static Optional<MembershipChange> removeLostVoter(Membership now, Predicate<ReplicaId> lost) {
-        if (now.voters().size() % 2 != 0) {
+    public static Optional<MembershipChange> removeLostVoter(Membership current, Predicate<ReplicaId> lost) {
+        if (current.voters().size() % 2 != 0) {
             return Optional.empty();
         }
-        for (ReplicaId each : now.voters()) {
+        for (ReplicaId each : current.voters()) {
             if (lost.test(each)) {
                 return Optional.of(new MembershipChange.Remove(each));
             }
--- a/elmline-core/src/main/java/org/elmline/core/raft/Progress.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Progress.java
@@ -3,9 +3,12 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** What a leader knows of one other replica. */
+/**
+ * Replication state of one other replica, held by the leader. Indexes are log positions, times are nanoseconds of the
+ * leader's monotonic clock.
+ */
 final class Progress {
-    /** Sent time of a replica that has not acknowledged anything in this term. */
+    /** Send and contact time of a replica that has not acknowledged anything in this term. */
     static final long NEVER = Long.MIN_VALUE;
 
     private record Inflight(long lastIndex, long bytes) {}
@@ -22,16 +25,16 @@
     private Snapshot snapshot;
     private long snapshotOffset;
 
-    Progress(long next, long now) {
-        this.nextIndex = next;
-        this.lastProgressNanos = now;
+    Progress(long nextIndex, long nowNanos) {
+        this.nextIndex = nextIndex;
+        this.lastProgressNanos = nowNanos;
     }
 
     ProgressState state() {
         return state;
     }
 
-    /** Up to where the replica's log is synced and the leader's. */
+    /** Index up to which the replica's log is synced and matches the leader's. */
     long matchIndex() {
         return matchIndex;
     }
@@ -40,19 +43,19 @@
         return nextIndex;
     }
 
-    /** When the newest request that the replica has answered was sent, on the leader's clock. */
+    /** Send time of the newest request that the replica has answered. */
     long ackedSentNanos() {
         return ackedSentNanos;
     }
 
-    /** When the replica's last answer of this term came. */
+    /** Time at which the replica's last answer of this term arrived. */
     long lastContactNanos() {
         return lastContactNanos;
     }
 
-    void recordAck(long sentNanos, long now) {
+    void recordAck(long sentNanos, long nowNanos) {
         ackedSentNanos = Math.max(ackedSentNanos, sentNanos);
-        lastContactNanos = now;
+        lastContactNanos = nowNanos;
     }
 
     boolean canSend(int maxInflightBytes) {
@@ -63,28 +66,28 @@
         };
     }
 
-    void recordSent(long lastIndex, long bytes, long now) {
+    void recordSent(long lastIndex, long bytes, long nowNanos) {
         if (state == ProgressState.PROBE) {
             probeSent = true;
-            lastProgressNanos = now;
+            lastProgressNanos = nowNanos;
             return;
         }
         if (inflightAppends.isEmpty()) {
-            lastProgressNanos = now;
+            lastProgressNanos = nowNanos;
         }
         inflightAppends.add(new Inflight(lastIndex, bytes));
         inflightBytes += bytes;
         nextIndex = lastIndex + 1;
     }
 
-    /** The logs agree up to an index. Returns whether that is news. */
-    boolean recordMatch(long index, long now) {
+    /** Records that the logs match up to an index. Returns whether the match index has advanced. */
+    boolean recordMatch(long index, long nowNanos) {
         while (!inflightAppends.isEmpty() && inflightAppends.peek().lastIndex() <= index) {
             inflightBytes -= inflightAppends.poll().bytes();
         }
-        boolean news = index > matchIndex;
-        if (news || state == ProgressState.PROBE) {
-            lastProgressNanos = now;
+        boolean advanced = index > matchIndex;
+        if (advanced || state == ProgressState.PROBE) {
+            lastProgressNanos = nowNanos;
         }
         matchIndex = Math.max(matchIndex, index);
         nextIndex = Math.max(nextIndex, matchIndex + 1);
@@ -95,47 +98,47 @@
             snapshot = null;
             probeSent = false;
         }
-        return news;
+        return advanced;
     }
 
-    /** The replica's log does not agree at the request's previous entry. Returns whether that is news. */
-    boolean recordReject(long prevIndex, long hint, long now) {
+    /** Records that the logs do not match at the previous entry of a request. Returns false for an outdated answer. */
+    boolean recordReject(long prevIndex, long conflictHint, long nowNanos) {
         boolean stale = prevIndex <= matchIndex
                 || state == ProgressState.SNAPSHOT
                 || (state == ProgressState.PROBE && prevIndex != nextIndex - 1);
         if (stale) {
             return false;
         }
-        probeFrom(Math.max(matchIndex, Math.min(hint, prevIndex - 1)) + 1, now);
+        probeFrom(Math.max(matchIndex, Math.min(conflictHint, prevIndex - 1)) + 1, nowNanos);
         return true;
     }
 
-    private void probeFrom(long index, long now) {
+    private void probeFrom(long index, long nowNanos) {
         state = ProgressState.PROBE;
         nextIndex = index;
         probeSent = false;
         inflightAppends.clear();
         inflightBytes = 0;
-        lastProgressNanos = now;
+        lastProgressNanos = nowNanos;
     }
 
-    /** Nothing has moved for a while although something was sent: it was lost, or its answer was. */
-    void prepareResend(long now) {
+    /** Prepares to send again after a time without progress, as a request or its answer was lost. */
+    void prepareResend(long nowNanos) {
         if (state == ProgressState.SNAPSHOT) {
-            lastProgressNanos = now;
+            lastProgressNanos = nowNanos;
             return;
         }
-        probeFrom(matchIndex + 1, now);
+        probeFrom(matchIndex + 1, nowNanos);
     }
 
-    boolean isStalled(long now, long after) {
-        return now - lastProgressNanos >= after;
+    boolean isStalled(long nowNanos, long timeoutNanos) {
+        return nowNanos - lastProgressNanos >= timeoutNanos;
     }
 
-    void startSnapshot(Snapshot newest, long now) {
-        probeFrom(newest.index() + 1, now);
+    void startSnapshot(Snapshot newSnapshot, long nowNanos) {
+        probeFrom(newSnapshot.index() + 1, nowNanos);
         state = ProgressState.SNAPSHOT;
-        snapshot = newest;
+        snapshot = newSnapshot;
         snapshotOffset = 0;
     }
 
@@ -147,13 +150,13 @@
         return snapshotOffset;
     }
 
-    /** The replica holds the snapshot up to an offset. Returns whether the next piece is due. */
-    boolean recordSnapshotProgress(long index, long offset, long now) {
-        boolean counts = state == ProgressState.SNAPSHOT && snapshot.index() == index && offset != snapshotOffset;
-        if (counts) {
+    /** Records how many bytes of the snapshot the replica has received. Returns whether to send the next chunk. */
+    boolean recordSnapshotProgress(long index, long offset, long nowNanos) {
+        boolean isCurrent = state == ProgressState.SNAPSHOT && snapshot.index() == index && offset != snapshotOffset;
+        if (isCurrent) {
             snapshotOffset = Math.min(offset, snapshot.data().length);
-            lastProgressNanos = now;
+            lastProgressNanos = nowNanos;
         }
-        return counts;
+        return isCurrent;
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SimHost.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.random.RandomGenerator;
 
-/** One simulated host: its disk outlives the process, its clock has an own origin and speed. */
+/** One simulated host. Its disk outlives the process; its clock has its own origin and speed. */
 final class SimHost {
     enum CrashPoint {
         NONE,
@@ -18,7 +18,7 @@
     final Deque<Message> inbox = new ArrayDeque<>();
     private final SimCluster cluster;
     private final double clockSpeed;
-    private final long clockOrigin;
+    private final long clockOriginNanos;
     private final RandomGenerator random;
     private final Map<Long, Long> readFloors = new HashMap<>();
     ReplicaId id;
@@ -35,16 +35,16 @@
         this.disk = new Disk(first);
         this.random = random;
         this.clockSpeed = 0.97 + 0.06 * random.nextDouble();
-        this.clockOrigin = random.nextLong(1_000_000_000L);
+        this.clockOriginNanos = random.nextLong(1_000_000_000L);
     }
 
     long clock() {
-        return clockOrigin + (long) (cluster.now() * clockSpeed);
+        return clockOriginNanos + (long) (cluster.now() * clockSpeed);
     }
 
-    /** The simulation's time at a reading of this host's clock. */
-    double trueTime(long clockNanos) {
-        return (clockNanos - clockOrigin) / clockSpeed;
+    /** Converts a reading of this host's clock to the time of the simulation. */
+    double simulationTime(long clockNanos) {
+        return (clockNanos - clockOriginNanos) / clockSpeed;
     }
 
     void start() {
@@ -68,13 +68,13 @@
         readFloors.clear();
     }
 
-    /** No fault is pending any more. */
-    void recover() {
+    /** Clears all pending faults. */
+    void clearFaults() {
         frozen = false;
         crashPoint = CrashPoint.NONE;
     }
 
-    /** The host comes back with an empty data folder, so under a new incarnation. */
+    /** Restarts the host with an empty data folder and therefore a new incarnation. */
     void loseDisk() {
         crash();
         id = new ReplicaId(id.host(), id.incarnation() + 1);
@@ -82,27 +82,27 @@
         start();
     }
 
-    boolean runs() {
+    boolean isRunning() {
         return node != null && !frozen;
     }
 
-    void turn() {
-        while (runs() && !inbox.isEmpty()) {
+    void processInputs() {
+        while (isRunning() && !inbox.isEmpty()) {
             node.step(clock(), inbox.poll());
-            work();
+            processReady();
         }
-        if (runs()) {
+        if (isRunning()) {
             node.tick(clock());
-            work();
+            processReady();
         }
     }
 
-    void read() {
+    void requestRead() {
         long floor = cluster.committedIndex();
         if (node.readIndex(clock()) instanceof ReadOutcome.AwaitingQuorum waiting) {
             readFloors.put(waiting.number(), floor);
         }
-        work();
+        processReady();
     }
 
     void compact() {
@@ -112,7 +112,7 @@
         }
     }
 
-    void work() {
+    void processReady() {
         while (node != null && node.hasReady()) {
             Ready ready = node.ready();
             ready.messagesBeforeSync().forEach(cluster::send);
@@ -131,26 +131,28 @@
             }
             ready.committedEntries().forEach(this::apply);
             for (ConfirmedRead each : ready.confirmedReads()) {
-                cluster.require(each.index() >= readFloors.remove(each.number()), "a read misses a commit");
+                cluster.require(
+                        each.index() >= readFloors.remove(each.number()),
+                        "a read includes everything committed before it");
             }
             node.advance(clock(), ready);
         }
-        cluster.check(this);
+        cluster.checkInvariants(this);
     }
 
     private void apply(Entry entry) {
         cluster.require(entry.index() == appliedIndex + 1, "entries are applied in order");
         appliedIndex = entry.index();
         appliedHash = appliedHash * 31 + entry.hashCode();
-        cluster.applied(this, entry);
+        cluster.recordApplied(this, entry);
     }
 
     private void restore(Snapshot snapshot) {
         ByteBuffer state = ByteBuffer.wrap(snapshot.data());
         appliedIndex = state.getLong();
         appliedHash = state.getLong();
-        cluster.require(appliedIndex == snapshot.index(), "a snapshot holds its index");
-        cluster.restored(this);
+        cluster.require(appliedIndex == snapshot.index(), "the state in a snapshot is that of its index");
+        cluster.checkRestored(this);
     }
 
     private byte[] stateBytes() {
