--- a/elmline-core/src/main/java/org/elmline/core/timeline/BackendEvent.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/BackendEvent.java
@@ -4,23 +4,29 @@
 import org.elmline.core.common.BackendServerId;
 import org.elmline.core.common.Incarnation;
 
-/** A change of state of one backend server, as the process that hears it sees it. */
+/** A change of state of one backend server, as observed by the process that records it. */
 public sealed interface BackendEvent extends Event {
     BackendServerId server();
 
-    /** This entry owns it from now on: it announced itself for the first time since its start, or came from another owner. */
+    /**
+     * The recording entry has become the server's owner: the server announced itself for the first time since its
+     * start, or another entry owned it before.
+     */
     @JsonTypeName("backend-joined")
     record Joined(BackendServerId server, Incarnation incarnation) implements BackendEvent {}
 
-    /** It gets no new work from this owner: it said that it is leaving, or another entry owns it from now on. */
+    /**
+     * The recording entry assigns no new work to the server: the server announced that it is leaving, or another entry
+     * has become its owner.
+     */
     @JsonTypeName("backend-leaving")
     record Leaving(BackendServerId server) implements BackendEvent {}
 
-    /** Its announcements stopped for longer than its lease. */
+    /** No announcement of the server arrived for longer than its lease. */
     @JsonTypeName("backend-lost")
     record Lost(BackendServerId server) implements BackendEvent {}
 
-    /** It follows an order, for example to load a model version. */
+    /** The server follows an order, for example to load a model version. */
     @JsonTypeName("backend-order-observed")
     record OrderObserved(BackendServerId server, String model, String version) implements BackendEvent {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/timeline/Event.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/Event.java
@@ -2,6 +2,6 @@
 
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
 
-/** Something that happened in one process: a change of state, or a stage of a request. Carries no text of callers. */
+/** An event in one process: a change of state or a stage of a request. Contains no text that callers sent. */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "event")
 public sealed interface Event permits RequestEvent, TicketEvent, HostEvent, BackendEvent {}
--- a/elmline-core/src/main/java/org/elmline/core/timeline/EventPage.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/EventPage.java
@@ -6,9 +6,9 @@
 import org.elmline.core.common.Incarnation;
 
 /**
- * One process's events.
+ * The events of one process.
  *
- * @param dropped events overwritten since the start of the process; a time line with any may lack early ones
+ * @param dropped number of events overwritten since the start of the process; above 0, early events may be missing
  * @param events oldest first
  */
 public record EventPage(HostId host, Incarnation incarnation, long dropped, List<StampedEvent> events) {
--- a/elmline-core/src/main/java/org/elmline/core/timeline/EventQuery.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/EventQuery.java
@@ -5,10 +5,10 @@
 import org.elmline.core.common.TicketNumber;
 
 /**
- * Which events are asked for. What is null is not asked about.
+ * A filter on events. A component that is null matches every event.
  *
  * @param host events that this host recorded or that are about it
- * @param limit most events, at least 1; the latest are given
+ * @param limit largest number of events to return, at least 1; the latest ones are returned
  */
 public record EventQuery(RequestId request, TicketNumber ticket, HostId host, int limit) {
     public static final int DEFAULT_LIMIT = 1_000;
@@ -48,7 +48,7 @@
                 || stamped.event() instanceof HostEvent of && of.host().equals(host);
     }
 
-    /** Gathers what is asked for. */
+    /** Builds a query. A filter that is not set matches every event. */
     public static final class Builder {
         private RequestId request;
         private TicketNumber ticket;
--- a/elmline-core/src/main/java/org/elmline/core/timeline/EventRing.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/EventRing.java
@@ -10,8 +10,8 @@
 import org.elmline.core.common.Incarnation;
 
 /**
- * The latest events of one process. Recording takes no lock and never waits; the oldest event is overwritten and counted
- * as dropped.
+ * The latest events of one process, in a ring of fixed capacity. Recording takes no lock and never blocks; the oldest
+ * event is overwritten and counted as dropped. Safe for use by several threads.
  */
 public final class EventRing {
     private final HostId host;
@@ -21,7 +21,7 @@
     private final AtomicReferenceArray<StampedEvent> slots;
     private final AtomicLong recorded = new AtomicLong();
 
-    /** @param capacity events kept, at least 1 */
+    /** @param capacity number of events kept, at least 1 */
     public EventRing(HostId host, Incarnation incarnation, HybridClock clock, WallClock wallClock, int capacity) {
         this.host = host;
         this.incarnation = incarnation;
@@ -35,17 +35,17 @@
         put(new StampedEvent(host, incarnation, sequence, clock.now(), wallClock.millis(), event));
     }
 
-    /** Events recorded since the start of the process. */
+    /** Number of events recorded since the start of the process. */
     public long recorded() {
         return recorded.get();
     }
 
-    /** Events that were overwritten. */
+    /** Number of events that were overwritten. */
     public long dropped() {
         return Math.max(0, recorded.get() - slots.length());
     }
 
-    /** The latest events that a query asks for, oldest first, at most as many as its limit. */
+    /** Returns the latest events that match a query, oldest first, at most as many as its limit. */
     public EventPage page(EventQuery query) {
         Deque<StampedEvent> found = new ArrayDeque<>();
         long end = recorded.get();
@@ -60,8 +60,8 @@
     }
 
     /**
-     * A thread that is held up between taking its number and storing would put an event a whole lap old over a newer
-     * one; the newer one stays.
+     * Stores an event unless its slot holds a newer one. A thread that is suspended between taking its sequence number
+     * and storing would otherwise overwrite an event that was recorded a full round of the ring later.
      */
     private void put(StampedEvent event) {
         int slot = slot(event.sequence());
--- a/elmline-core/src/main/java/org/elmline/core/timeline/EventText.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/EventText.java
@@ -4,7 +4,7 @@
 import java.time.ZoneOffset;
 import java.time.format.DateTimeFormatter;
 
-/** One event as a line for people: wall clock, hybrid time, host, event. */
+/** Formats an event as one human-readable line: wall clock (UTC), hybrid time, host, event. */
 public final class EventText {
     private static final DateTimeFormatter TIME =
             DateTimeFormatter.ofPattern("yyyy-MM-dd HH:mm:ss.SSS").withZone(ZoneOffset.UTC);
--- a/elmline-core/src/main/java/org/elmline/core/timeline/HybridClock.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/HybridClock.java
@@ -3,12 +3,12 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Gives hybrid logical times that grow with each call and lie after every time merged before, so that an effect in
- * another process is stamped after its cause although the wall clocks differ. Safe for use by many threads; takes no
+ * A hybrid logical clock. Each call returns a time later than all times returned or merged before, so that an effect in
+ * another process is stamped after its cause although the wall clocks differ. Safe for use by several threads; takes no
  * lock.
  *
- * <p>Source: "In-depth Analysis on HLC-based Distributed Transaction Processing", sections 1.5 (the update rules) and 2.4
- * (a bound on the offset).
+ * <p>Source: "In-depth Analysis on HLC-based Distributed Transaction Processing", sections 1.5 (the update rules) and
+ * 2.4 (a bound on the offset).
  */
 public final class HybridClock {
     /** Twenty times the largest skew expected between hosts, in milliseconds. */
@@ -23,25 +23,26 @@
         this(wallClock, DEFAULT_MAX_AHEAD_MILLIS);
     }
 
-    /** @param maxAheadMillis how far ahead of the wall clock a remote time may be to be taken over, in milliseconds */
+    /** @param maxAheadMillis how far ahead of the wall clock a remote time may be to be merged, in milliseconds */
     public HybridClock(WallClock wallClock, long maxAheadMillis) {
         this.wallClock = wallClock;
         this.maxAheadMillis = maxAheadMillis;
     }
 
-    /** A time for an event in this process, or for a message it sends. */
+    /** Returns the time for an event in this process or for a message that it sends. */
     public HybridTime now() {
         return advancePast(0);
     }
 
     /**
-     * Takes over the time that a message carries; call it before the message is handled.
+     * Merges the time of a received message; must be called before the message is handled.
      *
-     * <p>A time more than the bound ahead of the wall clock is not taken over and is counted: one host whose clock is
-     * set to next year would otherwise pull every process's stamps there for good, and the time line would no longer
-     * tell when anything happened. The order over that message is then as good as the wall clocks.
+     * <p>A time that is further ahead of the wall clock than the bound is rejected and counted: a single host whose
+     * clock is set to next year would otherwise move the stamps of all processes there permanently, and the time line
+     * would no longer show when an event happened. Events before and after a rejected message are ordered only as well
+     * as the wall clocks agree.
      *
-     * @return how far ahead the remote time was when it was refused, in milliseconds; 0 when it was taken over
+     * @return how far ahead the remote time was, in milliseconds, when it was rejected; 0 when it was merged
      */
     public long merge(HybridTime remote) {
         long ahead = remote.millis() - wallClock.millis();
@@ -53,7 +54,7 @@
         return 0;
     }
 
-    /** Remote times that were not taken over. */
+    /** Number of remote times that were rejected. */
     public long rejectedCount() {
         return rejectedCount.get();
     }
--- a/elmline-core/src/main/java/org/elmline/core/timeline/HybridTime.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/HybridTime.java
@@ -5,10 +5,10 @@
 
 /**
  * A hybrid logical time in one 64-bit number: milliseconds in the upper 48 bits, a counter in the lower 16. The counter
- * orders what happens within one millisecond, and overflows into the milliseconds.
+ * orders events within one millisecond and overflows into the milliseconds.
  *
- * <p>Source: "In-depth Analysis on HLC-based Distributed Transaction Processing", sections 1.5 and 2.3; it keeps 43 bits
- * for the wall clock and some in reserve.
+ * <p>Source: "In-depth Analysis on HLC-based Distributed Transaction Processing", sections 1.5 and 2.3; the paper uses
+ * 43 bits for the wall clock and reserves some.
  */
 public record HybridTime(@JsonValue long value) implements Comparable<HybridTime> {
     static final int COUNTER_BITS = 16;
@@ -29,7 +29,7 @@
         return new HybridTime(millis << COUNTER_BITS | counter);
     }
 
-    /** Near the wall clock of the process that is furthest ahead, in milliseconds since 1970. */
+    /** Milliseconds since 1970, close to the wall clock of the process whose clock is furthest ahead. */
     public long millis() {
         return value >>> COUNTER_BITS;
     }
--- a/elmline-core/src/main/java/org/elmline/core/timeline/TicketEvent.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/TicketEvent.java
@@ -13,11 +13,11 @@
     @JsonTypeName("ticket-accepted")
     record Accepted(TicketNumber ticket, ConfigVersion version) implements TicketEvent {}
 
-    /** The ticket changes nothing. */
+    /** The ticket was refused and changes nothing. */
     @JsonTypeName("ticket-refused")
     record Refused(TicketNumber ticket, RefusalReason reason) implements TicketEvent {}
 
-    /** This process follows the ticket's version from now on. */
+    /** The recording process follows the ticket's version from now on. */
     @JsonTypeName("ticket-followed")
     record Followed(TicketNumber ticket, ConfigVersion version) implements TicketEvent {}
 
--- a/elmline-core/src/main/java/org/elmline/core/timeline/TimelineMerge.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/TimelineMerge.java
@@ -10,9 +10,9 @@
 import org.elmline.core.common.HostId;
 import org.elmline.core.common.Incarnation;
 
-/** Puts the events of many processes into one order: by hybrid time, which shows a cause before its effects. */
+/** Merges the events of several processes in the order of hybrid time, which puts a cause before its effects. */
 public final class TimelineMerge {
-    /** Equal times are of unrelated events; the rest only makes the order the same on every merge. */
+    /** Events with equal times are unrelated; the other keys only make the order the same on every merge. */
     private static final Comparator<StampedEvent> ORDER = Comparator.comparing(StampedEvent::time)
             .thenComparing(StampedEvent::host)
             .thenComparing(StampedEvent::incarnation)
@@ -20,7 +20,9 @@
 
     private TimelineMerge() {}
 
-    /** The latest events asked for, oldest first, each once although several pages may hold it. */
+    /**
+     * Returns the latest events that match the query, oldest first. An event that several pages hold is returned once.
+     */
     public static List<StampedEvent> merge(Collection<EventPage> pages, EventQuery query) {
         Set<Identity> seen = new HashSet<>();
         List<StampedEvent> merged = new ArrayList<>();
--- a/elmline-core/src/test/java/org/elmline/core/timeline/EventRingTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/timeline/EventRingTest.java
@@ -19,7 +19,7 @@
 class EventRingTest {
     private static final long START = 1_800_000_000_000L;
 
-    /** Against the naive version: a list of everything, cut to the last events. */
+    /** Compares the ring with a list of all events, cut to the latest ones. */
     @Property(seed = "4712", tries = 200)
     void keepsTheLatest(
             @ForAll @IntRange(min = 1, max = 20) int capacity,
@@ -72,9 +72,9 @@
     }
 
     /**
-     * The operator looks at ticket 7 on three hosts. Control accepts it by a clock that runs 40 ms ahead and tells an
-     * entry whose clock is right. By wall clock the entry would seem to follow a ticket not accepted yet; merged by
-     * hybrid time the acceptance comes first.
+     * Guards against a time line that shows an effect before its cause. A control host whose clock is 40 ms ahead
+     * accepts ticket 7 and notifies an entry whose clock is right. Ordered by wall clock, the entry would follow the
+     * ticket before its acceptance; merged by hybrid time, the acceptance comes first.
      */
     @Test
     void mergeShowsCausesFirstAndEachEventOnce() {
@@ -92,7 +92,7 @@
         List<StampedEvent> merged = TimelineMerge.merge(List.of(entryPage, controlPage, entryPage), ofTicket);
         assertEquals(2, merged.size());
         assertTrue(merged.get(0).event() instanceof TicketEvent.Accepted, merged::toString);
-        assertTrue(merged.get(0).wallMillis() > merged.get(1).wallMillis(), "the wall clocks say otherwise");
+        assertTrue(merged.get(0).wallMillis() > merged.get(1).wallMillis(), "the wall clocks give the opposite order");
         EventQuery ofHost =
                 EventQuery.builder().host(HostId.of("entry")).limit(1).build();
         List<StampedEvent> last = TimelineMerge.merge(List.of(entryPage, controlPage), ofHost);
--- a/elmline-core/src/test/java/org/elmline/core/timeline/HybridClockTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/timeline/HybridClockTest.java
@@ -19,7 +19,10 @@
 class HybridClockTest {
     private static final long START = 1_800_000_000_000L;
 
-    /** A cause lies before its effect over any walk of messages between hosts whose wall clocks differ and step. */
+    /**
+     * Guards against an effect stamped before its cause: messages pass between random hosts whose wall clocks differ
+     * and step.
+     */
     @Property(seed = "4711", tries = 300)
     void effectsComeAfterCauses(@ForAll @IntRange(min = 2, max = 6) int hosts, @ForAll @LongRange long seed) {
         Random random = new Random(seed);
@@ -62,9 +65,9 @@
     }
 
     /**
-     * One host's wall clock is set an hour ahead and it sends a message. Taken over, its time would be in every stamp
-     * of every process for an hour, and operators could not tell when anything happened. It is refused and counted, and
-     * a time at the bound is still taken over.
+     * A host whose wall clock is set an hour ahead sends a message. If its time were merged, the stamps of all
+     * processes would be wrong for an hour, and operators could not see when an event happened. The time must be
+     * rejected and counted, and a time exactly at the bound must be merged.
      */
     @Test
     void aTimeFarAheadIsRefused() {
