--- a/elmline-core/src/main/java/org/elmline/core/timeline/EventRing.java
+++ b/elmline-core/src/main/java/org/elmline/core/timeline/EventRing.java
@@ -47,16 +47,16 @@
 
     /** Returns the latest events that match a query, oldest first, at most as many as its limit. */
     public EventPage page(EventQuery query) {
-        Deque<StampedEvent> found = new ArrayDeque<>();
+        Deque<StampedEvent> matching = new ArrayDeque<>();
         long end = recorded.get();
         long start = Math.max(0, end - slots.length());
-        for (long sequence = end - 1; sequence >= start && found.size() < query.limit(); sequence--) {
+        for (long sequence = end - 1; sequence >= start && matching.size() < query.limit(); sequence--) {
             StampedEvent event = slots.get(slot(sequence));
             if (event != null && event.sequence() == sequence && query.matches(event)) {
-                found.addFirst(event);
+                matching.addFirst(event);
             }
         }
-        return new EventPage(host, incarnation, dropped(), List.copyOf(found));
+        return new EventPage(host, incarnation, dropped(), List.copyOf(matching));
     }
 
     /**
--- a/elmline-core/src/test/java/org/elmline/core/timeline/EventRingTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/timeline/EventRingTest.java
@@ -21,18 +21,18 @@
 
     /** Compares the ring with a list of all events, cut to the latest ones. */
     @Property(seed = "4712", tries = 200)
-    void keepsTheLatest(
+    void keepsLatestEventsUpToCapacity(
             @ForAll @IntRange(min = 1, max = 20) int capacity,
             @ForAll @IntRange(min = 0, max = 60) int events,
             @ForAll @IntRange(min = 1, max = 30) int limit) {
         EventRing ring = ring("a", capacity, 0);
-        List<Event> naive = new ArrayList<>();
+        List<Event> recorded = new ArrayList<>();
         for (int i = 0; i < events; i++) {
             Event event = finished("r" + i % 3, i);
             ring.record(event);
-            naive.add(event);
+            recorded.add(event);
         }
-        List<Event> kept = naive.subList(Math.max(0, events - capacity), events);
+        List<Event> kept = recorded.subList(Math.max(0, events - capacity), events);
         EventPage page = ring.page(EventQuery.builder().limit(limit).build());
         assertEquals(kept.subList(Math.max(0, kept.size() - limit), kept.size()), events(page.events()));
         assertEquals(Math.max(0, events - capacity), page.dropped());
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void manyThreadsLoseNothingThatFits() throws InterruptedException {
+    void concurrentRecordingLosesNoEventWithinCapacity() throws InterruptedException {
         int threads = 4;
         int each = 2_000;
         EventRing ring = ring("a", threads * each, 0);
@@ -77,7 +77,7 @@
      * ticket before its acceptance; merged by hybrid time, the acceptance comes first.
      */
     @Test
-    void mergeShowsCausesFirstAndEachEventOnce() {
+    void mergeOrdersCausesFirstAndRemovesDuplicates() {
         EventRing control = ring("control", 10, 40);
         HybridClock entryClock = new HybridClock(() -> START);
         EventRing entry = new EventRing(HostId.of("entry"), Incarnation.of(1), entryClock, () -> START, 10);
--- a/elmline-core/src/test/java/org/elmline/core/timeline/HybridClockTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/timeline/HybridClockTest.java
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void withoutMessagesItFollowsTheWallClock() {
+    void followsWallClockWithoutMessages() {
         long[] wall = {START};
         HybridClock clock = new HybridClock(() -> wall[0]);
         assertEquals(HybridTime.of(START, 0), clock.now());
@@ -58,7 +58,7 @@
     }
 
     @Test
-    void aFullCounterOverflowsIntoTheMilliseconds() {
+    void fullCounterOverflowsIntoMilliseconds() {
         HybridClock clock = new HybridClock(() -> START);
         clock.merge(HybridTime.of(START, 65_535));
         assertEquals(HybridTime.of(START + 1, 1), clock.now());
@@ -70,7 +70,7 @@
      * rejected and counted, and a time exactly at the bound must be merged.
      */
     @Test
-    void aTimeFarAheadIsRefused() {
+    void rejectsTimeFurtherAheadThanBound() {
         HybridClock clock = new HybridClock(() -> START, 1_000);
         assertEquals(3_600_000, clock.merge(HybridTime.of(START + 3_600_000, 0)));
         assertEquals(1, clock.rejectedCount());
@@ -81,20 +81,20 @@
     }
 
     @Test
-    void threadsGetDifferentTimes() throws InterruptedException {
+    void concurrentCallsReturnDistinctTimes() throws InterruptedException {
         int threads = 4;
         int each = 5_000;
         HybridClock clock = new HybridClock(() -> START);
-        List<Set<HybridTime>> taken = new ArrayList<>();
+        List<Set<HybridTime>> timesByThread = new ArrayList<>();
         List<Thread> running = new ArrayList<>();
         CountDownLatch start = new CountDownLatch(1);
         for (int i = 0; i < threads; i++) {
-            Set<HybridTime> own = new HashSet<>();
-            taken.add(own);
+            Set<HybridTime> times = new HashSet<>();
+            timesByThread.add(times);
             Thread thread = new Thread(() -> {
-                awaitQuietly(start);
+                awaitStart(start);
                 for (int n = 0; n < each; n++) {
-                    own.add(clock.now());
+                    times.add(clock.now());
                 }
             });
             thread.start();
@@ -105,11 +105,11 @@
             thread.join();
         }
         Set<HybridTime> all = new HashSet<>();
-        taken.forEach(all::addAll);
+        timesByThread.forEach(all::addAll);
         assertEquals(threads * each, all.size());
     }
 
-    private static void awaitQuietly(CountDownLatch latch) {
+    private static void awaitStart(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
