--- a/elmline-core/src/main/java/org/elmline/core/registry/CallerDirectory.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/CallerDirectory.java
@@ -10,23 +10,23 @@
 import org.elmline.core.common.FailureDomain;
 import org.elmline.core.common.Region;
 
-/** Which entries the callers of a place should connect to. */
+/** Selects the entries that callers in a given region and failure domain should connect to. */
 public final class CallerDirectory {
-    /** Addresses in one answer, at most. */
+    /** Largest number of addresses in one answer. */
     public static final int MAX_ADDRESSES = 64;
 
     /**
-     * Entries of the caller's own failure domain that make an answer by themselves; with fewer the region's are added,
-     * so that the loss of one host does not leave the callers of a domain with nobody.
+     * Number of entries of the caller's own failure domain that suffice for an answer. With fewer, the entries of the
+     * region are added, so that the loss of one host does not leave the callers of a domain without a reachable entry.
      */
     private static final int MIN_DOMAIN_ENTRIES = 3;
 
     private CallerDirectory() {}
 
     /**
-     * Callers' addresses of entries that serve, in random order; empty when none does.
+     * Returns the callers' addresses of serving entries, in random order; empty when no entry serves.
      *
-     * @param entries all entries that are known
+     * @param entries all known entries
      */
     public static List<Address> addresses(
             Collection<EntryRecord> entries, Region region, FailureDomain domain, RandomGenerator random) {
--- a/elmline-core/src/main/java/org/elmline/core/registry/EntryRecord.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/EntryRecord.java
@@ -6,12 +6,12 @@
 import org.elmline.core.common.Region;
 
 /**
- * One entry as it tells of itself.
+ * An entry's description of itself.
  *
- * @param incarnation which start of the process; a later one has forgotten what an earlier one placed
- * @param callers where callers connect
- * @param peers where other elmline processes connect
- * @param serving false until it has a routing table, and once it stops
+ * @param incarnation which start of the process; a later start holds no state of what an earlier one placed
+ * @param callers address for callers
+ * @param peers address for other elmline processes
+ * @param serving false before the entry has a routing table and while it stops
  */
 public record EntryRecord(
         HostId host,
@@ -21,7 +21,10 @@
         FailureDomain failureDomain,
         Region region,
         boolean serving) {
-    /** Written out: a control host compares at each poll, and what the compiler makes is linked as it first runs. */
+    /**
+     * Written by hand because control hosts compare entries at each poll: the method that the compiler generates for a
+     * record is linked on its first call, which would delay that poll.
+     */
     @Override
     public boolean equals(Object other) {
         return other instanceof EntryRecord that
--- a/elmline-core/src/main/java/org/elmline/core/registry/EntryUpdate.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/EntryUpdate.java
@@ -1,9 +1,9 @@
 package org.elmline.core.registry;
 
 /**
- * What a control host tells of an entry that has changed.
+ * A control host's report of an entry that has changed.
  *
- * @param entry the entry as it is now, or as it was last
- * @param gone whether it polls no more
+ * @param entry the entry's current record, or its last one when it is gone
+ * @param gone whether the entry has stopped polling
  */
 public record EntryUpdate(EntryRecord entry, boolean gone) {}
--- a/elmline-core/src/main/java/org/elmline/core/registry/FollowAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/FollowAnswer.java
@@ -6,20 +6,22 @@
 import org.elmline.core.registry.RegistryChannels.RoutingText;
 
 /**
- * News for one poll.
+ * The answer to one poll: what has changed since the follower's previous poll.
  *
- * @param epoch start of the answering control host; when it is another than before, the news are the whole state
- * @param upMillis how long this host has been hearing servers and entries
+ * @param epoch identifies the start of the answering control host; if it differs from the previous answer, this answer
+ *     holds the complete state
+ * @param upMillis how long this host has been receiving heartbeats and polls, in milliseconds
  * @param servers backend servers that have changed
- * @param serversNow number of the newest change of backend servers
- * @param heard servers heard by this host itself since the last poll; for control hosts only
- * @param entries all entries, null when they have not changed or {@code entryNews} tells of the changes
- * @param entryNews entries that have changed since the number that was asked for
- * @param entriesNow number of the newest change of entries
- * @param controls where the control hosts are
- * @param routingVersion version of the newest routing table that this host holds, -1 without one
- * @param routing the routing document itself for an entry of an earlier release that knows of none yet, else null
- * @param packedRouting the same for other entries
+ * @param serversNow number of the latest change of backend servers
+ * @param heard servers whose heartbeats reached this host directly since the last poll; for control hosts only
+ * @param entries all entries; null when they have not changed or when {@code entryNews} holds the changes
+ * @param entryNews entries that have changed since the requested number
+ * @param entriesNow number of the latest change of entries
+ * @param controls addresses of the control hosts
+ * @param routingVersion version of the latest routing table that this host holds, -1 without one
+ * @param routing the routing document as text, for an entry of an earlier release that has none yet; null otherwise
+ * @param packedRouting the routing document in compressed form, for an entry of a current release that has none yet;
+ *     null otherwise
  */
 public record FollowAnswer(
         long epoch,
--- a/elmline-core/src/main/java/org/elmline/core/registry/FollowRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/FollowRequest.java
@@ -3,17 +3,19 @@
 import org.elmline.core.common.HostId;
 
 /**
- * A poll for news, answered at once when there are some and otherwise after a while.
+ * A long poll for changes, answered without delay when an urgent change is pending and otherwise after a hold time; see
+ * {@link PendingPoll}.
  *
- * @param host who asks
- * @param entry its record when it is an entry, null when it is a control host
- * @param epoch start of the control host that {@code serversSeen} and {@code entriesSeen} belong to, 0 at first
- * @param serversSeen number of the newest change of backend servers that the asker holds; acknowledges it
- * @param entriesSeen number of the newest change of entries that the asker holds
- * @param routingVersion version of the routing table that the asker holds, -1 without one
- * @param form newest form of answers that the asker understands; 0 from an earlier release, which takes all entries as a
- *     list and the routing document as text
- * @param holdMillis time for which the poll is to be held without news; 0 from an earlier release, which has the usual one
+ * @param host the polling host
+ * @param entry the record of the polling entry, null when a control host polls
+ * @param epoch start of the control host that {@code serversSeen} and {@code entriesSeen} refer to, 0 in the first poll
+ * @param serversSeen number of the latest change of backend servers that the follower has applied; acknowledges it
+ * @param entriesSeen number of the latest change of entries that the follower has applied
+ * @param routingVersion version of the routing table that the follower holds, -1 without one
+ * @param form latest form of answers that the follower understands; 0 from an earlier release, which expects all
+ *     entries as a list and the routing document as text
+ * @param holdMillis how long the poll may be held without changes, in milliseconds; 0 from an earlier release, which
+ *     gets the default
  */
 public record FollowRequest(
         HostId host,
@@ -24,19 +26,19 @@
         long routingVersion,
         int form,
         long holdMillis) {
-    /** Answers with news of single entries, and with the routing document packed. */
+    /** Form of answers that hold changes of single entries and the routing document compressed. */
     public static final int FORM_PACKED_UPDATES = 1;
 
     /**
-     * Whether the answer should bring the routing document itself. An entry that starts can serve nothing without it, and
-     * fetched by a second call it would come later from control hosts that have just started, too. Later documents
-     * are fetched: sent by each control host they would cross the network five times.
+     * Whether the answer should contain the routing document. A starting entry cannot serve without it, and a second
+     * call to fetch it would take longer, in particular when the control hosts have just started, too. Later documents
+     * are fetched separately: if each control host sent them in its answers, they would cross the network five times.
      */
     public boolean needsRouting() {
         return entry != null && routingVersion < 0;
     }
 
-    /** Whether the asker takes news of single entries, and the routing document packed. */
+    /** Whether the follower accepts changes of single entries and the compressed routing document. */
     public boolean acceptsPackedUpdates() {
         return form >= FORM_PACKED_UPDATES;
     }
--- a/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
@@ -9,12 +9,16 @@
 import org.elmline.core.common.HostId;
 
 /**
- * The entries that poll a control host. One that has not polled for a while is left out: callers would only find out by a
- * timeout. Followers are told what has changed since they asked last, as the whole list at each change is bytes that grow
- * with the square of the number of entries. Not safe for concurrent use.
+ * The entries that poll a control host. An entry expires when it stops polling: callers that were still directed to it
+ * would only notice by a timeout. Followers receive the changes since their previous poll, because sending the whole
+ * list at each change would cost traffic that grows with the square of the number of entries. Not safe for concurrent
+ * use.
  */
 public final class LiveEntries {
-    /** Entries that are gone and still told of, beyond as many as live; a follower that lags further gets the list. */
+    /**
+     * Number of expired entries that are kept for reports of changes, beyond the number of live ones. A follower that
+     * lags further behind receives the whole list.
+     */
     private static final int EXPIRED_ENTRIES_MARGIN = 64;
 
     private final Map<HostId, LiveEntry> entries = new HashMap<>();
@@ -27,9 +31,9 @@
     private record ExpiredEntry(EntryRecord entry, long changeNumber) {}
 
     /**
-     * Takes an entry's poll. Returns whether the list of entries has changed by it.
+     * Records an entry's poll. Returns whether it changed the list of entries.
      *
-     * @param until when it counts as gone unless it polls again
+     * @param expiresAtNanos when the entry expires unless it polls again
      */
     public boolean renew(EntryRecord entry, long until) {
         LiveEntry before = entries.get(entry.host());
@@ -42,7 +46,7 @@
         return news;
     }
 
-    /** Lets time pass. Returns whether an entry has fallen out. */
+    /** Removes the entries whose time has run out. Returns whether an entry was removed. */
     public boolean expire(long now) {
         boolean any = false;
         Iterator<LiveEntry> each = entries.values().iterator();
@@ -61,22 +65,22 @@
         return any;
     }
 
-    /** Number of the newest change of the list. */
+    /** Number of the latest change of the list. */
     public long lastChange() {
         return lastChange;
     }
 
-    /** All entries that are alive, those that stop included. */
+    /** All live entries, including those that are stopping. */
     public List<EntryRecord> all() {
         return entries.values().stream().map(LiveEntry::entry).toList();
     }
 
-    /** Whether what has changed after a number can still be told; if not, only the whole list will do. */
+    /** Whether all changes after a number can still be listed; if not, a follower needs the whole list. */
     public boolean canListChangesSince(long number) {
         return number >= oldestListedChange && number <= lastChange;
     }
 
-    /** What has changed after a number, in no order. */
+    /** Entries that have changed after a number, in no particular order. */
     public List<EntryUpdate> changesSince(long number) {
         List<EntryUpdate> news = new ArrayList<>();
         for (LiveEntry each : entries.values()) {
--- a/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
@@ -10,17 +10,20 @@
 import org.elmline.core.registry.RegistryChannels.RoutingText;
 
 /**
- * A routing document in compressed form, as it goes to every entry at every change.
+ * A routing document in compressed form, as it is sent to every entry at every change.
  *
  * @param version version of the document, -1 when there is none
- * @param bytes its length once inflated
- * @param deflated the document in UTF-8, in zlib's format
+ * @param bytes length of the uncompressed document in bytes
+ * @param deflated the document in UTF-8, compressed in zlib format (RFC 1950)
  */
 public record PackedRouting(long version, int bytes, byte[] deflated) {
-    /** More than any document that an operator may send. */
+    /**
+     * Larger than any document that an operator may submit; bounds the memory that a received length can make this
+     * class allocate.
+     */
     private static final int MAX_BYTES = 32 * 1024 * 1024;
 
-    /** Packs a document, one that isn't there as well. */
+    /** Compresses a document. The result has version -1 when the document is unknown or absent. */
     public static PackedRouting of(RoutingText document) {
         if (!document.known() || document.version() < 0) {
             return new PackedRouting(-1, 0, new byte[0]);
@@ -41,7 +44,7 @@
         }
     }
 
-    /** The document; empty when these bytes are none. */
+    /** Returns the document; empty when the bytes are damaged or do not match the stated length. */
     public Optional<RoutingText> unpack() {
         if (version < 0) {
             return Optional.of(RoutingText.NONE);
@@ -54,7 +57,8 @@
             inflater.setInput(deflated);
             byte[] text = new byte[bytes];
             int length = inflater.inflate(text);
-            // With room for nothing more, the end of the stream is only noticed by asking for another byte.
+            // When the buffer is exactly full, the inflater only detects the end of the stream when another byte is
+            // requested.
             boolean whole = length == bytes && (inflater.finished() || inflater.inflate(new byte[1]) == 0);
             return whole && inflater.finished()
                     ? Optional.of(new RoutingText(true, version, new String(text, StandardCharsets.UTF_8)))
--- a/elmline-core/src/main/java/org/elmline/core/registry/PendingPoll.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/PendingPoll.java
@@ -1,56 +1,65 @@
 package org.elmline.core.registry;
 
 /**
- * A poll for news that waits for its answer.
+ * A poll that a control host holds until it answers. Immutable.
  *
- * @param receivedAtNanos when it came
+ * @param receivedAtNanos when the poll was received
  */
 public record PendingPoll(FollowRequest request, long receivedAtNanos) {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Time for which a poll without news is held. Also the rate of signs of life that a follower gives. */
+    /**
+     * Default time for which a poll without changes is held. As polls also serve as a follower's heartbeats, it sets
+     * their interval, too.
+     */
     public static final long HOLD_MILLIS = 500;
 
-    /** Longest hold that a follower may ask for, so that one that is gone is noticed. */
+    /** Longest hold that a follower may request; bounds the time until the loss of a follower is detected. */
     private static final long MAX_HOLD_MILLIS = 5_000;
 
-    /** Control hosts up to which a follower polls each at the usual pace. */
+    /** Number of control hosts up to which a follower polls each at the default interval. */
     private static final int BASE_CONTROL_HOSTS = 5;
 
-    /** Longer hold for each control host beyond: a follower of eight stays within three kilobytes a second. */
+    /**
+     * Additional hold for each control host beyond {@link #BASE_CONTROL_HOSTS}; keeps the traffic of a follower of
+     * eight control hosts within three kilobytes a second.
+     */
     private static final long EXTRA_HOLD_MILLIS_PER_HOST = 250;
 
-    /** Part of a longer hold for which news are gathered longer, too; the other hosts tell of them meanwhile. */
+    /**
+     * Share of the additional hold by which the batching time is extended. Meanwhile the other control hosts report the
+     * same changes.
+     */
     private static final double BATCH_SHARE = 0.4;
 
-    /** The hold that a follower of so many control hosts asks for. */
+    /** The hold that a follower of the given number of control hosts requests, in milliseconds. */
     public static long holdMillis(int controlHosts) {
         return HOLD_MILLIS + Math.max(0, controlHosts - BASE_CONTROL_HOSTS) * EXTRA_HOLD_MILLIS_PER_HOST;
     }
 
-    /** Time for which the poll is held without news. */
+    /** Time for which this poll is held without changes, in milliseconds. */
     public long holdMillis() {
         long asked = request.holdMillis() == 0 ? HOLD_MILLIS : request.holdMillis();
         return Math.max(BATCH_MILLIS, Math.min(MAX_HOLD_MILLIS, asked));
     }
 
     /**
-     * Time for which news that nobody waits for are gathered. When all processes start at once, all entries and servers
-     * appear within a second or two; told one by one to all followers they would be more work than a small host does in
-     * that time, and the routing table would wait behind them. Gathered, a follower gets
-     * ten answers a second at most. A tenth of a second is little beside the heartbeat that brings such news.
+     * Time for which changes that are not urgent are batched. When all processes start at once, all entries and servers
+     * appear within a second or two. Reporting each of them separately to all followers would exceed the capacity of a
+     * small host in that time and would delay the routing table. With batching, a follower receives at most ten answers
+     * a second. A tenth of a second is short compared with the interval of the heartbeats that bring such changes.
      */
     public static final long BATCH_MILLIS = 100;
 
     /**
-     * Time for which such news are gathered for this poll. A follower that asks for a longer hold follows many control
-     * hosts, and hears the same news from each of them.
+     * Batching time of this poll. A follower that requests a longer hold follows many control hosts and receives the
+     * same changes from each of them.
      */
     private long batchMillis() {
         return Math.max(BATCH_MILLIS, (long) (BATCH_SHARE * (holdMillis() - HOLD_MILLIS)));
     }
 
-    /** Whether it is to be answered now. */
+    /** Whether the poll must be answered now. */
     public boolean isDue(RegistryVersions news, long nowNanos) {
         long age = nowNanos - receivedAtNanos;
         if (age >= holdMillis() * NANOS_PER_MILLI || isUrgent(news)) {
@@ -59,7 +68,10 @@
         return age >= batchMillis() * NANOS_PER_MILLI && hasUpdates(news);
     }
 
-    /** A follower that starts knows nothing; a table must be in force soon; a leaving server's time runs. */
+    /**
+     * Whether a change must not wait: the follower has no state of this start of the control host, a new routing table
+     * must take effect soon, or a leaving server waits for its acknowledgement.
+     */
     private boolean isUrgent(RegistryVersions news) {
         boolean first = request.epoch() != news.epoch();
         boolean table = request.entry() != null && news.routingVersion() > request.routingVersion();
--- a/elmline-core/src/main/java/org/elmline/core/registry/Registration.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/Registration.java
@@ -6,12 +6,12 @@
 import org.elmline.core.common.ServiceName;
 
 /**
- * One heartbeat of a backend server.
+ * The registration of a backend server, as each of its heartbeats carries it.
  *
- * @param places requests that it works on at once
- * @param bornMillis start of the server in milliseconds since 1970, by its own clock; a later start under the same id or
- *     address replaces an earlier one
- * @param sequence grows with each heartbeat of one start
+ * @param places number of requests that it executes concurrently
+ * @param bornMillis start of the server by its own clock, in milliseconds since 1970; a later start under the same id
+ *     or address replaces an earlier one
+ * @param sequence increases with each heartbeat of one start
  */
 public record Registration(
         BackendServerId id,
@@ -28,14 +28,15 @@
         }
     }
 
-    /** The same server in another state. */
+    /** Returns the registration of the same server in another state. */
     public Registration withState(ServerState next) {
         return new Registration(id, service, address, failureDomain, places, next, bornMillis, sequence);
     }
 
     /**
-     * Whether this one is to be believed rather than another of the same id. A later start goes first; within a start a
-     * later state, so that a delayed heartbeat never brings a leaving server back; then the later heartbeat.
+     * Whether this registration replaces another of the same id. A later start takes precedence; within one start a
+     * later state, so that a delayed heartbeat never makes a leaving server available again; within one state the later
+     * heartbeat.
      */
     public boolean supersedes(Registration other) {
         if (bornMillis != other.bornMillis) {
@@ -47,7 +48,7 @@
         return sequence > other.sequence;
     }
 
-    /** Whether anything but the sequence differs. */
+    /** Whether anything other than the sequence differs. */
     public boolean differsFrom(Registration other) {
         return !id.equals(other.id)
                 || !service.equals(other.service)
--- a/elmline-core/src/main/java/org/elmline/core/registry/RegistryChannels.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/RegistryChannels.java
@@ -2,21 +2,24 @@
 
 import org.elmline.core.peer.Channel;
 
-/** What control hosts answer on the matters of the registry and the routing table. */
+/** The calls that control hosts answer for the registry and the routing table. */
 public final class RegistryChannels {
-    /** Polls for news. */
+    /** Polls for changes. */
     public static final Channel<FollowRequest, FollowAnswer> FOLLOW =
             new Channel<>("registry.follow", FollowRequest.class, FollowAnswer.class);
 
-    /** Fetches the routing document that a control host holds, be it the newest or not; for entries of earlier releases. */
+    /**
+     * Fetches the routing document that a control host holds, which need not be the latest; for entries of earlier
+     * releases.
+     */
     public static final Channel<RoutingQuery, RoutingText> FETCH_ROUTING =
             new Channel<>("routing.fetch", RoutingQuery.class, RoutingText.class);
 
-    /** Fetches the same document packed. */
+    /** Fetches the same document in compressed form. */
     public static final Channel<RoutingQuery, PackedRouting> FETCH_PACKED =
             new Channel<>("routing.fetch.packed", RoutingQuery.class, PackedRouting.class);
 
-    /** Reads the newest routing document; answered by the leader only. */
+    /** Reads the latest routing document; answered by the leader only. */
     public static final Channel<RoutingQuery, RoutingText> READ_ROUTING =
             new Channel<>("routing.read", RoutingQuery.class, RoutingText.class);
 
@@ -26,13 +29,13 @@
 
     private RegistryChannels() {}
 
-    /** Asks for the routing document. */
+    /** Requests the routing document. */
     public record RoutingQuery() {}
 
     /**
      * A routing document.
      *
-     * @param known false when this host can't tell
+     * @param known false when this host cannot determine the document
      * @param version -1 when there is no document yet
      */
     public record RoutingText(boolean known, long version, String text) {
@@ -40,18 +43,18 @@
         public static final RoutingText NONE = new RoutingText(true, -1, null);
     }
 
-    /** Carries a document that is valid, to be put in force under its version. */
+    /** Submits a valid document, to be put in force under its version. */
     public record RoutingSubmission(long version, String text) {}
 
-    /** What became of a document. */
+    /** The outcome of a submission. */
     public enum RoutingSubmitResult {
-        /** It is in force, or was before. */
+        /** The document is in force or was before. */
         ACCEPTED,
         /** A document of this or a higher version is in force; nothing was changed. */
         OVERTAKEN,
-        /** This host doesn't lead; nothing was changed. */
+        /** This host is not the leader; nothing was changed. */
         NOT_LEADER,
-        /** It may take effect or not. */
+        /** The outcome is unknown: the document may or may not take effect. */
         UNKNOWN
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/registry/RegistryVersions.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/RegistryVersions.java
@@ -1,13 +1,14 @@
 package org.elmline.core.registry;
 
 /**
- * How far a control host's state has come, against which a poll is weighed.
+ * The versions of a control host's state, against which polls are compared.
  *
- * @param epoch start of the control host
- * @param serverVersion number of the newest change of backend servers
- * @param leavingVersion number of the newest change by which a server began to leave; somebody waits for it to spread
- * @param entryVersion number of the newest change of entries
- * @param routingVersion version of the newest routing table, -1 without one
+ * @param epoch identifies the start of the control host
+ * @param serverVersion number of the latest change of backend servers
+ * @param leavingVersion number of the latest change by which a server began to leave; the server waits until it has
+ *     propagated
+ * @param entryVersion number of the latest change of entries
+ * @param routingVersion version of the latest routing table, -1 without one
  */
 public record RegistryVersions(
         long epoch, long serverVersion, long leavingVersion, long entryVersion, long routingVersion) {}
--- a/elmline-core/src/main/java/org/elmline/core/registry/RegistryView.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/RegistryView.java
@@ -13,14 +13,15 @@
 import org.elmline.core.common.HostId;
 
 /**
- * What an entry makes of the news of several control hosts: the union of all they know. A control host that is cut off
- * hears no heartbeats and takes every server for silent, so a server counts as silent only where all control hosts that
- * answer say so; and an entry counts as alive where any of them says so. Not safe for concurrent use.
+ * A follower's view of the registries of several control hosts: the union of their answers. A partitioned control host
+ * receives no heartbeats and reports every server as expired, so a server counts as expired only when all answering
+ * control hosts report it so, and an entry counts as alive when any of them reports it alive. Not safe for concurrent
+ * use.
  */
 public final class RegistryView {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Time for which a union made without news since is used again; every call asks for it several times. */
+    /** Time for which the union is cached while nothing changes, as every routed call reads it several times. */
     private static final long UNION_CACHE_NANOS = 50 * NANOS_PER_MILLI;
 
     private long answerValidityNanos;
@@ -31,7 +32,7 @@
     private Union union;
     private Union lastUnion;
 
-    /** What all control hosts that answer know together. */
+    /** The combined state of all answering control hosts. */
     private record Union(long createdAtNanos, List<Registration> usable, List<EntryRecord> entries) {
         Union reuseListsOf(Union before) {
             return new Union(
@@ -64,7 +65,7 @@
         private final Set<BackendServerId> aliveBeforeRestart = new HashSet<>();
         private Map<HostId, EntryRecord> entries = new HashMap<>();
 
-        /** Returns whether anything changed by it. */
+        /** Applies a server's update. Returns whether it changed this view. */
         boolean apply(ServerUpdate news) {
             BackendServerId id = news.registration().id();
             boolean hears = !news.silent() && !news.remembered();
@@ -75,7 +76,7 @@
             return changed;
         }
 
-        /** Returns whether anything changed by it. */
+        /** Applies the entries of an answer. Returns whether they changed this view. */
         boolean applyEntries(FollowAnswer answer) {
             boolean changed = false;
             if (answer.entries() != null) {
@@ -99,9 +100,9 @@
     }
 
     /**
-     * @param currentNanos time after an answer for which a control host's opinion counts
-     * @param relearnNanos time that a restarted control host needs to hear all servers again
-     * @param settleNanos time that a restarted control host needs to hear all entries again
+     * @param answerValidityNanos how long after an answer a control host's state is used
+     * @param serverWarmUpNanos time after a control host's restart within which all servers send it a heartbeat
+     * @param entryWarmUpNanos time after a control host's restart within which all entries poll it
      */
     public RegistryView(long currentNanos, long relearnNanos, long settleNanos) {
         this.answerValidityNanos = currentNanos;
@@ -109,12 +110,12 @@
         this.entryWarmUpNanos = settleNanos;
     }
 
-    /** Takes another time after an answer for which a control host's opinion counts. */
+    /** Changes how long after an answer a control host's state is used, in nanoseconds. */
     public void updateAnswerValidity(long nanos) {
         answerValidityNanos = nanos;
     }
 
-    /** Takes a control host's answer. Returns whether anything changed by it. */
+    /** Applies a control host's answer. Returns whether it changed the view. */
     public boolean apply(Address from, FollowAnswer answer, long now) {
         ControlHostView opinion = controlHostViews.computeIfAbsent(from, address -> new ControlHostView());
         boolean changed = false;
@@ -137,8 +138,10 @@
     }
 
     /**
-     * A restarted control host has heard nobody yet. Were all of them restarted at once, every server would seem silent
-     * and all calls would be turned away; so what it had heard before counts until it has had time to hear it again.
+     * Resets the state of a control host that has restarted and has not received any heartbeats yet. If all control
+     * hosts restart at once, every server would seem to be expired and all calls would be rejected. So the servers that
+     * were alive before the restart count as alive until the warm-up time has passed, within which their heartbeats
+     * arrive again.
      */
     private void resetAfterRestart(ControlHostView opinion, long epoch, long now) {
         opinion.aliveBeforeRestart.addAll(opinion.alive);
@@ -162,14 +165,15 @@
         if (union == null || now - union.createdAtNanos() >= UNION_CACHE_NANOS) {
             List<ControlHostView> current = currentViews(now);
             Union next = new Union(now, usable(current, now), entries(current));
-            // Lists of the same records stay the same lists, so that what is worked out from them need not be again.
+            // Reuses the previous lists when their elements are the same, so that callers need not recompute what they
+            // derive from these lists.
             union = lastUnion == null ? next : next.reuseListsOf(lastUnion);
             lastUnion = union;
         }
         return union;
     }
 
-    /** Servers that may be sent work. While no control host answers, those last known stay. */
+    /** Servers that accept work. While no control host answers, the last known ones. */
     public List<Registration> usable(long now) {
         return union(now).usable();
     }
@@ -184,7 +188,10 @@
         return usable;
     }
 
-    /** Whether one control host hears the server, or one remembers it from before a restart and none misses it. */
+    /**
+     * Whether one control host receives the server's heartbeats, or one restored it after a restart and none reports it
+     * expired.
+     */
     private static boolean isAlive(BackendServerId id, List<ControlHostView> current, long now) {
         boolean remembered = false;
         boolean missed = false;
@@ -198,12 +205,12 @@
         return remembered && !missed;
     }
 
-    /** A server's newest registration, null when it is not known. */
+    /** A server's latest registration, null when it is not known. */
     public Registration server(BackendServerId id) {
         return servers.get(id);
     }
 
-    /** Entries that are alive, by host; while no control host answers, those last known. */
+    /** Live entries, one for each host. While no control host answers, the last known ones. */
     public Collection<EntryRecord> entries(long now) {
         return union(now).entries();
     }
@@ -226,15 +233,15 @@
     }
 
     /**
-     * Whether the entries told are all there are: some control host has been up for long enough to hear them all, or none
-     * answers and what was known before stands.
+     * Whether the list of entries is complete: a control host has been up long enough to receive polls of all entries,
+     * or no control host answers and the last known list is used.
      */
     public boolean isEntryListComplete(long now) {
         List<ControlHostView> current = currentViews(now);
         return current.isEmpty() || current.stream().anyMatch(each -> now - each.upSinceNanos >= entryWarmUpNanos);
     }
 
-    /** How many control hosts have answered lately. */
+    /** Number of control hosts whose latest answer is still valid. */
     public int answeringControlHosts(long now) {
         return currentViews(now).size();
     }
@@ -249,7 +256,7 @@
         return current;
     }
 
-    /** Drops the opinion of a control host that is one no more. */
+    /** Removes the state of a host that is no longer a control host. */
     public void removeControlHost(Address address) {
         controlHostViews.remove(address);
         union = null;
--- a/elmline-core/src/main/java/org/elmline/core/registry/ServerRegistry.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/ServerRegistry.java
@@ -11,8 +11,8 @@
 import org.elmline.core.common.BackendServerId;
 
 /**
- * A control host's account of the backend servers: the newest registration of each, when it was last heard, and a number
- * that grows with every change worth telling. Not safe for concurrent use.
+ * A control host's registry of the backend servers: the latest registration of each, the time of its last heartbeat,
+ * and a number that increases with every change that followers must receive. Not safe for concurrent use.
  */
 public final class ServerRegistry {
     private final long heartbeatTimeoutNanos;
@@ -33,10 +33,11 @@
     }
 
     /**
-     * @param silentNanos time without a heartbeat after which a server counts as silent
-     * @param confirmNanos time without a heartbeat after which a server that is only remembered counts as silent
-     * @param forgetNanos time without a heartbeat after which it is forgotten; must outlast any delayed heartbeat, which
-     *     would otherwise bring a server back that has left
+     * @param heartbeatTimeoutNanos time without a heartbeat after which a server counts as expired
+     * @param restoredTimeoutNanos time without a heartbeat after which a server counts as expired that was restored
+     *     after a restart and has not sent a heartbeat since
+     * @param evictionNanos time without a heartbeat after which a server is evicted; must exceed the delay of any
+     *     heartbeat, as a later one would register a server again that has left
      */
     public ServerRegistry(long silentNanos, long confirmNanos, long forgetNanos) {
         this.heartbeatTimeoutNanos = silentNanos;
@@ -44,7 +45,9 @@
         this.evictionNanos = forgetNanos;
     }
 
-    /** Takes a heartbeat that reached this host. Returns whether it is news that must be told. */
+    /**
+     * Records a heartbeat that reached this host directly. Returns whether it is a change that followers must receive.
+     */
     public boolean onHeartbeat(Registration registration, long now) {
         boolean news = merge(registration, now);
         TrackedServer entry = servers.get(registration.id());
@@ -57,8 +60,9 @@
     }
 
     /**
-     * Takes a server that was heard before this host's restart. After a loss of all control hosts servers are heard again
-     * only one by one, within a heartbeat; known by the first few alone, they would get all the work.
+     * Restores a server that was registered before this host's restart. After a loss of all control hosts, the
+     * heartbeats of the servers arrive one by one over a heartbeat interval; without the restored servers, the first
+     * few to arrive would receive all calls.
      */
     public void restore(Registration registration, long now) {
         if (!servers.containsKey(registration.id())) {
@@ -66,7 +70,7 @@
         }
     }
 
-    /** Takes what another host has told. Returns whether it is news that must be told on. */
+    /** Merges another control host's update. Returns whether it is a change that followers must receive. */
     public boolean merge(ServerUpdate news, long now) {
         boolean unknown = !servers.containsKey(news.registration().id());
         boolean told = merge(news.registration(), now);
@@ -76,14 +80,17 @@
         return told;
     }
 
-    /** Takes the time at which another host heard a server. Returns whether it is news. */
+    /**
+     * Merges the time at which another control host received a server's heartbeat. Returns whether it is a change that
+     * followers must receive.
+     */
     public boolean merge(HeartbeatAge heard, long heardAtNanos) {
         TrackedServer entry = servers.get(heard.id());
         boolean known = entry != null && entry.registration.bornMillis() == heard.bornMillis();
         return known && recordHeartbeat(entry, heardAtNanos);
     }
 
-    /** The server leaves. Returns whether that is news; unknown servers are no news. */
+    /** Records that a server leaves. Returns whether that is a change; for an unknown server it is none. */
     public boolean deregister(BackendServerId id, long now) {
         TrackedServer entry = servers.get(id);
         return entry != null && merge(entry.registration.withState(ServerState.GONE), now);
@@ -116,8 +123,10 @@
     }
 
     /**
-     * Gives an address to its newest holder. A heartbeat that was held up by a cut may come after its sender died and
-     * another server took the address: calls to the old id would reach the wrong server, so the later start wins.
+     * Assigns an address to the server that started last. Returns whether another server with a later start holds the
+     * address. A heartbeat that was delayed by a network partition may arrive after its sender died and another server
+     * took over the address. Calls for the old id would then reach the wrong server, so the later start takes
+     * precedence.
      */
     private boolean isAddressTaken(Registration next) {
         BackendServerId holder = byAddress.get(next.address());
@@ -147,7 +156,7 @@
         return true;
     }
 
-    /** Lets time pass. Returns whether a server has fallen silent. */
+    /** Expires and evicts servers without recent heartbeats. Returns whether a server has expired. */
     public boolean expire(long now) {
         boolean news = false;
         Iterator<TrackedServer> each = servers.values().iterator();
@@ -167,12 +176,12 @@
         return news;
     }
 
-    /** Number of the newest change. */
+    /** Number of the latest change. */
     public long lastChange() {
         return lastChange;
     }
 
-    /** What has changed after a number, in no order. */
+    /** Servers that have changed after a number, in no particular order. */
     public List<ServerUpdate> changesSince(long number) {
         List<ServerUpdate> news = new ArrayList<>();
         for (TrackedServer each : servers.values()) {
@@ -183,7 +192,7 @@
         return news;
     }
 
-    /** The servers that this host itself has heard since a time. */
+    /** Servers whose heartbeats this host has received directly since a time. */
     public List<HeartbeatAge> localHeartbeatsSince(long sinceNanos, long now) {
         List<HeartbeatAge> heard = new ArrayList<>();
         for (TrackedServer each : servers.values()) {
@@ -199,7 +208,7 @@
         return heard;
     }
 
-    /** Those that take work and are not silent. */
+    /** Servers that accept work and have not expired. */
     public List<Registration> availableServers() {
         List<Registration> all = new ArrayList<>();
         for (TrackedServer each : servers.values()) {
@@ -210,7 +219,7 @@
         return all;
     }
 
-    /** All that is known, those that left included. */
+    /** All known servers, including those that have left. */
     public Collection<Registration> all() {
         return servers.values().stream().map(each -> each.registration).toList();
     }
--- a/elmline-core/src/main/java/org/elmline/core/registry/ServerState.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/ServerState.java
@@ -1,12 +1,12 @@
 package org.elmline.core.registry;
 
-/** What a backend server says of itself. Within one start of a server the states only move forward. */
+/** The state that a backend server reports. Within one start of a server the states only advance. */
 public enum ServerState {
-    /** Takes work. */
+    /** Accepts work. */
     READY,
-    /** Finishes what it has and wants no new work. */
+    /** Finishes requests in flight and accepts no new work. */
     DRAINING,
-    /** Has left, or its address belongs to a newer server. */
+    /** Has left, or its address belongs to a server that started later. */
     GONE;
 
     public boolean acceptsWork() {
--- a/elmline-core/src/main/java/org/elmline/core/registry/ServerUpdate.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/ServerUpdate.java
@@ -1,9 +1,11 @@
 package org.elmline.core.registry;
 
 /**
- * What a control host tells of a backend server.
+ * A control host's report of a backend server.
  *
- * @param silent whether no heartbeat has reached any control host that it hears for too long
- * @param remembered whether it is only known from before the control host's restart, and not heard since
+ * @param silent whether the server has expired: neither the control host nor one that it exchanges state with has
+ *     received a heartbeat within the timeout
+ * @param remembered whether the server was restored after the control host's restart and no heartbeat of it has arrived
+ *     since
  */
 public record ServerUpdate(Registration registration, boolean silent, boolean remembered) {}
--- a/elmline-core/src/main/java/org/elmline/core/registry/package-info.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Who is there: backend servers by their heartbeats, entries by their polls. Soft state that every control host keeps
- * and spreads; nothing of it is on a disk. Merging is commutative, so that the order in which hosts hear of a change does
- * not matter.
+ * The registry of live processes: backend servers by their heartbeats, entries by their polls. It is soft state that
+ * every control host keeps in memory and propagates. Merging is commutative, so that the order in which hosts receive
+ * changes does not matter.
  */
 package org.elmline.core.registry;
--- a/elmline-core/src/test/java/org/elmline/core/registry/CallerDirectoryTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/CallerDirectoryTest.java
@@ -13,7 +13,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Which entries callers are told of, and how long an entry counts as alive. */
+/** Tests which entries callers are directed to, and when an expired entry is left out. */
 class CallerDirectoryTest {
     private static final long SECOND = 1_000_000_000L;
 
@@ -36,8 +36,9 @@
         live.renew(entry("stopping", "a", false), SECOND);
         live.renew(entry("far", "b", true), SECOND);
         assertEquals(4, told("a"));
-        assertEquals(5, told("b"), "one near entry is too few to rest on");
-        assertEquals(5, addresses("another", "c").size(), "where nothing is near, far entries are better than none");
+        assertEquals(5, told("b"), "one entry in the failure domain is too few");
+        assertEquals(
+                5, addresses("another", "c").size(), "without an entry in the region, remote entries are returned");
         live.expire(2 * SECOND);
         assertEquals(0, told("a"));
     }
--- a/elmline-core/src/test/java/org/elmline/core/registry/FleetViewTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/FleetViewTest.java
@@ -12,7 +12,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What an entry makes of control hosts that disagree, restart or fall silent. */
+/** Tests an entry's view when control hosts disagree, restart or stop answering. */
 class FleetViewTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Address A = Address.parse("10.0.0.1:7000");
@@ -52,7 +52,10 @@
         return new FollowAnswer(epoch, 9_000, List.of(), 0, null, List.of(), List.of(), 0, List.of(), 1, null, null);
     }
 
-    /** All calls would be refused: a control host that is cut off hears nobody and takes every server for silent. */
+    /**
+     * Guards against the rejection of all calls: a partitioned control host receives no heartbeats and reports every
+     * server as expired.
+     */
     @Test
     void oneHostThatHearsAServerIsEnough() {
         view.apply(A, answer(1, false, ServerState.READY), 0);
@@ -62,7 +65,10 @@
         assertEquals(0, view.usable(SECOND).size());
     }
 
-    /** Guards against control hosts that count as gone between two polls, as a follower of many polls each less often. */
+    /**
+     * Guards against control hosts that count as unreachable between two polls: a follower of many control hosts polls
+     * each of them less often.
+     */
     @Test
     void aHostThatIsPolledLessOftenStaysCurrent() {
         view.updateAnswerValidity(3 * SECOND);
@@ -72,8 +78,8 @@
     }
 
     /**
-     * All calls would be refused for a heartbeat's time: all control hosts are killed at once and come back with empty
-     * registries, while the servers and this entry never stopped.
+     * Guards against the rejection of all calls for a heartbeat interval: all control hosts are killed at once and
+     * restart with empty registries, while the servers and this entry keep running.
      */
     @Test
     void restartedControlHostsSilenceNobodyBeforeTheyCouldHear() {
@@ -82,7 +88,7 @@
         assertEquals(1, view.usable(SECOND).size());
         view.apply(A, nothing(2), 4 * SECOND);
         view.apply(A, nothing(2), 5 * SECOND);
-        assertEquals(0, view.usable(5 * SECOND).size(), "it was not heard again in time");
+        assertEquals(0, view.usable(5 * SECOND).size(), "no heartbeat arrived within the warm-up time");
     }
 
     @Test
@@ -92,7 +98,7 @@
         assertEquals(0, view.usable(0).size());
     }
 
-    /** With no control host left an entry goes on with the servers it knew. */
+    /** Without any answering control host, an entry keeps using the last known servers. */
     @Test
     void whatWasKnownStaysWhileNobodyAnswers() {
         view.apply(A, answer(1, false, ServerState.READY), 0);
@@ -107,8 +113,9 @@
     }
 
     /**
-     * Calls would go to a server that has died while one control host was down: that one still remembers it, the other
-     * has found it silent. Only where nobody has missed it does the memory count.
+     * Guards against calls to a server that died while one control host was down: that control host has restored the
+     * server, the other one reports it as expired. A restored server counts as alive only when no control host reports
+     * it expired.
      */
     @Test
     void aRememberedServerCountsWhereNobodyHasMissedIt() {
@@ -119,19 +126,19 @@
         view.apply(B, answer(1, true, ServerState.READY), 0);
         assertEquals(0, view.usable(0).size());
         view.apply(A, answer(1, false, ServerState.READY), 0);
-        assertEquals(1, view.usable(0).size(), "it was heard");
+        assertEquals(1, view.usable(0).size(), "its heartbeat was received");
     }
 
     /**
-     * Each entry would take itself for the one that places all calls: control hosts and entries come back at once, and
-     * the first answers tell of the few entries that were heard by then.
+     * Guards against entries that each act as the dispatcher of all calls: control hosts and entries restart at once,
+     * and the first answers list only the few entries that have polled by then.
      */
     @Test
     void entriesAreAllKnownOnceAControlHostHasBeenUpForAWhile() {
-        assertTrue(view.isEntryListComplete(0), "nothing was ever known, and nobody tells");
+        assertTrue(view.isEntryListComplete(0), "no entry is known and no control host answers");
         view.apply(A, up(300), 0);
         assertFalse(view.isEntryListComplete(0));
-        assertTrue(view.isEntryListComplete(7 * SECOND / 10), "it has heard all by then");
+        assertTrue(view.isEntryListComplete(7 * SECOND / 10), "all entries have polled it by then");
         view.apply(B, up(1_000), 0);
         assertTrue(view.isEntryListComplete(0));
     }
--- a/elmline-core/src/test/java/org/elmline/core/registry/LiveEntriesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/LiveEntriesTest.java
@@ -17,7 +17,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What followers are told of entries. */
+/** Tests which changes of entries followers receive. */
 class LiveEntriesTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Address CONTROL = Address.parse("10.0.0.1:7000");
@@ -37,7 +37,7 @@
                 serving);
     }
 
-    /** Polls once, as a control host answers it. Returns how many records the answer holds. */
+    /** Polls once and applies the answer of the control host. Returns the number of records in the answer. */
     private int poll(boolean first, long now) {
         boolean whole = first || !live.canListChangesSince(seen);
         List<EntryUpdate> news = whole ? List.of() : live.changesSince(seen);
@@ -66,7 +66,10 @@
         return list;
     }
 
-    /** Guards against bytes that grow with the square of the entries: 91 entries are restarted one after the other. */
+    /**
+     * Guards against traffic that grows with the square of the number of entries: 91 entries restart one after the
+     * other.
+     */
     @Test
     void aRestartOfAllEntriesIsToldInAFewRecordsEach() {
         int hosts = 91;
@@ -84,7 +87,10 @@
         assertEquals(2 * hosts, told);
     }
 
-    /** Guards against entries that are told apart from the list: news of any changes lead a follower to the same list. */
+    /**
+     * Guards against followers whose list deviates from the control host's: applying the changes must give the same
+     * list.
+     */
     @Property(tries = 100, seed = "7")
     void newsLeadToTheList(@ForAll long seed) {
         Random random = new Random(seed);
@@ -101,7 +107,7 @@
         }
     }
 
-    /** Guards against an account of hosts that are gone that grows for ever. */
+    /** Guards against a record of expired entries that grows without bound. */
     @Test
     void aFollowerThatLagsFarBehindIsToldAll() {
         live.renew(entry(0, 1, true), SECOND);
--- a/elmline-core/src/test/java/org/elmline/core/registry/OpenPollTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/OpenPollTest.java
@@ -44,7 +44,7 @@
         assertTrue(held(5, 4, 9).isDue(news, 500 * MILLI));
     }
 
-    /** Guards against signs of life, and their cost, that grow with the number of control hosts. */
+    /** Guards against poll traffic that grows with the number of control hosts. */
     @Test
     void aFollowerOfManyControlHostsIsHeldForLonger() {
         assertEquals(500, PendingPoll.holdMillis(5));
@@ -52,13 +52,13 @@
         FollowRequest asks = new FollowRequest(HostId.of("10.0.0.1"), entry(1), EPOCH, 5, 4, 9, 1, 1_500);
         RegistryVersions nothing = new RegistryVersions(EPOCH, 5, 3, 4, 9);
         RegistryVersions entry = new RegistryVersions(EPOCH, 5, 3, 5, 9);
-        assertFalse(new PendingPoll(asks, 0).isDue(entry, 399 * MILLI), "eight other hosts tell it, too");
+        assertFalse(new PendingPoll(asks, 0).isDue(entry, 399 * MILLI), "eight other control hosts report it, too");
         assertTrue(new PendingPoll(asks, 0).isDue(entry, 400 * MILLI));
         assertFalse(new PendingPoll(asks, 0).isDue(nothing, 1_499 * MILLI));
         assertTrue(new PendingPoll(asks, 0).isDue(nothing, 1_500 * MILLI));
         assertTrue(
                 new PendingPoll(asks, 0).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0),
-                "a leaving server is told at once");
+                "a leaving server is reported without delay");
     }
 
     @Test
@@ -72,13 +72,15 @@
     }
 
     /**
-     * A server says that it leaves, and its acknowledgement waits until every entry knows: told late, the server would
-     * go on hearing nothing and call another host, and calls would still be sent to it.
+     * Guards against calls to a server that is leaving. Its acknowledgement is held back until every entry has received
+     * the change; if the change were delayed, the server would get no response, would call another control host, and
+     * calls would still be sent to it.
      */
     @Test
     void aLeavingServerIsToldAtOnce() {
         assertTrue(held(5, 4, 9).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0));
-        assertFalse(held(6, 4, 9).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0), "it has the news already");
+        assertFalse(
+                held(6, 4, 9).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0), "the follower has the change already");
     }
 
     @Test
@@ -89,9 +91,9 @@
     }
 
     /**
-     * After a power loss all processes start together: callers are turned away until the entries have the table, and the
-     * control hosts spend their first seconds telling 22 followers of every entry and server that turns up. With each
-     * change told at once that is 1,320 answers in 1.2 s; gathered it is 264.
+     * Guards against an overload of the control hosts when all processes start together after a power loss: callers are
+     * rejected until the entries have the routing table, while the control hosts report every new entry and server to
+     * 22 followers. With each change reported at once that takes 1,320 answers in 1.2 s; batched it takes 264.
      */
     @Test
     void aRestartOfEverythingCausesFewAnswers() {
--- a/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
@@ -25,7 +25,10 @@
         return new RoutingText(true, 7, text.append("]}").toString());
     }
 
-    /** Guards against a document that crosses between failure domains once an entry at many times its length. */
+    /**
+     * Guards against traffic between failure domains: a document is sent to each entry, uncompressed at several times
+     * the length.
+     */
     @Test
     void aDocumentOfManyRoutesBecomesSmall() {
         RoutingText document = document(1_400, new Random(1));
@@ -45,7 +48,9 @@
                 PackedRouting.of(RoutingText.UNKNOWN).unpack());
     }
 
-    /** Guards against a table made of half a document, or memory taken by a length that somebody claims. */
+    /**
+     * Guards against a routing table built from a truncated document, and against memory allocated for a false length.
+     */
     @Property(tries = 200, seed = "3")
     void whatIsDamagedIsNoDocument(@ForAll long seed) {
         Random random = new Random(seed);
--- a/elmline-core/src/test/java/org/elmline/core/registry/ServerRegistryTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/ServerRegistryTest.java
@@ -12,7 +12,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What a control host believes of backend servers when heartbeats are late, lost or of the dead. */
+/** Tests a control host's registry when heartbeats are late, lost or from servers that have died. */
 class ServerRegistryTest {
     private static final long SECOND = 1_000_000_000L;
 
@@ -39,8 +39,8 @@
     }
 
     /**
-     * Callers would be sent to a server that stops. It says that it drains; a heartbeat from before, held up on the way,
-     * comes after that and says "ready".
+     * Guards against calls to a server that is stopping: the server reports that it drains, and a delayed heartbeat
+     * from before that arrives afterwards and reports that it is ready.
      */
     @Test
     void aLateHeartbeatDoesNotEndADrain() {
@@ -50,7 +50,7 @@
         assertEquals(ServerState.DRAINING, state("s"));
     }
 
-    /** A server that has left stays gone for its late heartbeats, and comes back only by a later start. */
+    /** Late heartbeats must not register a server again that has left; only a later start does. */
     @Test
     void whatHasLeftComesBackOnlyByALaterStart() {
         registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
@@ -62,8 +62,8 @@
     }
 
     /**
-     * Calls meant for one server would reach another. A heartbeat is held up by a cut; its sender dies and a new server
-     * takes the address; then the old heartbeat arrives.
+     * Guards against calls that reach the wrong server: a heartbeat is delayed by a network partition, its sender dies,
+     * a new server takes over the address, and then the old heartbeat arrives.
      */
     @Test
     void anAddressBelongsToTheLaterStart() {
@@ -88,7 +88,10 @@
                 registry.changesSince(before).stream().map(ServerUpdate::silent).toList());
     }
 
-    /** A heartbeat without news makes no change, or every poll would be answered at once for ever. */
+    /**
+     * Guards against polls that are always answered at once: a heartbeat that changes nothing must not count as a
+     * change.
+     */
     @Test
     void aPlainHeartbeatIsNoNews() {
         registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
@@ -99,15 +102,18 @@
     }
 
     /**
-     * Callers would all be sent to the first few servers that are heard after a loss of all control hosts. What the last
-     * start knew counts until a server has had two heartbeats' time to be heard, and then as silent.
+     * Guards against sending all calls to the first few servers whose heartbeats arrive after a loss of all control
+     * hosts. A restored server counts as alive for two heartbeat intervals, and as expired if no heartbeat has arrived
+     * by then.
      */
     @Test
     void whatIsRememberedCountsUntilItShouldHaveBeenHeard() {
         registry.restore(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
         registry.restore(beat("t", "10.0.0.2:80", ServerState.READY, 100, 1), 0);
         assertTrue(registry.changesSince(0).stream().allMatch(each -> each.remembered() && !each.silent()));
-        assertTrue(registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND), "heard is news");
+        assertTrue(
+                registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND),
+                "the first heartbeat after a restart is a change");
         assertFalse(registry.expire(2 * SECOND - 1));
         assertTrue(registry.expire(2 * SECOND));
         for (ServerUpdate each : registry.changesSince(0)) {
@@ -117,7 +123,7 @@
         assertEquals(1, registry.availableServers().size());
     }
 
-    /** A server that left while this host was down would get calls again: what another host has told goes first. */
+    /** Guards against calls to a server that left while this host was down: another host's report takes precedence. */
     @Test
     void whatIsRememberedYieldsToWhatIsKnown() {
         registry.merge(new ServerUpdate(beat("s", "10.0.0.1:80", ServerState.GONE, 100, 9), false, false), 0);
