--- a/elmline-core/src/main/java/org/elmline/core/registry/CallerDirectory.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/CallerDirectory.java
@@ -30,23 +30,23 @@
      */
     public static List<Address> addresses(
             Collection<EntryRecord> entries, Region region, FailureDomain domain, RandomGenerator random) {
-        List<EntryRecord> near = new ArrayList<>();
-        List<EntryRecord> inRegion = new ArrayList<>();
-        List<EntryRecord> far = new ArrayList<>();
+        List<EntryRecord> sameDomainEntries = new ArrayList<>();
+        List<EntryRecord> sameRegionEntries = new ArrayList<>();
+        List<EntryRecord> remoteEntries = new ArrayList<>();
         for (EntryRecord entry : entries) {
             if (!entry.serving()) {
                 continue;
             }
             boolean sameDomain = entry.failureDomain().equals(domain);
             boolean sameRegion = entry.region().equals(region);
-            (sameDomain ? near : sameRegion ? inRegion : far).add(entry);
+            (sameDomain ? sameDomainEntries : sameRegion ? sameRegionEntries : remoteEntries).add(entry);
         }
-        List<EntryRecord> chosen = new ArrayList<>(near);
+        List<EntryRecord> chosen = new ArrayList<>(sameDomainEntries);
         if (chosen.size() < MIN_DOMAIN_ENTRIES) {
-            chosen.addAll(inRegion);
+            chosen.addAll(sameRegionEntries);
         }
         if (chosen.isEmpty()) {
-            chosen.addAll(far);
+            chosen.addAll(remoteEntries);
         }
         shuffle(chosen, random);
         return chosen.stream().limit(MAX_ADDRESSES).map(EntryRecord::callers).toList();
--- a/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
@@ -35,34 +35,34 @@
      *
      * @param expiresAtNanos when the entry expires unless it polls again
      */
-    public boolean renew(EntryRecord entry, long until) {
+    public boolean renew(EntryRecord entry, long expiresAtNanos) {
         LiveEntry before = entries.get(entry.host());
-        boolean news = before == null || !before.entry().equals(entry);
-        if (news) {
+        boolean changed = before == null || !before.entry().equals(entry);
+        if (changed) {
             lastChange++;
             expired.remove(entry.host());
         }
-        entries.put(entry.host(), new LiveEntry(entry, until, news ? lastChange : before.changeNumber()));
-        return news;
+        entries.put(entry.host(), new LiveEntry(entry, expiresAtNanos, changed ? lastChange : before.changeNumber()));
+        return changed;
     }
 
     /** Removes the entries whose time has run out. Returns whether an entry was removed. */
     public boolean expire(long now) {
-        boolean any = false;
-        Iterator<LiveEntry> each = entries.values().iterator();
-        while (each.hasNext()) {
-            LiveEntry seen = each.next();
-            if (now - seen.expiresAtNanos() >= 0) {
-                each.remove();
-                expired.put(seen.entry().host(), new ExpiredEntry(seen.entry(), ++lastChange));
-                any = true;
+        boolean changed = false;
+        Iterator<LiveEntry> iterator = entries.values().iterator();
+        while (iterator.hasNext()) {
+            LiveEntry live = iterator.next();
+            if (now - live.expiresAtNanos() >= 0) {
+                iterator.remove();
+                expired.put(live.entry().host(), new ExpiredEntry(live.entry(), ++lastChange));
+                changed = true;
             }
         }
         if (expired.size() > entries.size() + EXPIRED_ENTRIES_MARGIN) {
             expired.clear();
             oldestListedChange = lastChange;
         }
-        return any;
+        return changed;
     }
 
     /** Number of the latest change of the list. */
@@ -82,17 +82,17 @@
 
     /** Entries that have changed after a number, in no particular order. */
     public List<EntryUpdate> changesSince(long number) {
-        List<EntryUpdate> news = new ArrayList<>();
+        List<EntryUpdate> changes = new ArrayList<>();
         for (LiveEntry each : entries.values()) {
             if (each.changeNumber() > number) {
-                news.add(new EntryUpdate(each.entry(), false));
+                changes.add(new EntryUpdate(each.entry(), false));
             }
         }
         for (ExpiredEntry each : expired.values()) {
             if (each.changeNumber() > number) {
-                news.add(new EntryUpdate(each.entry(), true));
+                changes.add(new EntryUpdate(each.entry(), true));
             }
         }
-        return news;
+        return changes;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
@@ -33,12 +33,12 @@
         try {
             deflater.setInput(text);
             deflater.finish();
-            ByteArrayOutputStream packed = new ByteArrayOutputStream(text.length / 4 + 64);
-            byte[] part = new byte[8_192];
+            ByteArrayOutputStream output = new ByteArrayOutputStream(text.length / 4 + 64);
+            byte[] buffer = new byte[8_192];
             while (!deflater.finished()) {
-                packed.write(part, 0, deflater.deflate(part));
+                output.write(buffer, 0, deflater.deflate(buffer));
             }
-            return new PackedRouting(document.version(), text.length, packed.toByteArray());
+            return new PackedRouting(document.version(), text.length, output.toByteArray());
         } finally {
             deflater.end();
         }
@@ -59,8 +59,8 @@
             int length = inflater.inflate(text);
             // When the buffer is exactly full, the inflater only detects the end of the stream when another byte is
             // requested.
-            boolean whole = length == bytes && (inflater.finished() || inflater.inflate(new byte[1]) == 0);
-            return whole && inflater.finished()
+            boolean complete = length == bytes && (inflater.finished() || inflater.inflate(new byte[1]) == 0);
+            return complete && inflater.finished()
                     ? Optional.of(new RoutingText(true, version, new String(text, StandardCharsets.UTF_8)))
                     : Optional.empty();
         } catch (DataFormatException e) {
--- a/elmline-core/src/main/java/org/elmline/core/registry/PendingPoll.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/PendingPoll.java
@@ -39,8 +39,8 @@
 
     /** Time for which this poll is held without changes, in milliseconds. */
     public long holdMillis() {
-        long asked = request.holdMillis() == 0 ? HOLD_MILLIS : request.holdMillis();
-        return Math.max(BATCH_MILLIS, Math.min(MAX_HOLD_MILLIS, asked));
+        long requested = request.holdMillis() == 0 ? HOLD_MILLIS : request.holdMillis();
+        return Math.max(BATCH_MILLIS, Math.min(MAX_HOLD_MILLIS, requested));
     }
 
     /**
@@ -60,26 +60,26 @@
     }
 
     /** Whether the poll must be answered now. */
-    public boolean isDue(RegistryVersions news, long nowNanos) {
+    public boolean isDue(RegistryVersions versions, long nowNanos) {
         long age = nowNanos - receivedAtNanos;
-        if (age >= holdMillis() * NANOS_PER_MILLI || isUrgent(news)) {
+        if (age >= holdMillis() * NANOS_PER_MILLI || isUrgent(versions)) {
             return true;
         }
-        return age >= batchMillis() * NANOS_PER_MILLI && hasUpdates(news);
+        return age >= batchMillis() * NANOS_PER_MILLI && hasUpdates(versions);
     }
 
     /**
      * Whether a change must not wait: the follower has no state of this start of the control host, a new routing table
      * must take effect soon, or a leaving server waits for its acknowledgement.
      */
-    private boolean isUrgent(RegistryVersions news) {
-        boolean first = request.epoch() != news.epoch();
-        boolean table = request.entry() != null && news.routingVersion() > request.routingVersion();
-        return first || table || news.leavingVersion() > request.serversSeen();
+    private boolean isUrgent(RegistryVersions versions) {
+        boolean first = request.epoch() != versions.epoch();
+        boolean table = request.entry() != null && versions.routingVersion() > request.routingVersion();
+        return first || table || versions.leavingVersion() > request.serversSeen();
     }
 
-    private boolean hasUpdates(RegistryVersions news) {
-        boolean entries = request.entry() != null && news.entryVersion() != request.entriesSeen();
-        return entries || news.serverVersion() > request.serversSeen();
+    private boolean hasUpdates(RegistryVersions versions) {
+        boolean entries = request.entry() != null && versions.entryVersion() != request.entriesSeen();
+        return entries || versions.serverVersion() > request.serversSeen();
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/registry/RegistryView.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/RegistryView.java
@@ -41,12 +41,12 @@
                     haveSameElements(entries, before.entries) ? before.entries : entries);
         }
 
-        private static <T> boolean haveSameElements(List<T> some, List<T> others) {
-            if (some.size() != others.size()) {
+        private static <T> boolean haveSameElements(List<T> a, List<T> b) {
+            if (a.size() != b.size()) {
                 return false;
             }
-            for (int i = 0; i < some.size(); i++) {
-                if (some.get(i) != others.get(i)) {
+            for (int i = 0; i < a.size(); i++) {
+                if (a.get(i) != b.get(i)) {
                     return false;
                 }
             }
@@ -66,13 +66,13 @@
         private Map<HostId, EntryRecord> entries = new HashMap<>();
 
         /** Applies a server's update. Returns whether it changed this view. */
-        boolean apply(ServerUpdate news) {
-            BackendServerId id = news.registration().id();
-            boolean hears = !news.silent() && !news.remembered();
+        boolean apply(ServerUpdate update) {
+            BackendServerId id = update.registration().id();
+            boolean receivesHeartbeats = !update.silent() && !update.remembered();
             aliveBeforeRestart.remove(id);
-            boolean changed = hears ? alive.add(id) : alive.remove(id);
-            changed |= news.silent() ? expired.add(id) : expired.remove(id);
-            changed |= news.remembered() ? restored.add(id) : restored.remove(id);
+            boolean changed = receivesHeartbeats ? alive.add(id) : alive.remove(id);
+            changed |= update.silent() ? expired.add(id) : expired.remove(id);
+            changed |= update.remembered() ? restored.add(id) : restored.remove(id);
             return changed;
         }
 
@@ -94,8 +94,8 @@
         }
 
         boolean isAlive(BackendServerId id, long now) {
-            boolean relearning = now - warmUpEndNanos < 0;
-            return alive.contains(id) || (relearning && aliveBeforeRestart.contains(id));
+            boolean warmingUp = now - warmUpEndNanos < 0;
+            return alive.contains(id) || (warmingUp && aliveBeforeRestart.contains(id));
         }
     }
 
@@ -104,10 +104,10 @@
      * @param serverWarmUpNanos time after a control host's restart within which all servers send it a heartbeat
      * @param entryWarmUpNanos time after a control host's restart within which all entries poll it
      */
-    public RegistryView(long currentNanos, long relearnNanos, long settleNanos) {
-        this.answerValidityNanos = currentNanos;
-        this.serverWarmUpNanos = relearnNanos;
-        this.entryWarmUpNanos = settleNanos;
+    public RegistryView(long answerValidityNanos, long serverWarmUpNanos, long entryWarmUpNanos) {
+        this.answerValidityNanos = answerValidityNanos;
+        this.serverWarmUpNanos = serverWarmUpNanos;
+        this.entryWarmUpNanos = entryWarmUpNanos;
     }
 
     /** Changes how long after an answer a control host's state is used, in nanoseconds. */
@@ -117,20 +117,20 @@
 
     /** Applies a control host's answer. Returns whether it changed the view. */
     public boolean apply(Address from, FollowAnswer answer, long now) {
-        ControlHostView opinion = controlHostViews.computeIfAbsent(from, address -> new ControlHostView());
+        ControlHostView view = controlHostViews.computeIfAbsent(from, address -> new ControlHostView());
         boolean changed = false;
-        if (opinion.epoch != answer.epoch()) {
-            resetAfterRestart(opinion, answer.epoch(), now);
+        if (view.epoch != answer.epoch()) {
+            resetAfterRestart(view, answer.epoch(), now);
             changed = true;
         }
-        changed |= now - opinion.lastAnswerNanos >= answerValidityNanos;
-        opinion.lastAnswerNanos = now;
-        opinion.upSinceNanos = now - answer.upMillis() * NANOS_PER_MILLI;
+        changed |= now - view.lastAnswerNanos >= answerValidityNanos;
+        view.lastAnswerNanos = now;
+        view.upSinceNanos = now - answer.upMillis() * NANOS_PER_MILLI;
         for (ServerUpdate each : answer.servers()) {
             changed |= apply(each.registration());
-            changed |= opinion.apply(each);
+            changed |= view.apply(each);
         }
-        changed |= opinion.applyEntries(answer);
+        changed |= view.applyEntries(answer);
         if (changed) {
             union = null;
         }
@@ -143,22 +143,22 @@
      * were alive before the restart count as alive until the warm-up time has passed, within which their heartbeats
      * arrive again.
      */
-    private void resetAfterRestart(ControlHostView opinion, long epoch, long now) {
-        opinion.aliveBeforeRestart.addAll(opinion.alive);
-        opinion.alive.clear();
-        opinion.expired.clear();
-        opinion.restored.clear();
-        opinion.epoch = epoch;
-        opinion.warmUpEndNanos = now + serverWarmUpNanos;
+    private void resetAfterRestart(ControlHostView view, long epoch, long now) {
+        view.aliveBeforeRestart.addAll(view.alive);
+        view.alive.clear();
+        view.expired.clear();
+        view.restored.clear();
+        view.epoch = epoch;
+        view.warmUpEndNanos = now + serverWarmUpNanos;
     }
 
     private boolean apply(Registration next) {
-        Registration held = servers.get(next.id());
-        if (held != null && !next.supersedes(held)) {
+        Registration known = servers.get(next.id());
+        if (known != null && !next.supersedes(known)) {
             return false;
         }
         servers.put(next.id(), next);
-        return held == null || next.differsFrom(held);
+        return known == null || next.differsFrom(known);
     }
 
     private Union union(long now) {
@@ -193,16 +193,16 @@
      * expired.
      */
     private static boolean isAlive(BackendServerId id, List<ControlHostView> current, long now) {
-        boolean remembered = false;
-        boolean missed = false;
+        boolean restored = false;
+        boolean expired = false;
         for (ControlHostView each : current) {
             if (each.isAlive(id, now)) {
                 return true;
             }
-            remembered |= each.restored.contains(id);
-            missed |= each.expired.contains(id);
+            restored |= each.restored.contains(id);
+            expired |= each.expired.contains(id);
         }
-        return remembered && !missed;
+        return restored && !expired;
     }
 
     /** A server's latest registration, null when it is not known. */
--- a/elmline-core/src/main/java/org/elmline/core/registry/ServerRegistry.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/ServerRegistry.java
@@ -39,24 +39,24 @@
      * @param evictionNanos time without a heartbeat after which a server is evicted; must exceed the delay of any
      *     heartbeat, as a later one would register a server again that has left
      */
-    public ServerRegistry(long silentNanos, long confirmNanos, long forgetNanos) {
-        this.heartbeatTimeoutNanos = silentNanos;
-        this.restoredTimeoutNanos = confirmNanos;
-        this.evictionNanos = forgetNanos;
+    public ServerRegistry(long heartbeatTimeoutNanos, long restoredTimeoutNanos, long evictionNanos) {
+        this.heartbeatTimeoutNanos = heartbeatTimeoutNanos;
+        this.restoredTimeoutNanos = restoredTimeoutNanos;
+        this.evictionNanos = evictionNanos;
     }
 
     /**
      * Records a heartbeat that reached this host directly. Returns whether it is a change that followers must receive.
      */
     public boolean onHeartbeat(Registration registration, long now) {
-        boolean news = merge(registration, now);
-        TrackedServer entry = servers.get(registration.id());
-        if (entry != null && entry.registration.bornMillis() == registration.bornMillis()) {
-            entry.receivedLocally = true;
-            entry.lastLocalHeartbeatNanos = now;
-            news |= recordHeartbeat(entry, now);
+        boolean changed = merge(registration, now);
+        TrackedServer tracked = servers.get(registration.id());
+        if (tracked != null && tracked.registration.bornMillis() == registration.bornMillis()) {
+            tracked.receivedLocally = true;
+            tracked.lastLocalHeartbeatNanos = now;
+            changed |= recordHeartbeat(tracked, now);
         }
-        return news;
+        return changed;
     }
 
     /**
@@ -71,55 +71,55 @@
     }
 
     /** Merges another control host's update. Returns whether it is a change that followers must receive. */
-    public boolean merge(ServerUpdate news, long now) {
-        boolean unknown = !servers.containsKey(news.registration().id());
-        boolean told = merge(news.registration(), now);
-        if (unknown && told) {
-            servers.get(news.registration().id()).restored = news.remembered();
+    public boolean merge(ServerUpdate update, long now) {
+        boolean unknown = !servers.containsKey(update.registration().id());
+        boolean changed = merge(update.registration(), now);
+        if (unknown && changed) {
+            servers.get(update.registration().id()).restored = update.remembered();
         }
-        return told;
+        return changed;
     }
 
     /**
      * Merges the time at which another control host received a server's heartbeat. Returns whether it is a change that
      * followers must receive.
      */
-    public boolean merge(HeartbeatAge heard, long heardAtNanos) {
-        TrackedServer entry = servers.get(heard.id());
-        boolean known = entry != null && entry.registration.bornMillis() == heard.bornMillis();
-        return known && recordHeartbeat(entry, heardAtNanos);
+    public boolean merge(HeartbeatAge heartbeat, long receivedAtNanos) {
+        TrackedServer tracked = servers.get(heartbeat.id());
+        boolean known = tracked != null && tracked.registration.bornMillis() == heartbeat.bornMillis();
+        return known && recordHeartbeat(tracked, receivedAtNanos);
     }
 
     /** Records that a server leaves. Returns whether that is a change; for an unknown server it is none. */
     public boolean deregister(BackendServerId id, long now) {
-        TrackedServer entry = servers.get(id);
-        return entry != null && merge(entry.registration.withState(ServerState.GONE), now);
+        TrackedServer tracked = servers.get(id);
+        return tracked != null && merge(tracked.registration.withState(ServerState.GONE), now);
     }
 
     private boolean merge(Registration next, long now) {
-        TrackedServer entry = servers.get(next.id());
-        if (entry != null && !next.supersedes(entry.registration)) {
+        TrackedServer tracked = servers.get(next.id());
+        if (tracked != null && !next.supersedes(tracked.registration)) {
             return false;
         }
         if (next.state() != ServerState.GONE && isAddressTaken(next)) {
             return false;
         }
-        boolean news = entry == null || next.differsFrom(entry.registration);
-        if (entry == null) {
-            entry = new TrackedServer();
-            entry.lastHeartbeatNanos = now;
-            servers.put(next.id(), entry);
-        } else if (next.bornMillis() != entry.registration.bornMillis()) {
-            entry.lastHeartbeatNanos = now;
-            entry.expired = false;
-            entry.restored = false;
-            entry.receivedLocally = false;
+        boolean changed = tracked == null || next.differsFrom(tracked.registration);
+        if (tracked == null) {
+            tracked = new TrackedServer();
+            tracked.lastHeartbeatNanos = now;
+            servers.put(next.id(), tracked);
+        } else if (next.bornMillis() != tracked.registration.bornMillis()) {
+            tracked.lastHeartbeatNanos = now;
+            tracked.expired = false;
+            tracked.restored = false;
+            tracked.receivedLocally = false;
         }
-        entry.registration = next;
-        if (news) {
-            entry.changeNumber = ++lastChange;
+        tracked.registration = next;
+        if (changed) {
+            tracked.changeNumber = ++lastChange;
         }
-        return news;
+        return changed;
     }
 
     /**
@@ -130,50 +130,50 @@
      */
     private boolean isAddressTaken(Registration next) {
         BackendServerId holder = byAddress.get(next.address());
-        TrackedServer other = holder == null || holder.equals(next.id()) ? null : servers.get(holder);
-        boolean lives = other != null
-                && other.registration.state() != ServerState.GONE
-                && other.registration.address().equals(next.address());
-        if (lives && other.registration.bornMillis() > next.bornMillis()) {
+        TrackedServer currentHolder = holder == null || holder.equals(next.id()) ? null : servers.get(holder);
+        boolean holderIsPresent = currentHolder != null
+                && currentHolder.registration.state() != ServerState.GONE
+                && currentHolder.registration.address().equals(next.address());
+        if (holderIsPresent && currentHolder.registration.bornMillis() > next.bornMillis()) {
             return true;
         }
-        if (lives) {
-            other.registration = other.registration.withState(ServerState.GONE);
-            other.changeNumber = ++lastChange;
+        if (holderIsPresent) {
+            currentHolder.registration = currentHolder.registration.withState(ServerState.GONE);
+            currentHolder.changeNumber = ++lastChange;
         }
         byAddress.put(next.address(), next.id());
         return false;
     }
 
-    private boolean recordHeartbeat(TrackedServer entry, long at) {
-        entry.lastHeartbeatNanos = Math.max(entry.lastHeartbeatNanos, at);
-        if (!entry.expired && !entry.restored) {
+    private boolean recordHeartbeat(TrackedServer tracked, long at) {
+        tracked.lastHeartbeatNanos = Math.max(tracked.lastHeartbeatNanos, at);
+        if (!tracked.expired && !tracked.restored) {
             return false;
         }
-        entry.expired = false;
-        entry.restored = false;
-        entry.changeNumber = ++lastChange;
+        tracked.expired = false;
+        tracked.restored = false;
+        tracked.changeNumber = ++lastChange;
         return true;
     }
 
     /** Expires and evicts servers without recent heartbeats. Returns whether a server has expired. */
     public boolean expire(long now) {
-        boolean news = false;
-        Iterator<TrackedServer> each = servers.values().iterator();
-        while (each.hasNext()) {
-            TrackedServer entry = each.next();
-            long age = now - entry.lastHeartbeatNanos;
+        boolean changed = false;
+        Iterator<TrackedServer> iterator = servers.values().iterator();
+        while (iterator.hasNext()) {
+            TrackedServer tracked = iterator.next();
+            long age = now - tracked.lastHeartbeatNanos;
             if (age >= evictionNanos) {
-                byAddress.remove(entry.registration.address(), entry.registration.id());
-                each.remove();
-            } else if (age >= (entry.restored ? restoredTimeoutNanos : heartbeatTimeoutNanos) && !entry.expired) {
-                entry.expired = true;
-                entry.restored = false;
-                entry.changeNumber = ++lastChange;
-                news = true;
+                byAddress.remove(tracked.registration.address(), tracked.registration.id());
+                iterator.remove();
+            } else if (age >= (tracked.restored ? restoredTimeoutNanos : heartbeatTimeoutNanos) && !tracked.expired) {
+                tracked.expired = true;
+                tracked.restored = false;
+                tracked.changeNumber = ++lastChange;
+                changed = true;
             }
         }
-        return news;
+        return changed;
     }
 
     /** Number of the latest change. */
@@ -183,29 +183,29 @@
 
     /** Servers that have changed after a number, in no particular order. */
     public List<ServerUpdate> changesSince(long number) {
-        List<ServerUpdate> news = new ArrayList<>();
+        List<ServerUpdate> changes = new ArrayList<>();
         for (TrackedServer each : servers.values()) {
             if (each.changeNumber > number) {
-                news.add(new ServerUpdate(each.registration, each.expired, each.restored));
+                changes.add(new ServerUpdate(each.registration, each.expired, each.restored));
             }
         }
-        return news;
+        return changes;
     }
 
     /** Servers whose heartbeats this host has received directly since a time. */
     public List<HeartbeatAge> localHeartbeatsSince(long sinceNanos, long now) {
-        List<HeartbeatAge> heard = new ArrayList<>();
+        List<HeartbeatAge> heartbeats = new ArrayList<>();
         for (TrackedServer each : servers.values()) {
             if (each.receivedLocally && each.lastLocalHeartbeatNanos - sinceNanos >= 0) {
                 Registration registration = each.registration;
-                heard.add(new HeartbeatAge(
+                heartbeats.add(new HeartbeatAge(
                         registration.id(),
                         registration.bornMillis(),
                         registration.sequence(),
                         (now - each.lastLocalHeartbeatNanos) / 1_000_000));
             }
         }
-        return heard;
+        return heartbeats;
     }
 
     /** Servers that accept work and have not expired. */
--- a/elmline-core/src/test/java/org/elmline/core/registry/CallerDirectoryTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/CallerDirectoryTest.java
@@ -19,7 +19,7 @@
 
     private final LiveEntries live = new LiveEntries();
 
-    private int told(String domain) {
+    private int addressCount(String domain) {
         return addresses("r", domain).size();
     }
 
@@ -29,29 +29,29 @@
     }
 
     @Test
-    void callersGetTheEntriesNearThemThatServe() {
+    void returnsServingEntriesNearestToCaller() {
         for (int i = 0; i < 4; i++) {
             live.renew(entry("near" + i, "a", true), SECOND);
         }
         live.renew(entry("stopping", "a", false), SECOND);
         live.renew(entry("far", "b", true), SECOND);
-        assertEquals(4, told("a"));
-        assertEquals(5, told("b"), "one entry in the failure domain is too few");
+        assertEquals(4, addressCount("a"));
+        assertEquals(5, addressCount("b"), "one entry in the failure domain is too few");
         assertEquals(
                 5, addresses("another", "c").size(), "without an entry in the region, remote entries are returned");
         live.expire(2 * SECOND);
-        assertEquals(0, told("a"));
+        assertEquals(0, addressCount("a"));
     }
 
     @Test
-    void anAnswerHoldsNoMoreThanItMay() {
-        List<EntryRecord> many = new ArrayList<>();
+    void limitsAddressesInOneAnswer() {
+        List<EntryRecord> entries = new ArrayList<>();
         for (int i = 0; i < 200; i++) {
-            many.add(entry("e" + i, "a", true));
+            entries.add(entry("e" + i, "a", true));
         }
-        List<Address> told =
-                CallerDirectory.addresses(many, Region.of("r"), FailureDomain.of("a"), new SplittableRandom(1));
-        assertTrue(told.size() <= CallerDirectory.MAX_ADDRESSES, told.size() + " addresses");
+        List<Address> returned =
+                CallerDirectory.addresses(entries, Region.of("r"), FailureDomain.of("a"), new SplittableRandom(1));
+        assertTrue(returned.size() <= CallerDirectory.MAX_ADDRESSES, returned.size() + " addresses");
     }
 
     private static EntryRecord entry(String host, String domain, boolean serving) {
--- a/elmline-core/src/test/java/org/elmline/core/registry/FleetViewTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/FleetViewTest.java
@@ -48,7 +48,7 @@
                 null);
     }
 
-    private static FollowAnswer nothing(long epoch) {
+    private static FollowAnswer emptyAnswer(long epoch) {
         return new FollowAnswer(epoch, 9_000, List.of(), 0, null, List.of(), List.of(), 0, List.of(), 1, null, null);
     }
 
@@ -57,7 +57,7 @@
      * server as expired.
      */
     @Test
-    void oneHostThatHearsAServerIsEnough() {
+    void serverIsUsableWhenOneControlHostReceivesHeartbeats() {
         view.apply(A, answer(1, false, ServerState.READY), 0);
         view.apply(B, answer(1, true, ServerState.READY), 0);
         assertEquals(1, view.usable(0).size());
@@ -70,7 +70,7 @@
      * each of them less often.
      */
     @Test
-    void aHostThatIsPolledLessOftenStaysCurrent() {
+    void controlHostThatIsPolledLessOftenStaysCurrent() {
         view.updateAnswerValidity(3 * SECOND);
         view.apply(A, answer(1, false, ServerState.READY), 0);
         assertEquals(1, view.answeringControlHosts(3 * SECOND - 1));
@@ -82,17 +82,17 @@
      * restart with empty registries, while the servers and this entry keep running.
      */
     @Test
-    void restartedControlHostsSilenceNobodyBeforeTheyCouldHear() {
+    void restartedControlHostsExpireNoServerBeforeWarmUpEnds() {
         view.apply(A, answer(1, false, ServerState.READY), 0);
-        view.apply(A, nothing(2), SECOND);
+        view.apply(A, emptyAnswer(2), SECOND);
         assertEquals(1, view.usable(SECOND).size());
-        view.apply(A, nothing(2), 4 * SECOND);
-        view.apply(A, nothing(2), 5 * SECOND);
+        view.apply(A, emptyAnswer(2), 4 * SECOND);
+        view.apply(A, emptyAnswer(2), 5 * SECOND);
         assertEquals(0, view.usable(5 * SECOND).size(), "no heartbeat arrived within the warm-up time");
     }
 
     @Test
-    void aDrainToldByAnyHostHolds() {
+    void drainReportedByAnyControlHostApplies() {
         view.apply(A, answer(1, false, ServerState.DRAINING), 0);
         view.apply(B, answer(1, false, ServerState.READY), 0);
         assertEquals(0, view.usable(0).size());
@@ -100,16 +100,16 @@
 
     /** Without any answering control host, an entry keeps using the last known servers. */
     @Test
-    void whatWasKnownStaysWhileNobodyAnswers() {
+    void lastKnownServersStayUsableWhileNoControlHostAnswers() {
         view.apply(A, answer(1, false, ServerState.READY), 0);
         assertEquals(1, view.usable(60 * SECOND).size());
         assertEquals(0, view.answeringControlHosts(60 * SECOND));
     }
 
-    private static FollowAnswer remembering(long epoch) {
-        ServerUpdate news = new ServerUpdate(server(ServerState.READY, 1), false, true);
+    private static FollowAnswer answerWithRestoredServer(long epoch) {
+        ServerUpdate update = new ServerUpdate(server(ServerState.READY, 1), false, true);
         return new FollowAnswer(
-                epoch, 9_000, List.of(news), 1, null, List.of(), List.of(), 0, List.of(), 1, null, null);
+                epoch, 9_000, List.of(update), 1, null, List.of(), List.of(), 0, List.of(), 1, null, null);
     }
 
     /**
@@ -118,10 +118,10 @@
      * it expired.
      */
     @Test
-    void aRememberedServerCountsWhereNobodyHasMissedIt() {
-        view.apply(A, remembering(1), 0);
+    void restoredServerIsUsableUntilAControlHostReportsItExpired() {
+        view.apply(A, answerWithRestoredServer(1), 0);
         assertEquals(1, view.usable(0).size());
-        view.apply(B, nothing(1), 0);
+        view.apply(B, emptyAnswer(1), 0);
         assertEquals(1, view.usable(0).size());
         view.apply(B, answer(1, true, ServerState.READY), 0);
         assertEquals(0, view.usable(0).size());
@@ -134,16 +134,16 @@
      * and the first answers list only the few entries that have polled by then.
      */
     @Test
-    void entriesAreAllKnownOnceAControlHostHasBeenUpForAWhile() {
+    void entryListIsCompleteAfterWarmUpOfOneControlHost() {
         assertTrue(view.isEntryListComplete(0), "no entry is known and no control host answers");
-        view.apply(A, up(300), 0);
+        view.apply(A, answerAfterUptime(300), 0);
         assertFalse(view.isEntryListComplete(0));
         assertTrue(view.isEntryListComplete(7 * SECOND / 10), "all entries have polled it by then");
-        view.apply(B, up(1_000), 0);
+        view.apply(B, answerAfterUptime(1_000), 0);
         assertTrue(view.isEntryListComplete(0));
     }
 
-    private static FollowAnswer up(long millis) {
+    private static FollowAnswer answerAfterUptime(long millis) {
         return new FollowAnswer(1, millis, List.of(), 0, null, List.of(), List.of(), 0, List.of(), 1, null, null);
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/registry/LiveEntriesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/LiveEntriesTest.java
@@ -40,7 +40,7 @@
     /** Polls once and applies the answer of the control host. Returns the number of records in the answer. */
     private int poll(boolean first, long now) {
         boolean whole = first || !live.canListChangesSince(seen);
-        List<EntryUpdate> news = whole ? List.of() : live.changesSince(seen);
+        List<EntryUpdate> changes = whole ? List.of() : live.changesSince(seen);
         FollowAnswer answer = new FollowAnswer(
                 1,
                 9_000,
@@ -48,7 +48,7 @@
                 0,
                 List.of(),
                 whole ? live.all() : null,
-                news,
+                changes,
                 live.lastChange(),
                 List.of(),
                 1,
@@ -56,7 +56,7 @@
                 null);
         view.apply(CONTROL, answer, now);
         seen = live.lastChange();
-        return whole ? live.all().size() : news.size();
+        return whole ? live.all().size() : changes.size();
     }
 
     private static List<EntryRecord> sorted(Iterable<EntryRecord> entries) {
@@ -71,20 +71,20 @@
      * other.
      */
     @Test
-    void aRestartOfAllEntriesIsToldInAFewRecordsEach() {
+    void rollingRestartSendsOneRecordPerChange() {
         int hosts = 91;
         for (int i = 0; i < hosts; i++) {
             live.renew(entry(i, 1, true), SECOND);
         }
         poll(true, 0);
-        int told = 0;
+        int recordsSent = 0;
         for (int i = 0; i < hosts; i++) {
             live.renew(entry(i, 1, false), SECOND);
-            told += poll(false, 0);
+            recordsSent += poll(false, 0);
             live.renew(entry(i, 2, true), SECOND);
-            told += poll(false, 0);
+            recordsSent += poll(false, 0);
         }
-        assertEquals(2 * hosts, told);
+        assertEquals(2 * hosts, recordsSent);
     }
 
     /**
@@ -92,7 +92,7 @@
      * list.
      */
     @Property(tries = 100, seed = "7")
-    void newsLeadToTheList(@ForAll long seed) {
+    void appliedChangesGiveTheSameList(@ForAll long seed) {
         Random random = new Random(seed);
         long now = 0;
         poll(true, now);
@@ -109,7 +109,7 @@
 
     /** Guards against a record of expired entries that grows without bound. */
     @Test
-    void aFollowerThatLagsFarBehindIsToldAll() {
+    void followerThatLagsFarBehindNeedsWholeList() {
         live.renew(entry(0, 1, true), SECOND);
         long before = live.lastChange();
         for (int i = 1; i < 250; i++) {
--- a/elmline-core/src/test/java/org/elmline/core/registry/OpenPollTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/OpenPollTest.java
@@ -33,42 +33,44 @@
                 HostId.of("10.0.0.1"), entry, EPOCH, servers, entries, version, FollowRequest.FORM_PACKED_UPDATES, 0);
     }
 
-    private static PendingPoll held(long servers, long entries, long version) {
+    private static PendingPoll poll(long servers, long entries, long version) {
         return new PendingPoll(request(entry(1), servers, entries, version), 0);
     }
 
     @Test
-    void withoutNewsAPollIsHeld() {
-        RegistryVersions news = new RegistryVersions(EPOCH, 5, 3, 4, 9);
-        assertFalse(held(5, 4, 9).isDue(news, 499 * MILLI));
-        assertTrue(held(5, 4, 9).isDue(news, 500 * MILLI));
+    void holdsPollWithoutChanges() {
+        RegistryVersions versions = new RegistryVersions(EPOCH, 5, 3, 4, 9);
+        assertFalse(poll(5, 4, 9).isDue(versions, 499 * MILLI));
+        assertTrue(poll(5, 4, 9).isDue(versions, 500 * MILLI));
     }
 
     /** Guards against poll traffic that grows with the number of control hosts. */
     @Test
-    void aFollowerOfManyControlHostsIsHeldForLonger() {
+    void holdsPollLongerForFollowerOfManyControlHosts() {
         assertEquals(500, PendingPoll.holdMillis(5));
         assertEquals(1_500, PendingPoll.holdMillis(9));
-        FollowRequest asks = new FollowRequest(HostId.of("10.0.0.1"), entry(1), EPOCH, 5, 4, 9, 1, 1_500);
-        RegistryVersions nothing = new RegistryVersions(EPOCH, 5, 3, 4, 9);
-        RegistryVersions entry = new RegistryVersions(EPOCH, 5, 3, 5, 9);
-        assertFalse(new PendingPoll(asks, 0).isDue(entry, 399 * MILLI), "eight other control hosts report it, too");
-        assertTrue(new PendingPoll(asks, 0).isDue(entry, 400 * MILLI));
-        assertFalse(new PendingPoll(asks, 0).isDue(nothing, 1_499 * MILLI));
-        assertTrue(new PendingPoll(asks, 0).isDue(nothing, 1_500 * MILLI));
+        FollowRequest longHold = new FollowRequest(HostId.of("10.0.0.1"), entry(1), EPOCH, 5, 4, 9, 1, 1_500);
+        RegistryVersions unchanged = new RegistryVersions(EPOCH, 5, 3, 4, 9);
+        RegistryVersions entryChanged = new RegistryVersions(EPOCH, 5, 3, 5, 9);
+        assertFalse(
+                new PendingPoll(longHold, 0).isDue(entryChanged, 399 * MILLI),
+                "eight other control hosts report it, too");
+        assertTrue(new PendingPoll(longHold, 0).isDue(entryChanged, 400 * MILLI));
+        assertFalse(new PendingPoll(longHold, 0).isDue(unchanged, 1_499 * MILLI));
+        assertTrue(new PendingPoll(longHold, 0).isDue(unchanged, 1_500 * MILLI));
         assertTrue(
-                new PendingPoll(asks, 0).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0),
+                new PendingPoll(longHold, 0).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0),
                 "a leaving server is reported without delay");
     }
 
     @Test
-    void aNewTableIsToldAtOnce() {
-        assertTrue(held(5, 4, 8).isDue(new RegistryVersions(EPOCH, 5, 3, 4, 9), 0));
+    void answersAtOnceOnNewRoutingTable() {
+        assertTrue(poll(5, 4, 8).isDue(new RegistryVersions(EPOCH, 5, 3, 4, 9), 0));
     }
 
     @Test
-    void aFollowerOfAnEarlierStartIsAnsweredAtOnce() {
-        assertTrue(held(5, 4, 9).isDue(new RegistryVersions(EPOCH + 1, 0, 0, 0, -1), 0));
+    void answersAtOnceWhenFollowerHasStateOfEarlierStart() {
+        assertTrue(poll(5, 4, 9).isDue(new RegistryVersions(EPOCH + 1, 0, 0, 0, -1), 0));
     }
 
     /**
@@ -77,17 +79,17 @@
      * calls would still be sent to it.
      */
     @Test
-    void aLeavingServerIsToldAtOnce() {
-        assertTrue(held(5, 4, 9).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0));
+    void answersAtOnceWhenServerLeaves() {
+        assertTrue(poll(5, 4, 9).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0));
         assertFalse(
-                held(6, 4, 9).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0), "the follower has the change already");
+                poll(6, 4, 9).isDue(new RegistryVersions(EPOCH, 6, 6, 4, 9), 0), "the follower has the change already");
     }
 
     @Test
-    void newServersAndEntriesAreGathered() {
-        RegistryVersions news = new RegistryVersions(EPOCH, 6, 3, 5, 9);
-        assertFalse(held(5, 4, 9).isDue(news, 99 * MILLI));
-        assertTrue(held(5, 4, 9).isDue(news, 100 * MILLI));
+    void batchesNewServersAndEntries() {
+        RegistryVersions versions = new RegistryVersions(EPOCH, 6, 3, 5, 9);
+        assertFalse(poll(5, 4, 9).isDue(versions, 99 * MILLI));
+        assertTrue(poll(5, 4, 9).isDue(versions, 100 * MILLI));
     }
 
     /**
@@ -96,7 +98,7 @@
      * 22 followers. With each change reported at once that takes 1,320 answers in 1.2 s; batched it takes 264.
      */
     @Test
-    void aRestartOfEverythingCausesFewAnswers() {
+    void restartOfAllProcessesCausesFewAnswers() {
         int followers = 22;
         int changes = 60;
         List<PendingPoll> polls = new ArrayList<>();
@@ -106,12 +108,12 @@
         int answers = 0;
         for (int millis = 1; millis <= 1_200; millis++) {
             long servers = (long) changes * millis / 1_200;
-            RegistryVersions news = new RegistryVersions(EPOCH, servers, 0, 0, 9);
+            RegistryVersions versions = new RegistryVersions(EPOCH, servers, 0, 0, 9);
             for (int i = 0; i < followers; i++) {
-                if (polls.get(i).isDue(news, millis * MILLI)) {
+                if (polls.get(i).isDue(versions, millis * MILLI)) {
                     answers++;
-                    EntryRecord asker = polls.get(i).request().entry();
-                    polls.set(i, new PendingPoll(request(asker, servers, 0, 9), millis * MILLI));
+                    EntryRecord follower = polls.get(i).request().entry();
+                    polls.set(i, new PendingPoll(request(follower, servers, 0, 9), millis * MILLI));
                 }
             }
         }
--- a/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
@@ -30,7 +30,7 @@
      * the length.
      */
     @Test
-    void aDocumentOfManyRoutesBecomesSmall() {
+    void compressesDocumentOfManyRoutes() {
         RoutingText document = document(1_400, new Random(1));
         PackedRouting packed = PackedRouting.of(document);
         assertEquals(Optional.of(document), packed.unpack());
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void noDocumentIsNone() {
+    void unknownAndAbsentDocumentsUnpackAsNone() {
         assertEquals(
                 Optional.of(RoutingText.NONE),
                 PackedRouting.of(RoutingText.NONE).unpack());
@@ -52,17 +52,17 @@
      * Guards against a routing table built from a truncated document, and against memory allocated for a false length.
      */
     @Property(tries = 200, seed = "3")
-    void whatIsDamagedIsNoDocument(@ForAll long seed) {
+    void rejectsDamagedDocument(@ForAll long seed) {
         Random random = new Random(seed);
         RoutingText document = document(1 + random.nextInt(40), random);
         PackedRouting packed = PackedRouting.of(document);
-        byte[] cut = new byte[random.nextInt(packed.deflated().length)];
-        System.arraycopy(packed.deflated(), 0, cut, 0, cut.length);
-        assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes(), cut).unpack());
-        byte[] changed = packed.deflated().clone();
-        changed[random.nextInt(changed.length)] ^= (byte) (1 << random.nextInt(8));
-        Optional<RoutingText> read = new PackedRouting(7, packed.bytes(), changed).unpack();
-        assertTrue(read.isEmpty() || read.get().equals(document));
+        byte[] truncated = new byte[random.nextInt(packed.deflated().length)];
+        System.arraycopy(packed.deflated(), 0, truncated, 0, truncated.length);
+        assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes(), truncated).unpack());
+        byte[] flipped = packed.deflated().clone();
+        flipped[random.nextInt(flipped.length)] ^= (byte) (1 << random.nextInt(8));
+        Optional<RoutingText> unpacked = new PackedRouting(7, packed.bytes(), flipped).unpack();
+        assertTrue(unpacked.isEmpty() || unpacked.get().equals(document));
         assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes() - 1, packed.deflated()).unpack());
         assertEquals(Optional.empty(), new PackedRouting(7, packed.bytes() + 1, packed.deflated()).unpack());
         assertEquals(Optional.empty(), new PackedRouting(7, Integer.MAX_VALUE, packed.deflated()).unpack());
--- a/elmline-core/src/test/java/org/elmline/core/registry/ServerRegistryTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/ServerRegistryTest.java
@@ -18,7 +18,7 @@
 
     private final ServerRegistry registry = new ServerRegistry(3 * SECOND, 2 * SECOND, 600 * SECOND);
 
-    private static Registration beat(String id, String address, ServerState state, long born, long sequence) {
+    private static Registration registration(String id, String address, ServerState state, long born, long sequence) {
         return new Registration(
                 BackendServerId.of(id),
                 ServiceName.of("desk"),
@@ -43,21 +43,21 @@
      * from before that arrives afterwards and reports that it is ready.
      */
     @Test
-    void aLateHeartbeatDoesNotEndADrain() {
-        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
-        assertTrue(registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.DRAINING, 100, 3), SECOND));
-        assertFalse(registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 4), SECOND));
+    void lateHeartbeatDoesNotEndDrain() {
+        registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        assertTrue(registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.DRAINING, 100, 3), SECOND));
+        assertFalse(registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.READY, 100, 4), SECOND));
         assertEquals(ServerState.DRAINING, state("s"));
     }
 
     /** Late heartbeats must not register a server again that has left; only a later start does. */
     @Test
-    void whatHasLeftComesBackOnlyByALaterStart() {
-        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+    void serverThatLeftReturnsOnlyByLaterStart() {
+        registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
         assertTrue(registry.deregister(BackendServerId.of("s"), SECOND));
-        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 9), SECOND);
+        registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.READY, 100, 9), SECOND);
         assertEquals(ServerState.GONE, state("s"));
-        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 200, 1), SECOND);
+        registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.READY, 200, 1), SECOND);
         assertEquals(ServerState.READY, state("s"));
     }
 
@@ -66,18 +66,18 @@
      * a new server takes over the address, and then the old heartbeat arrives.
      */
     @Test
-    void anAddressBelongsToTheLaterStart() {
-        registry.onHeartbeat(beat("old", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
-        registry.onHeartbeat(beat("new", "10.0.0.1:80", ServerState.READY, 200, 1), SECOND);
+    void addressBelongsToServerThatStartedLater() {
+        registry.onHeartbeat(registration("old", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        registry.onHeartbeat(registration("new", "10.0.0.1:80", ServerState.READY, 200, 1), SECOND);
         assertEquals(ServerState.GONE, state("old"));
-        registry.onHeartbeat(beat("older", "10.0.0.1:80", ServerState.READY, 50, 7), SECOND);
+        registry.onHeartbeat(registration("older", "10.0.0.1:80", ServerState.READY, 50, 7), SECOND);
         assertEquals(ServerState.READY, state("new"));
         assertTrue(registry.all().stream().noneMatch(each -> each.id().value().equals("older")));
     }
 
     @Test
-    void silenceIsToldOnceAndEndsWithAHeartbeatAnywhere() {
-        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+    void expiryIsReportedOnceAndEndsWithHeartbeatOnAnyHost() {
+        registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
         assertFalse(registry.expire(2 * SECOND));
         assertTrue(registry.expire(3 * SECOND));
         assertFalse(registry.expire(4 * SECOND));
@@ -93,10 +93,10 @@
      * change.
      */
     @Test
-    void aPlainHeartbeatIsNoNews() {
-        registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+    void heartbeatWithoutChangesIsNoChange() {
+        registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
         long before = registry.lastChange();
-        assertFalse(registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND));
+        assertFalse(registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND));
         assertEquals(before, registry.lastChange());
         assertEquals(1, registry.localHeartbeatsSince(SECOND, SECOND).size());
     }
@@ -107,30 +107,31 @@
      * by then.
      */
     @Test
-    void whatIsRememberedCountsUntilItShouldHaveBeenHeard() {
-        registry.restore(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
-        registry.restore(beat("t", "10.0.0.2:80", ServerState.READY, 100, 1), 0);
+    void restoredServerCountsUntilTimeoutWithoutHeartbeat() {
+        registry.restore(registration("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+        registry.restore(registration("t", "10.0.0.2:80", ServerState.READY, 100, 1), 0);
         assertTrue(registry.changesSince(0).stream().allMatch(each -> each.remembered() && !each.silent()));
         assertTrue(
-                registry.onHeartbeat(beat("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND),
+                registry.onHeartbeat(registration("s", "10.0.0.1:80", ServerState.READY, 100, 2), SECOND),
                 "the first heartbeat after a restart is a change");
         assertFalse(registry.expire(2 * SECOND - 1));
         assertTrue(registry.expire(2 * SECOND));
         for (ServerUpdate each : registry.changesSince(0)) {
-            boolean heard = each.registration().id().value().equals("s");
-            assertEquals(new ServerUpdate(each.registration(), !heard, false), each);
+            boolean receivedHeartbeat = each.registration().id().value().equals("s");
+            assertEquals(new ServerUpdate(each.registration(), !receivedHeartbeat, false), each);
         }
         assertEquals(1, registry.availableServers().size());
     }
 
     /** Guards against calls to a server that left while this host was down: another host's report takes precedence. */
     @Test
-    void whatIsRememberedYieldsToWhatIsKnown() {
-        registry.merge(new ServerUpdate(beat("s", "10.0.0.1:80", ServerState.GONE, 100, 9), false, false), 0);
-        registry.restore(beat("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
+    void reportOfAnotherHostSupersedesRestoredServer() {
+        registry.merge(new ServerUpdate(registration("s", "10.0.0.1:80", ServerState.GONE, 100, 9), false, false), 0);
+        registry.restore(registration("s", "10.0.0.1:80", ServerState.READY, 100, 1), 0);
         assertEquals(ServerState.GONE, state("s"));
-        registry.restore(beat("t", "10.0.0.2:80", ServerState.READY, 100, 1), 0);
-        registry.merge(new ServerUpdate(beat("t", "10.0.0.2:80", ServerState.DRAINING, 100, 2), false, false), 0);
+        registry.restore(registration("t", "10.0.0.2:80", ServerState.READY, 100, 1), 0);
+        registry.merge(
+                new ServerUpdate(registration("t", "10.0.0.2:80", ServerState.DRAINING, 100, 2), false, false), 0);
         assertEquals(ServerState.DRAINING, state("t"));
         assertEquals(0, registry.availableServers().size());
     }
