--- a/elmline-storage/src/main/java/org/elmline/storage/AtomicFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/AtomicFile.java
@@ -4,7 +4,10 @@
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
 
-/** Writes a file that is there whole or not at all, whenever the host dies: temporary file, sync, rename, folder sync. */
+/**
+ * Writes a file atomically: whenever the host dies, the file holds either all of the new bytes or its previous state.
+ * Steps: write a temporary file, sync it, rename it, sync the folder.
+ */
 final class AtomicFile {
     static final String TEMPORARY_SUFFIX = ".tmp";
 
--- a/elmline-storage/src/main/java/org/elmline/storage/ChecksummedFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/ChecksummedFile.java
@@ -8,8 +8,8 @@
 import java.util.zip.CRC32;
 
 /**
- * A file that is replaced as a whole and may be lost: what it holds only saves time after a restart. A damaged one counts
- * as missing.
+ * A file with a checksum that is always replaced as a whole. It holds state that only saves time after a restart, so a
+ * damaged file is treated as missing.
  */
 public final class ChecksummedFile {
     private final FileOperations files;
@@ -20,7 +20,7 @@
         this.path = path;
     }
 
-    /** What was written last; empty where there is nothing, or it can't be read. */
+    /** Returns the content written last; empty when the file is missing, damaged or unreadable. */
     public Optional<byte[]> read() {
         try {
             byte[] whole = files.read(path);
@@ -35,7 +35,7 @@
         }
     }
 
-    /** Replaces what the file holds, and waits for the disk. */
+    /** Replaces the content and syncs it to the disk. */
     public void write(byte[] content) throws IOException {
         ByteBuffer whole = ByteBuffer.allocate(Long.BYTES + content.length);
         whole.putLong(checksum(content)).put(content).flip();
--- a/elmline-storage/src/main/java/org/elmline/storage/CommittedIndexFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/CommittedIndexFile.java
@@ -9,9 +9,9 @@
 import org.elmline.core.raft.Entry;
 
 /**
- * The file {@code committed}: index and term of an entry that is committed, and their checksum. It may be old or missing:
- * after the loss of all control hosts it only saves the wait for an election before the state can be shown. What it names
- * can't be undone, so an old one does no harm; a torn one fails its checksum.
+ * The file {@code committed}: index and term of a committed entry, and their checksum, each a long, big-endian. It only
+ * lets a replica serve its state before an election after the loss of all control hosts, so it may be missing or out of
+ * date. An old file does no harm, as a committed entry is never undone; a torn file fails its checksum.
  */
 final class CommittedIndexFile {
     static final String NAME = "committed";
@@ -38,7 +38,7 @@
         file.close();
     }
 
-    /** The index, when the entry of that index and term is among those held; 0 otherwise. */
+    /** Returns the index if {@code entries} holds the entry of that index and term, otherwise 0. */
     static long decode(byte[] bytes, List<Entry> held) {
         if (bytes.length != LENGTH_BYTES) {
             return 0;
--- a/elmline-storage/src/main/java/org/elmline/storage/Corruption.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Corruption.java
@@ -1,6 +1,6 @@
 package org.elmline.storage;
 
-/** A place where a file does not hold what was synced to it. */
+/** A place where a file does not hold the bytes that were synced to it. */
 public record Corruption(String file, long offset, String why) {
     @Override
     public String toString() {
--- a/elmline-storage/src/main/java/org/elmline/storage/DataFolder.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/DataFolder.java
@@ -17,9 +17,9 @@
 import org.elmline.core.raft.Snapshot;
 
 /**
- * One replica's synced log, hard state and snapshots: files {@code lock}, {@code identity}, {@code log-*.seg} and
- * {@code snapshot-*.snap}. Not safe for use by several threads. A lock keeps a second process out: two that append to
- * one log would each overwrite what the other has promised.
+ * One replica's durable log, hard state and snapshots: files {@code lock}, {@code identity}, {@code log-*.seg} and
+ * {@code snapshot-*.snap}. A file lock excludes a second process: two processes that append to one log would overwrite
+ * each other's acknowledged entries and votes. Not safe for concurrent use.
  */
 public final class DataFolder implements AutoCloseable {
     private static final String LOCK = "lock";
@@ -45,9 +45,9 @@
     }
 
     /**
-     * Opens a folder, created when it does not exist. An empty one gets a new identity for the host.
+     * Opens a folder and creates it when it does not exist. An empty folder gets a new identity for the host.
      *
-     * @param segmentBytes length from which on a new segment is started
+     * @param segmentBytes length in bytes at which a new segment is started
      */
     public static OpenResult open(
             FileOperations files, Path folder, HostId host, RandomGenerator random, int segmentBytes) {
@@ -78,7 +78,7 @@
                 lock.close();
             }
         } catch (Exception e) {
-            // The lock ends with the process.
+            // The operating system releases the lock when the process ends.
         }
     }
 
@@ -124,10 +124,10 @@
     }
 
     /**
-     * Notes that an entry is committed; see {@link CommittedIndexFile}. Returns whether it was written: a full disk may refuse
-     * it, which costs no more than a wait at the next start.
+     * Records that an entry is committed; see {@link CommittedIndexFile}. Returns whether it was written. A failure,
+     * for example on a full disk, only makes the next start wait for an election.
      *
-     * @param sync whether the note shall outlast a loss of power; waits for the disk
+     * @param sync whether to wait for a sync to the disk, so that the record survives a loss of power
      */
     public boolean recordCommitted(long index, long term, boolean sync) {
         try {
@@ -149,25 +149,32 @@
         }
     }
 
-    /** This folder's replica. */
+    /** The replica that this folder belongs to. */
     public ReplicaId identity() {
         return identity;
     }
 
     /**
-     * Makes a new cluster's first voter of an empty folder. The only way to vote without having been promoted.
+     * Initialises an empty folder as a first voter of a new cluster. This is the only way to become a voter without
+     * promotion.
      *
-     * @param first the same on each first voter, this one among them
+     * @param first membership of the new cluster, the same on each first voter; must contain this replica
      */
     public StoreResult bootstrap(Membership first) {
         if (hardState.term() > 0 || !first.isVoter(identity)) {
-            throw new IllegalStateException("only an empty folder of a first voter can be bootstrapped");
+            throw new IllegalStateException("only an empty folder of a first voter can be bootstrapped: " + identity
+                    + " at term " + hardState.term() + ", first voters " + first);
         }
         RestoredState start = RestoredState.bootstrap(first);
         return append(start.hardState(), start.entries());
     }
 
-    /** Writes and syncs once. The first entry may stand on an index that is written, which cuts the log off there. */
+    /**
+     * Appends a batch with one write and one sync. If the index of the first entry is already in use, the log is
+     * truncated from that index on.
+     *
+     * @param newState null when the hard state has not changed
+     */
     public StoreResult append(HardState newState, List<Entry> entries) {
         List<LogRecord> batch = new ArrayList<>();
         if (newState != null) {
@@ -184,7 +191,7 @@
         });
     }
 
-    /** Writes a snapshot of the own state and deletes what it makes needless. */
+    /** Writes a snapshot of this replica's state and deletes the segments and snapshots that it makes obsolete. */
     public StoreResult compact(Snapshot snapshot) {
         return tryWrite(() -> {
             writeSnapshot(snapshot);
@@ -193,7 +200,7 @@
         });
     }
 
-    /** Writes a snapshot of the leader, which replaces the whole log. */
+    /** Writes a snapshot received from the leader, which replaces the whole log. */
     public StoreResult install(Snapshot snapshot) {
         return tryWrite(() -> {
             writeSnapshot(snapshot);
@@ -214,7 +221,7 @@
             next = SegmentFile.create(files, folder, segmentSequence + 1, first);
         } catch (DiskFullException e) {
             if (more.isEmpty()) {
-                // The present segment takes more; a new one is tried after the next batch.
+                // The current segment accepts further batches; creating a new one is retried after the next batch.
                 return;
             }
             throw e;
@@ -233,7 +240,8 @@
                 files.delete(folder.resolve(each));
             }
         }
-        // From the oldest on, each deletion synced before the next, so that a hole always means a loss.
+        // Deletes from the oldest on and syncs each deletion before the next, so that a gap always means a lost
+        // segment.
         while (!maxIndexBySegment.isEmpty()) {
             Map.Entry<Long, Long> oldest = maxIndexBySegment.firstEntry();
             if (oldest.getValue() > snapshot.index()) {
@@ -264,7 +272,7 @@
         }
     }
 
-    /** Marks the log as closed in order and lets the folder go. */
+    /** Writes the mark of an orderly close and releases the lock. */
     @Override
     public void close() throws IOException {
         tryWrite(() -> segment.append(List.of(LogRecord.CLOSED)));
--- a/elmline-storage/src/main/java/org/elmline/storage/DiskFullException.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/DiskFullException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** A write found no room. Nothing of it counts. */
+/** Thrown when a write fails because the disk is full. Bytes that it may have written are not valid. */
 public final class DiskFullException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/elmline-storage/src/main/java/org/elmline/storage/FileOperations.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/FileOperations.java
@@ -5,14 +5,20 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The few file operations that the storage rests on, so that a test can fill the disk or crash between two of them. */
+/**
+ * The file operations that the storage uses; an interface so that tests can simulate a full disk or a crash between
+ * operations.
+ */
 public interface FileOperations {
     /** A file open for appending. */
     interface OutputFile extends AutoCloseable {
-        /** Writes all at the end; throws {@link DiskFullException} when there is no room, with any part of it written. */
+        /**
+         * Appends all bytes. Throws {@link DiskFullException} when the disk is full; any part of the bytes may be
+         * written then.
+         */
         void write(ByteBuffer bytes) throws IOException;
 
-        /** Returns once everything written lasts through a loss of power. */
+        /** Returns once everything written survives a loss of power. */
         void sync() throws IOException;
 
         void truncate(long length) throws IOException;
@@ -31,14 +37,14 @@
     /** Opens a file for appending, created when it does not exist. */
     OutputFile open(Path file) throws IOException;
 
-    /** Replaces the target in one step. */
+    /** Replaces the target atomically. */
     void rename(Path from, Path to) throws IOException;
 
     void delete(Path file) throws IOException;
 
-    /** Makes names created, renamed and deleted in the folder last. */
+    /** Makes creations, renames and deletions in the folder durable. */
     void syncFolder(Path folder) throws IOException;
 
-    /** Holds a lock on a file until closed, or until the process ends; null when another process holds it. */
+    /** Acquires a lock on a file, held until closed or until the process ends; null when another process holds it. */
     AutoCloseable tryLock(Path file) throws IOException;
 }
--- a/elmline-storage/src/main/java/org/elmline/storage/FolderScan.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/FolderScan.java
@@ -8,7 +8,7 @@
 import org.elmline.core.raft.ReplicaId;
 import org.elmline.core.raft.Snapshot;
 
-/** Everything a data folder holds, read without changing it. */
+/** The content of a data folder, read without changing it. */
 final class FolderScan {
     private final List<SegmentScan> segments = new ArrayList<>();
     private final List<String> snapshots = new ArrayList<>();
@@ -42,7 +42,7 @@
             readSegment(files.read(file), name);
         } else if (SnapshotFile.isSnapshotName(name)) {
             snapshots.add(name);
-            // Names sort by index, so the newest comes last.
+            // File names sort by index, so the newest snapshot is read last.
             snapshot = SnapshotFile.decode(files.read(file));
             if (snapshot == null) {
                 corruptions.add(new Corruption(name, 0, "the snapshot is damaged"));
@@ -86,7 +86,7 @@
         if (identity == null && holdsState) {
             corruptions.add(new Corruption(IdentityFile.NAME, 0, "missing beside a log"));
         }
-        // Without this check a replica whose log was deleted would vote again under the identity it voted with before.
+        // Without this check, a replica whose log was deleted could vote a second time under the same identity.
         if (identity != null && segments.isEmpty()) {
             corruptions.add(new Corruption(IdentityFile.NAME, 0, "stands without a log"));
         }
--- a/elmline-storage/src/main/java/org/elmline/storage/Frame.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Frame.java
@@ -4,9 +4,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * How a record stands in a segment, big-endian: int length of the payload, int CRC32C of all that follows it, int
- * offset at which the record's batch starts, byte type, payload. All before the batch's start was synced before any of
- * the batch was written, which tells a torn tail from damage.
+ * The format of a record in a segment, big-endian: int length of the payload, int CRC32C of everything after it, int
+ * offset at which the record's batch starts, byte type, payload. Everything before the start of a batch was synced
+ * before the batch was written, which distinguishes a torn tail from corruption.
  */
 record Frame(int batchOffset, LogRecord record, int endOffset) {
     static final int HEADER_BYTES = 3 * Integer.BYTES + 1;
@@ -24,7 +24,7 @@
         to.putInt(start + Integer.BYTES, checksum(to.array(), start + CRC_END_OFFSET, to.position()));
     }
 
-    /** The frame that starts at an offset, null when there is no whole one. */
+    /** Reads the frame that starts at an offset; null when there is no complete and valid one. */
     static Frame read(ByteBuffer from, int start) {
         if (from.limit() - start < HEADER_BYTES) {
             return null;
--- a/elmline-storage/src/main/java/org/elmline/storage/IdentityFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/IdentityFile.java
@@ -6,8 +6,8 @@
 import org.elmline.core.raft.ReplicaId;
 
 /**
- * The file {@code identity}: one line of text, {@code elmline-replica-1 HOST@HEX}. Written after the first segment, so
- * an identity without a log means that a log was lost.
+ * The file {@code identity}: one line of text, {@code elmline-replica-1 HOST@HEX}. It is written after the first
+ * segment, so an identity without a log means that the log was lost.
  */
 final class IdentityFile {
     static final String NAME = "identity";
--- a/elmline-storage/src/main/java/org/elmline/storage/Inspection.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Inspection.java
@@ -12,12 +12,12 @@
 import org.elmline.core.raft.RestoredState;
 
 /**
- * What a data folder holds, for operators. Reading changes nothing and takes no lock, so it also serves on the folder
- * of a running process, where the last segment may look torn.
+ * The content of a data folder, for operators. Reading changes nothing and takes no lock, so it can also inspect the
+ * folder of a running process; the last segment may look torn then.
  *
  * @param replica null when the folder has no identity
  * @param snapshotIndex 0 without a snapshot
- * @param membership as of the last entry
+ * @param membership the membership as of the last entry
  * @param damages empty when a replica can run on the folder
  */
 public record Inspection(
@@ -36,8 +36,8 @@
     /**
      * One file of the log.
      *
-     * @param entries entries in it, also those cut off or compacted since
-     * @param tornBytes bytes at its end that were never synced and will be cut off
+     * @param entries number of entries in it, including those truncated or compacted since
+     * @param tornBytes bytes at its end that were never synced and will be truncated
      */
     public record Segment(String file, long bytes, long entries, long maxIndex, long tornBytes) {}
 
--- a/elmline-storage/src/main/java/org/elmline/storage/LogRecord.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/LogRecord.java
@@ -9,7 +9,7 @@
 import org.elmline.core.raft.ReplicaId;
 import org.elmline.core.raft.Snapshot;
 
-/** One record's type and payload, laid out as {@link RecordType} says, big-endian. */
+/** A record's type and payload, big-endian, in the format that {@link RecordType} defines. */
 record LogRecord(RecordType type, byte[] payload) {
     static final LogRecord CLOSED = new LogRecord(RecordType.CLOSED, new byte[0]);
 
@@ -46,7 +46,7 @@
         return new Entry(index, term, kind, data);
     }
 
-    /** The index of an entry, without a copy of its data. */
+    /** The index of an entry, read without copying the entry's data. */
     long entryIndex() {
         return ByteBuffer.wrap(payload).getLong();
     }
--- a/elmline-storage/src/main/java/org/elmline/storage/OpenResult.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/OpenResult.java
@@ -4,20 +4,23 @@
 
 import org.elmline.core.raft.RestoredState;
 
-/** How opening a data folder ended. */
+/** The result of opening a data folder. */
 public sealed interface OpenResult {
-    /** The folder is ours; {@code restored} is what it held. */
+    /** The folder is open and locked; {@code restored} is the state it held. */
     record Opened(DataFolder folder, RestoredState restored) implements OpenResult {}
 
-    /** Another process has it open. */
+    /** Another process has the folder open. */
     record Locked(Path folder) implements OpenResult {}
 
-    /** Something synced is not there any more; the replica must not run on it, as it would break its promises. */
+    /**
+     * Synced data is missing or damaged; the replica must not run, as it may have lost votes or entries that it
+     * acknowledged.
+     */
     record Corrupt(Corruption corruption) implements OpenResult {}
 
-    /** No room for a first segment. */
+    /** The disk has no space for the first segment. */
     record DiskFull(String reason) implements OpenResult {}
 
-    /** The file system failed. */
+    /** A file operation failed. */
     record Failed(String reason) implements OpenResult {}
 }
--- a/elmline-storage/src/main/java/org/elmline/storage/RecordType.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/RecordType.java
@@ -1,14 +1,14 @@
 package org.elmline.storage;
 
-/** Kinds of records in a segment; the code stands in files and must not change. */
+/** Types of records in a segment. The codes are part of the file format and must not change. */
 enum RecordType {
-    /** Long index, long term, byte kind, the data. Cuts off what stood at its index and behind. */
+    /** Long index, long term, byte kind, the data. Replaces the entry at its index and truncates the log after it. */
     ENTRY(1),
     /** Long term, the vote as text (empty for none). */
     HARD_STATE(2),
     /** Long index, long term of a snapshot that replaced the whole log. */
     RESET(3),
-    /** Nothing; the folder was closed in order, so everything before was synced. */
+    /** No payload. Marks an orderly close: everything before it was synced. */
     CLOSED(4);
 
     private final byte code;
--- a/elmline-storage/src/main/java/org/elmline/storage/Replay.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Replay.java
@@ -8,7 +8,7 @@
 import org.elmline.core.raft.RestoredState;
 import org.elmline.core.raft.Snapshot;
 
-/** Puts the state of the log together from the records of all segments, in their order. */
+/** Restores the state of the log from the records of all segments, in their order. */
 final class Replay {
     private static final long UNKNOWN_INDEX = -1;
 
@@ -19,14 +19,12 @@
     private long firstIndex = UNKNOWN_INDEX;
     private long resetIndex;
 
-    /**
-     * @param snapshot the newest snapshot, null when there is none
-     */
+    /** @param snapshot the newest snapshot, null when there is none */
     Replay(Snapshot snapshot) {
         this.snapshot = snapshot;
     }
 
-    /** Takes the next segment. Returns the damage found in it, null when there is none. */
+    /** Replays the next segment. Returns the corruption found in it, null when there is none. */
     Corruption add(SegmentScan segment) {
         for (LogRecord each : segment.records()) {
             if (!add(each)) {
@@ -73,7 +71,7 @@
         return snapshot == null ? 0 : snapshot.index();
     }
 
-    /** Null when snapshot and entries leave no gap. */
+    /** Returns the gap between the snapshot and the entries, null when there is none. */
     Corruption findGap() {
         if (resetIndex > snapshotIndex()) {
             return new Corruption("snapshot", resetIndex, "the snapshot that replaced the log is missing");
@@ -85,8 +83,8 @@
     }
 
     /**
-     * Whether the log does not lead up to the snapshot: the host died between writing a snapshot of the leader and
-     * noting that it replaces the log. The entries are void then.
+     * Whether the log does not match the snapshot: the host died between writing a snapshot received from the leader
+     * and writing the record that it replaces the log. The entries are not valid then.
      */
     boolean isReplacedBySnapshot() {
         if (snapshot == null || lastIndex == UNKNOWN_INDEX || resetIndex == snapshot.index()) {
--- a/elmline-storage/src/main/java/org/elmline/storage/SegmentFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SegmentFile.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /**
- * The segment that is being written. The file starts with long magic and long sequence number; then records as {@link
- * Frame} lays them out, the first of them the hard state, so that older segments can go. Files are named {@code
- * log-SEQUENCE.seg} with 16 hex digits and appear whole, by renaming.
+ * The segment that is being written. The file starts with long magic and long sequence number; records in the format of
+ * {@link Frame} follow. The first record is the hard state, so that older segments can be deleted. Files are named
+ * {@code log-SEQUENCE.seg} with 16 hex digits and are created atomically, by renaming.
  */
 final class SegmentFile implements AutoCloseable {
     static final int HEADER_BYTES = 2 * Long.BYTES;
@@ -38,7 +38,7 @@
         return Long.parseUnsignedLong(name.substring(PREFIX.length(), name.length() - SUFFIX.length()), HEX_DIGITS);
     }
 
-    /** Null when the header is whole. */
+    /** Returns the corruption of a segment's header, null when the header is valid. */
     static Corruption headerCorruption(String file, ByteBuffer bytes, long sequence) {
         if (bytes.limit() < HEADER_BYTES) {
             return new Corruption(file, bytes.limit(), "the segment's header is cut off");
@@ -51,7 +51,7 @@
                 : new Corruption(file, Long.BYTES, "not the named sequence");
     }
 
-    /** Creates a segment that starts with the given records, synced. */
+    /** Creates and syncs a segment that starts with the given records. */
     static SegmentFile create(FileOperations files, Path folder, long sequence, List<LogRecord> first)
             throws IOException {
         int length = HEADER_BYTES + first.stream().mapToInt(Frame::length).sum();
@@ -62,7 +62,10 @@
         return new SegmentFile(files.open(path), length);
     }
 
-    /** Adds one batch and syncs it. On a full disk nothing of it counts; any other failure leaves the file unusable. */
+    /**
+     * Appends and syncs one batch. On a full disk, nothing of the batch is kept; after any other failure the file must
+     * not be used.
+     */
     void append(List<LogRecord> batch) throws IOException {
         int bytes = batch.stream().mapToInt(Frame::length).sum();
         ByteBuffer buffer = ByteBuffer.allocate(bytes);
@@ -73,8 +76,8 @@
             file.truncate(length);
             throw e;
         }
-        // A failed sync may have dropped the pages it could not write; a second one would then report success for
-        // bytes that are not on the disk. So it is never tried again on this file.
+        // A failed sync may have dropped the pages that it could not write; a second sync would then report success
+        // for bytes that are not on the disk. So a sync is never retried on this file.
         file.sync();
         length += bytes;
     }
--- a/elmline-storage/src/main/java/org/elmline/storage/SegmentScan.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SegmentScan.java
@@ -5,18 +5,18 @@
 import java.util.List;
 
 /**
- * What one segment holds.
+ * The content of one segment.
  *
- * @param validBytes bytes up to the end of the last whole record before any damage
- * @param fileBytes bytes of the file
- * @param corruption null when all is whole, or when only a tail that was never synced is torn
+ * @param validBytes length up to the end of the last valid record before any corruption, in bytes
+ * @param fileBytes length of the file in bytes
+ * @param corruption null when all records are valid, or when only a tail that was never synced is torn
  */
 record SegmentScan(String file, List<LogRecord> records, int validBytes, int fileBytes, Corruption corruption) {
     /**
-     * Reads a segment. A broken record whose batch was the last one written is a torn tail: the process or the host
-     * died before its sync, nothing was answered on the strength of it, and it may go. When a later batch follows, the
-     * broken one had been synced: an acknowledged write is lost, and cutting it off would let the replica forget a vote
-     * or an entry that others count on.
+     * Reads a segment. An invalid record in the last batch is a torn tail: the process or the host died before the
+     * sync, so the batch was never acknowledged and can be truncated. An invalid record that a later batch follows was
+     * synced: an acknowledged write is damaged, and truncating it would lose a vote or an entry that other replicas
+     * rely on.
      */
     static SegmentScan of(String file, byte[] bytes, long sequence) {
         ByteBuffer from = ByteBuffer.wrap(bytes);
--- a/elmline-storage/src/main/java/org/elmline/storage/SnapshotFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SnapshotFile.java
@@ -7,8 +7,8 @@
 import org.elmline.core.raft.Snapshot;
 
 /**
- * A snapshot's file {@code snapshot-INDEX.snap} with 16 hex digits, big-endian: long magic, int CRC32C of all that
- * follows it, long index, long term, int length of the membership, membership as text, the state.
+ * The format of a snapshot's file {@code snapshot-INDEX.snap} (16 hex digits), big-endian: long magic, int CRC32C of
+ * everything after it, long index, long term, int length of the membership in bytes, membership as text, the state.
  */
 final class SnapshotFile {
     private static final long MAGIC = 0x454c_4d53_4e41_0001L;
@@ -36,7 +36,7 @@
         return to.flip();
     }
 
-    /** Null when the bytes are not a whole snapshot. */
+    /** Returns the snapshot, null when the bytes are incomplete or damaged. */
     static Snapshot decode(byte[] bytes) {
         ByteBuffer from = ByteBuffer.wrap(bytes);
         boolean whole = bytes.length >= HEADER_BYTES && from.getLong() == MAGIC && from.getInt() == checksum(bytes);
--- a/elmline-storage/src/main/java/org/elmline/storage/StoreResult.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/StoreResult.java
@@ -1,13 +1,16 @@
 package org.elmline.storage;
 
-/** How a write ended. */
+/** The result of a write. */
 public sealed interface StoreResult {
-    /** Synced; it lasts. */
+    /** The write is synced and durable. */
     record Done() implements StoreResult {}
 
-    /** No room; nothing of it counts, and the same write may be tried again later. */
+    /** The disk is full. Nothing of the write is kept, and the same write can be retried later. */
     record DiskFull(String reason) implements StoreResult {}
 
-    /** The disk failed; what is on it is unknown, and this opening of the folder takes no more writes. */
+    /**
+     * A write or sync failed. The content of the disk is unknown, and the folder accepts no more writes until it is
+     * opened again.
+     */
     record Failed(String reason) implements StoreResult {}
 }
--- a/elmline-storage/src/main/java/org/elmline/storage/SystemFiles.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SystemFiles.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The file system of the host. */
+/** File operations on the host's file system. */
 public class SystemFiles implements FileOperations {
     private static final List<String> DISK_FULL_MESSAGES = List.of("No space left on device", "Disk quota exceeded");
 
@@ -64,7 +64,7 @@
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException held) {
-            // Another opening in this process holds it.
+            // This process holds the lock already, by another opening of the folder.
             lock = null;
         }
         if (lock == null) {
--- a/elmline-storage/src/test/java/org/elmline/storage/CheckedFileTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CheckedFileTest.java
@@ -26,7 +26,10 @@
                 new ChecksummedFile(new SystemFiles(), path).read().orElseThrow());
     }
 
-    /** A file that a loss of power has torn would bring servers that never were: each damage counts as nothing. */
+    /**
+     * Guards against restoring servers that never existed from a file torn by a loss of power: any damaged file counts
+     * as missing.
+     */
     @Test
     void aDamagedFileCountsAsMissing() throws Exception {
         Path path = folder.resolve("f");
--- a/elmline-storage/src/test/java/org/elmline/storage/CommittedFileTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CommittedFileTest.java
@@ -14,7 +14,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What a restarted control host may show before a leader is elected. */
+/** Tests which state a restarted control host may serve before a leader is elected. */
 class CommittedFileTest {
     @TempDir
     private Path folder;
@@ -30,8 +30,8 @@
     }
 
     /**
-     * All control hosts are killed at once. Without the note each starts with nothing applied and shows callers no routing
-     * table until an election is over.
+     * Guards against control hosts that serve no routing table until an election is over: all of them are killed at
+     * once, and without the recorded index each one starts with no entries applied.
      */
     @Test
     void whatWasNotedIsKnownAfterAKill() throws Exception {
@@ -45,7 +45,7 @@
         again.folder().close();
     }
 
-    /** A note that names another entry than the one held, or is torn, counts for nothing. */
+    /** A record that names an entry that is not in the log, or that is torn, must be ignored. */
     @Test
     void aNoteThatFitsNoEntryIsPassedOver() throws Exception {
         List<Entry> held = List.of(entry(1, 2), entry(2, 3));
--- a/elmline-storage/src/test/java/org/elmline/storage/CrashTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CrashTest.java
@@ -18,9 +18,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * The host dies at any file operation of any write and comes back with any part of what was not synced. What was
- * answered as done must be there, in the order and with the cuts of a naive list; of the write under way, all, nothing
- * or its first records.
+ * Simulates crashes of the host at random file operations, after which any part of the bytes that were not synced is on
+ * the disk. Acknowledged writes must be restored exactly as a plain list of entries holds them; of the write in
+ * progress, all records, none or the first ones.
  */
 class CrashTest {
     private static final Path FOLDER = Path.of("/data");
@@ -58,8 +58,8 @@
         } else {
             pending.check(expected, found);
         }
-        assertTrue(found.hardState().term() >= doneTerm, "no answered term is forgotten");
-        // Go on from what was found.
+        assertTrue(found.hardState().term() >= doneTerm, "an acknowledged term was lost");
+        // Continue from the restored state.
         pending = null;
         entries = new ArrayList<>(found.entries());
         snapshot = found.snapshot();
@@ -78,7 +78,7 @@
         return entries.isEmpty() ? floor : entries.get(entries.size() - 1).index();
     }
 
-    /** Returns whether the write was answered as done. */
+    /** Returns whether the write was acknowledged. */
     private boolean write(DataFolder folder, SplittableRandom random) {
         int kind = random.nextInt(10);
         if (kind == 0 && !entries.isEmpty()) {
@@ -99,7 +99,9 @@
             List<Entry> kept = before.stream()
                     .filter(each -> !installed && each.index() > newer.index())
                     .toList();
-            assertTrue(old || found.entries().equals(kept), "snapshot is there or not");
+            assertTrue(
+                    old || found.entries().equals(kept),
+                    "entries match neither the state before the snapshot nor after it");
         };
         boolean done = (installed ? folder.install(newer) : folder.compact(newer)) instanceof StoreResult.Done;
         if (done) {
@@ -127,7 +129,10 @@
                 partly.add(each);
                 fits |= found.entries().equals(partly);
             }
-            assertTrue(fits, "the first records of the batch or none: " + found.entries());
+            assertTrue(
+                    fits,
+                    "restored entries match neither the log before the batch nor a prefix of the batch: "
+                            + found.entries());
         };
         boolean done = folder.append(new HardState(term, null), batch) instanceof StoreResult.Done;
         if (done) {
--- a/elmline-storage/src/test/java/org/elmline/storage/DataFolderTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/DataFolderTest.java
@@ -65,8 +65,9 @@
     }
 
     /**
-     * The host dies while a batch is written, so any part of it may be on the disk. The unfinished batch was answered
-     * to nobody and goes; all before it stays, and the log goes on from there.
+     * Guards against a replica that cannot start after the host died during a write, when any part of the batch may be
+     * on the disk. The incomplete batch was not acknowledged and is truncated; everything before it stays, and further
+     * batches can be appended.
      */
     @Test
     void aTornTailIsCutOffAtEveryByte() throws IOException {
@@ -76,7 +77,7 @@
             MemoryFiles torn = files.copy();
             torn.put(segment(1), java.util.Arrays.copyOf(whole, length));
             OpenResult.Opened opened = open(torn);
-            // The state and the entry of a batch are two records, and the first may be whole.
+            // The hard state and the entry of a batch are two records, and the first one may be complete.
             assertTrue(opened.restored().hardState().term() <= 3);
             assertEquals(List.of(entry(1, 1), entry(2, 2)), opened.restored().entries());
             assertEquals(DONE, opened.folder().append(null, List.of(entry(3, 9))));
@@ -86,8 +87,9 @@
     }
 
     /**
-     * A byte changes on the disk in what was synced long ago. Cut off there, the replica would forget entries and votes
-     * that others count on; it must refuse to start and name the place.
+     * Guards against the loss of acknowledged entries and votes: a byte of a synced batch changes on the disk.
+     * Truncating the log there would drop data that other replicas rely on, so opening must fail and report the
+     * position.
      */
     @Test
     void aFlippedByteBeforeTheLastBatchIsRefusedAtEveryOffset() {
@@ -101,7 +103,7 @@
         }
     }
 
-    /** After an orderly close the last batch counts as synced too. */
+    /** After an orderly close, the last batch counts as synced, too. */
     @Test
     void aFlippedByteInAClosedLogIsRefused() throws IOException {
         OpenResult.Opened opened = open(files);
@@ -129,7 +131,10 @@
         assertInstanceOf(OpenResult.Corrupt.class, tryOpen(identityOnly, FOLDER));
     }
 
-    /** The disk fills up in the middle of a batch: the write is refused as a value, and goes through once there is room. */
+    /**
+     * The disk becomes full during a batch: the write returns a result instead of throwing, and succeeds once there is
+     * space.
+     */
     @Test
     void aFullDiskIsAnsweredAndTheSameWriteSucceedsLater() {
         DataFolder folder = open(files).folder();
@@ -143,7 +148,10 @@
         assertEquals(batch, open(files).restored().entries());
     }
 
-    /** After a failed sync nobody knows what is on the disk; a later success would be a lie. */
+    /**
+     * Guards against acknowledging lost bytes: after a failed sync the content of the disk is unknown, so no later
+     * write may succeed.
+     */
     @Test
     void afterAFailedSyncNothingIsTakenAnyMore() {
         DataFolder folder = open(files).folder();
@@ -153,7 +161,7 @@
         assertInstanceOf(StoreResult.Failed.class, folder.append(null, List.of(entry(1, 1))));
     }
 
-    /** A host that lost its disk must not come back as the replica that it was. */
+    /** Guards against a second vote under one identity: a host that lost its disk must get a new replica identity. */
     @Test
     void anEmptyFolderGetsAnIdentityOfItsOwn() {
         ReplicaId first = open(files).folder().identity();
--- a/elmline-storage/src/test/java/org/elmline/storage/MemoryFiles.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/MemoryFiles.java
@@ -8,7 +8,10 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
-/** A disk that keeps after a crash what was synced, and any part of the rest; its room and its operations can run out. */
+/**
+ * An in-memory disk that keeps synced bytes and a random part of the others after a crash. Tests can limit its free
+ * space and its number of operations, and can make syncs fail.
+ */
 final class MemoryFiles implements FileOperations {
     private static final class Content {
         private byte[] bytes = new byte[0];
@@ -21,7 +24,7 @@
     long operationsLeft = Long.MAX_VALUE;
     boolean syncFails;
 
-    /** The host dies and comes back. */
+    /** Simulates a crash and restart of the host. */
     void crash(RandomGenerator random) {
         names = new TreeMap<>(syncedNames);
         for (Content each : names.values()) {
@@ -51,7 +54,7 @@
 
     private void operation() throws IOException {
         if (operationsLeft-- <= 0) {
-            throw new IOException("the host is down");
+            throw new IOException("simulated crash: no file operations left");
         }
     }
 
@@ -116,7 +119,7 @@
             from.get(content.bytes, old, fitting);
             room -= fitting;
             if (full) {
-                throw new DiskFullException("no room");
+                throw new DiskFullException("simulated full disk");
             }
         }
 
@@ -124,7 +127,7 @@
         public void sync() throws IOException {
             operation();
             if (syncFails) {
-                throw new IOException("sync failed");
+                throw new IOException("simulated sync failure");
             }
             content.synced = content.bytes.length;
         }
