--- a/elmline-storage/src/main/java/org/elmline/storage/ChecksummedFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/ChecksummedFile.java
@@ -23,13 +23,13 @@
     /** Returns the content written last; empty when the file is missing, damaged or unreadable. */
     public Optional<byte[]> read() {
         try {
-            byte[] whole = files.read(path);
-            if (whole.length < Long.BYTES) {
+            byte[] bytes = files.read(path);
+            if (bytes.length < Long.BYTES) {
                 return Optional.empty();
             }
-            byte[] content = Arrays.copyOfRange(whole, Long.BYTES, whole.length);
-            boolean sound = ByteBuffer.wrap(whole).getLong() == checksum(content);
-            return sound ? Optional.of(content) : Optional.empty();
+            byte[] content = Arrays.copyOfRange(bytes, Long.BYTES, bytes.length);
+            boolean matches = ByteBuffer.wrap(bytes).getLong() == checksum(content);
+            return matches ? Optional.of(content) : Optional.empty();
         } catch (IOException e) {
             return Optional.empty();
         }
@@ -37,9 +37,9 @@
 
     /** Replaces the content and syncs it to the disk. */
     public void write(byte[] content) throws IOException {
-        ByteBuffer whole = ByteBuffer.allocate(Long.BYTES + content.length);
-        whole.putLong(checksum(content)).put(content).flip();
-        AtomicFile.write(files, path, whole);
+        ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES + content.length);
+        bytes.putLong(checksum(content)).put(content).flip();
+        AtomicFile.write(files, path, bytes);
     }
 
     private static long checksum(byte[] content) {
--- a/elmline-storage/src/main/java/org/elmline/storage/CommittedIndexFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/CommittedIndexFile.java
@@ -39,7 +39,7 @@
     }
 
     /** Returns the index if {@code entries} holds the entry of that index and term, otherwise 0. */
-    static long decode(byte[] bytes, List<Entry> held) {
+    static long decode(byte[] bytes, List<Entry> entries) {
         if (bytes.length != LENGTH_BYTES) {
             return 0;
         }
@@ -49,7 +49,7 @@
         if (buffer.getLong() != checksum(index, term)) {
             return 0;
         }
-        for (Entry each : held) {
+        for (Entry each : entries) {
             if (each.index() == index && each.term() == term) {
                 return index;
             }
--- a/elmline-storage/src/main/java/org/elmline/storage/DataFolder.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/DataFolder.java
@@ -87,9 +87,9 @@
         if (!scan.corruptions().isEmpty()) {
             return new OpenResult.Corrupt(scan.corruptions().get(0));
         }
-        boolean othersFolder =
+        boolean ownedByOtherHost =
                 scan.identity() != null && !scan.identity().host().equals(host);
-        if (othersFolder) {
+        if (ownedByOtherHost) {
             return new OpenResult.Corrupt(
                     new Corruption(IdentityFile.NAME, 0, "belongs to " + scan.identity() + ", not to " + host));
         }
@@ -116,11 +116,11 @@
     }
 
     private RestoredState addCommittedIndex(RestoredState restored) throws IOException {
-        long known = files.list(folder).contains(CommittedIndexFile.NAME)
+        long committedIndex = files.list(folder).contains(CommittedIndexFile.NAME)
                 ? CommittedIndexFile.decode(files.read(folder.resolve(CommittedIndexFile.NAME)), restored.entries())
                 : 0;
         committedFile = new CommittedIndexFile(files, folder);
-        return new RestoredState(restored.hardState(), restored.snapshot(), restored.entries(), known);
+        return new RestoredState(restored.hardState(), restored.snapshot(), restored.entries(), committedIndex);
     }
 
     /**
@@ -213,14 +213,14 @@
         AtomicFile.write(files, folder.resolve(SnapshotFile.fileName(snapshot)), SnapshotFile.encode(snapshot));
     }
 
-    private void rollSegment(List<LogRecord> more) throws IOException {
+    private void rollSegment(List<LogRecord> extraRecords) throws IOException {
         List<LogRecord> first = new ArrayList<>(List.of(LogRecord.of(hardState)));
-        first.addAll(more);
+        first.addAll(extraRecords);
         SegmentFile next;
         try {
             next = SegmentFile.create(files, folder, segmentSequence + 1, first);
         } catch (DiskFullException e) {
-            if (more.isEmpty()) {
+            if (extraRecords.isEmpty()) {
                 // The current segment accepts further batches; creating a new one is retried after the next batch.
                 return;
             }
--- a/elmline-storage/src/main/java/org/elmline/storage/Frame.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Frame.java
@@ -32,12 +32,12 @@
         int length = from.getInt(start);
         int batchStart = from.getInt(start + CRC_END_OFFSET);
         RecordType type = RecordType.ofCode(from.get(start + HEADER_BYTES - 1));
-        boolean possible = length >= 0
+        boolean plausible = length >= 0
                 && length <= from.limit() - start - HEADER_BYTES
                 && type != null
                 && batchStart >= 0
                 && batchStart <= start;
-        if (!possible) {
+        if (!plausible) {
             return null;
         }
         int end = start + HEADER_BYTES + length;
--- a/elmline-storage/src/main/java/org/elmline/storage/Replay.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/Replay.java
@@ -93,8 +93,8 @@
         if (lastIndex < snapshot.index()) {
             return true;
         }
-        long at = snapshot.index() - firstIndex;
-        return at >= 0 && entries.get((int) at).term() != snapshot.term();
+        long offset = snapshot.index() - firstIndex;
+        return offset >= 0 && entries.get((int) offset).term() != snapshot.term();
     }
 
     HardState hardState() {
--- a/elmline-storage/src/main/java/org/elmline/storage/SegmentScan.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SegmentScan.java
@@ -30,17 +30,17 @@
             records.add(next.record());
             offset = next.endOffset();
         }
-        Corruption damage = null;
+        Corruption corruption = null;
         if (offset < bytes.length && laterBatchFollows(from, offset)) {
-            damage = new Corruption(file, offset, "a synced record is damaged");
+            corruption = new Corruption(file, offset, "a synced record is damaged");
         }
-        return new SegmentScan(file, records, offset, bytes.length, damage);
+        return new SegmentScan(file, records, offset, bytes.length, corruption);
     }
 
-    private static boolean laterBatchFollows(ByteBuffer from, int broken) {
-        for (int i = broken + 1; i <= from.limit() - Frame.HEADER_BYTES; i++) {
+    private static boolean laterBatchFollows(ByteBuffer from, int invalidOffset) {
+        for (int i = invalidOffset + 1; i <= from.limit() - Frame.HEADER_BYTES; i++) {
             Frame found = Frame.read(from, i);
-            if (found != null && found.batchOffset() > broken) {
+            if (found != null && found.batchOffset() > invalidOffset) {
                 return true;
             }
         }
--- a/elmline-storage/src/main/java/org/elmline/storage/SnapshotFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SnapshotFile.java
@@ -39,8 +39,8 @@
     /** Returns the snapshot, null when the bytes are incomplete or damaged. */
     static Snapshot decode(byte[] bytes) {
         ByteBuffer from = ByteBuffer.wrap(bytes);
-        boolean whole = bytes.length >= HEADER_BYTES && from.getLong() == MAGIC && from.getInt() == checksum(bytes);
-        if (!whole) {
+        boolean valid = bytes.length >= HEADER_BYTES && from.getLong() == MAGIC && from.getInt() == checksum(bytes);
+        if (!valid) {
             return null;
         }
         long index = from.getLong();
--- a/elmline-storage/src/test/java/org/elmline/storage/CheckedFileTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CheckedFileTest.java
@@ -15,7 +15,7 @@
     private Path folder;
 
     @Test
-    void holdsWhatWasWrittenLast() throws Exception {
+    void readsLastWrittenContent() throws Exception {
         Path path = folder.resolve("f");
         ChecksummedFile file = new ChecksummedFile(new SystemFiles(), path);
         assertTrue(file.read().isEmpty());
@@ -31,19 +31,19 @@
      * as missing.
      */
     @Test
-    void aDamagedFileCountsAsMissing() throws Exception {
+    void damagedFileCountsAsMissing() throws Exception {
         Path path = folder.resolve("f");
         ChecksummedFile file = new ChecksummedFile(new SystemFiles(), path);
         file.write(new byte[] {1, 2, 3});
-        byte[] whole = Files.readAllBytes(path);
-        for (int i = 0; i < whole.length; i++) {
-            byte[] damaged = whole.clone();
+        byte[] bytes = Files.readAllBytes(path);
+        for (int i = 0; i < bytes.length; i++) {
+            byte[] damaged = bytes.clone();
             damaged[i] ^= 0x10;
             Files.write(path, damaged);
             assertTrue(file.read().isEmpty(), "byte " + i);
         }
-        for (int length = 0; length < whole.length; length++) {
-            Files.write(path, Arrays.copyOf(whole, length));
+        for (int length = 0; length < bytes.length; length++) {
+            Files.write(path, Arrays.copyOf(bytes, length));
             assertTrue(file.read().isEmpty(), "length " + length);
         }
     }
--- a/elmline-storage/src/test/java/org/elmline/storage/CommittedFileTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CommittedFileTest.java
@@ -34,29 +34,29 @@
      * once, and without the recorded index each one starts with no entries applied.
      */
     @Test
-    void whatWasNotedIsKnownAfterAKill() throws Exception {
+    void recordedIndexIsRestoredAfterRestart() throws Exception {
         try (DataFolder data = open().folder()) {
             data.append(new HardState(3, null), List.of(entry(1, 2), entry(2, 3), entry(3, 3)));
             assertTrue(data.recordCommitted(1, 2, false));
             assertTrue(data.recordCommitted(2, 3, true));
         }
-        OpenResult.Opened again = open();
-        assertEquals(2, again.restored().committedIndex());
-        again.folder().close();
+        OpenResult.Opened reopened = open();
+        assertEquals(2, reopened.restored().committedIndex());
+        reopened.folder().close();
     }
 
     /** A record that names an entry that is not in the log, or that is torn, must be ignored. */
     @Test
-    void aNoteThatFitsNoEntryIsPassedOver() throws Exception {
-        List<Entry> held = List.of(entry(1, 2), entry(2, 3));
+    void ignoresRecordOfUnknownEntry() throws Exception {
+        List<Entry> entries = List.of(entry(1, 2), entry(2, 3));
         try (DataFolder data = open().folder()) {
-            data.append(new HardState(3, null), held);
+            data.append(new HardState(3, null), entries);
             data.recordCommitted(2, 9, true);
         }
-        OpenResult.Opened again = open();
-        assertEquals(0, again.restored().committedIndex());
-        again.folder().close();
-        assertEquals(0, CommittedIndexFile.decode(new byte[24], held));
-        assertEquals(0, CommittedIndexFile.decode(new byte[3], held));
+        OpenResult.Opened reopened = open();
+        assertEquals(0, reopened.restored().committedIndex());
+        reopened.folder().close();
+        assertEquals(0, CommittedIndexFile.decode(new byte[24], entries));
+        assertEquals(0, CommittedIndexFile.decode(new byte[3], entries));
     }
 }
--- a/elmline-storage/src/test/java/org/elmline/storage/CrashTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CrashTest.java
@@ -29,16 +29,16 @@
     private List<Entry> entries = new ArrayList<>();
     private Snapshot snapshot;
     private long term = 1;
-    private long doneTerm;
+    private long acknowledgedTerm;
 
     @Property(seed = "20260419", tries = 500)
-    void whatWasAnsweredLastsThroughCrashes(@ForAll long seed) {
+    void acknowledgedWritesSurviveCrashes(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         CrashTest run = new CrashTest();
         DataFolder folder = run.open(random);
         for (int i = 0; i < 40; i++) {
-            boolean dies = random.nextInt(4) == 0;
-            run.files.operationsLeft = dies ? random.nextInt(8) : Long.MAX_VALUE;
+            boolean crashes = random.nextInt(4) == 0;
+            run.files.operationsLeft = crashes ? random.nextInt(8) : Long.MAX_VALUE;
             if (!run.write(folder, random)) {
                 run.files.crash(random);
                 folder = run.open(random);
@@ -58,7 +58,7 @@
         } else {
             pending.check(expected, found);
         }
-        assertTrue(found.hardState().term() >= doneTerm, "an acknowledged term was lost");
+        assertTrue(found.hardState().term() >= acknowledgedTerm, "an acknowledged term was lost");
         // Continue from the restored state.
         pending = null;
         entries = new ArrayList<>(found.entries());
@@ -123,20 +123,20 @@
         List<Entry> kept = new ArrayList<>(entries);
         kept.removeIf(each -> each.index() >= first);
         pending = (before, found) -> {
-            List<Entry> partly = new ArrayList<>(kept);
-            boolean fits = found.entries().equals(before);
+            List<Entry> prefix = new ArrayList<>(kept);
+            boolean matches = found.entries().equals(before);
             for (Entry each : batch) {
-                partly.add(each);
-                fits |= found.entries().equals(partly);
+                prefix.add(each);
+                matches |= found.entries().equals(prefix);
             }
             assertTrue(
-                    fits,
+                    matches,
                     "restored entries match neither the log before the batch nor a prefix of the batch: "
                             + found.entries());
         };
         boolean done = folder.append(new HardState(term, null), batch) instanceof StoreResult.Done;
         if (done) {
-            doneTerm = term;
+            acknowledgedTerm = term;
             kept.addAll(batch);
             entries = kept;
             pending = null;
--- a/elmline-storage/src/test/java/org/elmline/storage/DataFolderTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/DataFolderTest.java
@@ -27,7 +27,7 @@
 class DataFolderTest {
     private static final HostId HOST = HostId.of("h1");
     private static final Path FOLDER = Path.of("/data");
-    private static final int SEGMENT = 100_000;
+    private static final int SEGMENT_BYTES = 100_000;
     private static final StoreResult DONE = new StoreResult.Done();
 
     private final MemoryFiles files = new MemoryFiles();
@@ -42,7 +42,7 @@
     }
 
     private static OpenResult tryOpen(FileOperations files, Path folder) {
-        return DataFolder.open(files, folder, HOST, new SplittableRandom(1), SEGMENT);
+        return DataFolder.open(files, folder, HOST, new SplittableRandom(1), SEGMENT_BYTES);
     }
 
     private static OpenResult.Opened open(FileOperations files) {
@@ -105,7 +105,7 @@
 
     /** After an orderly close, the last batch counts as synced, too. */
     @Test
-    void aFlippedByteInAClosedLogIsRefused() throws IOException {
+    void rejectsFlippedByteInClosedLog() throws IOException {
         OpenResult.Opened opened = open(files);
         opened.folder().append(null, List.of(entry(1, 1)));
         int end = files.bytes(segment(1)).length;
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void damagedSnapshotMissingSegmentAndLostLogAreRefused() {
+    void rejectsDamagedSnapshotMissingSegmentAndLostLog() {
         DataFolder folder = open(files).folder();
         folder.append(new HardState(1, null), List.of(entry(1, 1), entry(2, 1)));
         folder.compact(snapshot(1, 1));
@@ -123,9 +123,9 @@
         MemoryFiles damaged = files.copy();
         damaged.bytes(FOLDER.resolve(SnapshotFile.fileName(snapshot(1, 1))))[30] ^= 1;
         assertInstanceOf(OpenResult.Corrupt.class, tryOpen(damaged, FOLDER));
-        MemoryFiles hole = files.copy();
-        hole.put(segment(9), hole.bytes(segment(1)));
-        assertInstanceOf(OpenResult.Corrupt.class, tryOpen(hole, FOLDER));
+        MemoryFiles withMissingSegment = files.copy();
+        withMissingSegment.put(segment(9), withMissingSegment.bytes(segment(1)));
+        assertInstanceOf(OpenResult.Corrupt.class, tryOpen(withMissingSegment, FOLDER));
         MemoryFiles identityOnly = new MemoryFiles();
         identityOnly.put(FOLDER.resolve("identity"), files.bytes(FOLDER.resolve("identity")));
         assertInstanceOf(OpenResult.Corrupt.class, tryOpen(identityOnly, FOLDER));
@@ -140,10 +140,10 @@
         DataFolder folder = open(files).folder();
         List<Entry> batch = List.of(entry(1, 1), entry(2, 1));
         for (int room = 0; room < 50; room++) {
-            files.room = room;
+            files.freeBytes = room;
             assertInstanceOf(StoreResult.DiskFull.class, folder.append(new HardState(1, null), batch));
         }
-        files.room = Long.MAX_VALUE;
+        files.freeBytes = Long.MAX_VALUE;
         assertEquals(DONE, folder.append(new HardState(1, null), batch));
         assertEquals(batch, open(files).restored().entries());
     }
@@ -163,13 +163,13 @@
 
     /** Guards against a second vote under one identity: a host that lost its disk must get a new replica identity. */
     @Test
-    void anEmptyFolderGetsAnIdentityOfItsOwn() {
+    void emptyFolderGetsNewIdentity() {
         ReplicaId first = open(files).folder().identity();
         assertEquals(first, open(files).folder().identity());
-        OpenResult lost = DataFolder.open(new MemoryFiles(), FOLDER, HOST, new SplittableRandom(2), SEGMENT);
-        DataFolder fresh = assertInstanceOf(OpenResult.Opened.class, lost).folder();
-        assertNotEquals(first, fresh.identity());
-        assertEquals(first.host(), fresh.identity().host());
+        OpenResult lost = DataFolder.open(new MemoryFiles(), FOLDER, HOST, new SplittableRandom(2), SEGMENT_BYTES);
+        DataFolder replacement = assertInstanceOf(OpenResult.Opened.class, lost).folder();
+        assertNotEquals(first, replacement.identity());
+        assertEquals(first.host(), replacement.identity().host());
     }
 
     @Test
--- a/elmline-storage/src/test/java/org/elmline/storage/MemoryFiles.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/MemoryFiles.java
@@ -20,7 +20,7 @@
 
     private TreeMap<Path, Content> names = new TreeMap<>();
     private TreeMap<Path, Content> syncedNames = new TreeMap<>();
-    long room = Long.MAX_VALUE;
+    long freeBytes = Long.MAX_VALUE;
     long operationsLeft = Long.MAX_VALUE;
     boolean syncFails;
 
@@ -33,7 +33,7 @@
             each.synced = kept;
         }
         operationsLeft = Long.MAX_VALUE;
-        room = Long.MAX_VALUE;
+        freeBytes = Long.MAX_VALUE;
     }
 
     byte[] bytes(Path file) {
@@ -52,7 +52,7 @@
         return copy;
     }
 
-    private void operation() throws IOException {
+    private void countOperation() throws IOException {
         if (operationsLeft-- <= 0) {
             throw new IOException("simulated crash: no file operations left");
         }
@@ -75,25 +75,25 @@
 
     @Override
     public OutputFile open(Path file) throws IOException {
-        operation();
+        countOperation();
         return new MemoryFile(names.computeIfAbsent(file, path -> new Content()));
     }
 
     @Override
     public void rename(Path from, Path to) throws IOException {
-        operation();
+        countOperation();
         names.put(to, names.remove(from));
     }
 
     @Override
     public void delete(Path file) throws IOException {
-        operation();
+        countOperation();
         names.remove(file);
     }
 
     @Override
     public void syncFolder(Path folder) throws IOException {
-        operation();
+        countOperation();
         syncedNames = new TreeMap<>(names);
     }
 
@@ -111,13 +111,13 @@
 
         @Override
         public void write(ByteBuffer from) throws IOException {
-            operation();
-            int fitting = (int) Math.min(room, from.remaining());
-            boolean full = fitting < from.remaining();
+            countOperation();
+            int written = (int) Math.min(freeBytes, from.remaining());
+            boolean full = written < from.remaining();
             int old = content.bytes.length;
-            content.bytes = Arrays.copyOf(content.bytes, old + fitting);
-            from.get(content.bytes, old, fitting);
-            room -= fitting;
+            content.bytes = Arrays.copyOf(content.bytes, old + written);
+            from.get(content.bytes, old, written);
+            freeBytes -= written;
             if (full) {
                 throw new DiskFullException("simulated full disk");
             }
@@ -125,7 +125,7 @@
 
         @Override
         public void sync() throws IOException {
-            operation();
+            countOperation();
             if (syncFails) {
                 throw new IOException("simulated sync failure");
             }
@@ -134,7 +134,7 @@
 
         @Override
         public void truncate(long length) throws IOException {
-            operation();
+            countOperation();
             content.bytes = Arrays.copyOf(content.bytes, (int) length);
             content.synced = Math.min(content.synced, (int) length);
         }
