--- a/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
@@ -11,8 +11,8 @@
 /**
  * The entries that poll a control host. An entry expires when it stops polling: callers that were still directed to it
  * would only notice by a timeout. Followers receive the changes since their previous poll, because sending the whole
- * list at each change would cost traffic that grows with the square of the number of entries. Not safe for concurrent
- * use.
+ * list at each change would cost traffic that grows with the square of the number of entries. Times are nanoseconds of
+ * a monotonic clock. Not safe for concurrent use.
  */
 public final class LiveEntries {
     /**
--- a/elmline-core/src/main/java/org/elmline/core/registry/RegistryView.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/RegistryView.java
@@ -15,8 +15,8 @@
 /**
  * A follower's view of the registries of several control hosts: the union of their answers. A partitioned control host
  * receives no heartbeats and reports every server as expired, so a server counts as expired only when all answering
- * control hosts report it so, and an entry counts as alive when any of them reports it alive. Not safe for concurrent
- * use.
+ * control hosts report it so, and an entry counts as alive when any of them reports it alive. Times are nanoseconds of
+ * a monotonic clock. Not safe for concurrent use.
  */
 public final class RegistryView {
     private static final long NANOS_PER_MILLI = 1_000_000L;
--- a/elmline-core/src/main/java/org/elmline/core/registry/ServerRegistry.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/ServerRegistry.java
@@ -12,7 +12,8 @@
 
 /**
  * A control host's registry of the backend servers: the latest registration of each, the time of its last heartbeat,
- * and a number that increases with every change that followers must receive. Not safe for concurrent use.
+ * and a number that increases with every change that followers must receive. Times are nanoseconds of a monotonic
+ * clock. Not safe for concurrent use.
  */
 public final class ServerRegistry {
     private final long heartbeatTimeoutNanos;
@@ -101,7 +102,7 @@
         if (tracked != null && !next.supersedes(tracked.registration)) {
             return false;
         }
-        if (next.state() != ServerState.GONE && isAddressTaken(next)) {
+        if (next.state() != ServerState.GONE && losesAddressConflict(next)) {
             return false;
         }
         boolean changed = tracked == null || next.differsFrom(tracked.registration);
@@ -124,11 +125,11 @@
 
     /**
      * Assigns an address to the server that started last. Returns whether another server with a later start holds the
-     * address. A heartbeat that was delayed by a network partition may arrive after its sender died and another server
-     * took over the address. Calls for the old id would then reach the wrong server, so the later start takes
-     * precedence.
+     * address, so that the registration must be ignored. A heartbeat that was delayed by a network partition may arrive
+     * after its sender died and another server took over the address. Calls for the old id would then reach the wrong
+     * server, so the later start takes precedence.
      */
-    private boolean isAddressTaken(Registration next) {
+    private boolean losesAddressConflict(Registration next) {
         BackendServerId holder = byAddress.get(next.address());
         TrackedServer currentHolder = holder == null || holder.equals(next.id()) ? null : servers.get(holder);
         boolean holderIsPresent = currentHolder != null
--- a/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Guards against traffic between failure domains: a document is sent to each entry, uncompressed at several times
-     * the length.
+     * Guards against traffic between failure domains: a document is sent to each entry, uncompressed at many times the
+     * length.
      */
     @Test
     void compressesDocumentOfManyRoutes() {
