--- a/elmline-core/src/main/java/org/elmline/core/registry/CallerDirectory.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/CallerDirectory.java
@@ -10,43 +10,43 @@
 import org.elmline.core.common.FailureDomain;
 import org.elmline.core.common.Region;
 
-/** Which entries the callers of a place should connect to. */
+/** Selects the entries that callers in a given region and failure domain should connect to. */
 public final class CallerDirectory {
-    /** Addresses in one answer, at most. */
+    /** Largest number of addresses in one answer. */
     public static final int MAX_ADDRESSES = 64;
 
     /**
-     * Entries of the caller's own failure domain that make an answer by themselves; with fewer the region's are added,
-     * so that the loss of one host does not leave the callers of a domain with nobody.
+     * Number of entries of the caller's own failure domain that suffice for an answer. With fewer, the entries of the
+     * region are added, so that the loss of one host does not leave the callers of a domain without a reachable entry.
      */
     private static final int MIN_DOMAIN_ENTRIES = 3;
 
     private CallerDirectory() {}
 
     /**
-     * Callers' addresses of entries that serve, in random order; empty when none does.
+     * Returns the callers' addresses of serving entries, in random order; empty when no entry serves.
      *
-     * @param entries all entries that are known
+     * @param entries all known entries
      */
     public static List<Address> addresses(
             Collection<EntryRecord> entries, Region region, FailureDomain domain, RandomGenerator random) {
-        List<EntryRecord> near = new ArrayList<>();
-        List<EntryRecord> inRegion = new ArrayList<>();
-        List<EntryRecord> far = new ArrayList<>();
+        List<EntryRecord> sameDomainEntries = new ArrayList<>();
+        List<EntryRecord> sameRegionEntries = new ArrayList<>();
+        List<EntryRecord> remoteEntries = new ArrayList<>();
         for (EntryRecord entry : entries) {
             if (!entry.serving()) {
                 continue;
             }
             boolean sameDomain = entry.failureDomain().equals(domain);
             boolean sameRegion = entry.region().equals(region);
-            (sameDomain ? near : sameRegion ? inRegion : far).add(entry);
+            (sameDomain ? sameDomainEntries : sameRegion ? sameRegionEntries : remoteEntries).add(entry);
         }
-        List<EntryRecord> chosen = new ArrayList<>(near);
+        List<EntryRecord> chosen = new ArrayList<>(sameDomainEntries);
         if (chosen.size() < MIN_DOMAIN_ENTRIES) {
-            chosen.addAll(inRegion);
+            chosen.addAll(sameRegionEntries);
         }
         if (chosen.isEmpty()) {
-            chosen.addAll(far);
+            chosen.addAll(remoteEntries);
         }
         shuffle(chosen, random);
         return chosen.stream().limit(MAX_ADDRESSES).map(EntryRecord::callers).toList();
--- a/elmline-core/src/main/java/org/elmline/core/registry/RegistryView.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/RegistryView.java
@@ -13,14 +13,15 @@
 import org.elmline.core.common.HostId;
 
 /**
- * What an entry makes of the news of several control hosts: the union of all they know. A control host that is cut off
- * hears no heartbeats and takes every server for silent, so a server counts as silent only where all control hosts that
- * answer say so; and an entry counts as alive where any of them says so. Not safe for concurrent use.
+ * A follower's view of the registries of several control hosts: the union of their answers. A partitioned control host
+ * receives no heartbeats and reports every server as expired, so a server counts as expired only when all answering
+ * control hosts report it so, and an entry counts as alive when any of them reports it alive. Times are nanoseconds of
+ * a monotonic clock. Not safe for concurrent use.
  */
 public final class RegistryView {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Time for which a union made without news since is used again; every call asks for it several times. */
+    /** Time for which the union is cached while nothing changes, as every routed call reads it several times. */
     private static final long UNION_CACHE_NANOS = 50 * NANOS_PER_MILLI;
 
     private long answerValidityNanos;
@@ -31,7 +32,7 @@
     private Union union;
     private Union lastUnion;
 
-    /** What all control hosts that answer know together. */
+    /** The combined state of all answering control hosts. */
     private record Union(long createdAtNanos, List<Registration> usable, List<EntryRecord> entries) {
         Union reuseListsOf(Union before) {
             return new Union(
@@ -40,12 +41,12 @@
                     haveSameElements(entries, before.entries) ? before.entries : entries);
         }
 
-        private static <T> boolean haveSameElements(List<T> some, List<T> others) {
-            if (some.size() != others.size()) {
+        private static <T> boolean haveSameElements(List<T> a, List<T> b) {
+            if (a.size() != b.size()) {
                 return false;
             }
-            for (int i = 0; i < some.size(); i++) {
-                if (some.get(i) != others.get(i)) {
+            for (int i = 0; i < a.size(); i++) {
+                if (a.get(i) != b.get(i)) {
                     return false;
                 }
             }
@@ -64,18 +65,18 @@
         private final Set<BackendServerId> aliveBeforeRestart = new HashSet<>();
         private Map<HostId, EntryRecord> entries = new HashMap<>();
 
-        /** Returns whether anything changed by it. */
-        boolean apply(ServerUpdate news) {
-            BackendServerId id = news.registration().id();
-            boolean hears = !news.silent() && !news.remembered();
+        /** Applies a server's update. Returns whether it changed this view. */
+        boolean apply(ServerUpdate update) {
+            BackendServerId id = update.registration().id();
+            boolean receivesHeartbeats = !update.silent() && !update.remembered();
             aliveBeforeRestart.remove(id);
-            boolean changed = hears ? alive.add(id) : alive.remove(id);
-            changed |= news.silent() ? expired.add(id) : expired.remove(id);
-            changed |= news.remembered() ? restored.add(id) : restored.remove(id);
+            boolean changed = receivesHeartbeats ? alive.add(id) : alive.remove(id);
+            changed |= update.silent() ? expired.add(id) : expired.remove(id);
+            changed |= update.remembered() ? restored.add(id) : restored.remove(id);
             return changed;
         }
 
-        /** Returns whether anything changed by it. */
+        /** Applies the entries of an answer. Returns whether they changed this view. */
         boolean applyEntries(FollowAnswer answer) {
             boolean changed = false;
             if (answer.entries() != null) {
@@ -93,43 +94,43 @@
         }
 
         boolean isAlive(BackendServerId id, long now) {
-            boolean relearning = now - warmUpEndNanos < 0;
-            return alive.contains(id) || (relearning && aliveBeforeRestart.contains(id));
+            boolean warmingUp = now - warmUpEndNanos < 0;
+            return alive.contains(id) || (warmingUp && aliveBeforeRestart.contains(id));
         }
     }
 
     /**
-     * @param currentNanos time after an answer for which a control host's opinion counts
-     * @param relearnNanos time that a restarted control host needs to hear all servers again
-     * @param settleNanos time that a restarted control host needs to hear all entries again
+     * @param answerValidityNanos how long after an answer a control host's state is used
+     * @param serverWarmUpNanos time after a control host's restart within which all servers send it a heartbeat
+     * @param entryWarmUpNanos time after a control host's restart within which all entries poll it
      */
-    public RegistryView(long currentNanos, long relearnNanos, long settleNanos) {
-        this.answerValidityNanos = currentNanos;
-        this.serverWarmUpNanos = relearnNanos;
-        this.entryWarmUpNanos = settleNanos;
+    public RegistryView(long answerValidityNanos, long serverWarmUpNanos, long entryWarmUpNanos) {
+        this.answerValidityNanos = answerValidityNanos;
+        this.serverWarmUpNanos = serverWarmUpNanos;
+        this.entryWarmUpNanos = entryWarmUpNanos;
     }
 
-    /** Takes another time after an answer for which a control host's opinion counts. */
+    /** Changes how long after an answer a control host's state is used, in nanoseconds. */
     public void updateAnswerValidity(long nanos) {
         answerValidityNanos = nanos;
     }
 
-    /** Takes a control host's answer. Returns whether anything changed by it. */
+    /** Applies a control host's answer. Returns whether it changed the view. */
     public boolean apply(Address from, FollowAnswer answer, long now) {
-        ControlHostView opinion = controlHostViews.computeIfAbsent(from, address -> new ControlHostView());
+        ControlHostView view = controlHostViews.computeIfAbsent(from, address -> new ControlHostView());
         boolean changed = false;
-        if (opinion.epoch != answer.epoch()) {
-            resetAfterRestart(opinion, answer.epoch(), now);
+        if (view.epoch != answer.epoch()) {
+            resetAfterRestart(view, answer.epoch(), now);
             changed = true;
         }
-        changed |= now - opinion.lastAnswerNanos >= answerValidityNanos;
-        opinion.lastAnswerNanos = now;
-        opinion.upSinceNanos = now - answer.upMillis() * NANOS_PER_MILLI;
+        changed |= now - view.lastAnswerNanos >= answerValidityNanos;
+        view.lastAnswerNanos = now;
+        view.upSinceNanos = now - answer.upMillis() * NANOS_PER_MILLI;
         for (ServerUpdate each : answer.servers()) {
             changed |= apply(each.registration());
-            changed |= opinion.apply(each);
+            changed |= view.apply(each);
         }
-        changed |= opinion.applyEntries(answer);
+        changed |= view.applyEntries(answer);
         if (changed) {
             union = null;
         }
@@ -137,39 +138,42 @@
     }
 
     /**
-     * A restarted control host has heard nobody yet. Were all of them restarted at once, every server would seem silent
-     * and all calls would be turned away; so what it had heard before counts until it has had time to hear it again.
+     * Resets the state of a control host that has restarted and has not received any heartbeats yet. If all control
+     * hosts restart at once, every server would seem to be expired and all calls would be rejected. So the servers that
+     * were alive before the restart count as alive until the warm-up time has passed, within which their heartbeats
+     * arrive again.
      */
-    private void resetAfterRestart(ControlHostView opinion, long epoch, long now) {
-        opinion.aliveBeforeRestart.addAll(opinion.alive);
-        opinion.alive.clear();
-        opinion.expired.clear();
-        opinion.restored.clear();
-        opinion.epoch = epoch;
-        opinion.warmUpEndNanos = now + serverWarmUpNanos;
+    private void resetAfterRestart(ControlHostView view, long epoch, long now) {
+        view.aliveBeforeRestart.addAll(view.alive);
+        view.alive.clear();
+        view.expired.clear();
+        view.restored.clear();
+        view.epoch = epoch;
+        view.warmUpEndNanos = now + serverWarmUpNanos;
     }
 
     private boolean apply(Registration next) {
-        Registration held = servers.get(next.id());
-        if (held != null && !next.supersedes(held)) {
+        Registration known = servers.get(next.id());
+        if (known != null && !next.supersedes(known)) {
             return false;
         }
         servers.put(next.id(), next);
-        return held == null || next.differsFrom(held);
+        return known == null || next.differsFrom(known);
     }
 
     private Union union(long now) {
         if (union == null || now - union.createdAtNanos() >= UNION_CACHE_NANOS) {
             List<ControlHostView> current = currentViews(now);
             Union next = new Union(now, usable(current, now), entries(current));
-            // Lists of the same records stay the same lists, so that what is worked out from them need not be again.
+            // Reuses the previous lists when their elements are the same, so that callers need not recompute what they
+            // derive from these lists.
             union = lastUnion == null ? next : next.reuseListsOf(lastUnion);
             lastUnion = union;
         }
         return union;
     }
 
-    /** Servers that may be sent work. While no control host answers, those last known stay. */
+    /** Servers that accept work. While no control host answers, the last known ones. */
     public List<Registration> usable(long now) {
         return union(now).usable();
     }
@@ -184,26 +188,29 @@
         return usable;
     }
 
-    /** Whether one control host hears the server, or one remembers it from before a restart and none misses it. */
+    /**
+     * Whether one control host receives the server's heartbeats, or one restored it after a restart and none reports it
+     * expired.
+     */
     private static boolean isAlive(BackendServerId id, List<ControlHostView> current, long now) {
-        boolean remembered = false;
-        boolean missed = false;
+        boolean restored = false;
+        boolean expired = false;
         for (ControlHostView each : current) {
             if (each.isAlive(id, now)) {
                 return true;
             }
-            remembered |= each.restored.contains(id);
-            missed |= each.expired.contains(id);
+            restored |= each.restored.contains(id);
+            expired |= each.expired.contains(id);
         }
-        return remembered && !missed;
+        return restored && !expired;
     }
 
-    /** A server's newest registration, null when it is not known. */
+    /** A server's latest registration, null when it is not known. */
     public Registration server(BackendServerId id) {
         return servers.get(id);
     }
 
-    /** Entries that are alive, by host; while no control host answers, those last known. */
+    /** Live entries, one for each host. While no control host answers, the last known ones. */
     public Collection<EntryRecord> entries(long now) {
         return union(now).entries();
     }
@@ -226,15 +233,15 @@
     }
 
     /**
-     * Whether the entries told are all there are: some control host has been up for long enough to hear them all, or none
-     * answers and what was known before stands.
+     * Whether the list of entries is complete: a control host has been up long enough to receive polls of all entries,
+     * or no control host answers and the last known list is used.
      */
     public boolean isEntryListComplete(long now) {
         List<ControlHostView> current = currentViews(now);
         return current.isEmpty() || current.stream().anyMatch(each -> now - each.upSinceNanos >= entryWarmUpNanos);
     }
 
-    /** How many control hosts have answered lately. */
+    /** Number of control hosts whose latest answer is still valid. */
     public int answeringControlHosts(long now) {
         return currentViews(now).size();
     }
@@ -249,7 +256,7 @@
         return current;
     }
 
-    /** Drops the opinion of a control host that is one no more. */
+    /** Removes the state of a host that is no longer a control host. */
     public void removeControlHost(Address address) {
         controlHostViews.remove(address);
         union = null;
--- a/elmline-core/src/test/java/org/elmline/core/registry/FleetViewTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/FleetViewTest.java
@@ -12,7 +12,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What an entry makes of control hosts that disagree, restart or fall silent. */
+/** Tests an entry's view when control hosts disagree, restart or stop answering. */
 class FleetViewTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Address A = Address.parse("10.0.0.1:7000");
@@ -48,13 +48,16 @@
                 null);
     }
 
-    private static FollowAnswer nothing(long epoch) {
+    private static FollowAnswer emptyAnswer(long epoch) {
         return new FollowAnswer(epoch, 9_000, List.of(), 0, null, List.of(), List.of(), 0, List.of(), 1, null, null);
     }
 
-    /** All calls would be refused: a control host that is cut off hears nobody and takes every server for silent. */
+    /**
+     * Guards against the rejection of all calls: a partitioned control host receives no heartbeats and reports every
+     * server as expired.
+     */
     @Test
-    void oneHostThatHearsAServerIsEnough() {
+    void serverIsUsableWhenOneControlHostReceivesHeartbeats() {
         view.apply(A, answer(1, false, ServerState.READY), 0);
         view.apply(B, answer(1, true, ServerState.READY), 0);
         assertEquals(1, view.usable(0).size());
@@ -62,9 +65,12 @@
         assertEquals(0, view.usable(SECOND).size());
     }
 
-    /** Guards against control hosts that count as gone between two polls, as a follower of many polls each less often. */
+    /**
+     * Guards against control hosts that count as unreachable between two polls: a follower of many control hosts polls
+     * each of them less often.
+     */
     @Test
-    void aHostThatIsPolledLessOftenStaysCurrent() {
+    void controlHostThatIsPolledLessOftenStaysCurrent() {
         view.updateAnswerValidity(3 * SECOND);
         view.apply(A, answer(1, false, ServerState.READY), 0);
         assertEquals(1, view.answeringControlHosts(3 * SECOND - 1));
@@ -72,71 +78,72 @@
     }
 
     /**
-     * All calls would be refused for a heartbeat's time: all control hosts are killed at once and come back with empty
-     * registries, while the servers and this entry never stopped.
+     * Guards against the rejection of all calls for a heartbeat interval: all control hosts are killed at once and
+     * restart with empty registries, while the servers and this entry keep running.
      */
     @Test
-    void restartedControlHostsSilenceNobodyBeforeTheyCouldHear() {
+    void restartedControlHostsExpireNoServerBeforeWarmUpEnds() {
         view.apply(A, answer(1, false, ServerState.READY), 0);
-        view.apply(A, nothing(2), SECOND);
+        view.apply(A, emptyAnswer(2), SECOND);
         assertEquals(1, view.usable(SECOND).size());
-        view.apply(A, nothing(2), 4 * SECOND);
-        view.apply(A, nothing(2), 5 * SECOND);
-        assertEquals(0, view.usable(5 * SECOND).size(), "it was not heard again in time");
+        view.apply(A, emptyAnswer(2), 4 * SECOND);
+        view.apply(A, emptyAnswer(2), 5 * SECOND);
+        assertEquals(0, view.usable(5 * SECOND).size(), "no heartbeat arrived within the warm-up time");
     }
 
     @Test
-    void aDrainToldByAnyHostHolds() {
+    void drainReportedByAnyControlHostApplies() {
         view.apply(A, answer(1, false, ServerState.DRAINING), 0);
         view.apply(B, answer(1, false, ServerState.READY), 0);
         assertEquals(0, view.usable(0).size());
     }
 
-    /** With no control host left an entry goes on with the servers it knew. */
+    /** Without any answering control host, an entry keeps using the last known servers. */
     @Test
-    void whatWasKnownStaysWhileNobodyAnswers() {
+    void lastKnownServersStayUsableWhileNoControlHostAnswers() {
         view.apply(A, answer(1, false, ServerState.READY), 0);
         assertEquals(1, view.usable(60 * SECOND).size());
         assertEquals(0, view.answeringControlHosts(60 * SECOND));
     }
 
-    private static FollowAnswer remembering(long epoch) {
-        ServerUpdate news = new ServerUpdate(server(ServerState.READY, 1), false, true);
+    private static FollowAnswer answerWithRestoredServer(long epoch) {
+        ServerUpdate update = new ServerUpdate(server(ServerState.READY, 1), false, true);
         return new FollowAnswer(
-                epoch, 9_000, List.of(news), 1, null, List.of(), List.of(), 0, List.of(), 1, null, null);
+                epoch, 9_000, List.of(update), 1, null, List.of(), List.of(), 0, List.of(), 1, null, null);
     }
 
     /**
-     * Calls would go to a server that has died while one control host was down: that one still remembers it, the other
-     * has found it silent. Only where nobody has missed it does the memory count.
+     * Guards against calls to a server that died while one control host was down: that control host has restored the
+     * server, the other one reports it as expired. A restored server counts as alive only when no control host reports
+     * it expired.
      */
     @Test
-    void aRememberedServerCountsWhereNobodyHasMissedIt() {
-        view.apply(A, remembering(1), 0);
+    void restoredServerIsUsableUntilAControlHostReportsItExpired() {
+        view.apply(A, answerWithRestoredServer(1), 0);
         assertEquals(1, view.usable(0).size());
-        view.apply(B, nothing(1), 0);
+        view.apply(B, emptyAnswer(1), 0);
         assertEquals(1, view.usable(0).size());
         view.apply(B, answer(1, true, ServerState.READY), 0);
         assertEquals(0, view.usable(0).size());
         view.apply(A, answer(1, false, ServerState.READY), 0);
-        assertEquals(1, view.usable(0).size(), "it was heard");
+        assertEquals(1, view.usable(0).size(), "its heartbeat was received");
     }
 
     /**
-     * Each entry would take itself for the one that places all calls: control hosts and entries come back at once, and
-     * the first answers tell of the few entries that were heard by then.
+     * Guards against entries that each act as the dispatcher of all calls: control hosts and entries restart at once,
+     * and the first answers list only the few entries that have polled by then.
      */
     @Test
-    void entriesAreAllKnownOnceAControlHostHasBeenUpForAWhile() {
-        assertTrue(view.isEntryListComplete(0), "nothing was ever known, and nobody tells");
-        view.apply(A, up(300), 0);
+    void entryListIsCompleteAfterWarmUpOfOneControlHost() {
+        assertTrue(view.isEntryListComplete(0), "no entry is known and no control host answers");
+        view.apply(A, answerAfterUptime(300), 0);
         assertFalse(view.isEntryListComplete(0));
-        assertTrue(view.isEntryListComplete(7 * SECOND / 10), "it has heard all by then");
-        view.apply(B, up(1_000), 0);
+        assertTrue(view.isEntryListComplete(7 * SECOND / 10), "all entries have polled it by then");
+        view.apply(B, answerAfterUptime(1_000), 0);
         assertTrue(view.isEntryListComplete(0));
     }
 
-    private static FollowAnswer up(long millis) {
+    private static FollowAnswer answerAfterUptime(long millis) {
         return new FollowAnswer(1, millis, List.of(), 0, null, List.of(), List.of(), 0, List.of(), 1, null, null);
     }
 }
--- a/elmline-core/src/test/java/org/elmline/core/registry/LiveEntriesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/LiveEntriesTest.java
@@ -17,7 +17,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What followers are told of entries. */
+/** Tests which changes of entries followers receive. */
 class LiveEntriesTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Address CONTROL = Address.parse("10.0.0.1:7000");
@@ -37,10 +37,10 @@
                 serving);
     }
 
-    /** Polls once, as a control host answers it. Returns how many records the answer holds. */
+    /** Polls once and applies the answer of the control host. Returns the number of records in the answer. */
     private int poll(boolean first, long now) {
         boolean whole = first || !live.canListChangesSince(seen);
-        List<EntryUpdate> news = whole ? List.of() : live.changesSince(seen);
+        List<EntryUpdate> changes = whole ? List.of() : live.changesSince(seen);
         FollowAnswer answer = new FollowAnswer(
                 1,
                 9_000,
@@ -48,7 +48,7 @@
                 0,
                 List.of(),
                 whole ? live.all() : null,
-                news,
+                changes,
                 live.lastChange(),
                 List.of(),
                 1,
@@ -56,7 +56,7 @@
                 null);
         view.apply(CONTROL, answer, now);
         seen = live.lastChange();
-        return whole ? live.all().size() : news.size();
+        return whole ? live.all().size() : changes.size();
     }
 
     private static List<EntryRecord> sorted(Iterable<EntryRecord> entries) {
@@ -66,27 +66,33 @@
         return list;
     }
 
-    /** Guards against bytes that grow with the square of the entries: 91 entries are restarted one after the other. */
+    /**
+     * Guards against traffic that grows with the square of the number of entries: 91 entries restart one after the
+     * other.
+     */
     @Test
-    void aRestartOfAllEntriesIsToldInAFewRecordsEach() {
+    void rollingRestartSendsOneRecordPerChange() {
         int hosts = 91;
         for (int i = 0; i < hosts; i++) {
             live.renew(entry(i, 1, true), SECOND);
         }
         poll(true, 0);
-        int told = 0;
+        int recordsSent = 0;
         for (int i = 0; i < hosts; i++) {
             live.renew(entry(i, 1, false), SECOND);
-            told += poll(false, 0);
+            recordsSent += poll(false, 0);
             live.renew(entry(i, 2, true), SECOND);
-            told += poll(false, 0);
+            recordsSent += poll(false, 0);
         }
-        assertEquals(2 * hosts, told);
+        assertEquals(2 * hosts, recordsSent);
     }
 
-    /** Guards against entries that are told apart from the list: news of any changes lead a follower to the same list. */
+    /**
+     * Guards against followers whose list deviates from the control host's: applying the changes must give the same
+     * list.
+     */
     @Property(tries = 100, seed = "7")
-    void newsLeadToTheList(@ForAll long seed) {
+    void appliedChangesGiveTheSameList(@ForAll long seed) {
         Random random = new Random(seed);
         long now = 0;
         poll(true, now);
@@ -101,9 +107,9 @@
         }
     }
 
-    /** Guards against an account of hosts that are gone that grows for ever. */
+    /** Guards against a record of expired entries that grows without bound. */
     @Test
-    void aFollowerThatLagsFarBehindIsToldAll() {
+    void followerThatLagsFarBehindNeedsWholeList() {
         live.renew(entry(0, 1, true), SECOND);
         long before = live.lastChange();
         for (int i = 1; i < 250; i++) {
--- a/elmline-core/src/test/java/org/elmline/core/timeline/EventRingTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/timeline/EventRingTest.java
@@ -19,20 +19,20 @@
 class EventRingTest {
     private static final long START = 1_800_000_000_000L;
 
-    /** Against the naive version: a list of everything, cut to the last events. */
+    /** Compares the ring with a list of all events, cut to the latest ones. */
     @Property(seed = "4712", tries = 200)
-    void keepsTheLatest(
+    void keepsLatestEventsUpToCapacity(
             @ForAll @IntRange(min = 1, max = 20) int capacity,
             @ForAll @IntRange(min = 0, max = 60) int events,
             @ForAll @IntRange(min = 1, max = 30) int limit) {
         EventRing ring = ring("a", capacity, 0);
-        List<Event> naive = new ArrayList<>();
+        List<Event> recorded = new ArrayList<>();
         for (int i = 0; i < events; i++) {
             Event event = finished("r" + i % 3, i);
             ring.record(event);
-            naive.add(event);
+            recorded.add(event);
         }
-        List<Event> kept = naive.subList(Math.max(0, events - capacity), events);
+        List<Event> kept = recorded.subList(Math.max(0, events - capacity), events);
         EventPage page = ring.page(EventQuery.builder().limit(limit).build());
         assertEquals(kept.subList(Math.max(0, kept.size() - limit), kept.size()), events(page.events()));
         assertEquals(Math.max(0, events - capacity), page.dropped());
@@ -45,7 +45,7 @@
     }
 
     @Test
-    void manyThreadsLoseNothingThatFits() throws InterruptedException {
+    void concurrentRecordingLosesNoEventWithinCapacity() throws InterruptedException {
         int threads = 4;
         int each = 2_000;
         EventRing ring = ring("a", threads * each, 0);
@@ -72,12 +72,12 @@
     }
 
     /**
-     * The operator looks at ticket 7 on three hosts. Control accepts it by a clock that runs 40 ms ahead and tells an
-     * entry whose clock is right. By wall clock the entry would seem to follow a ticket not accepted yet; merged by
-     * hybrid time the acceptance comes first.
+     * Guards against a time line that shows an effect before its cause. A control host whose clock is 40 ms ahead
+     * accepts ticket 7 and notifies an entry whose clock is right. Ordered by wall clock, the entry would follow the
+     * ticket before its acceptance; merged by hybrid time, the acceptance comes first.
      */
     @Test
-    void mergeShowsCausesFirstAndEachEventOnce() {
+    void mergeOrdersCausesFirstAndRemovesDuplicates() {
         EventRing control = ring("control", 10, 40);
         HybridClock entryClock = new HybridClock(() -> START);
         EventRing entry = new EventRing(HostId.of("entry"), Incarnation.of(1), entryClock, () -> START, 10);
@@ -92,7 +92,7 @@
         List<StampedEvent> merged = TimelineMerge.merge(List.of(entryPage, controlPage, entryPage), ofTicket);
         assertEquals(2, merged.size());
         assertTrue(merged.get(0).event() instanceof TicketEvent.Accepted, merged::toString);
-        assertTrue(merged.get(0).wallMillis() > merged.get(1).wallMillis(), "the wall clocks say otherwise");
+        assertTrue(merged.get(0).wallMillis() > merged.get(1).wallMillis(), "the wall clocks give the opposite order");
         EventQuery ofHost =
                 EventQuery.builder().host(HostId.of("entry")).limit(1).build();
         List<StampedEvent> last = TimelineMerge.merge(List.of(entryPage, controlPage), ofHost);
--- a/elmline-core/src/test/java/org/elmline/core/timeline/HybridClockTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/timeline/HybridClockTest.java
@@ -19,7 +19,10 @@
 class HybridClockTest {
     private static final long START = 1_800_000_000_000L;
 
-    /** A cause lies before its effect over any walk of messages between hosts whose wall clocks differ and step. */
+    /**
+     * Guards against an effect stamped before its cause: messages pass between random hosts whose wall clocks differ
+     * and step.
+     */
     @Property(seed = "4711", tries = 300)
     void effectsComeAfterCauses(@ForAll @IntRange(min = 2, max = 6) int hosts, @ForAll @LongRange long seed) {
         Random random = new Random(seed);
@@ -43,7 +46,7 @@
     }
 
     @Test
-    void withoutMessagesItFollowsTheWallClock() {
+    void followsWallClockWithoutMessages() {
         long[] wall = {START};
         HybridClock clock = new HybridClock(() -> wall[0]);
         assertEquals(HybridTime.of(START, 0), clock.now());
@@ -55,19 +58,19 @@
     }
 
     @Test
-    void aFullCounterOverflowsIntoTheMilliseconds() {
+    void fullCounterOverflowsIntoMilliseconds() {
         HybridClock clock = new HybridClock(() -> START);
         clock.merge(HybridTime.of(START, 65_535));
         assertEquals(HybridTime.of(START + 1, 1), clock.now());
     }
 
     /**
-     * One host's wall clock is set an hour ahead and it sends a message. Taken over, its time would be in every stamp
-     * of every process for an hour, and operators could not tell when anything happened. It is refused and counted, and
-     * a time at the bound is still taken over.
+     * A host whose wall clock is set an hour ahead sends a message. If its time were merged, the stamps of all
+     * processes would be wrong for an hour, and operators could not see when an event happened. The time must be
+     * rejected and counted, and a time exactly at the bound must be merged.
      */
     @Test
-    void aTimeFarAheadIsRefused() {
+    void rejectsTimeFurtherAheadThanBound() {
         HybridClock clock = new HybridClock(() -> START, 1_000);
         assertEquals(3_600_000, clock.merge(HybridTime.of(START + 3_600_000, 0)));
         assertEquals(1, clock.rejectedCount());
@@ -78,20 +81,20 @@
     }
 
     @Test
-    void threadsGetDifferentTimes() throws InterruptedException {
+    void concurrentCallsReturnDistinctTimes() throws InterruptedException {
         int threads = 4;
         int each = 5_000;
         HybridClock clock = new HybridClock(() -> START);
-        List<Set<HybridTime>> taken = new ArrayList<>();
+        List<Set<HybridTime>> timesByThread = new ArrayList<>();
         List<Thread> running = new ArrayList<>();
         CountDownLatch start = new CountDownLatch(1);
         for (int i = 0; i < threads; i++) {
-            Set<HybridTime> own = new HashSet<>();
-            taken.add(own);
+            Set<HybridTime> times = new HashSet<>();
+            timesByThread.add(times);
             Thread thread = new Thread(() -> {
-                awaitQuietly(start);
+                awaitStart(start);
                 for (int n = 0; n < each; n++) {
-                    own.add(clock.now());
+                    times.add(clock.now());
                 }
             });
             thread.start();
@@ -102,11 +105,11 @@
             thread.join();
         }
         Set<HybridTime> all = new HashSet<>();
-        taken.forEach(all::addAll);
+        timesByThread.forEach(all::addAll);
         assertEquals(threads * each, all.size());
     }
 
-    private static void awaitQuietly(CountDownLatch latch) {
+    private static void awaitStart(CountDownLatch latch) {
         try {
             latch.await();
         } catch (InterruptedException e) {
--- a/elmline-storage/src/main/java/org/elmline/storage/ChecksummedFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/ChecksummedFile.java
@@ -8,8 +8,8 @@
 import java.util.zip.CRC32;
 
 /**
- * A file that is replaced as a whole and may be lost: what it holds only saves time after a restart. A damaged one counts
- * as missing.
+ * A file with a checksum that is always replaced as a whole. It holds state that only saves time after a restart, so a
+ * damaged file is treated as missing.
  */
 public final class ChecksummedFile {
     private final FileOperations files;
@@ -20,26 +20,26 @@
         this.path = path;
     }
 
-    /** What was written last; empty where there is nothing, or it can't be read. */
+    /** Returns the content written last; empty when the file is missing, damaged or unreadable. */
     public Optional<byte[]> read() {
         try {
-            byte[] whole = files.read(path);
-            if (whole.length < Long.BYTES) {
+            byte[] bytes = files.read(path);
+            if (bytes.length < Long.BYTES) {
                 return Optional.empty();
             }
-            byte[] content = Arrays.copyOfRange(whole, Long.BYTES, whole.length);
-            boolean sound = ByteBuffer.wrap(whole).getLong() == checksum(content);
-            return sound ? Optional.of(content) : Optional.empty();
+            byte[] content = Arrays.copyOfRange(bytes, Long.BYTES, bytes.length);
+            boolean matches = ByteBuffer.wrap(bytes).getLong() == checksum(content);
+            return matches ? Optional.of(content) : Optional.empty();
         } catch (IOException e) {
             return Optional.empty();
         }
     }
 
-    /** Replaces what the file holds, and waits for the disk. */
+    /** Replaces the content and syncs it to the disk. */
     public void write(byte[] content) throws IOException {
-        ByteBuffer whole = ByteBuffer.allocate(Long.BYTES + content.length);
-        whole.putLong(checksum(content)).put(content).flip();
-        AtomicFile.write(files, path, whole);
+        ByteBuffer bytes = ByteBuffer.allocate(Long.BYTES + content.length);
+        bytes.putLong(checksum(content)).put(content).flip();
+        AtomicFile.write(files, path, bytes);
     }
 
     private static long checksum(byte[] content) {
--- a/elmline-storage/src/test/java/org/elmline/storage/MemoryFiles.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/MemoryFiles.java
@@ -8,7 +8,10 @@
 import java.util.TreeMap;
 import java.util.random.RandomGenerator;
 
-/** A disk that keeps after a crash what was synced, and any part of the rest; its room and its operations can run out. */
+/**
+ * An in-memory disk that keeps synced bytes and a random part of the others after a crash. Tests can limit its free
+ * space and its number of operations, and can make syncs fail.
+ */
 final class MemoryFiles implements FileOperations {
     private static final class Content {
         private byte[] bytes = new byte[0];
@@ -17,11 +20,11 @@
 
     private TreeMap<Path, Content> names = new TreeMap<>();
     private TreeMap<Path, Content> syncedNames = new TreeMap<>();
-    long room = Long.MAX_VALUE;
+    long freeBytes = Long.MAX_VALUE;
     long operationsLeft = Long.MAX_VALUE;
     boolean syncFails;
 
-    /** The host dies and comes back. */
+    /** Simulates a crash and restart of the host. */
     void crash(RandomGenerator random) {
         names = new TreeMap<>(syncedNames);
         for (Content each : names.values()) {
@@ -30,7 +33,7 @@
             each.synced = kept;
         }
         operationsLeft = Long.MAX_VALUE;
-        room = Long.MAX_VALUE;
+        freeBytes = Long.MAX_VALUE;
     }
 
     byte[] bytes(Path file) {
@@ -49,9 +52,9 @@
         return copy;
     }
 
-    private void operation() throws IOException {
+    private void countOperation() throws IOException {
         if (operationsLeft-- <= 0) {
-            throw new IOException("the host is down");
+            throw new IOException("simulated crash: no file operations left");
         }
     }
 
@@ -72,25 +75,25 @@
 
     @Override
     public OutputFile open(Path file) throws IOException {
-        operation();
+        countOperation();
         return new MemoryFile(names.computeIfAbsent(file, path -> new Content()));
     }
 
     @Override
     public void rename(Path from, Path to) throws IOException {
-        operation();
+        countOperation();
         names.put(to, names.remove(from));
     }
 
     @Override
     public void delete(Path file) throws IOException {
-        operation();
+        countOperation();
         names.remove(file);
     }
 
     @Override
     public void syncFolder(Path folder) throws IOException {
-        operation();
+        countOperation();
         syncedNames = new TreeMap<>(names);
     }
 
@@ -108,30 +111,30 @@
 
         @Override
         public void write(ByteBuffer from) throws IOException {
-            operation();
-            int fitting = (int) Math.min(room, from.remaining());
-            boolean full = fitting < from.remaining();
+            countOperation();
+            int written = (int) Math.min(freeBytes, from.remaining());
+            boolean full = written < from.remaining();
             int old = content.bytes.length;
-            content.bytes = Arrays.copyOf(content.bytes, old + fitting);
-            from.get(content.bytes, old, fitting);
-            room -= fitting;
+            content.bytes = Arrays.copyOf(content.bytes, old + written);
+            from.get(content.bytes, old, written);
+            freeBytes -= written;
             if (full) {
-                throw new DiskFullException("no room");
+                throw new DiskFullException("simulated full disk");
             }
         }
 
         @Override
         public void sync() throws IOException {
-            operation();
+            countOperation();
             if (syncFails) {
-                throw new IOException("sync failed");
+                throw new IOException("simulated sync failure");
             }
             content.synced = content.bytes.length;
         }
 
         @Override
         public void truncate(long length) throws IOException {
-            operation();
+            countOperation();
             content.bytes = Arrays.copyOf(content.bytes, (int) length);
             content.synced = Math.min(content.synced, (int) length);
         }
