--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
@@ -52,9 +52,9 @@
     private boolean sent;
     private boolean ended;
 
-    Attempt(Call call, DispatchCall placed, DispatchAnswer.Granted granted) {
+    Attempt(Call call, DispatchCall placementRequest, DispatchAnswer.Granted granted) {
         this.call = call;
-        this.placementRequest = placed;
+        this.placementRequest = placementRequest;
         this.granted = granted;
         this.reservations = new HelperReservations(call.context(), granted);
         this.inactivityTimer =
@@ -63,11 +63,11 @@
 
     /** Reserves what memory the call needs elsewhere, then sends it. */
     void start() {
-        reservations.reserve(given -> {
+        reservations.reserve(reserved -> {
             if (ended) {
                 return;
             }
-            if (given) {
+            if (reserved) {
                 send();
             } else {
                 fail(AttemptEnd.NOT_SENT_HERE, "no memory on a helper");
@@ -76,9 +76,9 @@
     }
 
     private void send() {
-        GatewayContext parts = call.context();
+        GatewayContext context = call.context();
         HttpServerExchange exchange = call.exchange();
-        HeaderMap to = parts.protocol()
+        HeaderMap requestHeaders = context.protocol()
                 .forwardedHeaders(
                         exchange.getRequestHeaders(),
                         call.organisation(),
@@ -86,18 +86,18 @@
                         call.remainingMillis(),
                         call.lastEventId());
         if (call.body().length > 0 || exchange.getRequestHeaders().contains(Headers.CONTENT_LENGTH)) {
-            to.put(Headers.CONTENT_LENGTH, call.body().length);
+            requestHeaders.put(Headers.CONTENT_LENGTH, call.body().length);
         }
         String query = exchange.getQueryString();
         String path = exchange.getRequestURI() + (query == null || query.isEmpty() ? "" : "?" + query);
         sent = true;
         backendCall = new BackendCall(
-                parts.connections(),
+                context.connections(),
                 granted.address(),
-                BackendCall.newRequest(exchange.getRequestMethod(), path, to),
+                BackendCall.newRequest(exchange.getRequestMethod(), path, requestHeaders),
                 call.body(),
                 !call.route().mayRetry(),
-                parts.protocol(),
+                context.protocol(),
                 this);
         backendCall.start();
         startFirstEventTimer();
@@ -123,10 +123,10 @@
         if (ended || !route.mayRetry()) {
             return;
         }
-        long patience = route.isStreaming()
+        long timeoutMillis = route.isStreaming()
                 ? 2 * granted.firstMillis() + FIRST_EVENT_SLACK_MILLIS + helperSlackMillis()
                 : Math.max(MIN_ANSWER_TIMEOUT_MILLIS, (long) (ANSWER_TIMEOUT_SHARE * placementRequest.aimLeftMillis()));
-        inactivityTimer.restart(patience);
+        inactivityTimer.restart(timeoutMillis);
     }
 
     /** An engine whose helper has died says so after a while; sooner, a slow group would be taken for a dead one. */
@@ -149,15 +149,15 @@
     }
 
     @Override
-    public void head(int answered, HeaderMap answerHeaders, AnswerHead read) {
-        status = answered;
+    public void onHead(int answerStatus, HeaderMap answerHeaders, AnswerHead answerHead) {
+        status = answerStatus;
         headers = answerHeaders;
-        head = read;
-        call.context().observedLimits().record(granted.server(), read.limit(), "answer");
-        boolean others =
+        head = answerHead;
+        call.context().observedLimits().record(granted.server(), answerHead.limit(), "answer");
+        boolean wrongRequest =
                 head.requestId() != null && !head.requestId().equals(call.head().requestId());
-        if (others || head.encoded()) {
-            rejectAnswer(others ? "the answer belongs to another request" : "the answer is encoded");
+        if (wrongRequest || head.encoded()) {
+            rejectAnswer(wrongRequest ? "the answer belongs to another request" : "the answer is encoded");
             return;
         }
         if (isSuccess() && !head.signed()) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCall.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCall.java
@@ -23,7 +23,7 @@
 final class BackendCall {
     private final BackendConnectionPool connections;
     private final Address address;
-    private final ClientRequest newRequest;
+    private final ClientRequest request;
     private final ByteBuffer body;
     private final boolean nonRepeatable;
     private final CallProtocol protocol;
@@ -35,20 +35,20 @@
     private boolean paused;
     private boolean ended;
 
-    /** @param careful whether the call can't be sent again once it may have run */
+    /** @param nonRepeatable whether the call can't be sent again once it may have run */
     BackendCall(
             BackendConnectionPool connections,
             Address address,
             ClientRequest request,
             byte[] body,
-            boolean careful,
+            boolean nonRepeatable,
             CallProtocol protocol,
             BackendCallListener listener) {
         this.connections = connections;
         this.address = address;
-        this.newRequest = request;
+        this.request = request;
         this.body = ByteBuffer.wrap(body);
-        this.nonRepeatable = careful;
+        this.nonRepeatable = nonRepeatable;
         this.protocol = protocol;
         this.listener = listener;
     }
@@ -64,17 +64,17 @@
     void start() {
         connections.acquire(address, nonRepeatable, new BackendConnectionPool.AcquireCallback() {
             @Override
-            public void onAcquired(ClientConnection taken) {
+            public void onAcquired(ClientConnection acquired) {
                 if (ended) {
-                    connections.release(address, taken, -1);
+                    connections.release(address, acquired, -1);
                     return;
                 }
-                connection = taken;
+                connection = acquired;
                 send();
             }
 
             @Override
-            public void failed(String why) {
+            public void onFailed(String why) {
                 if (tryEnd()) {
                     listener.onNotSent(why);
                 }
@@ -90,7 +90,7 @@
     }
 
     private void send() {
-        connection.sendRequest(newRequest, new ClientCallback<>() {
+        connection.sendRequest(request, new ClientCallback<>() {
             @Override
             public void completed(ClientExchange exchange) {
                 exchange.setResponseListener(responseCallback());
@@ -158,7 +158,7 @@
                 head = protocol.read(status, headers);
                 responseChannel = exchange.getResponseChannel();
                 responseChannel.getReadSetter().set((ChannelListener<StreamSourceChannel>) each -> read());
-                listener.head(status, headers, head);
+                listener.onHead(status, headers, head);
                 read();
             }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCallListener.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCallListener.java
@@ -10,7 +10,7 @@
     void onNotSent(String why);
 
     /** The answer begins; {@code read} is what its headers say. */
-    void head(int status, HeaderMap headers, AnswerHead read);
+    void onHead(int status, HeaderMap headers, AnswerHead answerHead);
 
     /** Bytes of the body. */
     void onData(ByteBuffer bytes);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnectionPool.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnectionPool.java
@@ -55,7 +55,7 @@
     interface AcquireCallback {
         void onAcquired(ClientConnection connection);
 
-        void failed(String why);
+        void onFailed(String why);
     }
 
     BackendConnectionPool(XnioIoThread thread, ByteBufferPool buffers, MonotonicClock clock, MetricRegistry metrics) {
@@ -70,27 +70,27 @@
     /**
      * Takes an idle connection or opens one.
      *
-     * @param careful whether the call can't be sent again: of an idle connection only the first half of its time is used
+     * @param nonRepeatable whether the call can't be sent again: of an idle connection only the first half of its time is used
      */
-    void acquire(Address address, boolean careful, AcquireCallback taker) {
-        IdleConnection found = pollIdle(address, careful);
-        if (found != null) {
+    void acquire(Address address, boolean nonRepeatable, AcquireCallback callback) {
+        IdleConnection idle = pollIdle(address, nonRepeatable);
+        if (idle != null) {
             reused.inc();
-            taker.onAcquired(found.connection());
+            callback.onAcquired(idle.connection());
         } else {
-            connect(address, taker);
+            connect(address, callback);
         }
     }
 
-    private IdleConnection pollIdle(Address address, boolean careful) {
-        Deque<IdleConnection> held = idleConnections.get(address);
+    private IdleConnection pollIdle(Address address, boolean nonRepeatable) {
+        Deque<IdleConnection> idle = idleConnections.get(address);
         long now = clock.nanos();
-        while (held != null && !held.isEmpty()) {
-            IdleConnection newest = held.pollLast();
-            long limit = careful
+        while (idle != null && !idle.isEmpty()) {
+            IdleConnection newest = idle.pollLast();
+            long usableUntilNanos = nonRepeatable
                     ? newest.idleSinceNanos() + (newest.expiresAtNanos() - newest.idleSinceNanos()) / 2
                     : newest.expiresAtNanos();
-            if (newest.connection().isOpen() && now - limit < 0) {
+            if (newest.connection().isOpen() && now - usableUntilNanos < 0) {
                 return newest;
             }
             closeNow(newest.connection());
@@ -98,12 +98,13 @@
         return null;
     }
 
-    private void connect(Address address, AcquireCallback taker) {
+    private void connect(Address address, AcquireCallback callback) {
         opened.inc();
-        ConnectAttempt opening = new ConnectAttempt(taker);
-        opening.timer = thread.executeAfter(opening::expire, CONNECT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        ConnectAttempt connectAttempt = new ConnectAttempt(callback);
+        connectAttempt.timer =
+                thread.executeAfter(connectAttempt::expire, CONNECT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         UndertowClient.getInstance()
-                .connect(opening, URI.create("http://" + address), thread, buffers, OptionMap.EMPTY);
+                .connect(connectAttempt, URI.create("http://" + address), thread, buffers, OptionMap.EMPTY);
     }
 
     /** One attempt to connect, which ends once. */
@@ -112,8 +113,8 @@
         private XnioExecutor.Key timer;
         private boolean ended;
 
-        ConnectAttempt(AcquireCallback taker) {
-            this.callback = taker;
+        ConnectAttempt(AcquireCallback callback) {
+            this.callback = callback;
         }
 
         @Override
@@ -128,13 +129,13 @@
         @Override
         public void failed(IOException e) {
             if (tryEnd()) {
-                callback.failed(String.valueOf(e.getMessage()));
+                callback.onFailed(String.valueOf(e.getMessage()));
             }
         }
 
         private void expire() {
             if (tryEnd()) {
-                callback.failed("no connection within " + CONNECT_TIMEOUT_MILLIS + " ms");
+                callback.onFailed("no connection within " + CONNECT_TIMEOUT_MILLIS + " ms");
             }
         }
 
@@ -151,16 +152,17 @@
     }
 
     /** Keeps a connection whose last answer is complete. */
-    void release(Address address, ClientConnection connection, int keepSeconds) {
-        if (!connection.isOpen() || keepSeconds == 0) {
+    void release(Address address, ClientConnection connection, int keepAliveSeconds) {
+        if (!connection.isOpen() || keepAliveSeconds == 0) {
             closeNow(connection);
             return;
         }
-        long millis = keepSeconds < 0 ? DEFAULT_KEEP_ALIVE_MILLIS : (long) (keepSeconds * 1000L * KEEP_ALIVE_SHARE);
+        long keepAliveMillis =
+                keepAliveSeconds < 0 ? DEFAULT_KEEP_ALIVE_MILLIS : (long) (keepAliveSeconds * 1000L * KEEP_ALIVE_SHARE);
         long now = clock.nanos();
         idleConnections
                 .computeIfAbsent(address, each -> new ArrayDeque<>())
-                .addLast(new IdleConnection(connection, now, now + millis * NANOS_PER_MILLI));
+                .addLast(new IdleConnection(connection, now, now + keepAliveMillis * NANOS_PER_MILLI));
     }
 
     /**
@@ -179,15 +181,15 @@
 
     private void evictExpired() {
         long now = clock.nanos();
-        idleConnections.values().removeIf(held -> {
-            held.removeIf(each -> {
-                boolean over = !each.connection().isOpen() || now - each.expiresAtNanos() >= 0;
-                if (over) {
+        idleConnections.values().removeIf(idle -> {
+            idle.removeIf(each -> {
+                boolean expired = !each.connection().isOpen() || now - each.expiresAtNanos() >= 0;
+                if (expired) {
                     closeNow(each.connection());
                 }
-                return over;
+                return expired;
             });
-            return held.isEmpty();
+            return idle.isEmpty();
         });
         thread.executeAfter(this::evictExpired, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
@@ -60,7 +60,7 @@
     private final byte[] body;
     private final long receivedAtNanos;
     private final long deadlineAtNanos;
-    private final CallerDisconnectDetector callerPresence;
+    private final CallerDisconnectDetector disconnectDetector;
     private final SampledRequestLog requestLog;
     private final List<BackendServerId> triedServers = new ArrayList<>();
     private final XnioExecutor.Key deadlineTimer;
@@ -77,31 +77,31 @@
     private record ServerFailure(int status, HeaderMap headers, ByteArrayOutputStream body) {}
 
     Call(
-            GatewayContext parts,
+            GatewayContext context,
             HttpServerExchange exchange,
             CallHead head,
             RouteMatch.Allowed match,
             byte[] body,
-            long receivedAt,
-            double draw) {
-        this.context = parts;
+            long receivedAtNanos,
+            double randomFraction) {
+        this.context = context;
         this.exchange = exchange;
         this.head = head;
         this.route = match.route();
         this.organisation = match.caller() == null ? null : match.caller().organisation();
         this.priority = match.priority();
-        this.service = route.chooseService(draw);
+        this.service = route.chooseService(randomFraction);
         this.body = body;
-        this.receivedAtNanos = receivedAt;
-        long waits = head.deadlineMillis() < 0
+        this.receivedAtNanos = receivedAtNanos;
+        long timeoutMillis = head.deadlineMillis() < 0
                 ? route.timeoutMillis()
                 : Math.min(head.deadlineMillis(), route.timeoutMillis());
-        this.deadlineAtNanos = receivedAt + waits * NANOS_PER_MILLI;
-        this.callerPresence = new CallerDisconnectDetector(exchange);
+        this.deadlineAtNanos = receivedAtNanos + timeoutMillis * NANOS_PER_MILLI;
+        this.disconnectDetector = new CallerDisconnectDetector(exchange);
         this.requestLog = new SampledRequestLog(head.requestId());
         this.deadlineTimer =
-                parts.thread().executeAfter(this::onDeadline, Math.max(1, remainingMillis()), TimeUnit.MILLISECONDS);
-        parts.openCalls().add(this);
+                context.thread().executeAfter(this::onDeadline, Math.max(1, remainingMillis()), TimeUnit.MILLISECONDS);
+        context.openCalls().add(this);
     }
 
     void start() {
@@ -162,7 +162,7 @@
     }
 
     private void place(boolean repeated) {
-        long patience = firstEventRemainingMillis();
+        long firstEventMillis = firstEventRemainingMillis();
         long answerTokens = head.expectedAnswerTokens() > 0 ? head.expectedAnswerTokens() : head.maxAnswerTokens();
         pendingPlacement = new DispatchCall(
                 context.attemptIds().nextId(),
@@ -177,47 +177,47 @@
                 head.maxAnswerTokens(),
                 route.aimMillis() - elapsedMillis(),
                 route.gapMillis(),
-                patience,
+                firstEventMillis,
                 remainingMillis(),
                 repeated,
                 triedServers);
-        DispatchCall asked = pendingPlacement;
+        DispatchCall request = pendingPlacement;
         if (route.isStreaming()) {
             context.thread()
                     .executeAfter(
-                            () -> expirePlacement(asked),
-                            Math.max(1, patience - REFUSAL_MARGIN_MILLIS),
+                            () -> expirePlacement(request),
+                            Math.max(1, firstEventMillis - REFUSAL_MARGIN_MILLIS),
                             TimeUnit.MILLISECONDS);
         }
-        context.dispatchClient().place(asked, answer -> onPlacementDecided(asked, answer));
+        context.dispatchClient().place(request, answer -> onPlacementDecided(request, answer));
     }
 
     /** Time left until a caller leaves a stream that stays silent; that of any other call ends with its deadline. */
     private long firstEventRemainingMillis() {
-        long sinceRead = stream == null ? elapsedMillis() : 0;
+        long sinceReceivedMillis = stream == null ? elapsedMillis() : 0;
         return route.isStreaming()
-                ? Math.min(remainingMillis(), route.eventTimeoutMillis() - sinceRead)
+                ? Math.min(remainingMillis(), route.eventTimeoutMillis() - sinceReceivedMillis)
                 : remainingMillis();
     }
 
     /** No place has come while the caller still waits: it is told when to come back rather than left to give up. */
-    private void expirePlacement(DispatchCall asked) {
-        if (ended || pendingPlacement != asked) {
+    private void expirePlacement(DispatchCall request) {
+        if (ended || pendingPlacement != request) {
             return;
         }
         cancelInFlight();
         fail("no place in time", NO_PLACE_RETRY_AFTER_MILLIS);
     }
 
-    private void onPlacementDecided(DispatchCall asked, DispatchAnswer answer) {
+    private void onPlacementDecided(DispatchCall request, DispatchAnswer answer) {
         pendingPlacement = null;
         if (answer instanceof DispatchAnswer.Granted granted) {
-            send(asked, granted);
+            send(request, granted);
             return;
         }
         DispatchAnswer.Refused refused = (DispatchAnswer.Refused) answer;
         requestLog.logFailure(line("not placed")
-                .with("attempt", asked.attempt())
+                .with("attempt", request.attempt())
                 .with("why", refused.why())
                 .with("service", service)
                 .with("leftMs", remainingMillis())
@@ -225,17 +225,17 @@
         fail(refused.why().name(), refused.retryAfterMillis());
     }
 
-    private void send(DispatchCall asked, DispatchAnswer.Granted granted) {
+    private void send(DispatchCall request, DispatchAnswer.Granted granted) {
         Registration server = context.deployment().server(granted.server());
-        boolean left = server != null && !server.state().acceptsWork();
-        if (left || remainingMillis() < MIN_SEND_MILLIS) {
-            context.dispatchClient().reportEnd(asked, AttemptEnd.CANCELLED);
+        boolean serverLeft = server != null && !server.state().acceptsWork();
+        if (serverLeft || remainingMillis() < MIN_SEND_MILLIS) {
+            context.dispatchClient().reportEnd(request, AttemptEnd.CANCELLED);
             triedServers.add(granted.server());
-            retryOrFail(left ? "server left" : "no time left", true);
+            retryOrFail(serverLeft ? "server left" : "no time left", true);
             return;
         }
         requestLog.logSuccess(line("placed")
-                .with("attempt", asked.attempt())
+                .with("attempt", request.attempt())
                 .with("server", granted.server())
                 .with("helpers", granted.helpers().size())
                 .with("promptTokens", head.promptTokens())
@@ -247,23 +247,23 @@
         context.callMetrics().recordPlacement(service, elapsedMillis());
         triedServers.add(granted.server());
         sendCount++;
-        attempt = new Attempt(this, asked, granted);
+        attempt = new Attempt(this, request, granted);
         attempt.start();
     }
 
     /** An attempt has ended without an answer for the caller. */
     void onAttemptFailed(AttemptEnd end, String why) {
         attempt = null;
-        boolean ran = end.mayHaveRun();
-        mayHaveRun |= ran;
-        if (!ran) {
+        boolean mayHaveExecuted = end.mayHaveRun();
+        mayHaveRun |= mayHaveExecuted;
+        if (!mayHaveExecuted) {
             sendCount--;
             unexecutedAttempts++;
         }
         context.callMetrics().recordAttemptFailure(service, end.name());
         requestLog.logFailure(
                 line("attempt failed").with("end", end).with("why", why).with("server", lastTriedServer()));
-        retryOrFail(why, !ran);
+        retryOrFail(why, !mayHaveExecuted);
     }
 
     /** A server has answered with a failure of its own, and the call may run once more. */
@@ -287,11 +287,11 @@
                 && remainingMillis() >= MIN_SEND_MILLIS;
     }
 
-    private void retryOrFail(String why, boolean unrun) {
+    private void retryOrFail(String why, boolean notRun) {
         if (ended) {
             return;
         }
-        boolean allowed = (unrun && !mayHaveRun) || route.mayRetry();
+        boolean allowed = (notRun && !mayHaveRun) || route.mayRetry();
         if (allowed && hasSendsLeft()) {
             place(true);
         } else {
@@ -316,8 +316,8 @@
             answer(serverFailure.status(), serverFailure.headers(), serverFailure.body());
             return;
         }
-        boolean late = remainingMillis() < MIN_SEND_MILLIS;
-        int status = mayHaveRun ? (late ? 504 : 502) : 503;
+        boolean pastDeadline = remainingMillis() < MIN_SEND_MILLIS;
+        int status = mayHaveRun ? (pastDeadline ? 504 : 502) : 503;
         requestLog.logFailure(line("refused")
                 .with("status", status)
                 .with("why", why)
@@ -353,11 +353,11 @@
             requestLog.logSuccess(line);
         }
         exchange.setStatusCode(status);
-        HeaderMap own = exchange.getResponseHeaders();
-        context.protocol().copyAnswerHeaders(headers, own);
+        HeaderMap responseHeaders = exchange.getResponseHeaders();
+        context.protocol().copyAnswerHeaders(headers, responseHeaders);
         finish("answered");
         if (bytes.size() == 0) {
-            own.put(Headers.CONTENT_LENGTH, 0);
+            responseHeaders.put(Headers.CONTENT_LENGTH, 0);
             exchange.endExchange();
             return;
         }
@@ -407,7 +407,7 @@
             return;
         }
         try {
-            callerPresence.checkConnected();
+            disconnectDetector.checkConnected();
         } catch (IOException e) {
             onCallerDisconnected();
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
@@ -36,10 +36,10 @@
     private final RoutingTableWaitQueue tableWaitQueue;
     private final SplittableRandom random = new SplittableRandom();
 
-    CallHandler(GatewayContext parts, GracefulShutdown stop) {
-        this.context = parts;
-        this.shutdown = stop;
-        this.tableWaitQueue = new RoutingTableWaitQueue(parts.thread());
+    CallHandler(GatewayContext context, GracefulShutdown shutdown) {
+        this.context = context;
+        this.shutdown = shutdown;
+        this.tableWaitQueue = new RoutingTableWaitQueue(context.thread());
     }
 
     @Override
@@ -48,7 +48,7 @@
     }
 
     private void handle(HttpServerExchange exchange) {
-        long receivedAt = context.clock().nanos();
+        long receivedAtNanos = context.clock().nanos();
         if (shutdown.isStopping()) {
             exchange.setPersistent(false);
         }
@@ -62,11 +62,11 @@
         if (context.deployment().table().isEmpty()) {
             tableWaitQueue.add(
                     head.deadlineMillis(),
-                    () -> readBody(exchange, head, receivedAt),
+                    () -> readBody(exchange, head, receivedAtNanos),
                     () -> refuseWithRetryAfter(exchange, head, "no routing table yet", RETRY_AFTER_MILLIS));
             return;
         }
-        readBody(exchange, head, receivedAt);
+        readBody(exchange, head, receivedAtNanos);
     }
 
     /** To be called when the routing table has come or changed. */
@@ -74,14 +74,14 @@
         tableWaitQueue.releaseAll();
     }
 
-    private void readBody(HttpServerExchange exchange, CallHead head, long receivedAt) {
+    private void readBody(HttpServerExchange exchange, CallHead head, long receivedAtNanos) {
         IoThreadBodyReader.read(
                 exchange,
-                body -> route(exchange, head, body, receivedAt),
+                body -> route(exchange, head, body, receivedAtNanos),
                 failure -> onBodyUnreadable(exchange, head, failure));
     }
 
-    private void route(HttpServerExchange exchange, CallHead head, byte[] body, long receivedAt) {
+    private void route(HttpServerExchange exchange, CallHead head, byte[] body, long receivedAtNanos) {
         RoutingTable table = context.deployment().table().orElseThrow();
         RouteMatch match =
                 table.match(exchange.getRequestHeaders().getFirst(Headers.HOST), exchange.getRequestURI(), head.key());
@@ -94,7 +94,7 @@
                         hasOtherServingEntry() ? OTHER_ENTRY_RETRY_AFTER_MILLIS : RETRY_AFTER_MILLIS);
                 return;
             }
-            new Call(context, exchange, head, allowed, body, receivedAt, random.nextDouble()).start();
+            new Call(context, exchange, head, allowed, body, receivedAtNanos, random.nextDouble()).start();
             return;
         }
         // What no route or key allows here may be allowed by a table that has not come through.
@@ -116,8 +116,8 @@
                 .anyMatch(each -> each.serving() && !each.host().equals(self));
     }
 
-    private void refuseWithRetryAfter(HttpServerExchange exchange, CallHead head, String why, long retryMillis) {
-        context.protocol().setRetryAfter(exchange.getResponseHeaders(), retryMillis);
+    private void refuseWithRetryAfter(HttpServerExchange exchange, CallHead head, String why, long retryAfterMillis) {
+        context.protocol().setRetryAfter(exchange.getResponseHeaders(), retryAfterMillis);
         refuse(exchange, head, UNAVAILABLE, why);
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallProtocol.java
@@ -16,19 +16,19 @@
     /**
      * The headers with which a call goes to a backend server.
      *
-     * @param from the caller's
+     * @param callerHeaders the caller's
      * @param organisation whom the caller's key belongs to, null without a key
-     * @param afterEvent last event that the caller has, negative for none
+     * @param lastEventId last event that the caller has, negative for none
      */
     HeaderMap forwardedHeaders(
-            HeaderMap from,
+            HeaderMap callerHeaders,
             OrganisationId organisation,
             DispatchAnswer.Granted grant,
-            long leftMillis,
-            long afterEvent);
+            long remainingMillis,
+            long lastEventId);
 
     /** Sets the headers of a backend server's answer that the caller gets. */
-    void copyAnswerHeaders(HeaderMap from, HeaderMap to);
+    void copyAnswerHeaders(HeaderMap answerHeaders, HeaderMap callerHeaders);
 
     /** Sets the time after which the caller should come back. */
     void setRetryAfter(HeaderMap headers, long millis);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallerChannel.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallerChannel.java
@@ -28,13 +28,13 @@
     private boolean closed;
 
     /**
-     * @param onRoom called when the caller has caught up
+     * @param onWritable called when the caller has caught up
      * @param onEnd called once, when the last byte is written or the caller is gone
      */
-    CallerChannel(HttpServerExchange exchange, Runnable onRoom, Runnable onEnd) {
+    CallerChannel(HttpServerExchange exchange, Runnable onWritable, Runnable onEnd) {
         this.exchange = exchange;
         this.sink = exchange.getResponseChannel();
-        this.onWritable = onRoom;
+        this.onWritable = onWritable;
         this.onEnd = onEnd;
         sink.getWriteSetter().set((ChannelListener<StreamSinkChannel>) each -> flushPending());
     }
@@ -91,9 +91,9 @@
     private boolean writePending() throws IOException {
         while (!pending.isEmpty()) {
             ByteBuffer next = pending.peek();
-            int before = next.remaining();
+            int remainingBefore = next.remaining();
             sink.write(next);
-            pendingBytes -= before - next.remaining();
+            pendingBytes -= remainingBefore - next.remaining();
             if (next.hasRemaining()) {
                 return false;
             }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
@@ -69,7 +69,7 @@
     private final Runnable onChange;
     private final RegistryView view = new RegistryView(
             controlTimeoutNanos(PendingPoll.HOLD_MILLIS), HEARTBEAT_TIMEOUT_NANOS, ENTRY_DISCOVERY_NANOS);
-    private final Map<Address, RegistryPoller> followLoops = new HashMap<>();
+    private final Map<Address, RegistryPoller> pollers = new HashMap<>();
     private final StaggeredStart<Address> followStarter;
     private final Map<ServiceName, List<BackendServerId>> serversByService = new HashMap<>();
     private List<Registration> groupedServers;
@@ -80,28 +80,28 @@
     private boolean hadAllEntries;
 
     /**
-     * @param self what this entry tells of itself
-     * @param onTable called once a new routing table is held, and before anybody can know of it
-     * @param onNews called after every change of servers or entries
+     * @param selfRecord what this entry tells of itself
+     * @param onRoutingTable called once a new routing table is held, and before anybody can know of it
+     * @param onChange called after every change of servers or entries
      */
     DeploymentFollower(
             NodeSettings settings,
             PeerEndpoint peers,
             XnioExecutor thread,
-            RoutingFormat format,
+            RoutingFormat routingFormat,
             MonotonicClock clock,
             DecisionLog log,
-            Supplier<EntryRecord> self,
-            Runnable onTable,
-            Runnable onNews) {
+            Supplier<EntryRecord> selfRecord,
+            Runnable onRoutingTable,
+            Runnable onChange) {
         this.settings = settings;
         this.peers = peers;
-        this.routingFormat = format;
+        this.routingFormat = routingFormat;
         this.clock = clock;
         this.log = log;
-        this.selfRecord = self;
-        this.onRoutingTable = onTable;
-        this.onChange = onNews;
+        this.selfRecord = selfRecord;
+        this.onRoutingTable = onRoutingTable;
+        this.onChange = onChange;
         this.followStarter = new StaggeredStart<>(thread, FOLLOW_INTERVAL_MILLIS, this::follow);
     }
 
@@ -119,7 +119,7 @@
 
     private void follow(Address control) {
         ScheduledExecutorService timer = peers.timer();
-        RegistryPoller loop = new RegistryPoller(
+        RegistryPoller poller = new RegistryPoller(
                 peers.network(),
                 control,
                 settings.host(),
@@ -128,11 +128,11 @@
                 () -> holdMillis,
                 answer -> handleAnswer(control, answer),
                 timer);
-        followLoops.put(control, loop);
-        holdMillis = PendingPoll.holdMillis(followLoops.size());
+        pollers.put(control, poller);
+        holdMillis = PendingPoll.holdMillis(pollers.size());
         view.updateAnswerValidity(controlTimeoutNanos(holdMillis));
         log.line("control host followed").with("control", control).write();
-        loop.start();
+        poller.start();
     }
 
     private static long controlTimeoutNanos(long holdMillis) {
@@ -166,10 +166,10 @@
         }
     }
 
-    private void dropLostControlHosts(List<Address> named) {
-        followLoops.entrySet().removeIf(each -> {
+    private void dropLostControlHosts(List<Address> reportedControls) {
+        pollers.entrySet().removeIf(each -> {
             boolean lost = each.getValue().consecutiveFailures() >= MAX_POLL_FAILURES
-                    && !named.contains(each.getKey())
+                    && !reportedControls.contains(each.getKey())
                     && !settings.controlPeerAddresses().contains(each.getKey());
             if (lost) {
                 log.line("control host given up").with("control", each.getKey()).write();
@@ -210,32 +210,32 @@
                 });
     }
 
-    private void applyPacked(PackedRouting packed, Address control, String by) {
+    private void applyPacked(PackedRouting packed, Address control, String source) {
         if (packed.version() <= heldVersion()) {
             return;
         }
-        packed.unpack().ifPresentOrElse(text -> apply(text, by), () -> log.line("routing not unpacked")
+        packed.unpack().ifPresentOrElse(text -> apply(text, source), () -> log.line("routing not unpacked")
                 .with("version", packed.version())
                 .with("control", control)
                 .write());
     }
 
-    private void apply(RoutingText text, String by) {
+    private void apply(RoutingText text, String source) {
         if (!text.known() || text.version() <= heldVersion()) {
             return;
         }
-        RoutingTable.BuildResult built = routingFormat.read(text.text().getBytes(StandardCharsets.UTF_8));
-        if (built instanceof RoutingTable.BuildResult.Valid valid) {
+        RoutingTable.BuildResult buildResult = routingFormat.read(text.text().getBytes(StandardCharsets.UTF_8));
+        if (buildResult instanceof RoutingTable.BuildResult.Valid valid) {
             table = valid.table();
             log.line("routing in force")
                     .with("version", table.version())
-                    .with("by", by)
+                    .with("by", source)
                     .write();
             onRoutingTable.run();
         } else {
             log.line("routing not understood")
                     .with("version", text.version())
-                    .with("why", ((RoutingTable.BuildResult.Invalid) built).reason())
+                    .with("why", ((RoutingTable.BuildResult.Invalid) buildResult).reason())
                     .write();
         }
     }
@@ -269,11 +269,11 @@
 
     /** The servers of a service that may be sent work. */
     List<BackendServerId> servers(ServiceName service) {
-        List<Registration> all = usableServers();
-        if (all != groupedServers) {
-            groupedServers = all;
+        List<Registration> usable = usableServers();
+        if (usable != groupedServers) {
+            groupedServers = usable;
             serversByService.clear();
-            for (Registration each : all) {
+            for (Registration each : usable) {
                 serversByService
                         .computeIfAbsent(each.service(), name -> new ArrayList<>())
                         .add(each.id());
@@ -287,6 +287,6 @@
     }
 
     void close() {
-        followLoops.values().forEach(RegistryPoller::close);
+        pollers.values().forEach(RegistryPoller::close);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
@@ -86,7 +86,7 @@
             long incarnation,
             PeerNetwork network,
             DispatcherDirectory directory,
-            DispatchService own,
+            DispatchService localDispatch,
             XnioExecutor thread,
             MonotonicClock clock,
             DecisionLog log) {
@@ -94,11 +94,11 @@
         this.incarnation = incarnation;
         this.network = network;
         this.directory = directory;
-        this.localDispatch = own;
+        this.localDispatch = localDispatch;
         this.thread = thread;
         this.clock = clock;
         this.log = log;
-        this.reportQueue = new ReportQueue(settings, network, own, thread);
+        this.reportQueue = new ReportQueue(settings, network, localDispatch, thread);
     }
 
     void register(HandlerRegistry handlers) {
@@ -118,26 +118,26 @@
 
     /** Takes a decision on a call that waited here. */
     Acknowledgement onDecision(HostId dispatcher, DispatchAnswer answer) {
-        PendingPlacement waiting = pendingPlacements.get(answer.attempt());
-        if (waiting == null || answer instanceof DispatchAnswer.Queued) {
-            return new Acknowledgement(waiting != null);
+        PendingPlacement pending = pendingPlacements.get(answer.attempt());
+        if (pending == null || answer instanceof DispatchAnswer.Queued) {
+            return new Acknowledgement(pending != null);
         }
-        waiting.finish(dispatcher, answer);
+        pending.finish(dispatcher, answer);
         return new Acknowledgement(true);
     }
 
     /** Asks for a place; the answer is final and comes once, unless the call is withdrawn before. */
-    void place(DispatchCall call, Consumer<DispatchAnswer> answers) {
-        PendingPlacement next = new PendingPlacement(call, answers);
-        pendingPlacements.put(call.attempt(), next);
-        next.start();
+    void place(DispatchCall call, Consumer<DispatchAnswer> callback) {
+        PendingPlacement placement = new PendingPlacement(call, callback);
+        pendingPlacements.put(call.attempt(), placement);
+        placement.start();
     }
 
     /** The caller has left before there was a place. */
     void withdraw(DispatchCall call) {
-        PendingPlacement waiting = pendingPlacements.remove(call.attempt());
-        if (waiting != null) {
-            waiting.finished = true;
+        PendingPlacement pending = pendingPlacements.remove(call.attempt());
+        if (pending != null) {
+            pending.finished = true;
             reportEnd(call, AttemptEnd.CANCELLED);
         }
     }
@@ -151,8 +151,8 @@
         OpenGrant grant = openGrants.get(call.attempt());
         if (grant != null && !grant.writing() && call.promptTokens() > 0) {
             openGrants.put(call.attempt(), new OpenGrant(grant.call(), grant.granted(), true));
-            AttemptReport begun = new AttemptReport(call.attempt(), null, limit);
-            grantHolders.holdersOf(call.attempt()).forEach(each -> reportQueue.add(call.service(), each, begun));
+            AttemptReport report = new AttemptReport(call.attempt(), null, limit);
+            grantHolders.holdersOf(call.attempt()).forEach(each -> reportQueue.add(call.service(), each, report));
         }
     }
 
@@ -168,8 +168,8 @@
      */
     void reportEnd(DispatchCall call, AttemptEnd end, ServerRateLimit limit) {
         openGrants.remove(call.attempt());
-        AttemptReport ended = new AttemptReport(call.attempt(), end, limit);
-        grantHolders.removeAttempt(call.attempt()).forEach(each -> reportQueue.add(call.service(), each, ended));
+        AttemptReport endReport = new AttemptReport(call.attempt(), end, limit);
+        grantHolders.removeAttempt(call.attempt()).forEach(each -> reportQueue.add(call.service(), each, endReport));
     }
 
     /** Tells the dispatcher of each shard, where it is another one than before, what runs here. */
@@ -201,8 +201,8 @@
             if (order.isEmpty()) {
                 continue;
             }
-            EntryRecord before = firstDispatchers.put(each, order.get(0));
-            if (before == null || isOtherProcess(order.get(0), before)) {
+            EntryRecord previous = firstDispatchers.put(each, order.get(0));
+            if (previous == null || isOtherProcess(order.get(0), previous)) {
                 handOverGrants(each, order.get(0));
                 changed = true;
             }
@@ -284,8 +284,8 @@
 
     /** Tells dispatchers that an attempt is none of theirs any more; it runs or waits on. */
     private void reportCancelled(ServiceName service, List<HostId> dispatchers, DispatchCall call) {
-        AttemptReport gone = new AttemptReport(call.attempt(), AttemptEnd.CANCELLED);
-        dispatchers.forEach(each -> reportQueue.add(service, each, gone));
+        AttemptReport cancellation = new AttemptReport(call.attempt(), AttemptEnd.CANCELLED);
+        dispatchers.forEach(each -> reportQueue.add(service, each, cancellation));
     }
 
     /** A dispatcher to ask: a shard, and the entry that decides for it. */
@@ -302,9 +302,9 @@
         private boolean isQueued;
         private boolean finished;
 
-        PendingPlacement(DispatchCall call, Consumer<DispatchAnswer> answers) {
+        PendingPlacement(DispatchCall call, Consumer<DispatchAnswer> callback) {
             this.call = call;
-            this.callback = answers;
+            this.callback = callback;
         }
 
         /** Begins to ask: the shards in another order each time, so that a call that waits tries one after the other. */
@@ -321,42 +321,42 @@
             if (finished) {
                 return;
             }
-            Target to = nextTarget();
-            if (to == null) {
-                ServiceShard own = shards.get(0);
+            Target target = nextTarget();
+            if (target == null) {
+                ServiceShard shard = shards.get(0);
                 grantHolders.addHolder(call.attempt(), settings.host());
                 handleAnswer(
-                        own, settings.host(), DispatchClient.this.localDispatch.place(call.withShard(own.shard())));
+                        shard, settings.host(), DispatchClient.this.localDispatch.place(call.withShard(shard.shard())));
                 return;
             }
-            request(to);
+            request(target);
         }
 
-        private void request(Target to) {
-            HostId dispatcher = to.entry().host();
-            if (!dispatcher.equals(directory.byPreference(to.shard()).get(0).host())) {
-                sendOpenGrants(to.shard(), to.entry());
+        private void request(Target target) {
+            HostId dispatcher = target.entry().host();
+            if (!dispatcher.equals(directory.byPreference(target.shard()).get(0).host())) {
+                sendOpenGrants(target.shard(), target.entry());
             }
             grantHolders.addHolder(call.attempt(), dispatcher);
-            DispatchCall asked = call.withShard(to.shard().shard());
+            DispatchCall request = call.withShard(target.shard().shard());
             if (dispatcher.equals(settings.host())) {
-                handleAnswer(to.shard(), dispatcher, localDispatch.place(asked));
+                handleAnswer(target.shard(), dispatcher, localDispatch.place(request));
                 return;
             }
-            long askedAt = clock.nanos();
-            network.call(to.entry().peers(), DispatchChannels.PLACE, asked, answerTimeout())
-                    .thenAccept(result -> onAnswer(to, askedAt, result));
+            long sentAtNanos = clock.nanos();
+            network.call(target.entry().peers(), DispatchChannels.PLACE, request, answerTimeout())
+                    .thenAccept(result -> onAnswer(target, sentAtNanos, result));
         }
 
-        private void onAnswer(Target to, long askedAt, CallResult<DispatchAnswer> result) {
+        private void onAnswer(Target target, long sentAtNanos, CallResult<DispatchAnswer> result) {
             if (finished) {
                 return;
             }
-            HostId dispatcher = to.entry().host();
+            HostId dispatcher = target.entry().host();
             if (result instanceof CallResult.Answered<DispatchAnswer> answered) {
                 directory.clearSuspicion(dispatcher);
-                handleAnswer(to.shard(), dispatcher, answered.value());
-            } else if (clock.nanos() - askedAt > answerTimeout().toNanos() + STALL_THRESHOLD_NANOS) {
+                handleAnswer(target.shard(), dispatcher, answered.value());
+            } else if (clock.nanos() - sentAtNanos > answerTimeout().toNanos() + STALL_THRESHOLD_NANOS) {
                 log.line("stalled while asking").with("attempt", call.attempt()).write();
                 request();
             } else {
@@ -365,8 +365,8 @@
         }
 
         private Duration answerTimeout() {
-            long part = call.aimLeftMillis() / ANSWER_TIMEOUT_DIVISOR;
-            return Duration.ofMillis(Math.max(MIN_ANSWER_TIMEOUT_MILLIS, Math.min(MAX_ANSWER_TIMEOUT_MILLIS, part)));
+            long share = call.aimLeftMillis() / ANSWER_TIMEOUT_DIVISOR;
+            return Duration.ofMillis(Math.max(MIN_ANSWER_TIMEOUT_MILLIS, Math.min(MAX_ANSWER_TIMEOUT_MILLIS, share)));
         }
 
         /**
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
@@ -66,35 +66,39 @@
     }
 
     DispatchService(
-            HostId self, RetryLimit retries, MonotonicClock clock, DecisionLog log, DecisionListener decisions) {
+            HostId self, RetryLimit retries, MonotonicClock clock, DecisionLog log, DecisionListener decisionListener) {
         this.self = self;
         this.retries = retries;
         this.clock = clock;
         this.log = log;
-        this.decisionListener = decisions;
+        this.decisionListener = decisionListener;
         this.observedLimits = new ObservedServerLimits(clock, log);
     }
 
     /**
      * Takes what has changed of the deployment.
      *
-     * @param isSettled whether these are all entries that live
+     * @param entriesComplete whether these are all entries that live
      */
-    void update(RoutingTable table, List<Registration> servers, Collection<EntryRecord> alive, boolean isSettled) {
-        entriesComplete = isSettled;
+    void update(
+            RoutingTable table,
+            List<Registration> servers,
+            Collection<EntryRecord> liveEntries,
+            boolean entriesComplete) {
+        this.entriesComplete = entriesComplete;
         long now = clock.nanos();
         usableServers = servers;
-        entries = List.copyOf(alive);
+        entries = List.copyOf(liveEntries);
         services.clear();
         table.services().forEach(each -> services.put(each.name(), each));
         dispatchers.entrySet().removeIf(each -> !isNeeded(each.getKey(), each.getValue().dispatcher));
-        Map<HostId, Long> starts = new HashMap<>();
-        entries.forEach(each -> starts.put(each.host(), each.incarnation()));
+        Map<HostId, Long> incarnations = new HashMap<>();
+        entries.forEach(each -> incarnations.put(each.host(), each.incarnation()));
         dispatchers.forEach((shard, running) -> {
             running.dispatcher.updateServers(services.get(shard.service()), serversOf(shard), now);
             running.dispatcher.updatePrimary(isFirstDispatcher(shard), now);
             running.dispatcher.updateEntryCount(entries.size());
-            releaseLostEntries(running.dispatcher, starts, now);
+            releaseLostEntries(running.dispatcher, incarnations, now);
         });
         tick();
     }
@@ -104,16 +108,16 @@
         RoutedService service = services.get(shard.service());
         boolean current =
                 Shard.forServerCount(serversOf(shard.service()).size()).contains(shard.shard());
-        boolean used = dispatcher.running() + dispatcher.waiting() > 0;
-        return service != null && dispatcher.isCompatibleWith(service) && (current || used);
+        boolean inUse = dispatcher.running() + dispatcher.waiting() > 0;
+        return service != null && dispatcher.isCompatibleWith(service) && (current || inUse);
     }
 
-    private void releaseLostEntries(Dispatcher dispatcher, Map<HostId, Long> alive, long now) {
-        if (alive.isEmpty()) {
+    private void releaseLostEntries(Dispatcher dispatcher, Map<HostId, Long> liveEntries, long now) {
+        if (liveEntries.isEmpty()) {
             return;
         }
         dispatcher.activeEntries().forEach((host, incarnation) -> {
-            Long current = alive.get(host);
+            Long current = liveEntries.get(host);
             if (current == null || !current.equals(incarnation)) {
                 log.line("grants of a lost entry freed")
                         .with("entry", host)
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
@@ -68,12 +68,12 @@
 
     /** The entries that may dispatch a shard, the one to ask first in front. */
     List<EntryRecord> byPreference(ServiceShard shard) {
-        Collection<EntryRecord> alive = entries.get();
-        if (alive != cachedEntries) {
+        Collection<EntryRecord> liveEntries = entries.get();
+        if (liveEntries != cachedEntries) {
             cachedOrders.clear();
-            cachedEntries = alive;
+            cachedEntries = liveEntries;
         }
-        return cachedOrders.computeIfAbsent(shard, each -> DispatcherChoice.order(each, alive));
+        return cachedOrders.computeIfAbsent(shard, each -> DispatcherChoice.order(each, liveEntries));
     }
 
     /** Notes that a dispatcher has not answered. */
@@ -87,7 +87,7 @@
     }
 
     boolean isSuspected(HostId dispatcher) {
-        Long until = suspectedUntilNanos.get(dispatcher);
-        return until != null && clock.nanos() - until < 0;
+        Long untilNanos = suspectedUntilNanos.get(dispatcher);
+        return untilNanos != null && clock.nanos() - untilNanos < 0;
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DutyCycleLimiter.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DutyCycleLimiter.java
@@ -8,21 +8,21 @@
     private boolean hasRun;
 
     /**
-     * @param share part of the time that the work may take, over 0 and at most 1
-     * @param longestRestNanos longest rest, however long a turn took
+     * @param timeShare part of the time that the work may take, over 0 and at most 1
+     * @param maxPauseNanos longest rest, however long a turn took
      */
-    DutyCycleLimiter(double share, long longestRestNanos) {
-        this.timeShare = share;
-        this.maxPauseNanos = longestRestNanos;
+    DutyCycleLimiter(double timeShare, long maxPauseNanos) {
+        this.timeShare = timeShare;
+        this.maxPauseNanos = maxPauseNanos;
     }
 
-    boolean mayRun(long now) {
-        return !hasRun || now - pausedUntilNanos >= 0;
+    boolean mayRun(long nowNanos) {
+        return !hasRun || nowNanos - pausedUntilNanos >= 0;
     }
 
     /** Notes a turn of the work, in nanoseconds of a monotonic clock. */
-    void recordRun(long from, long to) {
+    void recordRun(long startNanos, long endNanos) {
         hasRun = true;
-        pausedUntilNanos = to + Math.min(maxPauseNanos, (long) ((to - from) * (1 / timeShare - 1)));
+        pausedUntilNanos = endNanos + Math.min(maxPauseNanos, (long) ((endNanos - startNanos) * (1 / timeShare - 1)));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EntryGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EntryGateway.java
@@ -54,7 +54,7 @@
     private final DecisionLog log;
     private final ProcessComponent process;
     private final long incarnation = System.currentTimeMillis();
-    private final GracefulShutdown stop;
+    private final GracefulShutdown shutdown;
     private final SplittableRandom random = new SplittableRandom();
     private HttpPorts ports;
     private PeerEndpoint peers;
@@ -62,7 +62,7 @@
     private DeploymentFollower deployment;
     private DispatchService dispatchers;
     private DispatchClient dispatchClient;
-    private OpenCalls open;
+    private OpenCalls openCalls;
     private CallHandler callHandler;
     private CallerLimits callerLimits;
     private boolean changePending;
@@ -71,16 +71,16 @@
             NodeSettings settings,
             CallProtocol protocol,
             DirectoryProtocol directory,
-            RoutingFormat format,
+            RoutingFormat routingFormat,
             DecisionLog log) {
         this.settings = settings;
         this.protocol = protocol;
         this.directory = directory;
-        this.routingFormat = format;
+        this.routingFormat = routingFormat;
         this.log = log;
         this.process = DaggerProcessComponent.factory()
                 .create(settings.host(), Incarnation.of(incarnation), new TimelineSettings(EVENT_CAPACITY));
-        this.stop = new GracefulShutdown(process.clock(), settings.drainMillis());
+        this.shutdown = new GracefulShutdown(process.clock(), settings.drainMillis());
     }
 
     /** Opens everything and begins to serve. */
@@ -88,10 +88,10 @@
             NodeSettings settings,
             CallProtocol protocol,
             DirectoryProtocol directory,
-            RoutingFormat format,
+            RoutingFormat routingFormat,
             DecisionLog log)
             throws IOException {
-        EntryGateway gateway = new EntryGateway(settings, protocol, directory, format, log);
+        EntryGateway gateway = new EntryGateway(settings, protocol, directory, routingFormat, log);
         try {
             gateway.open();
             return gateway;
@@ -144,10 +144,10 @@
                 process.clock(),
                 log);
         new DispatchTicker(thread, dispatchers);
-        open = new OpenCalls(thread);
+        openCalls = new OpenCalls(thread);
         BackendConnectionPool connections =
                 new BackendConnectionPool(thread, ports.buffers(), process.clock(), process.metrics());
-        GatewayContext parts = new GatewayContext(
+        GatewayContext context = new GatewayContext(
                 settings,
                 incarnation,
                 protocol,
@@ -160,8 +160,8 @@
                 log,
                 new CallMetrics(process.metrics()),
                 new AttemptIdGenerator(settings.host(), incarnation),
-                open);
-        callHandler = new CallHandler(parts, stop);
+                openCalls);
+        callHandler = new CallHandler(context, shutdown);
         dispatchClient.register(peers.handlers());
         deployment.start();
         log.line("started").with("incarnation", incarnation).write();
@@ -176,7 +176,7 @@
     }
 
     private boolean isServing() {
-        return deployment != null && deployment.table().isPresent() && !stop.isStopping();
+        return deployment != null && deployment.table().isPresent() && !shutdown.isStopping();
     }
 
     /**
@@ -187,12 +187,12 @@
         if (deployment == null) {
             return List.of();
         }
-        List<EntryRecord> known = new ArrayList<>(deployment.entries());
-        if (stop.isStopping()) {
+        List<EntryRecord> liveEntries = new ArrayList<>(deployment.entries());
+        if (shutdown.isStopping()) {
             // The control hosts may not have heard of it yet.
-            known.removeIf(each -> each.host().equals(settings.host()));
+            liveEntries.removeIf(each -> each.host().equals(settings.host()));
         }
-        return CallerDirectory.addresses(known, region, domain, random);
+        return CallerDirectory.addresses(liveEntries, region, domain, random);
     }
 
     private EntryRecord entryRecord() {
@@ -240,14 +240,14 @@
                         new QueuedDecision(settings.host(), answer),
                         ReportQueue.SEND_TIMEOUT)
                 .thenAccept(result -> {
-                    if (result instanceof CallResult.Answered<Acknowledgement> taken) {
-                        releaseIfUnknown(answer, taken.value());
+                    if (result instanceof CallResult.Answered<Acknowledgement> acknowledgement) {
+                        releaseIfUnknown(answer, acknowledgement.value());
                     }
                 });
     }
 
-    private void releaseIfUnknown(DispatchAnswer answer, Acknowledgement taken) {
-        if (!taken.known()) {
+    private void releaseIfUnknown(DispatchAnswer answer, Acknowledgement acknowledgement) {
+        if (!acknowledgement.known()) {
             dispatchers.releasePlace(new AttemptReport(answer.attempt(), AttemptEnd.CANCELLED));
         }
     }
@@ -259,22 +259,26 @@
 
     /** Leaves the directory, finishes what is in flight as far as there is time, then closes. */
     public void stop() throws InterruptedException {
-        stop.begin();
-        log.line("stopping").with("open", open == null ? 0 : open.size()).write();
-        while (open != null && !tryEnd()) {
+        shutdown.begin();
+        log.line("stopping")
+                .with("open", openCalls == null ? 0 : openCalls.size())
+                .write();
+        while (openCalls != null && !tryEnd()) {
             Thread.sleep(STOP_CHECK_MILLIS);
         }
-        thread.execute(() -> open.all().forEach(Call::abort));
+        thread.execute(() -> openCalls.all().forEach(Call::abort));
         Thread.sleep(STOP_CHECK_MILLIS);
-        log.line("stopped").with("open", open == null ? 0 : open.size()).write();
+        log.line("stopped")
+                .with("open", openCalls == null ? 0 : openCalls.size())
+                .write();
         close();
     }
 
     /** Decided where calls are taken, so that none slips in between. */
     private boolean tryEnd() {
-        CompletableFuture<Boolean> ends = new CompletableFuture<>();
-        thread.execute(() -> ends.complete(stop.tryEnd(open.size())));
-        return ends.join();
+        CompletableFuture<Boolean> result = new CompletableFuture<>();
+        thread.execute(() -> result.complete(shutdown.tryEnd(openCalls.size())));
+        return result.join();
     }
 
     @Override
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HelperReservations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HelperReservations.java
@@ -41,8 +41,8 @@
     private boolean failed;
     private boolean released;
 
-    HelperReservations(GatewayContext parts, DispatchAnswer.Granted granted) {
-        this.context = parts;
+    HelperReservations(GatewayContext context, DispatchAnswer.Granted granted) {
+        this.context = context;
         this.granted = granted;
         for (Helper each : granted.helpers()) {
             if (each.memoryTokens() > 0) {
@@ -52,24 +52,24 @@
     }
 
     /** Reserves all; tells whether all was given. Tells at once when there is nothing to reserve. */
-    void reserve(Consumer<Boolean> ready) {
+    void reserve(Consumer<Boolean> onResult) {
         if (helpers.isEmpty()) {
-            ready.accept(true);
+            onResult.accept(true);
             return;
         }
         pendingAnswers = helpers.size();
         for (Helper each : helpers) {
-            sendRequest(each, reserveBody(each), given -> {
-                failed |= !given;
+            sendRequest(each, reserveBody(each), accepted -> {
+                failed |= !accepted;
                 pendingAnswers--;
                 if (pendingAnswers == 0 && !released) {
-                    onReserved(ready);
+                    onReserved(onResult);
                 }
             });
         }
     }
 
-    private void onReserved(Consumer<Boolean> ready) {
+    private void onReserved(Consumer<Boolean> onResult) {
         context.log()
                 .line("memory reserved")
                 .with("attempt", granted.attempt())
@@ -81,7 +81,7 @@
         } else {
             scheduleRenewal();
         }
-        ready.accept(!failed);
+        onResult.accept(!failed);
     }
 
     private void scheduleRenewal() {
@@ -92,7 +92,7 @@
         if (released) {
             return;
         }
-        helpers.forEach(each -> sendRequest(each, reserveBody(each), given -> {}));
+        helpers.forEach(each -> sendRequest(each, reserveBody(each), accepted -> {}));
         scheduleRenewal();
     }
 
@@ -105,32 +105,32 @@
         helpers.forEach(each -> release(each, MAX_RELEASE_ATTEMPTS));
     }
 
-    private void release(Helper holder, int times) {
-        sendRequest(holder, context.protocol().releaseBody(granted.attempt()), given -> {
-            if (!given && times > 1) {
-                release(holder, times - 1);
+    private void release(Helper helper, int attemptsLeft) {
+        sendRequest(helper, context.protocol().releaseBody(granted.attempt()), accepted -> {
+            if (!accepted && attemptsLeft > 1) {
+                release(helper, attemptsLeft - 1);
             }
         });
     }
 
-    private byte[] reserveBody(Helper holder) {
-        return context.protocol().reserveBody(granted.attempt(), holder.memoryTokens(), HOLD_MILLIS);
+    private byte[] reserveBody(Helper helper) {
+        return context.protocol().reserveBody(granted.attempt(), helper.memoryTokens(), HOLD_MILLIS);
     }
 
-    private void sendRequest(Helper holder, byte[] body, Consumer<Boolean> done) {
-        HeaderMap headers = context.protocol().reservationHeaders(holder);
+    private void sendRequest(Helper helper, byte[] body, Consumer<Boolean> callback) {
+        HeaderMap headers = context.protocol().reservationHeaders(helper);
         headers.put(Headers.CONTENT_LENGTH, body.length);
-        ReservationRequest order = new ReservationRequest(done);
-        order.call = new BackendCall(
+        ReservationRequest request = new ReservationRequest(callback);
+        request.call = new BackendCall(
                 context.connections(),
-                holder.address(),
+                helper.address(),
                 BackendCall.newRequest(Methods.POST, context.protocol().reservationPath(), headers),
                 body,
                 false,
                 context.protocol(),
-                order);
-        context.thread().executeAfter(order::expire, ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-        order.call.start();
+                request);
+        context.thread().executeAfter(request::expire, ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        request.call.start();
     }
 
     /** One order on its way; ends once. */
@@ -140,14 +140,14 @@
         private int status;
         private boolean ended;
 
-        ReservationRequest(Consumer<Boolean> done) {
-            this.callback = done;
+        ReservationRequest(Consumer<Boolean> callback) {
+            this.callback = callback;
         }
 
-        private void finish(boolean given) {
+        private void finish(boolean accepted) {
             if (!ended) {
                 ended = true;
-                callback.accept(given);
+                callback.accept(accepted);
             }
         }
 
@@ -164,8 +164,8 @@
         }
 
         @Override
-        public void head(int answered, HeaderMap headers, AnswerHead read) {
-            status = answered;
+        public void onHead(int answerStatus, HeaderMap headers, AnswerHead answerHead) {
+            status = answerStatus;
         }
 
         @Override
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/InactivityTimer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/InactivityTimer.java
@@ -22,17 +22,17 @@
     private final Runnable onInactive;
     private XnioExecutor.Key timer;
 
-    InactivityTimer(XnioExecutor thread, MonotonicClock clock, Runnable onSilence) {
+    InactivityTimer(XnioExecutor thread, MonotonicClock clock, Runnable onInactive) {
         this.thread = thread;
         this.clock = clock;
-        this.onInactive = onSilence;
+        this.onInactive = onInactive;
     }
 
     /** Expects something within a time from now, in place of what was expected before. */
     void restart(long millis) {
         cancel();
-        long dueAt = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
-        timer = thread.executeAfter(() -> onTimer(dueAt), millis, TimeUnit.MILLISECONDS);
+        long dueAtNanos = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
+        timer = thread.executeAfter(() -> onTimer(dueAtNanos), millis, TimeUnit.MILLISECONDS);
     }
 
     /** Expects nothing any more. */
@@ -43,8 +43,8 @@
         }
     }
 
-    private void onTimer(long dueAt) {
-        if (clock.nanos() - dueAt > STALL_THRESHOLD_NANOS) {
+    private void onTimer(long dueAtNanos) {
+        if (clock.nanos() - dueAtNanos > STALL_THRESHOLD_NANOS) {
             restart(STALL_GRACE_MILLIS);
         } else {
             onInactive.run();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ObservedServerLimits.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ObservedServerLimits.java
@@ -23,9 +23,9 @@
      * Takes what a server has said of the requests that it takes.
      *
      * @param limit null when that can't be understood
-     * @param by where it was heard, for the log
+     * @param source where it was heard, for the log
      */
-    void record(BackendServerId server, ServerRateLimit limit, String by) {
+    void record(BackendServerId server, ServerRateLimit limit, String source) {
         if (limit == null) {
             log.line("server limit not understood").with("server", server).write();
         } else if (limits.update(server, limit, clock.nanos())) {
@@ -33,7 +33,7 @@
                     .with("server", server)
                     .with("limited", limit.isLimited())
                     .with("spacingMicros", limit.spacingMicros())
-                    .with("by", by)
+                    .with("by", source)
                     .write();
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ReportQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ReportQueue.java
@@ -29,15 +29,15 @@
     private final XnioExecutor thread;
     private final Map<HostId, Map<ServiceName, List<AttemptReport>>> pendingReports = new HashMap<>();
 
-    ReportQueue(NodeSettings settings, PeerNetwork network, DispatchService own, XnioExecutor thread) {
+    ReportQueue(NodeSettings settings, PeerNetwork network, DispatchService localDispatch, XnioExecutor thread) {
         this.settings = settings;
         this.network = network;
-        this.localDispatch = own;
+        this.localDispatch = localDispatch;
         this.thread = thread;
     }
 
-    void add(ServiceName service, HostId to, AttemptReport report) {
-        if (to.equals(settings.host())) {
+    void add(ServiceName service, HostId dispatcher, AttemptReport report) {
+        if (dispatcher.equals(settings.host())) {
             localDispatch.report(service, List.of(report));
             return;
         }
@@ -45,15 +45,18 @@
             thread.executeAfter(this::flush, BATCH_DELAY_MILLIS, TimeUnit.MILLISECONDS);
         }
         pendingReports
-                .computeIfAbsent(to, host -> new HashMap<>())
+                .computeIfAbsent(dispatcher, each -> new HashMap<>())
                 .computeIfAbsent(service, name -> new ArrayList<>())
                 .add(report);
     }
 
     /** Sends at once what is gathered. */
     void flush() {
-        pendingReports.forEach((host, byService) -> byService.forEach((service, list) -> network.call(
-                settings.peerAddressOf(host), DispatchChannels.REPORT, new Reports(service, list), SEND_TIMEOUT)));
+        pendingReports.forEach((dispatcher, byService) -> byService.forEach((service, reports) -> network.call(
+                settings.peerAddressOf(dispatcher),
+                DispatchChannels.REPORT,
+                new Reports(service, reports),
+                SEND_TIMEOUT)));
         pendingReports.clear();
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/RoutingTableWaitQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/RoutingTableWaitQueue.java
@@ -24,13 +24,13 @@
     private static final int DEADLINE_DIVISOR = 4;
 
     private final XnioIoThread thread;
-    private final Deque<HeldCall> waitingCalls = new ArrayDeque<>();
+    private final Deque<WaitingCall> waitingCalls = new ArrayDeque<>();
 
-    private static final class HeldCall {
+    private static final class WaitingCall {
         private final Runnable onTable;
         private XnioExecutor.Key timer;
 
-        HeldCall(Runnable onTable) {
+        WaitingCall(Runnable onTable) {
             this.onTable = onTable;
         }
     }
@@ -50,25 +50,25 @@
             onTimeout.run();
             return;
         }
-        HeldCall next = new HeldCall(onTable);
-        long millis = Math.min(MAX_WAIT_MILLIS, Math.max(0, deadlineMillis) / DEADLINE_DIVISOR);
-        next.timer = thread.executeAfter(
+        WaitingCall call = new WaitingCall(onTable);
+        long waitMillis = Math.min(MAX_WAIT_MILLIS, Math.max(0, deadlineMillis) / DEADLINE_DIVISOR);
+        call.timer = thread.executeAfter(
                 () -> {
-                    if (waitingCalls.remove(next)) {
+                    if (waitingCalls.remove(call)) {
                         onTimeout.run();
                     }
                 },
-                Math.max(1, millis),
+                Math.max(1, waitMillis),
                 TimeUnit.MILLISECONDS);
-        waitingCalls.add(next);
+        waitingCalls.add(call);
     }
 
     /** The table has come. */
     void releaseAll() {
         while (!waitingCalls.isEmpty()) {
-            HeldCall next = waitingCalls.poll();
-            next.timer.remove();
-            next.onTable.run();
+            WaitingCall call = waitingCalls.poll();
+            call.timer.remove();
+            call.onTable.run();
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ServerSentEventParser.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ServerSentEventParser.java
@@ -68,15 +68,15 @@
 
     /** Returns whether the line ends an event. */
     private boolean finishLine() {
-        byte[] ended = line.toByteArray();
+        byte[] lineBytes = line.toByteArray();
         line.reset();
-        boolean empty = ended.length == 0 || (ended.length == 1 && ended[0] == '\r');
+        boolean empty = lineBytes.length == 0 || (lineBytes.length == 1 && lineBytes[0] == '\r');
         if (empty) {
             return hasContent;
         }
         hasContent = true;
-        if (startsWithId(ended)) {
-            id = parseId(ended);
+        if (startsWithId(lineBytes)) {
+            id = parseId(lineBytes);
         }
         return false;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StaggeredStart.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StaggeredStart.java
@@ -26,27 +26,27 @@
     }
 
     /** Has a thing begun in its turn, unless it was before. */
-    void add(T next) {
-        if (!added.add(next)) {
+    void add(T item) {
+        if (!added.add(item)) {
             return;
         }
-        waiting.add(next);
+        waiting.add(item);
         if (!pausing) {
             startNext();
         }
     }
 
     /** Forgets a thing, which may then be added again. */
-    void remove(T gone) {
-        added.remove(gone);
-        waiting.remove(gone);
+    void remove(T item) {
+        added.remove(item);
+        waiting.remove(item);
     }
 
     private void startNext() {
-        T next = waiting.poll();
-        pausing = next != null;
-        if (next != null) {
-            start.accept(next);
+        T item = waiting.poll();
+        pausing = item != null;
+        if (item != null) {
+            start.accept(item);
             thread.executeAfter(this::startNext, pauseMillis, TimeUnit.MILLISECONDS);
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StreamForwarder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StreamForwarder.java
@@ -12,7 +12,7 @@
 final class StreamForwarder {
     private final Call call;
     private final CallerChannel callerChannel;
-    private final ServerSentEventParser scanner = new ServerSentEventParser();
+    private final ServerSentEventParser parser = new ServerSentEventParser();
     private Attempt attempt;
     private long lastEventId = ServerSentEventParser.NO_ID;
     private boolean completing;
@@ -23,12 +23,12 @@
     StreamForwarder(Call call, int status, HeaderMap headers) {
         this.call = call;
         call.exchange().setStatusCode(status);
-        HeaderMap own = call.exchange().getResponseHeaders();
-        call.context().protocol().copyAnswerHeaders(headers, own);
-        own.remove(Headers.CONTENT_LENGTH);
+        HeaderMap responseHeaders = call.exchange().getResponseHeaders();
+        call.context().protocol().copyAnswerHeaders(headers, responseHeaders);
+        responseHeaders.remove(Headers.CONTENT_LENGTH);
         // Named outright: on a connection that closes after the answer the server would leave chunks out, and a stream
         // that is broken off would look complete.
-        own.put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
+        responseHeaders.put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
         this.lastEventId = call.head().lastEventId();
         this.callerChannel = new CallerChannel(call.exchange(), this::onWritable, this::onChannelClosed);
     }
@@ -36,7 +36,7 @@
     /** Takes the events of an attempt from now on. */
     void switchTo(Attempt next) {
         attempt = next;
-        scanner.reset();
+        parser.reset();
     }
 
     /** Number of the last event passed on. */
@@ -45,29 +45,29 @@
     }
 
     boolean hasPartialEvent() {
-        return scanner.hasPartialEvent();
+        return parser.hasPartialEvent();
     }
 
     /** Passes on the events that the bytes complete. Returns what is wrong with them, null when nothing is. */
     String forward(ByteBuffer bytes) {
-        Attempt from = attempt;
-        for (ServerSentEventParser.Event each : scanner.parse(bytes)) {
-            boolean numbered = each.id() != ServerSentEventParser.NO_ID;
-            if (numbered && lastEventId >= 0 && each.id() <= lastEventId) {
+        Attempt source = attempt;
+        for (ServerSentEventParser.Event each : parser.parse(bytes)) {
+            boolean hasId = each.id() != ServerSentEventParser.NO_ID;
+            if (hasId && lastEventId >= 0 && each.id() <= lastEventId) {
                 continue;
             }
-            if (numbered && lastEventId >= 0 && each.id() != lastEventId + 1) {
+            if (hasId && lastEventId >= 0 && each.id() != lastEventId + 1) {
                 return "event " + each.id() + " follows event " + lastEventId;
             }
-            lastEventId = numbered ? each.id() : lastEventId;
+            lastEventId = hasId ? each.id() : lastEventId;
             recordEventTime();
-            boolean room = callerChannel.write(each.bytes());
-            if (attempt != from) {
+            boolean hasRoom = callerChannel.write(each.bytes());
+            if (attempt != source) {
                 return null;
             }
-            from.onEventForwarded();
-            if (!room) {
-                from.pause();
+            source.onEventForwarded();
+            if (!hasRoom) {
+                source.pause();
             }
         }
         return null;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
@@ -50,15 +50,15 @@
     private static final String SELF = "10.0.0.1";
 
     private final ManualThread thread = new ManualThread();
-    private final List<Sent> sent = new ArrayList<>();
+    private final List<SentRequest> sentRequests = new ArrayList<>();
     private final ManualClock clock = new ManualClock();
     private final DecisionLog log = new DecisionLog("h", "entry", clock, OutputStream.nullOutputStream());
-    private final Set<String> silent = new HashSet<>();
-    private Function<DispatchCall, DispatchAnswer> places = call -> new DispatchAnswer.Queued(call.attempt(), 0);
+    private final Set<String> unresponsiveHosts = new HashSet<>();
+    private Function<DispatchCall, DispatchAnswer> placeAnswer = call -> new DispatchAnswer.Queued(call.attempt(), 0);
     private List<BackendServerId> servers = List.of();
     private Collection<EntryRecord> entries = List.of(entry("10.0.0.2"), entry("10.0.0.3"));
 
-    private record Sent(String host, Object request) {}
+    private record SentRequest(String host, Object request) {}
 
     private static EntryRecord entry(String ip) {
         return new EntryRecord(
@@ -84,24 +84,25 @@
         @Override
         public <Q, R> CompletableFuture<CallResult<R>> call(
                 Address to, Channel<Q, R> channel, Q request, Duration timeout) {
-            sent.add(new Sent(to.ip(), request));
-            if (silent.contains(to.ip())) {
+            sentRequests.add(new SentRequest(to.ip(), request));
+            if (unresponsiveHosts.contains(to.ip())) {
                 return CompletableFuture.completedFuture(new CallResult.Unknown<>("no answer in time"));
             }
             Object answer = channel == (Channel<?, ?>) DispatchChannels.PLACE
-                    ? places.apply((DispatchCall) request)
+                    ? placeAnswer.apply((DispatchCall) request)
                     : new DispatchChannels.Acknowledgement(true);
             return CompletableFuture.completedFuture(
                     new CallResult.Answered<>(channel.response().cast(answer)));
         }
     }
 
-    private DispatchService own;
+    private DispatchService localDispatch;
 
     private DispatchClient client() {
-        own = new DispatchService(HostId.of(SELF), new RetryLimit(0.2, 10, 10), clock, log, (host, answer) -> {});
+        localDispatch =
+                new DispatchService(HostId.of(SELF), new RetryLimit(0.2, 10, 10), clock, log, (host, answer) -> {});
         DispatcherDirectory directory = new DispatcherDirectory(() -> entries, service -> servers, clock);
-        return new DispatchClient(settings(), 1, new ScriptedNetwork(), directory, own, thread, clock, log);
+        return new DispatchClient(settings(), 1, new ScriptedNetwork(), directory, localDispatch, thread, clock, log);
     }
 
     private static DispatchCall call() {
@@ -134,41 +135,41 @@
      * and places the prompt on those in use. So it must forget the prompt as soon as that waits elsewhere.
      */
     @Test
-    void aCallWaitsAtOneDispatcherOnly() {
+    void cancelsQueuedCallAtFormerDispatcherWhenQueuedAtNext() {
         List<EntryRecord> order = DispatcherChoice.order(WHOLE, entries);
-        String old = order.get(0).host().value();
+        String former = order.get(0).host().value();
         DispatchClient client = client();
         client.place(call(), answer -> {});
-        assertEquals(old, sent.get(0).host());
+        assertEquals(former, sentRequests.get(0).host());
         entries = List.of(order.get(1));
         thread.runLater();
         thread.runLater();
         assertTrue(
-                sent.stream()
+                sentRequests.stream()
                         .anyMatch(each -> each.host().equals(order.get(1).host().value())
                                 && each.request() instanceof DispatchCall),
                 "asked for at the next one");
-        Reports forget = new Reports(DESK, List.of(new AttemptReport("a1", AttemptEnd.CANCELLED)));
-        assertTrue(sent.contains(new Sent(old, forget)), sent.toString());
+        Reports cancellation = new Reports(DESK, List.of(new AttemptReport("a1", AttemptEnd.CANCELLED)));
+        assertTrue(sentRequests.contains(new SentRequest(former, cancellation)), sentRequests.toString());
     }
 
     /** Guards against a new dispatcher that fills a server in need until it has heard of the need itself. */
     @Test
-    void aNewDispatcherIsToldTheLimitsThatServersName() {
+    void sendsServerLimitsToNewDispatcher() {
         List<EntryRecord> order = DispatcherChoice.order(WHOLE, entries);
         DispatchClient client = client();
-        own.observedLimits().record(BackendServerId.of("s1"), ServerRateLimit.ofPerSecond(2), "answer");
+        localDispatch.observedLimits().record(BackendServerId.of("s1"), ServerRateLimit.ofPerSecond(2), "answer");
         client.place(call(), answer -> {});
         entries = List.of(order.get(1));
         client.onDeploymentChanged();
-        Adoption told = sent.stream()
+        Adoption adoption = sentRequests.stream()
                 .filter(each -> each.request() instanceof Adoption)
                 .map(each -> (Adoption) each.request())
                 .findFirst()
                 .orElseThrow();
         assertEquals(
                 List.of(new ServerRateLimits.ReportedLimit(BackendServerId.of("s1"), ServerRateLimit.ofPerSecond(2))),
-                told.limits());
+                adoption.limits());
     }
 
     /**
@@ -176,7 +177,7 @@
      * nothing any more: its entry has learnt of a new one, and asks that only at its next turn.
      */
     @Test
-    void whatWaitsIsAskedForAtANewDispatcherAtOnce() {
+    void repeatsRequestsOfWaitingCallsAtNewDispatcherAtOnce() {
         List<EntryRecord> order = DispatcherChoice.order(WHOLE, entries);
         DispatchClient client = client();
         client.place(call(), answer -> {});
@@ -184,7 +185,7 @@
         client.onDeploymentChanged();
         assertEquals(
                 1,
-                sent.stream()
+                sentRequests.stream()
                         .filter(each -> each.host().equals(order.get(1).host().value())
                                 && each.request() instanceof DispatchCall)
                         .count());
@@ -195,36 +196,37 @@
      * takes full engines for free. So it is told what runs, before it is asked, and of the ends of that later.
      */
     @Test
-    void aSecondDispatcherIsToldWhatRunsBeforeItIsAsked() {
+    void sendsOpenGrantsToSecondDispatcherBeforeFirstPlacement() {
         List<EntryRecord> order = DispatcherChoice.order(WHOLE, entries);
         String first = order.get(0).host().value();
         String second = order.get(1).host().value();
         DispatchClient client = client();
-        places = call -> new DispatchAnswer.Granted(
+        placeAnswer = call -> new DispatchAnswer.Granted(
                 call.attempt(), BackendServerId.of("s1"), new Address("10.0.1.1", 80), List.of(), 90, 900, 0, 0);
         DispatchCall running = call("running");
         client.place(running, answer -> {});
-        silent.add(first);
+        unresponsiveHosts.add(first);
         client.place(call("next"), answer -> {});
-        List<Object> toSecond = requestsTo(second);
-        Adoption told = (Adoption) toSecond.get(0);
-        assertTrue(told.all());
-        assertEquals(List.of(running), told.open().stream().map(OpenGrant::call).toList());
-        assertEquals(call("next").attempt(), ((DispatchCall) toSecond.get(1)).attempt());
+        List<Object> requestsToSecond = requestsTo(second);
+        Adoption adoption = (Adoption) requestsToSecond.get(0);
+        assertTrue(adoption.all());
+        assertEquals(
+                List.of(running), adoption.open().stream().map(OpenGrant::call).toList());
+        assertEquals(call("next").attempt(), ((DispatchCall) requestsToSecond.get(1)).attempt());
         client.reportEnd(running, AttemptEnd.DONE);
         thread.runLater();
-        Reports ended = new Reports(DESK, List.of(new AttemptReport("running", AttemptEnd.DONE)));
-        assertTrue(requestsTo(second).contains(ended), sent.toString());
+        Reports endReport = new Reports(DESK, List.of(new AttemptReport("running", AttemptEnd.DONE)));
+        assertTrue(requestsTo(second).contains(endReport), sentRequests.toString());
     }
 
     private List<Object> requestsTo(String host) {
-        return sent.stream()
+        return sentRequests.stream()
                 .filter(each -> each.host().equals(host))
-                .map(Sent::request)
+                .map(SentRequest::request)
                 .toList();
     }
 
-    private void manyServers() {
+    private void useManyServers() {
         servers = new ArrayList<>();
         for (int i = 0; i < 350; i++) {
             servers.add(BackendServerId.of("s" + i));
@@ -235,15 +237,15 @@
         }
     }
 
-    private List<String> askedFor(String attempt) {
-        return sent.stream()
+    private List<String> hostsRequestedFor(String attempt) {
+        return sentRequests.stream()
                 .filter(each -> each.request() instanceof DispatchCall call
                         && call.attempt().equals(attempt))
-                .map(Sent::host)
+                .map(SentRequest::host)
                 .toList();
     }
 
-    private String firstOf(Shard shard) {
+    private String firstDispatcherOf(Shard shard) {
         return DispatcherChoice.first(new ServiceShard(DESK, shard), entries)
                 .orElseThrow()
                 .host()
@@ -252,46 +254,49 @@
 
     /** Guards against forty entries that place blindly as one is held up: another shard's dispatcher knows what runs there. */
     @Test
-    void whereADispatcherIsSilentAnotherShardIsAsked() {
-        manyServers();
-        Set<String> firsts = new HashSet<>();
-        Shard.forServerCount(350).forEach(each -> firsts.add(firstOf(each)));
-        places = call -> new DispatchAnswer.Granted(
+    void requestsAnotherShardWhenDispatcherDoesNotAnswer() {
+        useManyServers();
+        Set<String> firstDispatchers = new HashSet<>();
+        Shard.forServerCount(350).forEach(each -> firstDispatchers.add(firstDispatcherOf(each)));
+        placeAnswer = call -> new DispatchAnswer.Granted(
                 call.attempt(), BackendServerId.of("s1"), new Address("10.0.1.1", 80), List.of(), 90, 900, 0, 0);
         DispatchClient client = client();
         for (int i = 0; i < 40; i++) {
-            silent.clear();
-            silent.add(List.copyOf(firsts).get(i % firsts.size()));
+            unresponsiveHosts.clear();
+            unresponsiveHosts.add(List.copyOf(firstDispatchers).get(i % firstDispatchers.size()));
             clock.advance(Duration.ofSeconds(2));
             String attempt = "a" + i;
             List<DispatchAnswer> answers = new ArrayList<>();
             client.place(call(attempt), answers::add);
             assertEquals(1, answers.size());
-            assertTrue(firsts.containsAll(askedFor(attempt)), askedFor(attempt) + " of " + firsts);
+            assertTrue(
+                    firstDispatchers.containsAll(hostsRequestedFor(attempt)),
+                    hostsRequestedFor(attempt) + " of " + firstDispatchers);
             client.reportEnd(call(attempt), AttemptEnd.DONE);
         }
     }
 
     /** Guards against a prompt that waits in one shard while engines are free in another. */
     @Test
-    void aCallThatMustWaitIsAskedForAtASecondShardAndWaitsThereOnly() {
-        manyServers();
+    void waitingCallTriesSecondShardAndStaysQueuedThereOnly() {
+        useManyServers();
         DispatchClient client = client();
         client.place(call("a1"), answer -> {});
-        List<String> asked = askedFor("a1");
-        assertEquals(2, asked.size());
+        List<String> requestedHosts = hostsRequestedFor("a1");
+        assertEquals(2, requestedHosts.size());
         thread.runLater();
-        Reports forget = new Reports(DESK, List.of(new AttemptReport("a1", AttemptEnd.CANCELLED)));
-        assertTrue(sent.contains(new Sent(asked.get(0), forget)), sent.toString());
+        Reports cancellation = new Reports(DESK, List.of(new AttemptReport("a1", AttemptEnd.CANCELLED)));
+        assertTrue(
+                sentRequests.contains(new SentRequest(requestedHosts.get(0), cancellation)), sentRequests.toString());
     }
 
     /** Guards against engines that seem free as the shards were counted anew: each new dispatcher is told what runs on its. */
     @Test
-    void newShardsAreToldWhatRunsOnTheirServers() {
-        manyServers();
+    void sendsOpenGrantsToDispatchersOfNewShards() {
+        useManyServers();
         List<BackendServerId> many = servers;
         servers = many.subList(0, 60);
-        places = call -> new DispatchAnswer.Granted(
+        placeAnswer = call -> new DispatchAnswer.Granted(
                 call.attempt(), BackendServerId.of("s1"), new Address("10.0.1.1", 80), List.of(), 90, 900, 0, 0);
         DispatchClient client = client();
         client.place(call("running"), answer -> {});
@@ -302,22 +307,22 @@
                 .filter(each -> each.contains(BackendServerId.of("s1")))
                 .findFirst()
                 .orElseThrow();
-        boolean told = sent.stream()
-                .filter(each -> each.host().equals(firstOf(shard)) && each.request() instanceof Adoption)
+        boolean received = sentRequests.stream()
+                .filter(each -> each.host().equals(firstDispatcherOf(shard)) && each.request() instanceof Adoption)
                 .map(each -> (Adoption) each.request())
-                .anyMatch(each -> each.shard().equals(shard) && tellsOf(each, "running"));
-        assertTrue(told, sent.toString());
+                .anyMatch(each -> each.shard().equals(shard) && containsGrant(each, "running"));
+        assertTrue(received, sentRequests.toString());
     }
 
-    private static boolean tellsOf(Adoption adoption, String attempt) {
+    private static boolean containsGrant(Adoption adoption, String attempt) {
         return adoption.open().stream().anyMatch(each -> each.call().attempt().equals(attempt));
     }
 
     /** Guards against callers that are refused as one shard knows no server while another has places. */
     @Test
-    void whereAShardRefusesAnotherIsAsked() {
-        manyServers();
-        places = call -> call.shard().index() % 2 == 0
+    void requestsAnotherShardWhenOneRefuses() {
+        useManyServers();
+        placeAnswer = call -> call.shard().index() % 2 == 0
                 ? new DispatchAnswer.Refused(call.attempt(), DispatchAnswer.RefusalCause.NO_SERVER, 100)
                 : new DispatchAnswer.Granted(
                         call.attempt(),
@@ -341,10 +346,10 @@
 
     /** Guards against a budget of retries that is drawn on once for each shard. */
     @Test
-    void aRefusedRetryIsNotAskedForElsewhere() {
-        manyServers();
-        places = call -> new DispatchAnswer.Refused(call.attempt(), DispatchAnswer.RefusalCause.RETRY_BUDGET, 100);
+    void doesNotRequestAnotherShardWhenRetryBudgetIsUsedUp() {
+        useManyServers();
+        placeAnswer = call -> new DispatchAnswer.Refused(call.attempt(), DispatchAnswer.RefusalCause.RETRY_BUDGET, 100);
         client().place(call("a1"), answer -> {});
-        assertEquals(1, askedFor("a1").size());
+        assertEquals(1, hostsRequestedFor("a1").size());
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchServiceTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchServiceTest.java
@@ -36,11 +36,11 @@
 
     private final ManualClock clock = new ManualClock();
     private final DecisionLog log = new DecisionLog("h", "entry", clock, OutputStream.nullOutputStream());
-    private final List<DispatchAnswer> decided = new ArrayList<>();
+    private final List<DispatchAnswer> decisions = new ArrayList<>();
     private Runnable onDecision = () -> {};
     private final DispatchService service =
             new DispatchService(SELF, new RetryLimit(0.2, 10, 10_000_000_000L), clock, log, (host, answer) -> {
-                decided.add(answer);
+                decisions.add(answer);
                 onDecision.run();
             });
 
@@ -76,7 +76,7 @@
                 List.of());
     }
 
-    private void know() {
+    private void applyRoutingTable() {
         RoutingTable.BuildResult built = RoutingTable.builder(1)
                 .service(new RoutedService(DESK, 10, null))
                 .service(new RoutedService(BOOKING, 10, null))
@@ -87,22 +87,23 @@
 
     /** Guards against an entry whose decisions end in an exception: one led to the first call for another service. */
     @Test
-    void aDecisionMayLeadToADispatcherThatIsNotThereYet() {
-        know();
+    void decisionMayStartCallThatCreatesDispatcher() {
+        applyRoutingTable();
         assertInstanceOf(DispatchAnswer.Granted.class, service.place(call("runs", DESK)));
         assertInstanceOf(DispatchAnswer.Queued.class, service.place(call("waits", DESK)));
         onDecision = () -> assertInstanceOf(DispatchAnswer.Granted.class, service.place(call("next", BOOKING)));
         service.report(DESK, List.of(new AttemptReport("runs", AttemptEnd.DONE)));
         assertEquals(
-                List.of("waits"), decided.stream().map(DispatchAnswer::attempt).toList());
+                List.of("waits"),
+                decisions.stream().map(DispatchAnswer::attempt).toList());
     }
 
     /** Guards against a call that waits for a tenth of a second longer, as the dispatcher had been idle. */
     @Test
-    void aCallThatBeginsToWaitIsLookedAtSoon() {
+    void ticksEveryTenMillisWhileACallWaits() {
         ManualThread thread = new ManualThread();
         new DispatchTicker(thread, service);
-        know();
+        applyRoutingTable();
         service.place(call("runs", DESK));
         service.place(call("waits", DESK));
         assertEquals(List.of(100L, 10L), thread.delays());
@@ -113,20 +114,21 @@
 
     /** Guards against work on each entry of a large deployment that only those who decide have. */
     @Test
-    void anEntryThatDecidesForNobodyIsNotWoken() {
+    void schedulesNoTickWithoutDispatchers() {
         ManualThread thread = new ManualThread();
         new DispatchTicker(thread, service);
-        know();
+        applyRoutingTable();
         assertEquals(List.of(), thread.delays());
     }
 
     /** Guards against limits that only the entries hear of to which servers have answered. */
     @Test
-    void aDispatcherKeepsTheLimitsThatEntriesTellItOf() {
-        know();
-        ServerRateLimits.ReportedLimit named =
+    void appliesServerLimitsOfAdoption() {
+        applyRoutingTable();
+        ServerRateLimits.ReportedLimit reportedLimit =
                 new ServerRateLimits.ReportedLimit(server(DESK).id(), ServerRateLimit.ofPerSecond(2));
-        service.adopt(new DispatchChannels.Adoption(DESK, Shard.WHOLE, SELF, 1, true, List.of(), List.of(named)));
+        service.adopt(
+                new DispatchChannels.Adoption(DESK, Shard.WHOLE, SELF, 1, true, List.of(), List.of(reportedLimit)));
         assertInstanceOf(DispatchAnswer.Queued.class, service.place(call("waits", DESK)));
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/SilenceTimerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/InactivityTimerTest.java
@@ -7,11 +7,11 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-class SilenceTimerTest {
+class InactivityTimerTest {
     private final ManualClock clock = new ManualClock();
     private final ManualThread thread = new ManualThread();
-    private int silences;
-    private final InactivityTimer timer = new InactivityTimer(thread, clock, () -> silences++);
+    private int expiries;
+    private final InactivityTimer timer = new InactivityTimer(thread, clock, () -> expiries++);
 
     private void runLaterAfter(long millis) {
         clock.advance(Duration.ofMillis(millis));
@@ -19,27 +19,27 @@
     }
 
     @Test
-    void silenceIsNoticed() {
+    void runsListenerWhenTimeIsUp() {
         timer.restart(300);
         runLaterAfter(301);
-        assertEquals(1, silences);
+        assertEquals(1, expiries);
     }
 
     @Test
-    void whatIsNotExpectedAnyMoreIsNotMissed() {
+    void doesNotRunListenerAfterCancel() {
         timer.restart(300);
         timer.cancel();
         runLaterAfter(301);
-        assertEquals(0, silences);
+        assertEquals(0, expiries);
     }
 
     /** Guards against an entry that was held up for a second taking all its servers for dead. */
     @Test
-    void anEntryThatDidNotListenBlamesNobody() {
+    void allowsGraceTimeAfterThreadStall() {
         timer.restart(300);
         runLaterAfter(1_300);
-        assertEquals(0, silences, "what came meanwhile is still to be read");
+        assertEquals(0, expiries, "what came meanwhile is still to be read");
         runLaterAfter(101);
-        assertEquals(1, silences, "nothing had come");
+        assertEquals(1, expiries, "nothing had come");
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/ManualThread.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/ManualThread.java
@@ -8,13 +8,13 @@
 
 /** Runs what is to be run at once, and keeps what is to be run later until the test runs it. */
 final class ManualThread implements XnioExecutor {
-    private final List<Runnable> later = new ArrayList<>();
+    private final List<Runnable> delayed = new ArrayList<>();
     private final List<Long> delays = new ArrayList<>();
 
     /** Runs all that was left for later up to now. */
     void runLater() {
-        List<Runnable> due = List.copyOf(later);
-        later.clear();
+        List<Runnable> due = List.copyOf(delayed);
+        delayed.clear();
         due.forEach(Runnable::run);
     }
 
@@ -30,9 +30,9 @@
 
     @Override
     public Key executeAfter(Runnable command, long time, TimeUnit unit) {
-        later.add(command);
+        delayed.add(command);
         delays.add(unit.toMillis(time));
-        return () -> later.remove(command);
+        return () -> delayed.remove(command);
     }
 
     @Override
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/EventScannerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/ServerSentEventParserTest.java
@@ -16,7 +16,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Whole events out of bytes that come in any pieces. */
-class EventScannerTest {
+class ServerSentEventParserTest {
     private static final String STREAM =
             "id: 1\ndata: one\n\nid:2\r\ndata: two\r\n\r\ndata: without\n\nid: 10\ndata: a\nx";
 
@@ -26,28 +26,28 @@
 
     /** However the bytes are cut, the same events come out, and half an event never does. */
     @Property(tries = 100, seed = "5")
-    void cutsMakeNoDifference(@ForAll @IntRange(min = 1, max = 9) int size) {
-        ServerSentEventParser scanner = new ServerSentEventParser();
+    void returnsSameEventsForAnyPieceSize(@ForAll @IntRange(min = 1, max = 9) int pieceSize) {
+        ServerSentEventParser parser = new ServerSentEventParser();
         List<Long> ids = new ArrayList<>();
-        ByteArrayOutputStream passed = new ByteArrayOutputStream();
-        for (int i = 0; i < STREAM.length(); i += size) {
+        ByteArrayOutputStream forwarded = new ByteArrayOutputStream();
+        for (int i = 0; i < STREAM.length(); i += pieceSize) {
             for (ServerSentEventParser.Event each :
-                    scanner.parse(bytes(STREAM.substring(i, Math.min(STREAM.length(), i + size))))) {
+                    parser.parse(bytes(STREAM.substring(i, Math.min(STREAM.length(), i + pieceSize))))) {
                 ids.add(each.id());
-                passed.writeBytes(each.bytes());
+                forwarded.writeBytes(each.bytes());
             }
         }
         assertEquals(List.of(1L, 2L, ServerSentEventParser.NO_ID), ids);
-        assertEquals(STREAM.substring(0, STREAM.indexOf("id: 10")), passed.toString());
-        assertTrue(scanner.hasPartialEvent());
+        assertEquals(STREAM.substring(0, STREAM.indexOf("id: 10")), forwarded.toString());
+        assertTrue(parser.hasPartialEvent());
     }
 
     @Test
-    void whatWasBrokenOffIsForgotten() {
-        ServerSentEventParser scanner = new ServerSentEventParser();
-        scanner.parse(bytes("id: 3\ndata: pie"));
-        scanner.reset();
-        assertFalse(scanner.hasPartialEvent());
-        assertEquals(3, scanner.parse(bytes("id: 3\ndata: piece\n\n")).get(0).id());
+    void resetDiscardsPartialEvent() {
+        ServerSentEventParser parser = new ServerSentEventParser();
+        parser.parse(bytes("id: 3\ndata: pie"));
+        parser.reset();
+        assertFalse(parser.hasPartialEvent());
+        assertEquals(3, parser.parse(bytes("id: 3\ndata: piece\n\n")).get(0).id());
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/StaggeredStartTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/StaggeredStartTest.java
@@ -10,12 +10,12 @@
 class StaggeredStartTest {
     private final ManualThread thread = new ManualThread();
     private final List<String> started = new ArrayList<>();
-    private final StaggeredStart<String> starts = new StaggeredStart<>(thread, 60, started::add);
+    private final StaggeredStart<String> staggeredStart = new StaggeredStart<>(thread, 60, started::add);
 
     /** Guards against control hosts that are busy with the handshakes of all entries at once after a loss of all power. */
     @Test
-    void oneIsBegunAtOnceAndEachOtherAfterAPause() {
-        List.of("a", "b", "c", "b").forEach(starts::add);
+    void startsFirstItemAtOnceAndOthersAfterPauses() {
+        List.of("a", "b", "c", "b").forEach(staggeredStart::add);
         assertEquals(List.of("a"), started);
         thread.runLater();
         assertEquals(List.of("a", "b"), started);
@@ -23,19 +23,19 @@
         thread.runLater();
         thread.runLater();
         assertEquals(List.of("a", "b", "c"), started);
-        starts.add("d");
+        staggeredStart.add("d");
         assertEquals(List.of("a", "b", "c", "d"), started, "after a pause without any");
     }
 
     /** Guards against a control host that is never followed again after it was given up. */
     @Test
-    void whatWasForgottenIsBegunAgain() {
-        starts.add("a");
+    void startsRemovedItemAgain() {
+        staggeredStart.add("a");
         thread.runLater();
-        starts.add("a");
+        staggeredStart.add("a");
         assertEquals(List.of("a"), started);
-        starts.remove("a");
-        starts.add("a");
+        staggeredStart.remove("a");
+        staggeredStart.add("a");
         assertEquals(List.of("a", "a"), started);
     }
 }
