--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
@@ -12,28 +12,30 @@
 import org.elmline.core.dispatch.ServerRateLimit;
 import org.elmline.core.routing.CallRoute;
 
-/** One try of a call on one backend server. Used on the I/O thread only. */
+/** One attempt of a call on one backend server. Used on the I/O thread only. */
 final class Attempt implements BackendCallListener {
     private static final int MIN_SUCCESS_STATUS = 200;
     private static final int MAX_SUCCESS_STATUS = 299;
     private static final int MIN_SERVER_ERROR_STATUS = 500;
 
-    /** Longest answer that is held until it is complete, which lets a broken one be asked for again. */
+    /** Longest answer that is buffered until it is complete, so that a call with a broken answer can be retried. */
     private static final int MAX_BUFFERED_BYTES = 16 * 1024 * 1024;
 
-    /** Silence before a stream's first event that is borne beyond twice the predicted time; a busy engine's worst. */
+    /** Time allowed for a stream's first event beyond twice the predicted time; the worst case on a busy engine. */
     private static final long FIRST_EVENT_SLACK_MILLIS = 500;
 
-    /** Time after which an engine gives up on a helper that is gone, and a round trip. */
+    /** Time after which an engine reports that a helper has failed, and a round trip. */
     private static final long HELPER_TIMEOUT_MILLIS = 1_600;
 
-    /** Pauses of the allowed length that a stream may be silent for before its server is taken for dead. */
+    /**
+     * Time-out of a stream between events, in multiples of the route's allowed gap; then its server is treated as failed.
+     */
     private static final int STREAM_TIMEOUT_GAPS = 3;
 
-    /** Shortest such silence; engines stall for a moment when many prompts come at once. */
+    /** Shortest such time-out; engines stall for a moment when many prompts arrive at once. */
     private static final long MIN_STREAM_TIMEOUT_MILLIS = 700;
 
-    /** Part of the time left to the aim after which an answer that may be asked for twice is asked for elsewhere. */
+    /** Part of the time left to the call's aim after which a call that may be retried is sent to another server. */
     private static final double ANSWER_TIMEOUT_SHARE = 0.65;
 
     private static final long MIN_ANSWER_TIMEOUT_MILLIS = 40;
@@ -61,7 +63,7 @@
                 new InactivityTimer(call.context().thread(), call.context().clock(), this::onInactive);
     }
 
-    /** Reserves what memory the call needs elsewhere, then sends it. */
+    /** Reserves the memory that the call needs on helpers, then sends it. */
     void start() {
         reservations.reserve(reserved -> {
             if (ended) {
@@ -103,12 +105,12 @@
         startFirstEventTimer();
     }
 
-    /** Whether the server may have begun to work on the call. */
+    /** Whether the server may have started to run the call. */
     boolean mayHaveRun() {
         return sent;
     }
 
-    /** Ends the attempt at once. */
+    /** Cancels the attempt at once and reports its end to the dispatcher. */
     void cancel(AttemptEnd end) {
         if (tryEnd()) {
             if (backendCall != null) {
@@ -129,7 +131,9 @@
         inactivityTimer.restart(timeoutMillis);
     }
 
-    /** An engine whose helper has died says so after a while; sooner, a slow group would be taken for a dead one. */
+    /**
+     * Additional time for an engine to report that a helper has failed; with less, a slow group would be treated as failed.
+     */
     private long helperSlackMillis() {
         return granted.helpers().isEmpty() ? 0 : HELPER_TIMEOUT_MILLIS;
     }
@@ -170,7 +174,7 @@
         }
     }
 
-    /** What the answer says of the requests that its server takes; null without an answer. */
+    /** The rate limit that the answer carries; null without an answer. */
     private ServerRateLimit reportedLimit() {
         return head == null ? null : head.limit();
     }
@@ -203,7 +207,7 @@
         }
     }
 
-    /** An event has gone on to the caller. */
+    /** Handles an event that was forwarded to the caller. */
     void onEventForwarded() {
         call.context().dispatchClient().reportFirstToken(placementRequest, reportedLimit());
         if (call.route().mayRetry()) {
@@ -259,7 +263,7 @@
         fail(AttemptEnd.BROKEN, why);
     }
 
-    /** The answer can't be used; the server need not go on with it. */
+    /** Rejects an unusable answer and stops the server's work on it. */
     private void rejectAnswer(String why) {
         backendCall.cancel();
         fail(AttemptEnd.BROKEN, why);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/AttemptIdGenerator.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/AttemptIdGenerator.java
@@ -2,7 +2,7 @@
 
 import org.elmline.core.common.HostId;
 
-/** Ids of attempts, unique over all entries and their starts. Used on the I/O thread only. */
+/** Generates ids of attempts, unique over all entries and their restarts. Used on the I/O thread only. */
 final class AttemptIdGenerator {
     private static final int RADIX = 36;
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCall.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCall.java
@@ -17,8 +17,8 @@
 import org.xnio.channels.StreamSourceChannel;
 
 /**
- * One call to a backend server over HTTP/1.1. It is sent once and never by itself again; only a complete answer lets its
- * connection be used again. Used on the I/O thread only.
+ * One call to a backend server over HTTP/1.1. It is sent once and never retried here; its connection is reused only
+ * after a complete answer. Used on the I/O thread only.
  */
 final class BackendCall {
     private final BackendConnectionPool connections;
@@ -35,7 +35,7 @@
     private boolean paused;
     private boolean ended;
 
-    /** @param nonRepeatable whether the call can't be sent again once it may have run */
+    /** @param nonRepeatable whether the call must not be sent again once it may have run */
     BackendCall(
             BackendConnectionPool connections,
             Address address,
@@ -53,7 +53,7 @@
         this.listener = listener;
     }
 
-    /** The request line and headers of a call. */
+    /** Creates the request line and headers of a call. */
     static ClientRequest newRequest(HttpString method, String pathAndQuery, HeaderMap headers) {
         ClientRequest request =
                 new ClientRequest().setMethod(method).setPath(pathAndQuery).setProtocol(Protocols.HTTP_1_1);
@@ -82,7 +82,10 @@
         });
     }
 
-    /** Ends the call at once, so that the server stops to work on it; nothing more is told. */
+    /**
+     * Ends the call at once and closes its connection, so that the server stops working on it. The listener is not
+     * called any more.
+     */
     void cancel() {
         if (tryEnd() && connection != null) {
             BackendConnectionPool.closeNow(connection);
@@ -169,7 +172,7 @@
         };
     }
 
-    /** Stops to read while the caller is slower than the server. */
+    /** Suspends reading while the caller reads more slowly than the server sends. */
     void pause() {
         paused = true;
         if (responseChannel != null && !ended) {
@@ -214,7 +217,8 @@
             return;
         }
         if (!bodySent || head.closesConnection()) {
-            // A server that answered before it read the whole body may still wait for the rest of it.
+            // A server that answered before it read the whole body may still wait for the rest of it, so the connection
+            // cannot be reused.
             BackendConnectionPool.closeNow(connection);
         } else {
             connections.release(address, connection, head.keepAliveSeconds());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCallListener.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendCallListener.java
@@ -4,20 +4,20 @@
 
 import io.undertow.util.HeaderMap;
 
-/** What happens to one call to a backend server, told on the I/O thread; nothing is told after an end. */
+/** Receives the events of one call to a backend server, on the I/O thread; none follows an end. */
 interface BackendCallListener {
-    /** An end: no byte of the call has left this process. */
+    /** The call has ended: no byte of it has left this process. */
     void onNotSent(String why);
 
-    /** The answer begins; {@code read} is what its headers say. */
+    /** The answer has begun; {@code answerHead} is what its headers contain. */
     void onHead(int status, HeaderMap headers, AnswerHead answerHead);
 
-    /** Bytes of the body. */
+    /** Bytes of the body have arrived. */
     void onData(ByteBuffer bytes);
 
-    /** An end: the answer is complete. */
+    /** The call has ended: the answer is complete. */
     void onComplete();
 
-    /** An end: the call was sent and no complete answer will come. */
+    /** The call has ended: it was sent and no complete answer will arrive. */
     void onBroken(String why);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnectionPool.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnectionPool.java
@@ -22,21 +22,23 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Connections to backend servers, kept while idle for as long as the server says it keeps them: a new connection costs
- * the server work. Used on the I/O thread only.
+ * Pool of connections to backend servers. Idle connections are kept for a part of the keep-alive time that
+ * the server states, since a new connection costs the server work. Used on the I/O thread only.
  */
 final class BackendConnectionPool {
     /**
-     * Time to connect: many times a round trip between failure domains. A server that is dark answers nothing, and a call
-     * that waits for it can't be in time any more.
+     * Time-out of connecting: many round trips between failure domains. A server without power or network does not even
+     * reject the connection, and a call that waits longer would miss its aim.
      */
     private static final long CONNECT_TIMEOUT_MILLIS = 250;
 
-    /** Idle time for servers that do not say how long they keep a connection. */
+    /** Keep-alive time of servers that state none. */
     private static final long DEFAULT_KEEP_ALIVE_MILLIS = 2_500;
 
-    /** Part of the time that a server keeps a connection after which it isn't used: a request sent as the server closes
-     * would be lost. */
+    /**
+     * Part of the server's keep-alive time for which an idle connection is used: a request sent while the server closes
+     * the connection would be lost.
+     */
     private static final double KEEP_ALIVE_SHARE = 0.7;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -51,7 +53,7 @@
 
     private record IdleConnection(ClientConnection connection, long idleSinceNanos, long expiresAtNanos) {}
 
-    /** Gets a connection, or why there is none. */
+    /** Receives a connection, or the reason why there is none. */
     interface AcquireCallback {
         void onAcquired(ClientConnection connection);
 
@@ -70,7 +72,8 @@
     /**
      * Takes an idle connection or opens one.
      *
-     * @param nonRepeatable whether the call can't be sent again: of an idle connection only the first half of its time is used
+     * @param nonRepeatable whether the call must not be sent again: an idle connection is then used in the first half
+     *     of its time only, as a request lost with the connection could not be retried
      */
     void acquire(Address address, boolean nonRepeatable, AcquireCallback callback) {
         IdleConnection idle = pollIdle(address, nonRepeatable);
@@ -107,7 +110,7 @@
                 .connect(connectAttempt, URI.create("http://" + address), thread, buffers, OptionMap.EMPTY);
     }
 
-    /** One attempt to connect, which ends once. */
+    /** One attempt to connect; ends once. */
     private static final class ConnectAttempt implements ClientCallback<ClientConnection> {
         private final AcquireCallback callback;
         private XnioExecutor.Key timer;
@@ -151,7 +154,11 @@
         }
     }
 
-    /** Keeps a connection whose last answer is complete. */
+    /**
+     * Keeps a connection for reuse after a complete answer.
+     *
+     * @param keepAliveSeconds seconds for which the server keeps it idle, 0 to close it, negative when unknown
+     */
     void release(Address address, ClientConnection connection, int keepAliveSeconds) {
         if (!connection.isOpen() || keepAliveSeconds == 0) {
             closeNow(connection);
@@ -166,15 +173,16 @@
     }
 
     /**
-     * Closes a connection so that the server learns of it at once. The client's own close waits for the server to finish
-     * and tells it nothing: an engine worked on for nobody, for as long as its answer took. Taken over as if for another
-     * protocol, the socket itself can be closed; seen by the server after 4 ms.
+     * Closes a connection so that the server detects it at once. The client's own close waits for the end of the answer
+     * and sends the server nothing, so that an engine would go on
+     * working on an abandoned call until its answer was complete. {@code performUpgrade} hands over the socket itself, as for a change of protocol; the server detects
+     * its closing after 4 ms.
      */
     static void closeNow(ClientConnection connection) {
         try {
             IoUtils.safeClose(connection.performUpgrade());
         } catch (IOException e) {
-            // Closed already.
+            // Already closed.
             IoUtils.safeClose(connection);
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
@@ -27,25 +27,32 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One call from a caller, from its last byte read to its last byte answered: placed, sent, sent again where that is
- * allowed, and answered. Used on the I/O thread only.
+ * One call of a caller, from the last byte of its request to the last byte of its answer: requests a place, sends the
+ * call, sends it again where that is allowed, and answers. Used on the I/O thread only.
  */
 final class Call {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Tries that reached no server, or that a server turned down, beyond the sends that a route allows. */
+    /**
+     * Attempts that reached no server, or that a server rejected without running, beyond the sends that a route allows.
+     */
     private static final int MAX_UNEXECUTED_ATTEMPTS = 3;
 
-    /** Time left below which nothing is sent any more: less than any server needs to answer. */
+    /** Remaining time below which no request is sent: less than any server needs to answer. */
     private static final long MIN_SEND_MILLIS = 5;
 
-    /** Time before a caller's patience ends at which it is told to come back; the answer's way and some tens of it. */
+    /**
+     * Time before the caller's time-out at which a call without a place is refused: the transit time of the answer and
+     * some tens of that.
+     */
     private static final long REFUSAL_MARGIN_MILLIS = 250;
 
-    /** When to come back where no place was found for seconds: about the time in which a full house empties by half. */
+    /**
+     * Retry-After when no place was found for seconds: about the time in which half the load of a full deployment ends.
+     */
     private static final long NO_PLACE_RETRY_AFTER_MILLIS = 1_000;
 
-    /** When to come back after a failure that ended the call's last allowed try unrun. */
+    /** Retry-After after a failure that ended the last allowed attempt of a call without running it. */
     private static final long RETRY_AFTER_MILLIS = 120;
 
     private static final int MIN_SERVER_ERROR_STATUS = 500;
@@ -73,7 +80,7 @@
     private boolean mayHaveRun;
     private boolean ended;
 
-    /** A server's own failure, kept while the call is tried elsewhere. */
+    /** An error answered by a server, kept while the call is retried on another one. */
     private record ServerFailure(int status, HeaderMap headers, ByteArrayOutputStream body) {}
 
     Call(
@@ -140,12 +147,12 @@
         return (context.clock().nanos() - receivedAtNanos) / NANOS_PER_MILLI;
     }
 
-    /** Number of the last event that the caller has. */
+    /** Id of the last event that the caller has received; negative without one. */
     long lastEventId() {
         return stream == null ? head.lastEventId() : Math.max(head.lastEventId(), stream.lastEventId());
     }
 
-    /** The stream to the caller, begun by the first server's answer. */
+    /** The stream to the caller, opened by the first server's answer. */
     StreamForwarder stream(int status, HeaderMap headers) {
         if (stream == null) {
             stream = new StreamForwarder(this, status, headers);
@@ -192,7 +199,7 @@
         context.dispatchClient().place(request, answer -> onPlacementDecided(request, answer));
     }
 
-    /** Time left until a caller leaves a stream that stays silent; that of any other call ends with its deadline. */
+    /** Time until the caller closes a stream without events; for other calls, time until the deadline. */
     private long firstEventRemainingMillis() {
         long sinceReceivedMillis = stream == null ? elapsedMillis() : 0;
         return route.isStreaming()
@@ -200,7 +207,10 @@
                 : remainingMillis();
     }
 
-    /** No place has come while the caller still waits: it is told when to come back rather than left to give up. */
+    /**
+     * Refuses a call that has no place shortly before its caller's time-out, so that the caller gets a Retry-After
+     * rather than a time-out.
+     */
     private void expirePlacement(DispatchCall request) {
         if (ended || pendingPlacement != request) {
             return;
@@ -251,7 +261,7 @@
         attempt.start();
     }
 
-    /** An attempt has ended without an answer for the caller. */
+    /** Handles the end of an attempt that gave no answer for the caller. */
     void onAttemptFailed(AttemptEnd end, String why) {
         attempt = null;
         boolean mayHaveExecuted = end.mayHaveRun();
@@ -266,7 +276,7 @@
         retryOrFail(why, !mayHaveExecuted);
     }
 
-    /** A server has answered with a failure of its own, and the call may run once more. */
+    /** Handles an error answered by a server when the call may run once more. */
     void onServerError(int status, HeaderMap headers, ByteArrayOutputStream bytes) {
         serverFailure = new ServerFailure(status, headers, bytes);
         onAttemptFailed(AttemptEnd.SERVER_ERROR, "answered " + status);
@@ -299,20 +309,24 @@
         }
     }
 
-    /** Ends the call without a server's answer; says that it didn't run only where that is sure. */
+    /**
+     * Ends the call without a server's answer. The response states that the call did not run only if that
+     * is certain.
+     */
     private void fail(String why, long retryAfterMillis) {
         if (ended) {
             return;
         }
         if (stream != null) {
             requestLog.logFailure(line("stream broken off").with("why", why).with("lastEvent", stream.lastEventId()));
-            // Ended first: the end of the caller's channel would else be taken for that of a whole stream.
+            // Ended before the abort: the end of the caller's channel would otherwise be handled as that of a complete
+            // stream.
             finish("broken_off");
             stream.abort();
             return;
         }
         if (serverFailure != null) {
-            // What a server said tells the caller more than that no other one could be asked.
+            // A server's error is more useful to the caller than the fact that no other server was available.
             answer(serverFailure.status(), serverFailure.headers(), serverFailure.body());
             return;
         }
@@ -331,13 +345,13 @@
         finish("refused_" + status);
     }
 
-    /** Answers with a server's whole answer. */
+    /** Sends a server's complete answer to the caller. */
     void answer(int status, HeaderMap headers, ByteArrayOutputStream bytes) {
         if (ended) {
             return;
         }
         if (stream != null) {
-            // No other answer can follow the head of a stream; the caller would wait until its time is up.
+            // No other answer can follow the head of a stream; the caller would wait until its deadline.
             attempt = null;
             retryOrFail("answered " + status + " in place of the rest of a stream", false);
             return;
@@ -364,7 +378,7 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(bytes.toByteArray()));
     }
 
-    /** The whole stream is on its way to the caller. */
+    /** Handles a stream whose last byte has been written to the caller. */
     void onStreamComplete() {
         if (ended) {
             return;
@@ -380,7 +394,7 @@
         finish("streamed");
     }
 
-    /** The caller does not take the answer any more. */
+    /** Handles a caller that has closed its connection: cancels what is in flight. */
     void onCallerDisconnected() {
         if (ended) {
             return;
@@ -424,7 +438,7 @@
         fail("time is up", RETRY_AFTER_MILLIS);
     }
 
-    /** Ends the call because this process ends. */
+    /** Ends the call because this process stops. */
     void abort() {
         if (ended) {
             return;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
@@ -14,7 +14,7 @@
 import org.elmline.daemon.http.IoThreadBodyReader;
 import org.xnio.IoUtils;
 
-/** Takes a caller's request: finds its route, reads its body and begins its call. */
+/** Receives a caller's request: matches its route, reads its body and starts its call. Used on the I/O thread only. */
 final class CallHandler implements HttpHandler {
     private static final int NOT_FOUND = 404;
     private static final int UNAUTHENTICATED = 401;
@@ -22,12 +22,12 @@
     private static final int TOO_LARGE = 413;
     private static final int UNAVAILABLE = 503;
 
-    /** When to come back to an entry that knows too little to answer: a control host's start and an election. */
+    /** Retry-After of an entry without a current routing table: the time for a control host's start and an election. */
     private static final long RETRY_AFTER_MILLIS = 1_500;
 
     /**
-     * When to come back where another entry serves: a new connection takes longer than this. Told to come back later
-     * by a stopping entry, callers of questions would be late though others serve.
+     * Retry-After when another entry serves: opening a new connection takes longer than this. With a longer time a
+     * stopping entry would make callers with short deadlines late although other entries serve.
      */
     private static final long OTHER_ENTRY_RETRY_AFTER_MILLIS = 10;
 
@@ -69,7 +69,7 @@
         readBody(exchange, head, receivedAtNanos);
     }
 
-    /** To be called when the routing table has come or changed. */
+    /** To be called when the first routing table is in force or the table has changed. */
     void onRoutingTable() {
         tableWaitQueue.releaseAll();
     }
@@ -97,7 +97,7 @@
             new Call(context, exchange, head, allowed, body, receivedAtNanos, random.nextDouble()).start();
             return;
         }
-        // What no route or key allows here may be allowed by a table that has not come through.
+        // A newer table that this entry has not received may have the route or key that is missing here.
         if (!context.deployment().isCurrent()) {
             refuseWithRetryAfter(exchange, head, "the routing table may be old", RETRY_AFTER_MILLIS);
             return;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHead.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHead.java
@@ -1,15 +1,15 @@
 package org.elmline.daemon.gateway;
 
 /**
- * What a call's headers say.
+ * The contents of a call's headers.
  *
- * @param requestId the caller's own id of this try; null without one
- * @param key null without one
- * @param deadlineMillis how long the caller waits; negative when it does not say
- * @param promptTokens 0 for a call that is no generation
- * @param maxAnswerTokens tokens that the answer may have, 0 for a call that is no generation
- * @param expectedAnswerTokens the caller's estimate; 0 when it gives none
- * @param lastEventId number of the last event that the caller has, negative without one
+ * @param requestId the caller's own id of this attempt; null without one
+ * @param key the caller's key; null without one
+ * @param deadlineMillis time until the caller's deadline; negative when not stated
+ * @param promptTokens 0 for a call that generates nothing
+ * @param maxAnswerTokens most tokens of the answer, 0 for a call that generates nothing
+ * @param expectedAnswerTokens the caller's estimate; 0 without one
+ * @param lastEventId id of the last event that the caller has received, negative without one
  */
 public record CallHead(
         String requestId,
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallMetrics.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallMetrics.java
@@ -15,22 +15,22 @@
         this.metrics = metrics;
     }
 
-    /** A call has ended so; {@code millis} from its last byte read to its end. */
+    /** Records the end of a call; {@code millis} from the last byte of its request to its end. */
     void recordEnd(ServiceName service, String outcome, long millis) {
         metrics.timer(PREFIX + service + "." + outcome).update(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** A stream's first event has gone to its caller; {@code millis} from the call's last byte read. */
+    /** Records a stream's first event to its caller; {@code millis} from the last byte of the request. */
     void recordFirstEvent(ServiceName service, long millis) {
         metrics.timer(PREFIX + service + ".first_event").update(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** A call was granted a place after waiting for it. */
+    /** Records a granted place; {@code millis} from the last byte of the request. */
     void recordPlacement(ServiceName service, long millis) {
         metrics.timer(PREFIX + service + ".placing").update(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** A try failed so. */
+    /** Counts an attempt that failed with this end. */
     void recordAttemptFailure(ServiceName service, String end) {
         metrics.counter(PREFIX + service + ".attempt." + end).inc();
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallProtocol.java
@@ -5,20 +5,24 @@
 import org.elmline.core.dispatch.DispatchAnswer;
 import org.elmline.core.dispatch.Helper;
 
-/** How callers and backend servers name things in headers; translates and decides nothing. */
+/**
+ * Translates between the headers of callers and backend servers and the gateway's types. Implementations make no
+ * decisions. Called on the I/O thread only.
+ */
 public interface CallProtocol {
-    /** Reads a call's headers. Throws IllegalArgumentException on a value that can't be what it should be. */
+    /** Reads a call's headers. Throws IllegalArgumentException on an invalid value. */
     CallHead read(HeaderMap headers);
 
     /** Reads the headers of an answer. */
     AnswerHead read(int status, HeaderMap headers);
 
     /**
-     * The headers with which a call goes to a backend server.
+     * The headers with which a call is sent to a backend server.
      *
-     * @param callerHeaders the caller's
-     * @param organisation whom the caller's key belongs to, null without a key
-     * @param lastEventId last event that the caller has, negative for none
+     * @param callerHeaders the caller's headers
+     * @param organisation the organisation of the caller's key, null without a key
+     * @param remainingMillis time until the call's deadline
+     * @param lastEventId id of the last event that the caller has received, negative for none
      */
     HeaderMap forwardedHeaders(
             HeaderMap callerHeaders,
@@ -27,21 +31,21 @@
             long remainingMillis,
             long lastEventId);
 
-    /** Sets the headers of a backend server's answer that the caller gets. */
+    /** Copies the headers of a backend server's answer that are passed on to the caller. */
     void copyAnswerHeaders(HeaderMap answerHeaders, HeaderMap callerHeaders);
 
-    /** Sets the time after which the caller should come back. */
+    /** Sets the time after which the caller should retry. */
     void setRetryAfter(HeaderMap headers, long millis);
 
-    /** Where engines take orders. */
+    /** The path at which engines accept reservations. */
     String reservationPath();
 
-    /** The headers of an order to an engine. */
+    /** The headers of a reservation or release. */
     HeaderMap reservationHeaders(Helper engine);
 
-    /** The body of an order to set memory aside under an id, or to hold it for longer. */
+    /** The body that reserves memory under an id, or renews the reservation. */
     byte[] reserveBody(String id, long tokens, long holdMillis);
 
-    /** The body of an order to give back what was set aside under an id. */
+    /** The body that releases the reservation under an id. */
     byte[] releaseBody(String id);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallerChannel.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallerChannel.java
@@ -11,11 +11,11 @@
 import org.xnio.channels.StreamSinkChannel;
 
 /**
- * Writes a streamed answer to the caller as it comes, and tells when the caller is slower than the server. Used on the I/O
- * thread only.
+ * Writes a streamed answer to the caller as it arrives and reports when the caller reads more slowly than the server
+ * sends. Used on the I/O thread only.
  */
 final class CallerChannel {
-    /** Bytes that wait for a slow caller before the server is read no further. */
+    /** Bytes that wait for a slow caller before reading from the server is suspended. */
     private static final int MAX_PENDING_BYTES = 64 * 1024;
 
     private final HttpServerExchange exchange;
@@ -28,8 +28,8 @@
     private boolean closed;
 
     /**
-     * @param onWritable called when the caller has caught up
-     * @param onEnd called once, when the last byte is written or the caller is gone
+     * @param onWritable called when the pending bytes have been written to the caller
+     * @param onEnd called once, when the last byte is written or the connection to the caller is closed
      */
     CallerChannel(HttpServerExchange exchange, Runnable onWritable, Runnable onEnd) {
         this.exchange = exchange;
@@ -39,7 +39,7 @@
         sink.getWriteSetter().set((ChannelListener<StreamSinkChannel>) each -> flushPending());
     }
 
-    /** Writes bytes now or later. Returns false when the caller is too far behind. */
+    /** Writes bytes now or later. Returns false when {@link #MAX_PENDING_BYTES} or more are pending. */
     boolean write(byte[] bytes) {
         if (closed) {
             return true;
@@ -56,7 +56,7 @@
         flushPending();
     }
 
-    /** Ends the answer so that the caller can tell that it isn't complete. */
+    /** Closes the connection, by which the caller can tell that the answer is incomplete. */
     void abort() {
         if (!closed) {
             closed = true;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
@@ -35,28 +35,32 @@
 import org.xnio.XnioExecutor;
 
 /**
- * What an entry knows of the deployment: it follows every control host and puts the newest routing table in force. While
- * no control host answers, it goes on with what it holds. Used on the I/O thread only.
+ * An entry's view of the deployment: follows every control host and puts the newest routing table in force. While no
+ * control host answers, the last state received stays in use. Used on the I/O thread only.
  */
 final class DeploymentFollower {
-    /** A control host that has not answered for this long after a poll's hold has no say on who is silent. */
+    /**
+     * A control host that has not answered for this long after a poll's hold time no longer counts in deciding which
+     * servers are silent.
+     */
     private static final long CONTROL_TIMEOUT_MILLIS = 1_200;
 
-    /** Three heartbeats of a backend server, after which one that was not heard is silent. */
+    /** Three heartbeat intervals of a backend server, after which one without a heartbeat is silent. */
     private static final long HEARTBEAT_TIMEOUT_NANOS = Duration.ofMillis(3_600).toNanos();
 
-    /** Two polls of each entry, after which a control host that has started knows all entries that live. */
+    /** Two polls of each entry, after which a restarted control host has a record of all live entries. */
     private static final long ENTRY_DISCOVERY_NANOS = Duration.ofMillis(1_000).toNanos();
 
     private static final Duration FETCH_TIMEOUT = Duration.ofMillis(600);
 
     /**
-     * Pause before the next control host is followed. After a loss of all power each entry came to all of them at once, and
-     * they were busy with handshakes for longer than with all else before the first table could go out.
+     * Pause before the next control host is followed. After a loss of all power every entry connected to all control
+     * hosts at once, and the handshakes took the control hosts longer than all other work before the first table could
+     * be sent.
      */
     private static final long FOLLOW_INTERVAL_MILLIS = 60;
 
-    /** Failed polls after which a control host that is named by no other is given up. */
+    /** Consecutive failed polls after which a control host that no other one reports is no longer followed. */
     private static final int MAX_POLL_FAILURES = 12;
 
     private final NodeSettings settings;
@@ -80,8 +84,8 @@
     private boolean hadAllEntries;
 
     /**
-     * @param selfRecord what this entry tells of itself
-     * @param onRoutingTable called once a new routing table is held, and before anybody can know of it
+     * @param selfRecord this entry's own record, sent with each poll
+     * @param onRoutingTable called once a new routing table is held, before any other part can use it
      * @param onChange called after every change of servers or entries
      */
     DeploymentFollower(
@@ -107,12 +111,12 @@
 
     void start() {
         List<Address> controls = new ArrayList<>(settings.controlPeerAddresses());
-        // All entries are told of the same few hosts.
+        // All entries are configured with the same few hosts; shuffling spreads their first polls.
         Collections.shuffle(controls);
         followAll(controls);
     }
 
-    /** Follows these control hosts beside those that are followed already. */
+    /** Follows these control hosts in addition to those already followed. */
     void followAll(List<Address> controls) {
         controls.forEach(followStarter::add);
     }
@@ -131,7 +135,7 @@
         pollers.put(control, poller);
         holdMillis = PendingPoll.holdMillis(pollers.size());
         view.updateAnswerValidity(controlTimeoutNanos(holdMillis));
-        log.line("control host followed").with("control", control).write();
+        log.line("following control host").with("control", control).write();
         poller.start();
     }
 
@@ -172,7 +176,9 @@
                     && !reportedControls.contains(each.getKey())
                     && !settings.controlPeerAddresses().contains(each.getKey());
             if (lost) {
-                log.line("control host given up").with("control", each.getKey()).write();
+                log.line("control host removed after failed polls")
+                        .with("control", each.getKey())
+                        .write();
                 each.getValue().close();
                 followStarter.remove(each.getKey());
                 view.removeControlHost(each.getKey());
@@ -199,7 +205,7 @@
                 });
     }
 
-    /** A control host of an earlier release packs nothing. */
+    /** Fetches the table as text: a control host of an earlier release does not serve packed tables. */
     private void fetchText(Address control) {
         peers.network()
                 .call(control, RegistryChannels.FETCH_ROUTING, new RoutingQuery(), FETCH_TIMEOUT)
@@ -214,7 +220,7 @@
         if (packed.version() <= heldVersion()) {
             return;
         }
-        packed.unpack().ifPresentOrElse(text -> apply(text, source), () -> log.line("routing not unpacked")
+        packed.unpack().ifPresentOrElse(text -> apply(text, source), () -> log.line("packed routing table unreadable")
                 .with("version", packed.version())
                 .with("control", control)
                 .write());
@@ -233,7 +239,7 @@
                     .write();
             onRoutingTable.run();
         } else {
-            log.line("routing not understood")
+            log.line("routing table invalid")
                     .with("version", text.version())
                     .with("why", ((RoutingTable.BuildResult.Invalid) buildResult).reason())
                     .write();
@@ -244,17 +250,17 @@
         return table == null ? -1 : table.version();
     }
 
-    /** The table in force; empty until the first one has come. */
+    /** The table in force; empty until the first one has been received. */
     Optional<RoutingTable> table() {
         return Optional.ofNullable(table);
     }
 
-    /** Whether a control host answers, so that what is held is new. */
+    /** Whether a control host answers, so that the state held is current. */
     boolean isCurrent() {
         return view.answeringControlHosts(clock.nanos()) > 0;
     }
 
-    /** Whether {@link #entries()} are all there are; not so for a moment after a loss of all hosts. */
+    /** Whether {@link #entries()} are all live entries; false for a moment after a loss of all hosts. */
     boolean hasAllEntries() {
         return view.isEntryListComplete(clock.nanos());
     }
@@ -267,7 +273,7 @@
         return view.entries(clock.nanos());
     }
 
-    /** The servers of a service that may be sent work. */
+    /** The servers of a service that accept work. */
     List<BackendServerId> servers(ServiceName service) {
         List<Registration> usable = usableServers();
         if (usable != groupedServers) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DirectoryProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DirectoryProtocol.java
@@ -7,12 +7,12 @@
 import org.elmline.core.common.FailureDomain;
 import org.elmline.core.common.Region;
 
-/** How callers ask which entries to use; translates and decides nothing. */
+/** Translates callers' look-ups of entries. Implementations make no decisions. */
 public interface DirectoryProtocol {
-    /** Answers callers, who may keep an answer for some seconds. */
+    /** Creates the handler of look-ups, whose answers callers may cache for {@code keepSeconds}. */
     HttpHandler directoryHandler(EntryLookup entries, int keepSeconds);
 
-    /** Where the callers of a place should connect. */
+    /** Finds the entries to which the callers of a region and failure domain should connect. */
     interface EntryLookup {
         /** Addresses in random order, empty when no entry is known to serve. */
         List<Address> addressesFor(Region region, FailureDomain domain);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
@@ -34,35 +34,35 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Asks the dispatcher of a service for places, wherever it runs. One that does not answer at once is passed over for a
- * while and the next entry in order is asked; in the end this entry decides by itself, on what it alone knows: a worse
- * place is better than none. Used on the I/O thread only.
+ * Requests places from the dispatcher of a service, on whichever entry it runs. One that does not answer in time is
+ * passed over for a while and the next entry in order is tried; after {@link #MAX_DISPATCHERS_TRIED} this entry decides
+ * from its own, incomplete state: a worse place is better than none. Used on the I/O thread only.
  */
 final class DispatchClient {
-    /** Least time for a dispatcher to answer: a hundred round trips, and less than a short call's aim allows. */
+    /** Shortest time-out of a request: a hundred round trips, and less than the aim of a short call allows. */
     private static final long MIN_ANSWER_TIMEOUT_MILLIS = 120;
 
-    /** Most time for it: a lost packet is sent again after 200 ms, and again after 400 more. */
+    /** Longest time-out of a request: TCP retransmits a lost packet after 200 ms, and again after 400 ms more. */
     private static final long MAX_ANSWER_TIMEOUT_MILLIS = 600;
 
     /**
-     * Part of the time to a call's aim for which a dispatcher may stay silent. Long calls can wait for a packet that is
-     * sent again, and the next dispatcher in order, which knows little of what runs, would place them badly.
+     * The time-out is the time to a call's aim divided by this. Long calls can wait for a retransmitted packet, and the
+     * next dispatcher in order, which has little of the state of running calls, would place them badly.
      */
     private static final int ANSWER_TIMEOUT_DIVISOR = 5;
 
-    /** Pause after which a call that waits asks again: finds a dispatcher that died with its queue. */
+    /** Interval at which a waiting call repeats its request, which replaces a dispatcher that died with its queue. */
     private static final long REPEAT_REQUEST_MILLIS = 250;
 
-    /** Entries asked before this one decides by itself. */
+    /** Dispatchers that may fail to answer before this entry decides by itself. */
     private static final int MAX_DISPATCHERS_TRIED = 2;
 
-    /** Shards that are asked at once for a call that must wait or is refused; the others get their turn as it waits. */
+    /** Shards requested at once for a call that must wait or is refused; the others follow while it waits. */
     private static final int MAX_SHARDS_REQUESTED = 2;
 
     /**
-     * Lateness from which on this entry's own thread was held up: what came meanwhile was not read, and its answers would
-     * be taken for missing.
+     * Delay beyond the time-out from which on this entry's own thread is treated as stalled. Messages that arrived
+     * meanwhile have not been read, so a missing answer is no sign of a failed dispatcher.
      */
     private static final long STALL_THRESHOLD_NANOS = Duration.ofMillis(100).toNanos();
 
@@ -116,7 +116,7 @@
                 decided -> CompletableFuture.completedFuture(onDecision(decided.dispatcher(), decided.answer())));
     }
 
-    /** Takes a decision on a call that waited here. */
+    /** Receives the decision on a queued call; {@code known} is false when it is not pending here. */
     Acknowledgement onDecision(HostId dispatcher, DispatchAnswer answer) {
         PendingPlacement pending = pendingPlacements.get(answer.attempt());
         if (pending == null || answer instanceof DispatchAnswer.Queued) {
@@ -126,14 +126,14 @@
         return new Acknowledgement(true);
     }
 
-    /** Asks for a place; the answer is final and comes once, unless the call is withdrawn before. */
+    /** Requests a place. The callback runs once with the final answer, or never if the call is withdrawn before. */
     void place(DispatchCall call, Consumer<DispatchAnswer> callback) {
         PendingPlacement placement = new PendingPlacement(call, callback);
         pendingPlacements.put(call.attempt(), placement);
         placement.start();
     }
 
-    /** The caller has left before there was a place. */
+    /** Withdraws a call that has no place yet. */
     void withdraw(DispatchCall call) {
         PendingPlacement pending = pendingPlacements.remove(call.attempt());
         if (pending != null) {
@@ -143,9 +143,9 @@
     }
 
     /**
-     * The first token, or the answer, of a granted call has come.
+     * Reports the first token, or the answer, of a granted call.
      *
-     * @param limit what the answer says of the requests that the server takes
+     * @param limit the rate limit that the answer carries
      */
     void reportFirstToken(DispatchCall call, ServerRateLimit limit) {
         OpenGrant grant = openGrants.get(call.attempt());
@@ -156,15 +156,15 @@
         }
     }
 
-    /** A granted call has ended without an answer. */
+    /** Reports the end of a granted call that got no answer. */
     void reportEnd(DispatchCall call, AttemptEnd end) {
         reportEnd(call, end, null);
     }
 
     /**
-     * A granted call has ended.
+     * Reports the end of a granted call.
      *
-     * @param limit what the answer says of the requests that the server takes, null without an answer
+     * @param limit the rate limit that the answer carries, null without an answer
      */
     void reportEnd(DispatchCall call, AttemptEnd end, ServerRateLimit limit) {
         openGrants.remove(call.attempt());
@@ -172,7 +172,7 @@
         grantHolders.removeAttempt(call.attempt()).forEach(each -> reportQueue.add(call.service(), each, endReport));
     }
 
-    /** Tells the dispatcher of each shard, where it is another one than before, what runs here. */
+    /** Sends this entry's open grants to the dispatcher of each shard whose dispatcher has changed. */
     void onDeploymentChanged() {
         Set<ServiceName> services = new HashSet<>();
         firstDispatchers.keySet().forEach(each -> services.add(each.service()));
@@ -180,8 +180,8 @@
     }
 
     /**
-     * Notes who dispatches a service at the first call for it. Later changes are noted where the new dispatchers are told
-     * what runs, or one that a call happens to ask first would never be told.
+     * Records the dispatchers of a service at its first call. Later changes are recorded only where the new dispatchers
+     * get the open grants: a new one that was recorded by a placement request would never get them.
      */
     private void recordDispatchers(ServiceName service) {
         if (firstDispatchers.keySet().stream().anyMatch(each -> each.service().equals(service))) {
@@ -212,7 +212,7 @@
         }
     }
 
-    /** What waits at the dispatcher before would be placed by it blindly, or not before its next turn to ask. */
+    /** Repeats waiting requests; else the former dispatcher places them without state, or the new one only later. */
     private void repeatRequests(ServiceName service) {
         for (PendingPlacement each : List.copyOf(pendingPlacements.values())) {
             if (each.call.service().equals(service)) {
@@ -259,14 +259,15 @@
             localDispatch.adopt(adoption);
             return;
         }
-        // What it was told to forget before must not end what it is told of now.
+        // Reports that are still queued go first: arriving later, a cancellation would end a grant that is adopted now.
         reportQueue.flush();
         network.call(dispatcher.peers(), DispatchChannels.ADOPT, adoption, ReportQueue.SEND_TIMEOUT);
     }
 
     /**
-     * Tells a dispatcher that is asked in place of the first one what runs here, once for each time that the first one is
-     * passed over. Knowing nothing, it would fill engines that are full. From all entries it has the whole within some calls of each.
+     * Sends the open grants to a dispatcher requested in place of the first one, once for each time that the first one
+     * is passed over. Without them it would place calls on full engines. It has those of all entries within a few calls
+     * of each.
      */
     private void sendOpenGrants(ServiceShard shard, EntryRecord dispatcher) {
         if (!informedDispatchers.computeIfAbsent(shard, each -> new HashSet<>()).add(dispatcher.host())) {
@@ -277,21 +278,21 @@
         sendAdoption(dispatcher, adoption(shard, true, grants));
     }
 
-    /** Leaves an attempt to one dispatcher, and has the others forget it. */
+    /** Keeps an attempt at one dispatcher and reports it as cancelled to the others. */
     private void retainOnly(HostId dispatcher, DispatchCall call) {
         reportCancelled(call.service(), grantHolders.retainOnly(call.attempt(), dispatcher), call);
     }
 
-    /** Tells dispatchers that an attempt is none of theirs any more; it runs or waits on. */
+    /** Reports to dispatchers that they no longer hold an attempt; it runs or waits at another one. */
     private void reportCancelled(ServiceName service, List<HostId> dispatchers, DispatchCall call) {
         AttemptReport cancellation = new AttemptReport(call.attempt(), AttemptEnd.CANCELLED);
         dispatchers.forEach(each -> reportQueue.add(service, each, cancellation));
     }
 
-    /** A dispatcher to ask: a shard, and the entry that decides for it. */
+    /** Where to send a placement request: a shard, and the entry that decides for it. */
     private record Target(ServiceShard shard, EntryRecord entry) {}
 
-    /** One call on its way to a place. */
+    /** One call that has no place yet. */
     private final class PendingPlacement {
         private final DispatchCall call;
         private final Consumer<DispatchAnswer> callback;
@@ -307,7 +308,7 @@
             this.callback = callback;
         }
 
-        /** Begins to ask: the shards in another order each time, so that a call that waits tries one after the other. */
+        /** Starts a round, with the shards in another order each time, so that a waiting call tries them all. */
         void start() {
             shards = directory.shardsByPreference(call.service());
             recordDispatchers(call.service());
@@ -357,7 +358,7 @@
                 directory.clearSuspicion(dispatcher);
                 handleAnswer(target.shard(), dispatcher, answered.value());
             } else if (clock.nanos() - sentAtNanos > answerTimeout().toNanos() + STALL_THRESHOLD_NANOS) {
-                log.line("stalled while asking").with("attempt", call.attempt()).write();
+                log.line("thread stalled").with("attempt", call.attempt()).write();
                 request();
             } else {
                 skip(dispatcher);
@@ -370,8 +371,8 @@
         }
 
         /**
-         * The first dispatcher of each shard, which knows all that runs there, goes before the second one of any. Null
-         * where this entry is to decide by itself.
+         * Returns the next dispatcher to request. The first dispatcher of every shard, which has the state of all that
+         * runs there, comes before the second one of any. Null where this entry is to decide by itself.
          */
         private Target nextTarget() {
             if (skippedDispatchers.size() >= MAX_DISPATCHERS_TRIED) {
@@ -389,7 +390,7 @@
             return null;
         }
 
-        /** The first dispatcher of a shard that has not answered yet; null where none may be asked. */
+        /** The first dispatcher of a shard that has not answered yet; null where none is available. */
         private Target nextFirstDispatcher() {
             for (ServiceShard each : shards) {
                 List<EntryRecord> order = directory.byPreference(each);
@@ -411,12 +412,12 @@
                     .with("dispatcher", dispatcher)
                     .write();
             if (!directory.isSuspected(dispatcher)) {
-                // What was told of this entry's calls before is old by now.
+                // The open grants that were sent at an earlier failure are outdated.
                 shards.forEach(informedDispatchers::remove);
             }
             directory.suspect(dispatcher);
             skippedDispatchers.add(dispatcher);
-            // It may have granted a place all the same.
+            // It may have granted a place although its answer did not arrive.
             grantHolders.removeHolder(call.attempt(), dispatcher);
             reportCancelled(call.service(), List.of(dispatcher), call);
             if (isQueued) {
@@ -432,8 +433,8 @@
                 return;
             }
             if (answer instanceof DispatchAnswer.Queued) {
-                // Left in the queue of the dispatcher before, a prompt would be placed by it when that has been told to
-                // forget all that runs, on engines in use.
+                // The former dispatcher must not place the call: with cancellations of all running attempts received,
+                // it treats engines in use as free.
                 retainOnly(dispatcher, call);
                 isQueued = true;
             }
@@ -448,7 +449,7 @@
             }
         }
 
-        /** A shard that is full, or knows no server, says nothing of the others; the budget of retries is one for all. */
+        /** Whether the answer holds for all shards: they share the retry budget, but no servers and no queues. */
         private static boolean isFinal(DispatchAnswer answer) {
             return answer instanceof DispatchAnswer.Granted
                     || answer instanceof DispatchAnswer.Refused refused
@@ -462,7 +463,7 @@
             repeatTimer = thread.executeAfter(this::repeat, REPEAT_REQUEST_MILLIS, TimeUnit.MILLISECONDS);
         }
 
-        /** Asks anew, perhaps another dispatcher by now; the place in the queue of the last one is kept until then. */
+        /** Repeats the request, perhaps at another dispatcher; the place in the last queue is kept until then. */
         private void repeat() {
             if (!finished) {
                 start();
@@ -485,7 +486,7 @@
             callback.accept(answer);
         }
 
-        /** The dispatcher that all ask first must count what another one has granted. */
+        /** Reports a grant by another dispatcher to the shard's first dispatcher, which must count it. */
         private void notifyFirstDispatcher(HostId dispatcher, DispatchAnswer.Granted granted) {
             ServiceShard shard = directory.shardOf(call.service(), granted.server());
             List<EntryRecord> order = directory.byPreference(shard);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
@@ -26,15 +26,21 @@
 import org.elmline.core.routing.RoutingTable;
 import org.elmline.daemon.log.DecisionLog;
 
-/** The dispatchers that this entry runs, one for each shard of a service that it was asked about. Used on the I/O thread only. */
+/**
+ * The dispatchers that this entry runs, one for each shard of a service for which it has received a request. Used on
+ * the I/O thread only.
+ */
 final class DispatchService {
     /**
-     * Part of the thread's time that looking through waiting calls may take. In a burst each call and each report would
-     * have all that wait looked through, and this host would answer nobody for a second.
+     * Largest part of the thread's time for passes over waiting calls. In a burst every call and every report would
+     * cause a pass over the whole queue, and this host would answer nothing for a second.
      */
     private static final double TICK_TIME_SHARE = 0.2;
 
-    /** A look during which this process was not run seems to have taken long; calls that wait need not pay for it. */
+    /**
+     * Longest pause after a pass. A pass during which this process was suspended appears to have taken long, and
+     * waiting calls must not be delayed in proportion to it.
+     */
     private static final long MAX_TICK_PAUSE_NANOS = Duration.ofMillis(40).toNanos();
 
     private final HostId self;
@@ -60,7 +66,7 @@
         }
     }
 
-    /** Takes decisions on calls that waited. */
+    /** Receives the decisions on calls that waited. */
     interface DecisionListener {
         void onDecision(HostId host, DispatchAnswer answer);
     }
@@ -76,9 +82,9 @@
     }
 
     /**
-     * Takes what has changed of the deployment.
+     * Applies a change of the deployment.
      *
-     * @param entriesComplete whether these are all entries that live
+     * @param entriesComplete whether these are all live entries
      */
     void update(
             RoutingTable table,
@@ -103,7 +109,10 @@
         tick();
     }
 
-    /** One of other shards than there are now is kept while calls run on it. */
+    /**
+     * Whether a dispatcher is still needed. One for a shard of an earlier partition of the service is
+     * kept while calls run or wait on it.
+     */
     private boolean isNeeded(ServiceShard shard, Dispatcher dispatcher) {
         RoutedService service = services.get(shard.service());
         boolean current =
@@ -119,7 +128,7 @@
         dispatcher.activeEntries().forEach((host, incarnation) -> {
             Long current = liveEntries.get(host);
             if (current == null || !current.equals(incarnation)) {
-                log.line("grants of a lost entry freed")
+                log.line("grants of lost entry released")
                         .with("entry", host)
                         .with("incarnation", incarnation)
                         .write();
@@ -163,7 +172,7 @@
             running.dispatcher.updatePrimary(first, now);
             running.dispatcher.updateEntryCount(entries.size());
             dispatchers.put(shard, running);
-            log.line("dispatching")
+            log.line("dispatcher started")
                     .with("service", shard)
                     .with("first", first)
                     .with("servers", servers.size())
@@ -173,12 +182,12 @@
         return Optional.of(running);
     }
 
-    /** The limits that servers have named. */
+    /** The rate limits that servers have reported. */
     ObservedServerLimits observedLimits() {
         return observedLimits;
     }
 
-    /** Tells of a dispatcher that was not there, and of each call that begins to wait. */
+    /** Sets a listener that is notified of each new dispatcher and of each call that begins to wait. */
     void onWorkAdded(Runnable listener) {
         onWorkAdded = listener;
     }
@@ -210,7 +219,10 @@
         }
     }
 
-    /** A copy: what is decided may lead to a call of this entry that asks a dispatcher not there yet. */
+    /**
+     * Returns a copy: a decision may start a call of this entry for a service that has no dispatcher yet, which adds
+     * one.
+     */
     private List<RunningDispatcher> runningDispatchers() {
         return List.copyOf(dispatchers.values());
     }
@@ -225,7 +237,7 @@
         return all;
     }
 
-    /** Frees the place of an attempt that its entry knows nothing of. */
+    /** Releases the place of an attempt that is not pending at its entry. */
     void releasePlace(AttemptReport report) {
         runningDispatchers().forEach(each -> each.dispatcher.report(report, clock.nanos()));
     }
@@ -246,7 +258,7 @@
         });
     }
 
-    /** Lets time pass; to be called often while calls wait. */
+    /** Runs a pass over waiting calls; to be called often while calls wait. */
     void tick() {
         runningDispatchers().forEach(this::tick);
     }
@@ -266,7 +278,7 @@
         }
     }
 
-    /** Whether this entry decides for anybody. */
+    /** Whether this entry runs any dispatcher. */
     boolean hasDispatchers() {
         return !dispatchers.isEmpty();
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchTicker.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchTicker.java
@@ -5,11 +5,11 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Lets time pass for the dispatchers that this entry runs: often while calls wait, now and then while there are any, and
- * not at all on an entry that decides for nobody. Used on the I/O thread only.
+ * Ticks the dispatchers of this entry: every 10 ms while calls wait, every 100 ms while there are dispatchers, and not
+ * at all on an entry without any. Used on the I/O thread only.
  */
 final class DispatchTicker {
-    /** Pause between two looks at waiting calls: a fifth of a pass of an engine. */
+    /** Interval between two passes over waiting calls: a fifth of the time of one engine pass. */
     private static final long WAITING_INTERVAL_MILLIS = 10;
 
     private static final long IDLE_INTERVAL_MILLIS = 100;
@@ -25,7 +25,7 @@
         dispatchers.onWorkAdded(this::onWorkAdded);
     }
 
-    /** There is a dispatcher that was not there, or a call that waits. */
+    /** A dispatcher was created, or a call began to wait. */
     private void onWorkAdded() {
         boolean sooner = dispatchers.hasWaitingCalls() && !isFrequent;
         if (nextTick == null || sooner) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
@@ -19,9 +19,12 @@
 import org.elmline.core.dispatch.ShardChoice;
 import org.elmline.core.registry.EntryRecord;
 
-/** Which entries dispatch which shards, and which of them is doubted for a while. Used on the I/O thread only. */
+/**
+ * Determines which entries dispatch which shards, and which dispatchers are suspected for a while. Used on the I/O
+ * thread only.
+ */
 final class DispatcherDirectory {
-    /** Time for which a dispatcher that did not answer isn't asked. */
+    /** Time for which a dispatcher that did not answer gets no requests. */
     private static final long SUSPICION_NANOS = Duration.ofMillis(700).toNanos();
 
     private final Supplier<Collection<EntryRecord>> entries;
@@ -33,7 +36,7 @@
     private Collection<EntryRecord> cachedEntries = List.of();
 
     /**
-     * @param entries all entries that live
+     * @param entries all live entries
      * @param servers the servers of a service that may be used
      */
     DispatcherDirectory(
@@ -50,7 +53,7 @@
                 service, Shard.forServerCount(servers.apply(service).size()));
     }
 
-    /** The shards of a service in the order in which one call asks them. */
+    /** The shards of a service in the order in which one call requests them. */
     List<ServiceShard> shardsByPreference(ServiceName service) {
         return serviceShards(service, ShardChoice.order(servers.apply(service), random));
     }
@@ -66,7 +69,7 @@
                 .orElseThrow();
     }
 
-    /** The entries that may dispatch a shard, the one to ask first in front. */
+    /** The entries that may dispatch a shard, in order of preference. */
     List<EntryRecord> byPreference(ServiceShard shard) {
         Collection<EntryRecord> liveEntries = entries.get();
         if (liveEntries != cachedEntries) {
@@ -76,12 +79,12 @@
         return cachedOrders.computeIfAbsent(shard, each -> DispatcherChoice.order(each, liveEntries));
     }
 
-    /** Notes that a dispatcher has not answered. */
+    /** Records that a dispatcher has not answered in time. */
     void suspect(HostId dispatcher) {
         suspectedUntilNanos.put(dispatcher, clock.nanos() + SUSPICION_NANOS);
     }
 
-    /** Notes that a dispatcher has answered. */
+    /** Records that a dispatcher has answered. */
     void clearSuspicion(HostId dispatcher) {
         suspectedUntilNanos.remove(dispatcher);
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DutyCycleLimiter.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DutyCycleLimiter.java
@@ -1,6 +1,9 @@
 package org.elmline.daemon.gateway;
 
-/** Bounds work that is done again and again to a part of a thread's time: after each turn it rests in proportion to it. */
+/**
+ * Limits repeated work to a share of a thread's time: each run is followed by a pause in proportion to its duration.
+ * Not safe for use by several threads.
+ */
 final class DutyCycleLimiter {
     private final double timeShare;
     private final long maxPauseNanos;
@@ -8,8 +11,8 @@
     private boolean hasRun;
 
     /**
-     * @param timeShare part of the time that the work may take, over 0 and at most 1
-     * @param maxPauseNanos longest rest, however long a turn took
+     * @param timeShare share of the time that the work may take, over 0 and at most 1
+     * @param maxPauseNanos longest pause, however long a run took
      */
     DutyCycleLimiter(double timeShare, long maxPauseNanos) {
         this.timeShare = timeShare;
@@ -20,7 +23,7 @@
         return !hasRun || nowNanos - pausedUntilNanos >= 0;
     }
 
-    /** Notes a turn of the work, in nanoseconds of a monotonic clock. */
+    /** Records a run of the work, in nanoseconds of a monotonic clock. */
     void recordRun(long startNanos, long endNanos) {
         hasRun = true;
         pausedUntilNanos = endNanos + Math.min(maxPauseNanos, (long) ((endNanos - startNanos) * (1 / timeShare - 1)));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EntryGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EntryGateway.java
@@ -35,7 +35,10 @@
 import org.elmline.daemon.settings.TimelineSettings;
 import org.xnio.XnioIoThread;
 
-/** One entry that passes calls through: everything it opens, how it is put together, and its graceful stop. */
+/**
+ * An entry that forwards calls to backend servers: opens its ports, assembles its parts and stops gracefully. Calls are
+ * handled on one I/O thread; {@link #stop} blocks and must run on another one.
+ */
 public final class EntryGateway implements AutoCloseable {
     private static final int READY_STATUS = 200;
     private static final int NOT_READY_STATUS = 503;
@@ -43,7 +46,7 @@
 
     private static final long STOP_CHECK_MILLIS = 50;
 
-    /** Time for which news are gathered. */
+    /** Delay of an update of the deployment, in which further changes are collected. */
     private static final long CHANGE_DELAY_MILLIS = 15;
 
     private final Closer closer = new Closer();
@@ -83,7 +86,9 @@
         this.shutdown = new GracefulShutdown(process.clock(), settings.drainMillis());
     }
 
-    /** Opens everything and begins to serve. */
+    /**
+     * Opens the ports and starts to serve. Throws IOException when a port cannot be opened; nothing stays open then.
+     */
     public static EntryGateway start(
             NodeSettings settings,
             CallProtocol protocol,
@@ -105,7 +110,7 @@
         ports = closer.register(new HttpPorts());
         thread = ports.worker().getIoThread();
         peers = closer.register(new PeerEndpoint(settings, "gateway", thread, process.hybridClock()));
-        // The control hosts are asked before the ports open: their answers take longer than opening them.
+        // Following the control hosts starts before the ports open: their answers take longer than opening the ports.
         thread.execute(this::assemble);
         ports.addPort(settings.callers(), new HttpContinueReadHandler(this::handleCall))
                 .addPort(settings.ready(), this::handleReady);
@@ -120,7 +125,7 @@
         ports.start();
     }
 
-    /** On the I/O thread, to which all of it belongs. */
+    /** Creates the parts of the gateway. Runs on the I/O thread, which owns them all. */
     private void assemble() {
         deployment = new DeploymentFollower(
                 settings,
@@ -180,8 +185,8 @@
     }
 
     /**
-     * Where callers connect, asked of entries as every failure domain has several of them. Asked of the one control host
-     * of a domain, each look-up would wait for its time-out while that is frozen.
+     * The addresses for callers. Entries serve this directory because every failure domain has several of them. Served
+     * by the one control host of a domain, each look-up would wait for its time-out while that host is frozen.
      */
     private List<Address> callerAddresses(Region region, FailureDomain domain) {
         if (deployment == null) {
@@ -189,7 +194,7 @@
         }
         List<EntryRecord> liveEntries = new ArrayList<>(deployment.entries());
         if (shutdown.isStopping()) {
-            // The control hosts may not have heard of it yet.
+            // The control hosts may not have received the record that says so yet.
             liveEntries.removeIf(each -> each.host().equals(settings.host()));
         }
         return CallerDirectory.addresses(liveEntries, region, domain, random);
@@ -206,7 +211,7 @@
                 isServing());
     }
 
-    /** News of one event come from each control host; what follows from them is worked out once. */
+    /** Schedules one update for several changes: each control host sends the changes that one event causes. */
     private void scheduleDeploymentUpdate() {
         if (!changePending) {
             changePending = true;
@@ -227,7 +232,7 @@
         });
     }
 
-    /** Tells an entry the decision on its call; one that does not know the call any more gives the place back. */
+    /** Sends the decision on a waiting call to its entry, and releases the place if the call is not pending there. */
     private void sendDecision(HostId host, DispatchAnswer answer) {
         if (host.equals(settings.host())) {
             releaseIfUnknown(answer, dispatchClient.onDecision(host, answer));
@@ -252,12 +257,14 @@
         }
     }
 
-    /** Takes settings that have changed while this process runs; only the control hosts to follow can change so. */
+    /**
+     * Applies settings that have changed while this process runs. Only the control hosts to follow may have changed.
+     */
     public void reload(NodeSettings next) {
         thread.execute(() -> deployment.followAll(next.controlPeerAddresses()));
     }
 
-    /** Leaves the directory, finishes what is in flight as far as there is time, then closes. */
+    /** Leaves the directory, finishes the calls in flight within the drain time, then closes. */
     public void stop() throws InterruptedException {
         shutdown.begin();
         log.line("stopping")
@@ -274,7 +281,10 @@
         close();
     }
 
-    /** Decided where calls are taken, so that none slips in between. */
+    /**
+     * Decides on the I/O thread, where calls are admitted, so that no call is admitted between the decision and the
+     * end.
+     */
     private boolean tryEnd() {
         CompletableFuture<Boolean> result = new CompletableFuture<>();
         thread.execute(() -> result.complete(shutdown.tryEnd(openCalls.size())));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/GatewayContext.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/GatewayContext.java
@@ -5,7 +5,7 @@
 import org.elmline.daemon.node.NodeSettings;
 import org.xnio.XnioIoThread;
 
-/** What every call through a gateway uses. */
+/** The parts of a gateway that every call uses. Used on the I/O thread only. */
 record GatewayContext(
         NodeSettings settings,
         long incarnation,
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/GracefulShutdown.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/GracefulShutdown.java
@@ -3,27 +3,28 @@
 import org.elmline.core.common.MonotonicClock;
 
 /**
- * What an entry still takes while it stops. Callers keep its address for some seconds after it has left the directory, so
- * it goes on to serve them; later it turns away what could not be finished any more.
+ * Decides which calls an entry admits while it stops. Callers cache its address for some seconds after it has left the
+ * directory, so it goes on serving them; later it rejects calls that could not be finished. Safe for use by many
+ * threads, but {@link #tryEnd} must run on the thread that admits calls.
  */
 final class GracefulShutdown {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Time that is left to end the process after the last answer. */
+    /** Time reserved to end the process after the last answer. */
     private static final long EXIT_RESERVE_MILLIS = 700;
 
-    /** Longest a plain call and a stream usually take; what could outlast the stop isn't taken any more. */
+    /** Longest usual duration of a plain call and of a stream; a call that could outlast the stop is not admitted. */
     private static final long PLAIN_CALL_MILLIS = 1_000;
 
     private static final long STREAM_CALL_MILLIS = 4_700;
 
     /**
-     * Time after the stop began from which no stream is taken, however much is left: a long one waits for engines, reads
-     * and writes for longer than most stops last, and would be cut off.
+     * Time after the start of the stop from which no stream is admitted, however much time is left: a long one waits
+     * for engines, prefill and decode for longer than most stops last, and would be cut off.
      */
     private static final long STREAM_ADMISSION_MILLIS = 2_500;
 
-    /** Shortest stop: callers come until their answer of the directory has aged out. */
+    /** Shortest stop: callers use the address until their cached answer of the directory expires. */
     private static final long MIN_STOP_MILLIS = 4_500;
 
     private final MonotonicClock clock;
@@ -54,7 +55,7 @@
         return drainMillis - EXIT_RESERVE_MILLIS - elapsedMillis();
     }
 
-    /** Whether a new call is taken. */
+    /** Whether a new call is admitted. */
     boolean admits(boolean streaming) {
         if (!isStopping || ended) {
             return !ended;
@@ -71,8 +72,8 @@
     }
 
     /**
-     * Decides whether the process ends, and takes no call from then on: one that came in the moment between this decision
-     * and the end of the process was sent to a server, and cut without an answer.
+     * Decides whether the process ends; once it does, no call is admitted. Otherwise a call that came between the
+     * decision and the end of the process would be sent to a server and be cut off without an answer.
      */
     boolean tryEnd(int openCalls) {
         ended |= shouldEnd(openCalls);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HelperReservations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HelperReservations.java
@@ -13,23 +13,23 @@
 import org.elmline.core.dispatch.Helper;
 
 /**
- * Memory that is set aside on other engines for one long prompt: reserved before the prompt is sent, renewed while it is
- * worked on, released on every way out. Used on the I/O thread only.
+ * Memory reserved on helper engines for one long prompt: reserved before the prompt is sent, renewed while it is worked
+ * on, released however the attempt ends. Used on the I/O thread only.
  *
- * <p>An order may be lost, or be carried out long after its answer was given up. So a reservation is never made for
- * longer than an engine may hold memory for nobody: what is forgotten anywhere frees itself.
+ * <p>A request may be lost, or be carried out long after it timed out. So no reservation lasts longer than an engine
+ * may hold unused memory: one that is never released expires by itself.
  */
 final class HelperReservations {
-    /** How long one order holds the memory: below the four seconds for which memory may lie idle. */
+    /** Duration of one reservation: below the 4 s for which an engine may hold unused memory. */
     private static final long HOLD_MILLIS = 3_400;
 
-    /** Pause between two renewals; two may get lost in a row before the memory is gone. */
+    /** Interval of renewals; two in a row may be lost before the reservation expires. */
     private static final long RENEW_INTERVAL_MILLIS = 1_000;
 
-    /** Time for an engine to answer an order; many round trips. */
+    /** Time-out of a request to an engine; many round trips. */
     private static final long ANSWER_TIMEOUT_MILLIS = 250;
 
-    /** A release that got no answer is sent again this often in all. */
+    /** Attempts in all to send a release that is not acknowledged. */
     private static final int MAX_RELEASE_ATTEMPTS = 3;
 
     private static final int OK = 200;
@@ -51,7 +51,10 @@
         }
     }
 
-    /** Reserves all; tells whether all was given. Tells at once when there is nothing to reserve. */
+    /**
+     * Reserves the memory on all helpers and reports whether all of them granted it; at once when there is nothing to
+     * reserve.
+     */
     void reserve(Consumer<Boolean> onResult) {
         if (helpers.isEmpty()) {
             onResult.accept(true);
@@ -71,7 +74,7 @@
 
     private void onReserved(Consumer<Boolean> onResult) {
         context.log()
-                .line("memory reserved")
+                .line("memory reservation completed")
                 .with("attempt", granted.attempt())
                 .with("holders", helpers.size())
                 .with("given", !failed)
@@ -96,7 +99,7 @@
         scheduleRenewal();
     }
 
-    /** Gives all back; does nothing the second time. */
+    /** Releases all reservations; further calls do nothing. */
     void release() {
         if (released) {
             return;
@@ -133,7 +136,7 @@
         request.call.start();
     }
 
-    /** One order on its way; ends once. */
+    /** One request to an engine; ends once. */
     private static final class ReservationRequest implements BackendCallListener {
         private final Consumer<Boolean> callback;
         private BackendCall call;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/InactivityTimer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/InactivityTimer.java
@@ -6,15 +6,14 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Notices that nothing has come from a server for too long. Silence counts only while this entry listened: an entry whose
- * thread was held up would else take every server that it serves callers from for dead at once. Used on the I/O thread
- * only.
+ * Detects that a server has sent nothing for too long. A delay counts only while this entry's thread was running: after
+ * a stall it would otherwise treat every server of its open calls as failed at once. Used on the I/O thread only.
  */
 final class InactivityTimer {
-    /** Lateness of a timer from which on the thread was held up. */
+    /** Delay of a timer from which on the thread is treated as stalled. */
     private static final long STALL_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** Time to read what came while the thread was held up. */
+    /** Time to read what arrived while the thread was stalled. */
     private static final long STALL_GRACE_MILLIS = 100;
 
     private final XnioExecutor thread;
@@ -28,14 +27,14 @@
         this.onInactive = onInactive;
     }
 
-    /** Expects something within a time from now, in place of what was expected before. */
+    /** Starts or restarts the timer: without another restart or a cancel it expires after this time. */
     void restart(long millis) {
         cancel();
         long dueAtNanos = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
         timer = thread.executeAfter(() -> onTimer(dueAtNanos), millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Expects nothing any more. */
+    /** Stops the timer. */
     void cancel() {
         if (timer != null) {
             timer.remove();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ObservedServerLimits.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ObservedServerLimits.java
@@ -8,7 +8,10 @@
 import org.elmline.core.dispatch.ServerRateLimits;
 import org.elmline.daemon.log.DecisionLog;
 
-/** The limits that this entry has heard of, with a line for each change. Used on the I/O thread only. */
+/**
+ * The rate limits of servers that this entry has received, with a log line for each change. Used on the I/O thread
+ * only.
+ */
 final class ObservedServerLimits {
     private final ServerRateLimits limits = new ServerRateLimits();
     private final MonotonicClock clock;
@@ -20,16 +23,16 @@
     }
 
     /**
-     * Takes what a server has said of the requests that it takes.
+     * Records a server's rate limit.
      *
-     * @param limit null when that can't be understood
-     * @param source where it was heard, for the log
+     * @param limit null when it could not be read
+     * @param source where it came from, for the log
      */
     void record(BackendServerId server, ServerRateLimit limit, String source) {
         if (limit == null) {
-            log.line("server limit not understood").with("server", server).write();
+            log.line("server limit unreadable").with("server", server).write();
         } else if (limits.update(server, limit, clock.nanos())) {
-            log.line("server limit")
+            log.line("server limit changed")
                     .with("server", server)
                     .with("limited", limit.isLimited())
                     .with("spacingMicros", limit.spacingMicros())
@@ -46,7 +49,7 @@
         return limits.all();
     }
 
-    /** The table behind it, which dispatchers here decide by. */
+    /** The underlying table, which the dispatchers on this entry use. */
     ServerRateLimits serverLimits() {
         return limits;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/OpenCalls.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/OpenCalls.java
@@ -9,11 +9,11 @@
 import org.xnio.XnioIoThread;
 
 /**
- * The calls that are being served, and the watch over their callers: one who hangs up while nothing is written is found
- * by looking at the connection now and then. Used on the I/O thread only.
+ * The open calls. Detects callers that have disconnected while nothing is written to them by polling their connections.
+ * Used on the I/O thread only.
  */
 final class OpenCalls {
-    /** Pause between two looks; a backend server must be told within half a second. */
+    /** Interval of the checks; a backend server must be notified within half a second. */
     private static final long CHECK_INTERVAL_MILLIS = 120;
 
     private final Set<Call> calls = new LinkedHashSet<>();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Refusals.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Refusals.java
@@ -3,7 +3,7 @@
 import io.undertow.server.HttpServerExchange;
 import org.elmline.daemon.http.JsonResponses;
 
-/** Writes final answers that are not a backend server's. */
+/** Sends final answers that are not a backend server's. */
 final class Refusals {
     private Refusals() {}
 
@@ -11,6 +11,6 @@
         JsonResponses.send(exchange, status, new Body(why, mayHaveRun ? "unknown" : "no"));
     }
 
-    /** {@code ran} is {@code no} where the call did not run and never will. */
+    /** Body of a refusal. {@code ran} is {@code no} where the call did not run and never will, else {@code unknown}. */
     record Body(String error, String ran) {}
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ReportQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ReportQueue.java
@@ -16,9 +16,12 @@
 import org.elmline.daemon.node.NodeSettings;
 import org.xnio.XnioExecutor;
 
-/** Reports to dispatchers, gathered for a moment so that those to one go in one message. Used on the I/O thread only. */
+/**
+ * Batches reports to dispatchers: those of {@value #BATCH_DELAY_MILLIS} ms for one dispatcher and service go in one
+ * message. Used on the I/O thread only.
+ */
 final class ReportQueue {
-    /** Time for reports, which nobody waits for. */
+    /** Time-out of messages that no call waits for, such as reports. */
     static final Duration SEND_TIMEOUT = Duration.ofMillis(800);
 
     private static final long BATCH_DELAY_MILLIS = 2;
@@ -50,7 +53,7 @@
                 .add(report);
     }
 
-    /** Sends at once what is gathered. */
+    /** Sends the queued reports at once. */
     void flush() {
         pendingReports.forEach((dispatcher, byService) -> byService.forEach((service, reports) -> network.call(
                 settings.peerAddressOf(dispatcher),
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/RoutingTableWaitQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/RoutingTableWaitQueue.java
@@ -8,19 +8,18 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Calls that came before this entry had a routing table. After a restart of everything the table is a second or two away;
- * turned away at once, all callers would use up their retries before it comes. Used on the I/O thread only.
+ * Queue of calls that arrived before this entry had a routing table. After a restart of all hosts the table arrives
+ * within a second or two; rejected at once, all callers would use up their retries before that. Used on the I/O thread
+ * only.
  */
 final class RoutingTableWaitQueue {
-    /** Calls held at once; a restarted entry gets some hundred connections in its first seconds. */
+    /** Longest queue; a restarted entry gets some hundred connections in its first seconds. */
     private static final int MAX_WAITING_CALLS = 512;
 
-    /**
-     * Longest hold: callers of streams leave after two seconds without an event, and must hear of a refusal before.
-     */
+    /** Longest wait: callers of streams leave after 2 s without an event, and a refusal must reach them before. */
     private static final long MAX_WAIT_MILLIS = 1_850;
 
-    /** Part of a caller's time that the hold may take; the rest is for the call itself. */
+    /** A call waits for at most its deadline divided by this; the rest is for the call itself. */
     private static final int DEADLINE_DIVISOR = 4;
 
     private final XnioIoThread thread;
@@ -40,10 +39,11 @@
     }
 
     /**
-     * Holds a call until the table has come.
+     * Queues a call until the table has arrived.
      *
-     * @param deadlineMillis how long its caller waits
-     * @param onTimeout run instead when the table has not come in time
+     * @param deadlineMillis time until the caller's deadline
+     * @param onTable run when the table has arrived in time
+     * @param onTimeout run instead when it has not, or when the queue is full
      */
     void add(long deadlineMillis, Runnable onTable, Runnable onTimeout) {
         if (waitingCalls.size() >= MAX_WAITING_CALLS) {
@@ -63,7 +63,7 @@
         waitingCalls.add(call);
     }
 
-    /** The table has come. */
+    /** Runs all queued calls; to be called when the table has arrived. */
     void releaseAll() {
         while (!waitingCalls.isEmpty()) {
             WaitingCall call = waitingCalls.poll();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ServerSentEventParser.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ServerSentEventParser.java
@@ -7,13 +7,16 @@
 import java.util.List;
 
 /**
- * Cuts a stream of server-sent events into whole events. What a server sends last may be half an event; passed on, it
- * could not be taken back when another server goes on with that event from its beginning.
+ * Splits a byte stream of server-sent events into complete events. A server's last bytes may be a partial event; had it
+ * been forwarded, it could not be withdrawn when another server resumes with that event from its start. Not safe for
+ * use by several threads.
+ *
+ * <p>Source: the event stream format of the WHATWG HTML standard, section "Server-sent events".
  */
 final class ServerSentEventParser {
     private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
 
-    /** Longest event that is held; a server that never ends one is broken. */
+    /** Longest event that is buffered; a server that does not end its event by then is broken. */
     private static final int MAX_EVENT_BYTES = 4 * 1024 * 1024;
 
     private final ByteArrayOutputStream event = new ByteArrayOutputStream();
@@ -24,13 +27,16 @@
     static final long NO_ID = -1;
 
     /**
-     * One whole event.
+     * One complete event.
      *
-     * @param id its number, {@link #NO_ID} without one
+     * @param id its id, {@link #NO_ID} without one
      */
     record Event(byte[] bytes, long id) {}
 
-    /** Takes bytes and returns the events that they complete. Throws IllegalStateException on an endless event. */
+    /**
+     * Consumes bytes and returns the events that they complete. Throws IllegalStateException when an event exceeds
+     * {@link #MAX_EVENT_BYTES}.
+     */
     List<Event> parse(ByteBuffer bytes) {
         List<Event> events = new ArrayList<>();
         while (bytes.hasRemaining()) {
@@ -48,17 +54,17 @@
             }
         }
         if (event.size() > MAX_EVENT_BYTES) {
-            throw new IllegalStateException("an event of over " + MAX_EVENT_BYTES + " bytes");
+            throw new IllegalStateException("server-sent event exceeds " + MAX_EVENT_BYTES + " bytes");
         }
         return events;
     }
 
-    /** Whether bytes of an event that isn't complete are held. */
+    /** Whether bytes of an incomplete event are buffered. */
     boolean hasPartialEvent() {
         return event.size() > 0;
     }
 
-    /** Drops an event that will not be completed. */
+    /** Discards a partial event that will not be completed. */
     void reset() {
         event.reset();
         line.reset();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StaggeredStart.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StaggeredStart.java
@@ -9,7 +9,7 @@
 
 import org.xnio.XnioExecutor;
 
-/** Begins with one thing at once and with each other one after a pause. Used on the I/O thread only. */
+/** Starts the first item at once and each further one after a pause. Used on the I/O thread only. */
 final class StaggeredStart<T> {
     private final XnioExecutor thread;
     private final long pauseMillis;
@@ -18,14 +18,14 @@
     private final Set<T> added = new HashSet<>();
     private boolean pausing;
 
-    /** @param start begins with one */
+    /** @param start starts one item */
     StaggeredStart(XnioExecutor thread, long pauseMillis, Consumer<T> start) {
         this.thread = thread;
         this.pauseMillis = pauseMillis;
         this.start = start;
     }
 
-    /** Has a thing begun in its turn, unless it was before. */
+    /** Starts an item in its turn, unless it was added before. */
     void add(T item) {
         if (!added.add(item)) {
             return;
@@ -36,7 +36,7 @@
         }
     }
 
-    /** Forgets a thing, which may then be added again. */
+    /** Removes an item, which may then be added again. */
     void remove(T item) {
         added.remove(item);
         waiting.remove(item);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StreamForwarder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StreamForwarder.java
@@ -6,8 +6,8 @@
 import io.undertow.util.Headers;
 
 /**
- * A stream to one caller, from one server or from several in turn: it passes on whole events, each number once and in
- * order. Used on the I/O thread only.
+ * A stream to one caller, from one server or from several in turn: forwards complete events only, each event id once
+ * and in order. Used on the I/O thread only.
  */
 final class StreamForwarder {
     private final Call call;
@@ -26,20 +26,20 @@
         HeaderMap responseHeaders = call.exchange().getResponseHeaders();
         call.context().protocol().copyAnswerHeaders(headers, responseHeaders);
         responseHeaders.remove(Headers.CONTENT_LENGTH);
-        // Named outright: on a connection that closes after the answer the server would leave chunks out, and a stream
-        // that is broken off would look complete.
+        // Set explicitly: on a connection that closes after the answer the HTTP server would leave out chunked
+        // encoding, and a stream that is broken off would look complete.
         responseHeaders.put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
         this.lastEventId = call.head().lastEventId();
         this.callerChannel = new CallerChannel(call.exchange(), this::onWritable, this::onChannelClosed);
     }
 
-    /** Takes the events of an attempt from now on. */
+    /** Forwards the events of this attempt from now on. */
     void switchTo(Attempt next) {
         attempt = next;
         parser.reset();
     }
 
-    /** Number of the last event passed on. */
+    /** Id of the last event that was forwarded; negative without one. */
     long lastEventId() {
         return lastEventId;
     }
@@ -48,7 +48,7 @@
         return parser.hasPartialEvent();
     }
 
-    /** Passes on the events that the bytes complete. Returns what is wrong with them, null when nothing is. */
+    /** Forwards the events that the bytes complete. Returns what is wrong with them, null when they are valid. */
     String forward(ByteBuffer bytes) {
         Attempt source = attempt;
         for (ServerSentEventParser.Event each : parser.parse(bytes)) {
@@ -83,7 +83,7 @@
         lastEventAtMillis = now;
     }
 
-    /** When the first event was passed on, in milliseconds of the monotonic clock; 0 before. */
+    /** When the first event was forwarded, in milliseconds of the monotonic clock; 0 before. */
     long firstEventAtMillis() {
         return firstEventAtMillis;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/package-info.java
@@ -1,5 +1,5 @@
 /**
- * An entry that passes calls through: it reads a call, asks the dispatcher of its service for a place, sends it to the
- * backend server and passes the answer on. All of it runs on one I/O thread, so its state needs no locks.
+ * An entry that forwards calls: it reads a call, requests a place from the dispatcher of its service, sends the call to
+ * the backend server and forwards the answer. All of it runs on one I/O thread, so its state needs no locks.
  */
 package org.elmline.daemon.gateway;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
@@ -43,7 +43,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Which dispatchers an entry asks, and which it tells to forget; without a network. */
+/**
+ * Which dispatchers an entry requests places from, and to which it sends grants and cancellations; without a network.
+ */
 class DispatchClientTest {
     private static final ServiceName DESK = ServiceName.of("desk");
     private static final ServiceShard WHOLE = new ServiceShard(DESK, Shard.WHOLE);
@@ -79,7 +81,7 @@
         return ((NodeSettings.ParseResult.Valid) read).settings();
     }
 
-    /** Answers requests for a place as the test says, and keeps what was sent. */
+    /** Answers placement requests as the test sets, and records what was sent. */
     private final class ScriptedNetwork implements PeerNetwork {
         @Override
         public <Q, R> CompletableFuture<CallResult<R>> call(
@@ -130,9 +132,10 @@
     }
 
     /**
-     * Dozens of answers stall for a third of a second: a long prompt waits at a dispatcher that stops, is asked for at the
-     * next one and waits there too. The old one, which has been told to forget all that runs, takes every engine for free
-     * and places the prompt on those in use. So it must forget the prompt as soon as that waits elsewhere.
+     * Guards against a prompt that stays queued at a former dispatcher. An entry stops: its dispatcher has a long
+     * prompt queued, and the caller's entry repeats the request at the next dispatcher, where it is queued as well. The former dispatcher has received cancellations of all running attempts, treats every engine as free
+     * and places the prompt on engines in use, where dozens of answers stall for a third of a second. So it must remove the prompt as soon as that
+     * is queued elsewhere.
      */
     @Test
     void cancelsQueuedCallAtFormerDispatcherWhenQueuedAtNext() {
@@ -148,12 +151,15 @@
                 sentRequests.stream()
                         .anyMatch(each -> each.host().equals(order.get(1).host().value())
                                 && each.request() instanceof DispatchCall),
-                "asked for at the next one");
+                "requested at the next dispatcher");
         Reports cancellation = new Reports(DESK, List.of(new AttemptReport("a1", AttemptEnd.CANCELLED)));
         assertTrue(sentRequests.contains(new SentRequest(former, cancellation)), sentRequests.toString());
     }
 
-    /** Guards against a new dispatcher that fills a server in need until it has heard of the need itself. */
+    /**
+     * Guards against a new dispatcher that overloads a server with a rate limit until it has received that limit
+     * itself.
+     */
     @Test
     void sendsServerLimitsToNewDispatcher() {
         List<EntryRecord> order = DispatcherChoice.order(WHOLE, entries);
@@ -173,8 +179,9 @@
     }
 
     /**
-     * A prompt waits a quarter of a second longer than it must, and may meanwhile be placed by a dispatcher that knows
-     * nothing any more: its entry has learnt of a new one, and asks that only at its next turn.
+     * Guards against a prompt that waits for up to 250 ms longer than it must, and may meanwhile be placed by a former
+     * dispatcher without the state of running calls: its entry has received the change of dispatcher but requests a
+     * place there at the next interval only.
      */
     @Test
     void repeatsRequestsOfWaitingCallsAtNewDispatcherAtOnce() {
@@ -192,8 +199,9 @@
     }
 
     /**
-     * Dozens of questions stay silent for most of a second: the first dispatcher is frozen, and the one asked in its place
-     * takes full engines for free. So it is told what runs, before it is asked, and of the ends of that later.
+     * Guards against a second dispatcher that treats full engines as free: the first one is frozen, and dozens of short
+     * calls placed by the second one get no answer for most of a second. So it must receive the open grants before the
+     * first placement request, and their ends later.
      */
     @Test
     void sendsOpenGrantsToSecondDispatcherBeforeFirstPlacement() {
@@ -252,7 +260,10 @@
                 .value();
     }
 
-    /** Guards against forty entries that place blindly as one is held up: another shard's dispatcher knows what runs there. */
+    /**
+     * Guards against forty entries that place calls without the state of running calls while one dispatcher is stalled:
+     * the dispatcher of another shard has that shard's state.
+     */
     @Test
     void requestsAnotherShardWhenDispatcherDoesNotAnswer() {
         useManyServers();
@@ -290,7 +301,10 @@
                 sentRequests.contains(new SentRequest(requestedHosts.get(0), cancellation)), sentRequests.toString());
     }
 
-    /** Guards against engines that seem free as the shards were counted anew: each new dispatcher is told what runs on its. */
+    /**
+     * Guards against engines that appear free after a change of the number of shards: each new dispatcher must receive
+     * the open grants on its servers.
+     */
     @Test
     void sendsOpenGrantsToDispatchersOfNewShards() {
         useManyServers();
@@ -318,7 +332,7 @@
         return adoption.open().stream().anyMatch(each -> each.call().attempt().equals(attempt));
     }
 
-    /** Guards against callers that are refused as one shard knows no server while another has places. */
+    /** Guards against callers that are refused because one shard has no server while another has places. */
     @Test
     void requestsAnotherShardWhenOneRefuses() {
         useManyServers();
@@ -338,13 +352,13 @@
         for (int i = 0; i < 40; i++) {
             List<DispatchAnswer> answers = new ArrayList<>();
             client.place(call("a" + i), answers::add);
-            assertEquals(1, answers.size(), "one answer, at once");
+            assertEquals(1, answers.size(), "one answer, without delay");
             granted += answers.get(0) instanceof DispatchAnswer.Granted ? 1 : 0;
         }
-        assertTrue(granted > 25, granted + " of 40; by the first shard's word alone some 20");
+        assertTrue(granted > 25, granted + " of 40; about 20 if only the first shard were requested");
     }
 
-    /** Guards against a budget of retries that is drawn on once for each shard. */
+    /** Guards against a retry budget that is charged once for each shard. */
     @Test
     void doesNotRequestAnotherShardWhenRetryBudgetIsUsedUp() {
         useManyServers();
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchServiceTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchServiceTest.java
@@ -85,7 +85,10 @@
         service.update(table, List.of(server(DESK), server(BOOKING)), List.of(), true);
     }
 
-    /** Guards against an entry whose decisions end in an exception: one led to the first call for another service. */
+    /**
+     * Guards against a ConcurrentModificationException: a decision may start the first call for another service, which
+     * adds a dispatcher while the dispatchers are iterated.
+     */
     @Test
     void decisionMayStartCallThatCreatesDispatcher() {
         applyRoutingTable();
@@ -98,7 +101,7 @@
                 decisions.stream().map(DispatchAnswer::attempt).toList());
     }
 
-    /** Guards against a call that waits for a tenth of a second longer, as the dispatcher had been idle. */
+    /** Guards against a call that waits for 100 ms longer because the dispatcher was idle before. */
     @Test
     void ticksEveryTenMillisWhileACallWaits() {
         ManualThread thread = new ManualThread();
@@ -112,7 +115,9 @@
         assertEquals(List.of(100L, 10L, 100L), thread.delays());
     }
 
-    /** Guards against work on each entry of a large deployment that only those who decide have. */
+    /**
+     * Guards against needless work on every entry of a large deployment: only entries with dispatchers need the timer.
+     */
     @Test
     void schedulesNoTickWithoutDispatchers() {
         ManualThread thread = new ManualThread();
@@ -121,7 +126,7 @@
         assertEquals(List.of(), thread.delays());
     }
 
-    /** Guards against limits that only the entries hear of to which servers have answered. */
+    /** Guards against rate limits that are used only on the entries that received the servers' answers. */
     @Test
     void appliesServerLimitsOfAdoption() {
         applyRoutingTable();
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DutyCycleLimiterTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DutyCycleLimiterTest.java
@@ -10,7 +10,9 @@
 class DutyCycleLimiterTest {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Guards against a dispatcher that answers nobody as it looks through its queue at each call and report of a burst. */
+    /**
+     * Guards against a dispatcher that answers nothing because it scans its queue at each call and report of a burst.
+     */
     @Test
     void continuousWorkStaysWithinItsShare() {
         DutyCycleLimiter limiter = new DutyCycleLimiter(0.2, 1_000 * NANOS_PER_MILLI);
@@ -29,7 +31,7 @@
         assertTrue(workedNanos <= 0.21 * nowNanos, workedNanos + " of " + nowNanos);
     }
 
-    /** Guards against calls that wait for seconds as the process was frozen amid a look. */
+    /** Guards against calls that wait for seconds because the process was suspended during a pass. */
     @Test
     void limitsPauseAfterLongRun() {
         DutyCycleLimiter limiter = new DutyCycleLimiter(0.2, 40 * NANOS_PER_MILLI);
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/GracefulShutdownTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/GracefulShutdownTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** What an entry still takes while it stops. */
+/** Which calls an entry admits while it stops. */
 class GracefulShutdownTest {
 
     private final ManualClock clock = new ManualClock();
@@ -19,8 +19,8 @@
     }
 
     /**
-     * A board's audit was cut in the middle: it came 3.3 s after the entry was told to stop, waited for engines, read for
-     * three seconds, and the entry's eight seconds were over amid its answer.
+     * Guards against a long stream that is cut off by the end of the process: one that came 3.3 s after the start of
+     * the stop waited for engines and took three seconds of prefill, and the drain time of 8 s ended during its answer.
      */
     @Test
     void rejectsStreamsThatCouldOutlastTheStop() {
@@ -49,8 +49,8 @@
     }
 
     /**
-     * A caller's connection is closed without an answer, though a server had begun to work: the entry had no open call and
-     * decided to end, and the request came before the process was gone.
+     * Guards against a connection that is closed without an answer although a server has begun to work: the entry has
+     * no open call and decides to end, and a request arrives before the process has ended.
      */
     @Test
     void admitsNothingOnceTheProcessEnds() {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/InactivityTimerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/InactivityTimerTest.java
@@ -33,13 +33,13 @@
         assertEquals(0, expiries);
     }
 
-    /** Guards against an entry that was held up for a second taking all its servers for dead. */
+    /** Guards against an entry that treats all its servers as failed after its thread was stalled for a second. */
     @Test
     void allowsGraceTimeAfterThreadStall() {
         timer.restart(300);
         runLaterAfter(1_300);
-        assertEquals(0, expiries, "what came meanwhile is still to be read");
+        assertEquals(0, expiries, "messages that arrived during the stall are still unread");
         runLaterAfter(101);
-        assertEquals(1, expiries, "nothing had come");
+        assertEquals(1, expiries, "no message had arrived");
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/ManualThread.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/ManualThread.java
@@ -6,19 +6,19 @@
 
 import org.xnio.XnioExecutor;
 
-/** Runs what is to be run at once, and keeps what is to be run later until the test runs it. */
+/** An executor for tests: runs immediate commands at once, and delayed ones when the test calls {@link #runLater}. */
 final class ManualThread implements XnioExecutor {
     private final List<Runnable> delayed = new ArrayList<>();
     private final List<Long> delays = new ArrayList<>();
 
-    /** Runs all that was left for later up to now. */
+    /** Runs all delayed commands that are scheduled at present. */
     void runLater() {
         List<Runnable> due = List.copyOf(delayed);
         delayed.clear();
         due.forEach(Runnable::run);
     }
 
-    /** Milliseconds after which each command was to be run, in order, those that were taken back included. */
+    /** Delays of all commands scheduled so far, in milliseconds and in order, cancelled ones included. */
     List<Long> delays() {
         return delays;
     }
@@ -37,6 +37,6 @@
 
     @Override
     public Key executeAtInterval(Runnable command, long time, TimeUnit unit) {
-        throw new UnsupportedOperationException("nothing is repeated here");
+        throw new UnsupportedOperationException("executeAtInterval is not supported");
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/ServerSentEventParserTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/ServerSentEventParserTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Whole events out of bytes that come in any pieces. */
+/** Complete events out of bytes that arrive in pieces of any size. */
 class ServerSentEventParserTest {
     private static final String STREAM =
             "id: 1\ndata: one\n\nid:2\r\ndata: two\r\n\r\ndata: without\n\nid: 10\ndata: a\nx";
@@ -24,7 +24,7 @@
         return ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8));
     }
 
-    /** However the bytes are cut, the same events come out, and half an event never does. */
+    /** The same events result from pieces of any size, and a partial event is never returned. */
     @Property(tries = 100, seed = "5")
     void returnsSameEventsForAnyPieceSize(@ForAll @IntRange(min = 1, max = 9) int pieceSize) {
         ServerSentEventParser parser = new ServerSentEventParser();
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/StaggeredStartTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/StaggeredStartTest.java
@@ -12,7 +12,9 @@
     private final List<String> started = new ArrayList<>();
     private final StaggeredStart<String> staggeredStart = new StaggeredStart<>(thread, 60, started::add);
 
-    /** Guards against control hosts that are busy with the handshakes of all entries at once after a loss of all power. */
+    /**
+     * Guards against control hosts that are busy with the handshakes of all entries at once after a loss of all power.
+     */
     @Test
     void startsFirstItemAtOnceAndOthersAfterPauses() {
         List.of("a", "b", "c", "b").forEach(staggeredStart::add);
@@ -24,10 +26,10 @@
         thread.runLater();
         assertEquals(List.of("a", "b", "c"), started);
         staggeredStart.add("d");
-        assertEquals(List.of("a", "b", "c", "d"), started, "after a pause without any");
+        assertEquals(List.of("a", "b", "c", "d"), started, "at once after a pause without any item");
     }
 
-    /** Guards against a control host that is never followed again after it was given up. */
+    /** Guards against a control host that is never followed again after it was removed. */
     @Test
     void startsRemovedItemAgain() {
         staggeredStart.add("a");
