--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
@@ -12,28 +12,30 @@
 import org.elmline.core.dispatch.ServerRateLimit;
 import org.elmline.core.routing.CallRoute;
 
-/** One try of a call on one backend server. Used on the I/O thread only. */
+/** One attempt of a call on one backend server. Used on the I/O thread only. */
 final class Attempt implements BackendCallListener {
     private static final int MIN_SUCCESS_STATUS = 200;
     private static final int MAX_SUCCESS_STATUS = 299;
     private static final int MIN_SERVER_ERROR_STATUS = 500;
 
-    /** Longest answer that is held until it is complete, which lets a broken one be asked for again. */
+    /** Longest answer that is buffered until it is complete, so that a call with a broken answer can be retried. */
     private static final int MAX_BUFFERED_BYTES = 16 * 1024 * 1024;
 
-    /** Silence before a stream's first event that is borne beyond twice the predicted time; a busy engine's worst. */
+    /** Time allowed for a stream's first event beyond twice the predicted time; the worst case on a busy engine. */
     private static final long FIRST_EVENT_SLACK_MILLIS = 500;
 
-    /** Time after which an engine gives up on a helper that is gone, and a round trip. */
+    /** Time after which an engine reports that a helper has failed, and a round trip. */
     private static final long HELPER_TIMEOUT_MILLIS = 1_600;
 
-    /** Pauses of the allowed length that a stream may be silent for before its server is taken for dead. */
+    /**
+     * Time-out of a stream between events, in multiples of the route's allowed gap; then its server is treated as failed.
+     */
     private static final int STREAM_TIMEOUT_GAPS = 3;
 
-    /** Shortest such silence; engines stall for a moment when many prompts come at once. */
+    /** Shortest such time-out; engines stall for a moment when many prompts arrive at once. */
     private static final long MIN_STREAM_TIMEOUT_MILLIS = 700;
 
-    /** Part of the time left to the aim after which an answer that may be asked for twice is asked for elsewhere. */
+    /** Part of the time left to the call's aim after which a call that may be retried is sent to another server. */
     private static final double ANSWER_TIMEOUT_SHARE = 0.65;
 
     private static final long MIN_ANSWER_TIMEOUT_MILLIS = 40;
@@ -52,22 +54,22 @@
     private boolean sent;
     private boolean ended;
 
-    Attempt(Call call, DispatchCall placed, DispatchAnswer.Granted granted) {
+    Attempt(Call call, DispatchCall placementRequest, DispatchAnswer.Granted granted) {
         this.call = call;
-        this.placementRequest = placed;
+        this.placementRequest = placementRequest;
         this.granted = granted;
         this.reservations = new HelperReservations(call.context(), granted);
         this.inactivityTimer =
                 new InactivityTimer(call.context().thread(), call.context().clock(), this::onInactive);
     }
 
-    /** Reserves what memory the call needs elsewhere, then sends it. */
+    /** Reserves the memory that the call needs on helpers, then sends it. */
     void start() {
-        reservations.reserve(given -> {
+        reservations.reserve(reserved -> {
             if (ended) {
                 return;
             }
-            if (given) {
+            if (reserved) {
                 send();
             } else {
                 fail(AttemptEnd.NOT_SENT_HERE, "no memory on a helper");
@@ -76,9 +78,9 @@
     }
 
     private void send() {
-        GatewayContext parts = call.context();
+        GatewayContext context = call.context();
         HttpServerExchange exchange = call.exchange();
-        HeaderMap to = parts.protocol()
+        HeaderMap requestHeaders = context.protocol()
                 .forwardedHeaders(
                         exchange.getRequestHeaders(),
                         call.organisation(),
@@ -86,29 +88,29 @@
                         call.remainingMillis(),
                         call.lastEventId());
         if (call.body().length > 0 || exchange.getRequestHeaders().contains(Headers.CONTENT_LENGTH)) {
-            to.put(Headers.CONTENT_LENGTH, call.body().length);
+            requestHeaders.put(Headers.CONTENT_LENGTH, call.body().length);
         }
         String query = exchange.getQueryString();
         String path = exchange.getRequestURI() + (query == null || query.isEmpty() ? "" : "?" + query);
         sent = true;
         backendCall = new BackendCall(
-                parts.connections(),
+                context.connections(),
                 granted.address(),
-                BackendCall.newRequest(exchange.getRequestMethod(), path, to),
+                BackendCall.newRequest(exchange.getRequestMethod(), path, requestHeaders),
                 call.body(),
                 !call.route().mayRetry(),
-                parts.protocol(),
+                context.protocol(),
                 this);
         backendCall.start();
         startFirstEventTimer();
     }
 
-    /** Whether the server may have begun to work on the call. */
+    /** Whether the server may have started to run the call. */
     boolean mayHaveRun() {
         return sent;
     }
 
-    /** Ends the attempt at once. */
+    /** Cancels the attempt at once and reports its end to the dispatcher. */
     void cancel(AttemptEnd end) {
         if (tryEnd()) {
             if (backendCall != null) {
@@ -123,13 +125,15 @@
         if (ended || !route.mayRetry()) {
             return;
         }
-        long patience = route.isStreaming()
+        long timeoutMillis = route.isStreaming()
                 ? 2 * granted.firstMillis() + FIRST_EVENT_SLACK_MILLIS + helperSlackMillis()
                 : Math.max(MIN_ANSWER_TIMEOUT_MILLIS, (long) (ANSWER_TIMEOUT_SHARE * placementRequest.aimLeftMillis()));
-        inactivityTimer.restart(patience);
+        inactivityTimer.restart(timeoutMillis);
     }
 
-    /** An engine whose helper has died says so after a while; sooner, a slow group would be taken for a dead one. */
+    /**
+     * Additional time for an engine to report that a helper has failed; with less, a slow group would be treated as failed.
+     */
     private long helperSlackMillis() {
         return granted.helpers().isEmpty() ? 0 : HELPER_TIMEOUT_MILLIS;
     }
@@ -149,15 +153,15 @@
     }
 
     @Override
-    public void head(int answered, HeaderMap answerHeaders, AnswerHead read) {
-        status = answered;
+    public void onHead(int answerStatus, HeaderMap answerHeaders, AnswerHead answerHead) {
+        status = answerStatus;
         headers = answerHeaders;
-        head = read;
-        call.context().observedLimits().record(granted.server(), read.limit(), "answer");
-        boolean others =
+        head = answerHead;
+        call.context().observedLimits().record(granted.server(), answerHead.limit(), "answer");
+        boolean wrongRequest =
                 head.requestId() != null && !head.requestId().equals(call.head().requestId());
-        if (others || head.encoded()) {
-            rejectAnswer(others ? "the answer belongs to another request" : "the answer is encoded");
+        if (wrongRequest || head.encoded()) {
+            rejectAnswer(wrongRequest ? "the answer belongs to another request" : "the answer is encoded");
             return;
         }
         if (isSuccess() && !head.signed()) {
@@ -170,7 +174,7 @@
         }
     }
 
-    /** What the answer says of the requests that its server takes; null without an answer. */
+    /** The rate limit that the answer carries; null without an answer. */
     private ServerRateLimit reportedLimit() {
         return head == null ? null : head.limit();
     }
@@ -203,7 +207,7 @@
         }
     }
 
-    /** An event has gone on to the caller. */
+    /** Handles an event that was forwarded to the caller. */
     void onEventForwarded() {
         call.context().dispatchClient().reportFirstToken(placementRequest, reportedLimit());
         if (call.route().mayRetry()) {
@@ -259,7 +263,7 @@
         fail(AttemptEnd.BROKEN, why);
     }
 
-    /** The answer can't be used; the server need not go on with it. */
+    /** Rejects an unusable answer and stops the server's work on it. */
     private void rejectAnswer(String why) {
         backendCall.cancel();
         fail(AttemptEnd.BROKEN, why);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnectionPool.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnectionPool.java
@@ -22,21 +22,23 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Connections to backend servers, kept while idle for as long as the server says it keeps them: a new connection costs
- * the server work. Used on the I/O thread only.
+ * Pool of connections to backend servers. Idle connections are kept for a part of the keep-alive time that
+ * the server states, since a new connection costs the server work. Used on the I/O thread only.
  */
 final class BackendConnectionPool {
     /**
-     * Time to connect: many times a round trip between failure domains. A server that is dark answers nothing, and a call
-     * that waits for it can't be in time any more.
+     * Time-out of connecting: many round trips between failure domains. A server without power or network does not even
+     * reject the connection, and a call that waits longer would miss its aim.
      */
     private static final long CONNECT_TIMEOUT_MILLIS = 250;
 
-    /** Idle time for servers that do not say how long they keep a connection. */
+    /** Keep-alive time of servers that state none. */
     private static final long DEFAULT_KEEP_ALIVE_MILLIS = 2_500;
 
-    /** Part of the time that a server keeps a connection after which it isn't used: a request sent as the server closes
-     * would be lost. */
+    /**
+     * Part of the server's keep-alive time for which an idle connection is used: a request sent while the server closes
+     * the connection would be lost.
+     */
     private static final double KEEP_ALIVE_SHARE = 0.7;
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -51,11 +53,11 @@
 
     private record IdleConnection(ClientConnection connection, long idleSinceNanos, long expiresAtNanos) {}
 
-    /** Gets a connection, or why there is none. */
+    /** Receives a connection, or the reason why there is none. */
     interface AcquireCallback {
         void onAcquired(ClientConnection connection);
 
-        void failed(String why);
+        void onFailed(String why);
     }
 
     BackendConnectionPool(XnioIoThread thread, ByteBufferPool buffers, MonotonicClock clock, MetricRegistry metrics) {
@@ -70,27 +72,28 @@
     /**
      * Takes an idle connection or opens one.
      *
-     * @param careful whether the call can't be sent again: of an idle connection only the first half of its time is used
+     * @param nonRepeatable whether the call must not be sent again: an idle connection is then used in the first half
+     *     of its time only, as a request lost with the connection could not be retried
      */
-    void acquire(Address address, boolean careful, AcquireCallback taker) {
-        IdleConnection found = pollIdle(address, careful);
-        if (found != null) {
+    void acquire(Address address, boolean nonRepeatable, AcquireCallback callback) {
+        IdleConnection idle = pollIdle(address, nonRepeatable);
+        if (idle != null) {
             reused.inc();
-            taker.onAcquired(found.connection());
+            callback.onAcquired(idle.connection());
         } else {
-            connect(address, taker);
+            connect(address, callback);
         }
     }
 
-    private IdleConnection pollIdle(Address address, boolean careful) {
-        Deque<IdleConnection> held = idleConnections.get(address);
+    private IdleConnection pollIdle(Address address, boolean nonRepeatable) {
+        Deque<IdleConnection> idle = idleConnections.get(address);
         long now = clock.nanos();
-        while (held != null && !held.isEmpty()) {
-            IdleConnection newest = held.pollLast();
-            long limit = careful
+        while (idle != null && !idle.isEmpty()) {
+            IdleConnection newest = idle.pollLast();
+            long usableUntilNanos = nonRepeatable
                     ? newest.idleSinceNanos() + (newest.expiresAtNanos() - newest.idleSinceNanos()) / 2
                     : newest.expiresAtNanos();
-            if (newest.connection().isOpen() && now - limit < 0) {
+            if (newest.connection().isOpen() && now - usableUntilNanos < 0) {
                 return newest;
             }
             closeNow(newest.connection());
@@ -98,22 +101,23 @@
         return null;
     }
 
-    private void connect(Address address, AcquireCallback taker) {
+    private void connect(Address address, AcquireCallback callback) {
         opened.inc();
-        ConnectAttempt opening = new ConnectAttempt(taker);
-        opening.timer = thread.executeAfter(opening::expire, CONNECT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        ConnectAttempt connectAttempt = new ConnectAttempt(callback);
+        connectAttempt.timer =
+                thread.executeAfter(connectAttempt::expire, CONNECT_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         UndertowClient.getInstance()
-                .connect(opening, URI.create("http://" + address), thread, buffers, OptionMap.EMPTY);
+                .connect(connectAttempt, URI.create("http://" + address), thread, buffers, OptionMap.EMPTY);
     }
 
-    /** One attempt to connect, which ends once. */
+    /** One attempt to connect; ends once. */
     private static final class ConnectAttempt implements ClientCallback<ClientConnection> {
         private final AcquireCallback callback;
         private XnioExecutor.Key timer;
         private boolean ended;
 
-        ConnectAttempt(AcquireCallback taker) {
-            this.callback = taker;
+        ConnectAttempt(AcquireCallback callback) {
+            this.callback = callback;
         }
 
         @Override
@@ -128,13 +132,13 @@
         @Override
         public void failed(IOException e) {
             if (tryEnd()) {
-                callback.failed(String.valueOf(e.getMessage()));
+                callback.onFailed(String.valueOf(e.getMessage()));
             }
         }
 
         private void expire() {
             if (tryEnd()) {
-                callback.failed("no connection within " + CONNECT_TIMEOUT_MILLIS + " ms");
+                callback.onFailed("no connection within " + CONNECT_TIMEOUT_MILLIS + " ms");
             }
         }
 
@@ -150,44 +154,50 @@
         }
     }
 
-    /** Keeps a connection whose last answer is complete. */
-    void release(Address address, ClientConnection connection, int keepSeconds) {
-        if (!connection.isOpen() || keepSeconds == 0) {
+    /**
+     * Keeps a connection for reuse after a complete answer.
+     *
+     * @param keepAliveSeconds seconds for which the server keeps it idle, 0 to close it, negative when unknown
+     */
+    void release(Address address, ClientConnection connection, int keepAliveSeconds) {
+        if (!connection.isOpen() || keepAliveSeconds == 0) {
             closeNow(connection);
             return;
         }
-        long millis = keepSeconds < 0 ? DEFAULT_KEEP_ALIVE_MILLIS : (long) (keepSeconds * 1000L * KEEP_ALIVE_SHARE);
+        long keepAliveMillis =
+                keepAliveSeconds < 0 ? DEFAULT_KEEP_ALIVE_MILLIS : (long) (keepAliveSeconds * 1000L * KEEP_ALIVE_SHARE);
         long now = clock.nanos();
         idleConnections
                 .computeIfAbsent(address, each -> new ArrayDeque<>())
-                .addLast(new IdleConnection(connection, now, now + millis * NANOS_PER_MILLI));
+                .addLast(new IdleConnection(connection, now, now + keepAliveMillis * NANOS_PER_MILLI));
     }
 
     /**
-     * Closes a connection so that the server learns of it at once. The client's own close waits for the server to finish
-     * and tells it nothing: an engine worked on for nobody, for as long as its answer took. Taken over as if for another
-     * protocol, the socket itself can be closed; seen by the server after 4 ms.
+     * Closes a connection so that the server detects it at once. The client's own close waits for the end of the answer
+     * and sends the server nothing, so that an engine would go on
+     * working on an abandoned call until its answer was complete. {@code performUpgrade} hands over the socket itself, as for a change of protocol; the server detects
+     * its closing after 4 ms.
      */
     static void closeNow(ClientConnection connection) {
         try {
             IoUtils.safeClose(connection.performUpgrade());
         } catch (IOException e) {
-            // Closed already.
+            // Already closed.
             IoUtils.safeClose(connection);
         }
     }
 
     private void evictExpired() {
         long now = clock.nanos();
-        idleConnections.values().removeIf(held -> {
-            held.removeIf(each -> {
-                boolean over = !each.connection().isOpen() || now - each.expiresAtNanos() >= 0;
-                if (over) {
+        idleConnections.values().removeIf(idle -> {
+            idle.removeIf(each -> {
+                boolean expired = !each.connection().isOpen() || now - each.expiresAtNanos() >= 0;
+                if (expired) {
                     closeNow(each.connection());
                 }
-                return over;
+                return expired;
             });
-            return held.isEmpty();
+            return idle.isEmpty();
         });
         thread.executeAfter(this::evictExpired, SWEEP_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
@@ -27,25 +27,32 @@
 import org.xnio.XnioExecutor;
 
 /**
- * One call from a caller, from its last byte read to its last byte answered: placed, sent, sent again where that is
- * allowed, and answered. Used on the I/O thread only.
+ * One call of a caller, from the last byte of its request to the last byte of its answer: requests a place, sends the
+ * call, sends it again where that is allowed, and answers. Used on the I/O thread only.
  */
 final class Call {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Tries that reached no server, or that a server turned down, beyond the sends that a route allows. */
+    /**
+     * Attempts that reached no server, or that a server rejected without running, beyond the sends that a route allows.
+     */
     private static final int MAX_UNEXECUTED_ATTEMPTS = 3;
 
-    /** Time left below which nothing is sent any more: less than any server needs to answer. */
+    /** Remaining time below which no request is sent: less than any server needs to answer. */
     private static final long MIN_SEND_MILLIS = 5;
 
-    /** Time before a caller's patience ends at which it is told to come back; the answer's way and some tens of it. */
+    /**
+     * Time before the caller's time-out at which a call without a place is refused: the transit time of the answer and
+     * some tens of that.
+     */
     private static final long REFUSAL_MARGIN_MILLIS = 250;
 
-    /** When to come back where no place was found for seconds: about the time in which a full house empties by half. */
+    /**
+     * Retry-After when no place was found for seconds: about the time in which half the load of a full deployment ends.
+     */
     private static final long NO_PLACE_RETRY_AFTER_MILLIS = 1_000;
 
-    /** When to come back after a failure that ended the call's last allowed try unrun. */
+    /** Retry-After after a failure that ended the last allowed attempt of a call without running it. */
     private static final long RETRY_AFTER_MILLIS = 120;
 
     private static final int MIN_SERVER_ERROR_STATUS = 500;
@@ -60,7 +67,7 @@
     private final byte[] body;
     private final long receivedAtNanos;
     private final long deadlineAtNanos;
-    private final CallerDisconnectDetector callerPresence;
+    private final CallerDisconnectDetector disconnectDetector;
     private final SampledRequestLog requestLog;
     private final List<BackendServerId> triedServers = new ArrayList<>();
     private final XnioExecutor.Key deadlineTimer;
@@ -73,35 +80,35 @@
     private boolean mayHaveRun;
     private boolean ended;
 
-    /** A server's own failure, kept while the call is tried elsewhere. */
+    /** An error answered by a server, kept while the call is retried on another one. */
     private record ServerFailure(int status, HeaderMap headers, ByteArrayOutputStream body) {}
 
     Call(
-            GatewayContext parts,
+            GatewayContext context,
             HttpServerExchange exchange,
             CallHead head,
             RouteMatch.Allowed match,
             byte[] body,
-            long receivedAt,
-            double draw) {
-        this.context = parts;
+            long receivedAtNanos,
+            double randomFraction) {
+        this.context = context;
         this.exchange = exchange;
         this.head = head;
         this.route = match.route();
         this.organisation = match.caller() == null ? null : match.caller().organisation();
         this.priority = match.priority();
-        this.service = route.chooseService(draw);
+        this.service = route.chooseService(randomFraction);
         this.body = body;
-        this.receivedAtNanos = receivedAt;
-        long waits = head.deadlineMillis() < 0
+        this.receivedAtNanos = receivedAtNanos;
+        long timeoutMillis = head.deadlineMillis() < 0
                 ? route.timeoutMillis()
                 : Math.min(head.deadlineMillis(), route.timeoutMillis());
-        this.deadlineAtNanos = receivedAt + waits * NANOS_PER_MILLI;
-        this.callerPresence = new CallerDisconnectDetector(exchange);
+        this.deadlineAtNanos = receivedAtNanos + timeoutMillis * NANOS_PER_MILLI;
+        this.disconnectDetector = new CallerDisconnectDetector(exchange);
         this.requestLog = new SampledRequestLog(head.requestId());
         this.deadlineTimer =
-                parts.thread().executeAfter(this::onDeadline, Math.max(1, remainingMillis()), TimeUnit.MILLISECONDS);
-        parts.openCalls().add(this);
+                context.thread().executeAfter(this::onDeadline, Math.max(1, remainingMillis()), TimeUnit.MILLISECONDS);
+        context.openCalls().add(this);
     }
 
     void start() {
@@ -140,12 +147,12 @@
         return (context.clock().nanos() - receivedAtNanos) / NANOS_PER_MILLI;
     }
 
-    /** Number of the last event that the caller has. */
+    /** Id of the last event that the caller has received; negative without one. */
     long lastEventId() {
         return stream == null ? head.lastEventId() : Math.max(head.lastEventId(), stream.lastEventId());
     }
 
-    /** The stream to the caller, begun by the first server's answer. */
+    /** The stream to the caller, opened by the first server's answer. */
     StreamForwarder stream(int status, HeaderMap headers) {
         if (stream == null) {
             stream = new StreamForwarder(this, status, headers);
@@ -162,7 +169,7 @@
     }
 
     private void place(boolean repeated) {
-        long patience = firstEventRemainingMillis();
+        long firstEventMillis = firstEventRemainingMillis();
         long answerTokens = head.expectedAnswerTokens() > 0 ? head.expectedAnswerTokens() : head.maxAnswerTokens();
         pendingPlacement = new DispatchCall(
                 context.attemptIds().nextId(),
@@ -177,47 +184,50 @@
                 head.maxAnswerTokens(),
                 route.aimMillis() - elapsedMillis(),
                 route.gapMillis(),
-                patience,
+                firstEventMillis,
                 remainingMillis(),
                 repeated,
                 triedServers);
-        DispatchCall asked = pendingPlacement;
+        DispatchCall request = pendingPlacement;
         if (route.isStreaming()) {
             context.thread()
                     .executeAfter(
-                            () -> expirePlacement(asked),
-                            Math.max(1, patience - REFUSAL_MARGIN_MILLIS),
+                            () -> expirePlacement(request),
+                            Math.max(1, firstEventMillis - REFUSAL_MARGIN_MILLIS),
                             TimeUnit.MILLISECONDS);
         }
-        context.dispatchClient().place(asked, answer -> onPlacementDecided(asked, answer));
+        context.dispatchClient().place(request, answer -> onPlacementDecided(request, answer));
     }
 
-    /** Time left until a caller leaves a stream that stays silent; that of any other call ends with its deadline. */
+    /** Time until the caller closes a stream without events; for other calls, time until the deadline. */
     private long firstEventRemainingMillis() {
-        long sinceRead = stream == null ? elapsedMillis() : 0;
+        long sinceReceivedMillis = stream == null ? elapsedMillis() : 0;
         return route.isStreaming()
-                ? Math.min(remainingMillis(), route.eventTimeoutMillis() - sinceRead)
+                ? Math.min(remainingMillis(), route.eventTimeoutMillis() - sinceReceivedMillis)
                 : remainingMillis();
     }
 
-    /** No place has come while the caller still waits: it is told when to come back rather than left to give up. */
-    private void expirePlacement(DispatchCall asked) {
-        if (ended || pendingPlacement != asked) {
+    /**
+     * Refuses a call that has no place shortly before its caller's time-out, so that the caller gets a Retry-After
+     * rather than a time-out.
+     */
+    private void expirePlacement(DispatchCall request) {
+        if (ended || pendingPlacement != request) {
             return;
         }
         cancelInFlight();
         fail("no place in time", NO_PLACE_RETRY_AFTER_MILLIS);
     }
 
-    private void onPlacementDecided(DispatchCall asked, DispatchAnswer answer) {
+    private void onPlacementDecided(DispatchCall request, DispatchAnswer answer) {
         pendingPlacement = null;
         if (answer instanceof DispatchAnswer.Granted granted) {
-            send(asked, granted);
+            send(request, granted);
             return;
         }
         DispatchAnswer.Refused refused = (DispatchAnswer.Refused) answer;
         requestLog.logFailure(line("not placed")
-                .with("attempt", asked.attempt())
+                .with("attempt", request.attempt())
                 .with("why", refused.why())
                 .with("service", service)
                 .with("leftMs", remainingMillis())
@@ -225,17 +235,17 @@
         fail(refused.why().name(), refused.retryAfterMillis());
     }
 
-    private void send(DispatchCall asked, DispatchAnswer.Granted granted) {
+    private void send(DispatchCall request, DispatchAnswer.Granted granted) {
         Registration server = context.deployment().server(granted.server());
-        boolean left = server != null && !server.state().acceptsWork();
-        if (left || remainingMillis() < MIN_SEND_MILLIS) {
-            context.dispatchClient().reportEnd(asked, AttemptEnd.CANCELLED);
+        boolean serverLeft = server != null && !server.state().acceptsWork();
+        if (serverLeft || remainingMillis() < MIN_SEND_MILLIS) {
+            context.dispatchClient().reportEnd(request, AttemptEnd.CANCELLED);
             triedServers.add(granted.server());
-            retryOrFail(left ? "server left" : "no time left", true);
+            retryOrFail(serverLeft ? "server left" : "no time left", true);
             return;
         }
         requestLog.logSuccess(line("placed")
-                .with("attempt", asked.attempt())
+                .with("attempt", request.attempt())
                 .with("server", granted.server())
                 .with("helpers", granted.helpers().size())
                 .with("promptTokens", head.promptTokens())
@@ -247,26 +257,26 @@
         context.callMetrics().recordPlacement(service, elapsedMillis());
         triedServers.add(granted.server());
         sendCount++;
-        attempt = new Attempt(this, asked, granted);
+        attempt = new Attempt(this, request, granted);
         attempt.start();
     }
 
-    /** An attempt has ended without an answer for the caller. */
+    /** Handles the end of an attempt that gave no answer for the caller. */
     void onAttemptFailed(AttemptEnd end, String why) {
         attempt = null;
-        boolean ran = end.mayHaveRun();
-        mayHaveRun |= ran;
-        if (!ran) {
+        boolean mayHaveExecuted = end.mayHaveRun();
+        mayHaveRun |= mayHaveExecuted;
+        if (!mayHaveExecuted) {
             sendCount--;
             unexecutedAttempts++;
         }
         context.callMetrics().recordAttemptFailure(service, end.name());
         requestLog.logFailure(
                 line("attempt failed").with("end", end).with("why", why).with("server", lastTriedServer()));
-        retryOrFail(why, !ran);
+        retryOrFail(why, !mayHaveExecuted);
     }
 
-    /** A server has answered with a failure of its own, and the call may run once more. */
+    /** Handles an error answered by a server when the call may run once more. */
     void onServerError(int status, HeaderMap headers, ByteArrayOutputStream bytes) {
         serverFailure = new ServerFailure(status, headers, bytes);
         onAttemptFailed(AttemptEnd.SERVER_ERROR, "answered " + status);
@@ -287,11 +297,11 @@
                 && remainingMillis() >= MIN_SEND_MILLIS;
     }
 
-    private void retryOrFail(String why, boolean unrun) {
+    private void retryOrFail(String why, boolean notRun) {
         if (ended) {
             return;
         }
-        boolean allowed = (unrun && !mayHaveRun) || route.mayRetry();
+        boolean allowed = (notRun && !mayHaveRun) || route.mayRetry();
         if (allowed && hasSendsLeft()) {
             place(true);
         } else {
@@ -299,25 +309,29 @@
         }
     }
 
-    /** Ends the call without a server's answer; says that it didn't run only where that is sure. */
+    /**
+     * Ends the call without a server's answer. The response states that the call did not run only if that
+     * is certain.
+     */
     private void fail(String why, long retryAfterMillis) {
         if (ended) {
             return;
         }
         if (stream != null) {
             requestLog.logFailure(line("stream broken off").with("why", why).with("lastEvent", stream.lastEventId()));
-            // Ended first: the end of the caller's channel would else be taken for that of a whole stream.
+            // Ended before the abort: the end of the caller's channel would otherwise be handled as that of a complete
+            // stream.
             finish("broken_off");
             stream.abort();
             return;
         }
         if (serverFailure != null) {
-            // What a server said tells the caller more than that no other one could be asked.
+            // A server's error is more useful to the caller than the fact that no other server was available.
             answer(serverFailure.status(), serverFailure.headers(), serverFailure.body());
             return;
         }
-        boolean late = remainingMillis() < MIN_SEND_MILLIS;
-        int status = mayHaveRun ? (late ? 504 : 502) : 503;
+        boolean pastDeadline = remainingMillis() < MIN_SEND_MILLIS;
+        int status = mayHaveRun ? (pastDeadline ? 504 : 502) : 503;
         requestLog.logFailure(line("refused")
                 .with("status", status)
                 .with("why", why)
@@ -331,13 +345,13 @@
         finish("refused_" + status);
     }
 
-    /** Answers with a server's whole answer. */
+    /** Sends a server's complete answer to the caller. */
     void answer(int status, HeaderMap headers, ByteArrayOutputStream bytes) {
         if (ended) {
             return;
         }
         if (stream != null) {
-            // No other answer can follow the head of a stream; the caller would wait until its time is up.
+            // No other answer can follow the head of a stream; the caller would wait until its deadline.
             attempt = null;
             retryOrFail("answered " + status + " in place of the rest of a stream", false);
             return;
@@ -353,18 +367,18 @@
             requestLog.logSuccess(line);
         }
         exchange.setStatusCode(status);
-        HeaderMap own = exchange.getResponseHeaders();
-        context.protocol().copyAnswerHeaders(headers, own);
+        HeaderMap responseHeaders = exchange.getResponseHeaders();
+        context.protocol().copyAnswerHeaders(headers, responseHeaders);
         finish("answered");
         if (bytes.size() == 0) {
-            own.put(Headers.CONTENT_LENGTH, 0);
+            responseHeaders.put(Headers.CONTENT_LENGTH, 0);
             exchange.endExchange();
             return;
         }
         exchange.getResponseSender().send(ByteBuffer.wrap(bytes.toByteArray()));
     }
 
-    /** The whole stream is on its way to the caller. */
+    /** Handles a stream whose last byte has been written to the caller. */
     void onStreamComplete() {
         if (ended) {
             return;
@@ -380,7 +394,7 @@
         finish("streamed");
     }
 
-    /** The caller does not take the answer any more. */
+    /** Handles a caller that has closed its connection: cancels what is in flight. */
     void onCallerDisconnected() {
         if (ended) {
             return;
@@ -407,7 +421,7 @@
             return;
         }
         try {
-            callerPresence.checkConnected();
+            disconnectDetector.checkConnected();
         } catch (IOException e) {
             onCallerDisconnected();
         }
@@ -424,7 +438,7 @@
         fail("time is up", RETRY_AFTER_MILLIS);
     }
 
-    /** Ends the call because this process ends. */
+    /** Ends the call because this process stops. */
     void abort() {
         if (ended) {
             return;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallHandler.java
@@ -14,7 +14,7 @@
 import org.elmline.daemon.http.IoThreadBodyReader;
 import org.xnio.IoUtils;
 
-/** Takes a caller's request: finds its route, reads its body and begins its call. */
+/** Receives a caller's request: matches its route, reads its body and starts its call. Used on the I/O thread only. */
 final class CallHandler implements HttpHandler {
     private static final int NOT_FOUND = 404;
     private static final int UNAUTHENTICATED = 401;
@@ -22,12 +22,12 @@
     private static final int TOO_LARGE = 413;
     private static final int UNAVAILABLE = 503;
 
-    /** When to come back to an entry that knows too little to answer: a control host's start and an election. */
+    /** Retry-After of an entry without a current routing table: the time for a control host's start and an election. */
     private static final long RETRY_AFTER_MILLIS = 1_500;
 
     /**
-     * When to come back where another entry serves: a new connection takes longer than this. Told to come back later
-     * by a stopping entry, callers of questions would be late though others serve.
+     * Retry-After when another entry serves: opening a new connection takes longer than this. With a longer time a
+     * stopping entry would make callers with short deadlines late although other entries serve.
      */
     private static final long OTHER_ENTRY_RETRY_AFTER_MILLIS = 10;
 
@@ -36,10 +36,10 @@
     private final RoutingTableWaitQueue tableWaitQueue;
     private final SplittableRandom random = new SplittableRandom();
 
-    CallHandler(GatewayContext parts, GracefulShutdown stop) {
-        this.context = parts;
-        this.shutdown = stop;
-        this.tableWaitQueue = new RoutingTableWaitQueue(parts.thread());
+    CallHandler(GatewayContext context, GracefulShutdown shutdown) {
+        this.context = context;
+        this.shutdown = shutdown;
+        this.tableWaitQueue = new RoutingTableWaitQueue(context.thread());
     }
 
     @Override
@@ -48,7 +48,7 @@
     }
 
     private void handle(HttpServerExchange exchange) {
-        long receivedAt = context.clock().nanos();
+        long receivedAtNanos = context.clock().nanos();
         if (shutdown.isStopping()) {
             exchange.setPersistent(false);
         }
@@ -62,26 +62,26 @@
         if (context.deployment().table().isEmpty()) {
             tableWaitQueue.add(
                     head.deadlineMillis(),
-                    () -> readBody(exchange, head, receivedAt),
+                    () -> readBody(exchange, head, receivedAtNanos),
                     () -> refuseWithRetryAfter(exchange, head, "no routing table yet", RETRY_AFTER_MILLIS));
             return;
         }
-        readBody(exchange, head, receivedAt);
+        readBody(exchange, head, receivedAtNanos);
     }
 
-    /** To be called when the routing table has come or changed. */
+    /** To be called when the first routing table is in force or the table has changed. */
     void onRoutingTable() {
         tableWaitQueue.releaseAll();
     }
 
-    private void readBody(HttpServerExchange exchange, CallHead head, long receivedAt) {
+    private void readBody(HttpServerExchange exchange, CallHead head, long receivedAtNanos) {
         IoThreadBodyReader.read(
                 exchange,
-                body -> route(exchange, head, body, receivedAt),
+                body -> route(exchange, head, body, receivedAtNanos),
                 failure -> onBodyUnreadable(exchange, head, failure));
     }
 
-    private void route(HttpServerExchange exchange, CallHead head, byte[] body, long receivedAt) {
+    private void route(HttpServerExchange exchange, CallHead head, byte[] body, long receivedAtNanos) {
         RoutingTable table = context.deployment().table().orElseThrow();
         RouteMatch match =
                 table.match(exchange.getRequestHeaders().getFirst(Headers.HOST), exchange.getRequestURI(), head.key());
@@ -94,10 +94,10 @@
                         hasOtherServingEntry() ? OTHER_ENTRY_RETRY_AFTER_MILLIS : RETRY_AFTER_MILLIS);
                 return;
             }
-            new Call(context, exchange, head, allowed, body, receivedAt, random.nextDouble()).start();
+            new Call(context, exchange, head, allowed, body, receivedAtNanos, random.nextDouble()).start();
             return;
         }
-        // What no route or key allows here may be allowed by a table that has not come through.
+        // A newer table that this entry has not received may have the route or key that is missing here.
         if (!context.deployment().isCurrent()) {
             refuseWithRetryAfter(exchange, head, "the routing table may be old", RETRY_AFTER_MILLIS);
             return;
@@ -116,8 +116,8 @@
                 .anyMatch(each -> each.serving() && !each.host().equals(self));
     }
 
-    private void refuseWithRetryAfter(HttpServerExchange exchange, CallHead head, String why, long retryMillis) {
-        context.protocol().setRetryAfter(exchange.getResponseHeaders(), retryMillis);
+    private void refuseWithRetryAfter(HttpServerExchange exchange, CallHead head, String why, long retryAfterMillis) {
+        context.protocol().setRetryAfter(exchange.getResponseHeaders(), retryAfterMillis);
         refuse(exchange, head, UNAVAILABLE, why);
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HelperReservations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HelperReservations.java
@@ -13,23 +13,23 @@
 import org.elmline.core.dispatch.Helper;
 
 /**
- * Memory that is set aside on other engines for one long prompt: reserved before the prompt is sent, renewed while it is
- * worked on, released on every way out. Used on the I/O thread only.
+ * Memory reserved on helper engines for one long prompt: reserved before the prompt is sent, renewed while it is worked
+ * on, released however the attempt ends. Used on the I/O thread only.
  *
- * <p>An order may be lost, or be carried out long after its answer was given up. So a reservation is never made for
- * longer than an engine may hold memory for nobody: what is forgotten anywhere frees itself.
+ * <p>A request may be lost, or be carried out long after it timed out. So no reservation lasts longer than an engine
+ * may hold unused memory: one that is never released expires by itself.
  */
 final class HelperReservations {
-    /** How long one order holds the memory: below the four seconds for which memory may lie idle. */
+    /** Duration of one reservation: below the 4 s for which an engine may hold unused memory. */
     private static final long HOLD_MILLIS = 3_400;
 
-    /** Pause between two renewals; two may get lost in a row before the memory is gone. */
+    /** Interval of renewals; two in a row may be lost before the reservation expires. */
     private static final long RENEW_INTERVAL_MILLIS = 1_000;
 
-    /** Time for an engine to answer an order; many round trips. */
+    /** Time-out of a request to an engine; many round trips. */
     private static final long ANSWER_TIMEOUT_MILLIS = 250;
 
-    /** A release that got no answer is sent again this often in all. */
+    /** Attempts in all to send a release that is not acknowledged. */
     private static final int MAX_RELEASE_ATTEMPTS = 3;
 
     private static final int OK = 200;
@@ -41,8 +41,8 @@
     private boolean failed;
     private boolean released;
 
-    HelperReservations(GatewayContext parts, DispatchAnswer.Granted granted) {
-        this.context = parts;
+    HelperReservations(GatewayContext context, DispatchAnswer.Granted granted) {
+        this.context = context;
         this.granted = granted;
         for (Helper each : granted.helpers()) {
             if (each.memoryTokens() > 0) {
@@ -51,27 +51,30 @@
         }
     }
 
-    /** Reserves all; tells whether all was given. Tells at once when there is nothing to reserve. */
-    void reserve(Consumer<Boolean> ready) {
+    /**
+     * Reserves the memory on all helpers and reports whether all of them granted it; at once when there is nothing to
+     * reserve.
+     */
+    void reserve(Consumer<Boolean> onResult) {
         if (helpers.isEmpty()) {
-            ready.accept(true);
+            onResult.accept(true);
             return;
         }
         pendingAnswers = helpers.size();
         for (Helper each : helpers) {
-            sendRequest(each, reserveBody(each), given -> {
-                failed |= !given;
+            sendRequest(each, reserveBody(each), accepted -> {
+                failed |= !accepted;
                 pendingAnswers--;
                 if (pendingAnswers == 0 && !released) {
-                    onReserved(ready);
+                    onReserved(onResult);
                 }
             });
         }
     }
 
-    private void onReserved(Consumer<Boolean> ready) {
+    private void onReserved(Consumer<Boolean> onResult) {
         context.log()
-                .line("memory reserved")
+                .line("memory reservation completed")
                 .with("attempt", granted.attempt())
                 .with("holders", helpers.size())
                 .with("given", !failed)
@@ -81,7 +84,7 @@
         } else {
             scheduleRenewal();
         }
-        ready.accept(!failed);
+        onResult.accept(!failed);
     }
 
     private void scheduleRenewal() {
@@ -92,11 +95,11 @@
         if (released) {
             return;
         }
-        helpers.forEach(each -> sendRequest(each, reserveBody(each), given -> {}));
+        helpers.forEach(each -> sendRequest(each, reserveBody(each), accepted -> {}));
         scheduleRenewal();
     }
 
-    /** Gives all back; does nothing the second time. */
+    /** Releases all reservations; further calls do nothing. */
     void release() {
         if (released) {
             return;
@@ -105,49 +108,49 @@
         helpers.forEach(each -> release(each, MAX_RELEASE_ATTEMPTS));
     }
 
-    private void release(Helper holder, int times) {
-        sendRequest(holder, context.protocol().releaseBody(granted.attempt()), given -> {
-            if (!given && times > 1) {
-                release(holder, times - 1);
+    private void release(Helper helper, int attemptsLeft) {
+        sendRequest(helper, context.protocol().releaseBody(granted.attempt()), accepted -> {
+            if (!accepted && attemptsLeft > 1) {
+                release(helper, attemptsLeft - 1);
             }
         });
     }
 
-    private byte[] reserveBody(Helper holder) {
-        return context.protocol().reserveBody(granted.attempt(), holder.memoryTokens(), HOLD_MILLIS);
+    private byte[] reserveBody(Helper helper) {
+        return context.protocol().reserveBody(granted.attempt(), helper.memoryTokens(), HOLD_MILLIS);
     }
 
-    private void sendRequest(Helper holder, byte[] body, Consumer<Boolean> done) {
-        HeaderMap headers = context.protocol().reservationHeaders(holder);
+    private void sendRequest(Helper helper, byte[] body, Consumer<Boolean> callback) {
+        HeaderMap headers = context.protocol().reservationHeaders(helper);
         headers.put(Headers.CONTENT_LENGTH, body.length);
-        ReservationRequest order = new ReservationRequest(done);
-        order.call = new BackendCall(
+        ReservationRequest request = new ReservationRequest(callback);
+        request.call = new BackendCall(
                 context.connections(),
-                holder.address(),
+                helper.address(),
                 BackendCall.newRequest(Methods.POST, context.protocol().reservationPath(), headers),
                 body,
                 false,
                 context.protocol(),
-                order);
-        context.thread().executeAfter(order::expire, ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-        order.call.start();
+                request);
+        context.thread().executeAfter(request::expire, ANSWER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        request.call.start();
     }
 
-    /** One order on its way; ends once. */
+    /** One request to an engine; ends once. */
     private static final class ReservationRequest implements BackendCallListener {
         private final Consumer<Boolean> callback;
         private BackendCall call;
         private int status;
         private boolean ended;
 
-        ReservationRequest(Consumer<Boolean> done) {
-            this.callback = done;
+        ReservationRequest(Consumer<Boolean> callback) {
+            this.callback = callback;
         }
 
-        private void finish(boolean given) {
+        private void finish(boolean accepted) {
             if (!ended) {
                 ended = true;
-                callback.accept(given);
+                callback.accept(accepted);
             }
         }
 
@@ -164,8 +167,8 @@
         }
 
         @Override
-        public void head(int answered, HeaderMap headers, AnswerHead read) {
-            status = answered;
+        public void onHead(int answerStatus, HeaderMap headers, AnswerHead answerHead) {
+            status = answerStatus;
         }
 
         @Override
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/InactivityTimer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/InactivityTimer.java
@@ -6,15 +6,14 @@
 import org.xnio.XnioExecutor;
 
 /**
- * Notices that nothing has come from a server for too long. Silence counts only while this entry listened: an entry whose
- * thread was held up would else take every server that it serves callers from for dead at once. Used on the I/O thread
- * only.
+ * Detects that a server has sent nothing for too long. A delay counts only while this entry's thread was running: after
+ * a stall it would otherwise treat every server of its open calls as failed at once. Used on the I/O thread only.
  */
 final class InactivityTimer {
-    /** Lateness of a timer from which on the thread was held up. */
+    /** Delay of a timer from which on the thread is treated as stalled. */
     private static final long STALL_THRESHOLD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
 
-    /** Time to read what came while the thread was held up. */
+    /** Time to read what arrived while the thread was stalled. */
     private static final long STALL_GRACE_MILLIS = 100;
 
     private final XnioExecutor thread;
@@ -22,20 +21,20 @@
     private final Runnable onInactive;
     private XnioExecutor.Key timer;
 
-    InactivityTimer(XnioExecutor thread, MonotonicClock clock, Runnable onSilence) {
+    InactivityTimer(XnioExecutor thread, MonotonicClock clock, Runnable onInactive) {
         this.thread = thread;
         this.clock = clock;
-        this.onInactive = onSilence;
+        this.onInactive = onInactive;
     }
 
-    /** Expects something within a time from now, in place of what was expected before. */
+    /** Starts or restarts the timer: without another restart or a cancel it expires after this time. */
     void restart(long millis) {
         cancel();
-        long dueAt = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
-        timer = thread.executeAfter(() -> onTimer(dueAt), millis, TimeUnit.MILLISECONDS);
+        long dueAtNanos = clock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
+        timer = thread.executeAfter(() -> onTimer(dueAtNanos), millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Expects nothing any more. */
+    /** Stops the timer. */
     void cancel() {
         if (timer != null) {
             timer.remove();
@@ -43,8 +42,8 @@
         }
     }
 
-    private void onTimer(long dueAt) {
-        if (clock.nanos() - dueAt > STALL_THRESHOLD_NANOS) {
+    private void onTimer(long dueAtNanos) {
+        if (clock.nanos() - dueAtNanos > STALL_THRESHOLD_NANOS) {
             restart(STALL_GRACE_MILLIS);
         } else {
             onInactive.run();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/RoutingTableWaitQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/RoutingTableWaitQueue.java
@@ -8,29 +8,28 @@
 import org.xnio.XnioIoThread;
 
 /**
- * Calls that came before this entry had a routing table. After a restart of everything the table is a second or two away;
- * turned away at once, all callers would use up their retries before it comes. Used on the I/O thread only.
+ * Queue of calls that arrived before this entry had a routing table. After a restart of all hosts the table arrives
+ * within a second or two; rejected at once, all callers would use up their retries before that. Used on the I/O thread
+ * only.
  */
 final class RoutingTableWaitQueue {
-    /** Calls held at once; a restarted entry gets some hundred connections in its first seconds. */
+    /** Longest queue; a restarted entry gets some hundred connections in its first seconds. */
     private static final int MAX_WAITING_CALLS = 512;
 
-    /**
-     * Longest hold: callers of streams leave after two seconds without an event, and must hear of a refusal before.
-     */
+    /** Longest wait: callers of streams leave after 2 s without an event, and a refusal must reach them before. */
     private static final long MAX_WAIT_MILLIS = 1_850;
 
-    /** Part of a caller's time that the hold may take; the rest is for the call itself. */
+    /** A call waits for at most its deadline divided by this; the rest is for the call itself. */
     private static final int DEADLINE_DIVISOR = 4;
 
     private final XnioIoThread thread;
-    private final Deque<HeldCall> waitingCalls = new ArrayDeque<>();
+    private final Deque<WaitingCall> waitingCalls = new ArrayDeque<>();
 
-    private static final class HeldCall {
+    private static final class WaitingCall {
         private final Runnable onTable;
         private XnioExecutor.Key timer;
 
-        HeldCall(Runnable onTable) {
+        WaitingCall(Runnable onTable) {
             this.onTable = onTable;
         }
     }
@@ -40,35 +39,36 @@
     }
 
     /**
-     * Holds a call until the table has come.
+     * Queues a call until the table has arrived.
      *
-     * @param deadlineMillis how long its caller waits
-     * @param onTimeout run instead when the table has not come in time
+     * @param deadlineMillis time until the caller's deadline
+     * @param onTable run when the table has arrived in time
+     * @param onTimeout run instead when it has not, or when the queue is full
      */
     void add(long deadlineMillis, Runnable onTable, Runnable onTimeout) {
         if (waitingCalls.size() >= MAX_WAITING_CALLS) {
             onTimeout.run();
             return;
         }
-        HeldCall next = new HeldCall(onTable);
-        long millis = Math.min(MAX_WAIT_MILLIS, Math.max(0, deadlineMillis) / DEADLINE_DIVISOR);
-        next.timer = thread.executeAfter(
+        WaitingCall call = new WaitingCall(onTable);
+        long waitMillis = Math.min(MAX_WAIT_MILLIS, Math.max(0, deadlineMillis) / DEADLINE_DIVISOR);
+        call.timer = thread.executeAfter(
                 () -> {
-                    if (waitingCalls.remove(next)) {
+                    if (waitingCalls.remove(call)) {
                         onTimeout.run();
                     }
                 },
-                Math.max(1, millis),
+                Math.max(1, waitMillis),
                 TimeUnit.MILLISECONDS);
-        waitingCalls.add(next);
+        waitingCalls.add(call);
     }
 
-    /** The table has come. */
+    /** Runs all queued calls; to be called when the table has arrived. */
     void releaseAll() {
         while (!waitingCalls.isEmpty()) {
-            HeldCall next = waitingCalls.poll();
-            next.timer.remove();
-            next.onTable.run();
+            WaitingCall call = waitingCalls.poll();
+            call.timer.remove();
+            call.onTable.run();
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StreamForwarder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/StreamForwarder.java
@@ -6,13 +6,13 @@
 import io.undertow.util.Headers;
 
 /**
- * A stream to one caller, from one server or from several in turn: it passes on whole events, each number once and in
- * order. Used on the I/O thread only.
+ * A stream to one caller, from one server or from several in turn: forwards complete events only, each event id once
+ * and in order. Used on the I/O thread only.
  */
 final class StreamForwarder {
     private final Call call;
     private final CallerChannel callerChannel;
-    private final ServerSentEventParser scanner = new ServerSentEventParser();
+    private final ServerSentEventParser parser = new ServerSentEventParser();
     private Attempt attempt;
     private long lastEventId = ServerSentEventParser.NO_ID;
     private boolean completing;
@@ -23,51 +23,51 @@
     StreamForwarder(Call call, int status, HeaderMap headers) {
         this.call = call;
         call.exchange().setStatusCode(status);
-        HeaderMap own = call.exchange().getResponseHeaders();
-        call.context().protocol().copyAnswerHeaders(headers, own);
-        own.remove(Headers.CONTENT_LENGTH);
-        // Named outright: on a connection that closes after the answer the server would leave chunks out, and a stream
-        // that is broken off would look complete.
-        own.put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
+        HeaderMap responseHeaders = call.exchange().getResponseHeaders();
+        call.context().protocol().copyAnswerHeaders(headers, responseHeaders);
+        responseHeaders.remove(Headers.CONTENT_LENGTH);
+        // Set explicitly: on a connection that closes after the answer the HTTP server would leave out chunked
+        // encoding, and a stream that is broken off would look complete.
+        responseHeaders.put(Headers.TRANSFER_ENCODING, Headers.CHUNKED.toString());
         this.lastEventId = call.head().lastEventId();
         this.callerChannel = new CallerChannel(call.exchange(), this::onWritable, this::onChannelClosed);
     }
 
-    /** Takes the events of an attempt from now on. */
+    /** Forwards the events of this attempt from now on. */
     void switchTo(Attempt next) {
         attempt = next;
-        scanner.reset();
+        parser.reset();
     }
 
-    /** Number of the last event passed on. */
+    /** Id of the last event that was forwarded; negative without one. */
     long lastEventId() {
         return lastEventId;
     }
 
     boolean hasPartialEvent() {
-        return scanner.hasPartialEvent();
+        return parser.hasPartialEvent();
     }
 
-    /** Passes on the events that the bytes complete. Returns what is wrong with them, null when nothing is. */
+    /** Forwards the events that the bytes complete. Returns what is wrong with them, null when they are valid. */
     String forward(ByteBuffer bytes) {
-        Attempt from = attempt;
-        for (ServerSentEventParser.Event each : scanner.parse(bytes)) {
-            boolean numbered = each.id() != ServerSentEventParser.NO_ID;
-            if (numbered && lastEventId >= 0 && each.id() <= lastEventId) {
+        Attempt source = attempt;
+        for (ServerSentEventParser.Event each : parser.parse(bytes)) {
+            boolean hasId = each.id() != ServerSentEventParser.NO_ID;
+            if (hasId && lastEventId >= 0 && each.id() <= lastEventId) {
                 continue;
             }
-            if (numbered && lastEventId >= 0 && each.id() != lastEventId + 1) {
+            if (hasId && lastEventId >= 0 && each.id() != lastEventId + 1) {
                 return "event " + each.id() + " follows event " + lastEventId;
             }
-            lastEventId = numbered ? each.id() : lastEventId;
+            lastEventId = hasId ? each.id() : lastEventId;
             recordEventTime();
-            boolean room = callerChannel.write(each.bytes());
-            if (attempt != from) {
+            boolean hasRoom = callerChannel.write(each.bytes());
+            if (attempt != source) {
                 return null;
             }
-            from.onEventForwarded();
-            if (!room) {
-                from.pause();
+            source.onEventForwarded();
+            if (!hasRoom) {
+                source.pause();
             }
         }
         return null;
@@ -83,7 +83,7 @@
         lastEventAtMillis = now;
     }
 
-    /** When the first event was passed on, in milliseconds of the monotonic clock; 0 before. */
+    /** When the first event was forwarded, in milliseconds of the monotonic clock; 0 before. */
     long firstEventAtMillis() {
         return firstEventAtMillis;
     }
