--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmissionController.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmissionController.java
@@ -18,8 +18,8 @@
 import org.elmline.daemon.settings.CallerSettings;
 
 /**
- * What every call of a caller passes first: the lease, the key, the time limit and the bound on calls at once. Counts
- * the calls inside, so that a stopping entry knows when the last one has its answer.
+ * Admits the calls of callers: checks the lease, the API key, the time limit and the bound on concurrent calls. Counts
+ * the calls in flight, so that a stopping entry can wait until the last one is answered. Thread-safe.
  */
 public final class AdmissionController {
     static final String TIMEOUT_HEADER = "Elmline-Timeout-Ms";
@@ -49,12 +49,12 @@
         metrics.gauge("entry.requests.open", () -> inFlight::get);
     }
 
-    /** What the gate decides. */
+    /** Result of admission. */
     public sealed interface Admission {
-        /** The call may go on; {@link AdmissionController#release()} must follow exactly once. */
+        /** The call is admitted; {@link AdmissionController#release()} must follow exactly once. */
         record Admitted(AdmittedCall call) implements Admission {}
 
-        /** The call ends here. */
+        /** The call is refused. */
         record Refused(Refusal refusal) implements Admission {}
     }
 
@@ -86,7 +86,10 @@
                 new AdmittedCall(nextId(), organisation.get(), now, now + TimeUnit.MILLISECONDS.toNanos(timeout)));
     }
 
-    /** Leaves with the end of the exchange: Undertow tells of every way out, a broken connection included. */
+    /**
+     * Releases the call when its exchange completes: Undertow notifies the listener on every completion, a broken
+     * connection included.
+     */
     public void releaseOnCompletion(HttpServerExchange exchange) {
         exchange.addExchangeCompleteListener((done, next) -> {
             release();
@@ -98,7 +101,7 @@
         inFlight.decrementAndGet();
     }
 
-    /** Refuses every further call; those inside go on. */
+    /** Refuses every further call; calls in flight continue. */
     public void stopAdmission() {
         closed = true;
     }
@@ -119,7 +122,7 @@
         return Optional.empty();
     }
 
-    /** The call's time limit; 0 when the header is unfit. */
+    /** The call's time limit in milliseconds; 0 when the header is invalid. */
     private long timeoutMillis(HttpServerExchange exchange) {
         String header = exchange.getRequestHeaders().getFirst(TIMEOUT_HEADER);
         if (header == null) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmittedCall.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmittedCall.java
@@ -7,9 +7,10 @@
 import org.elmline.core.config.Organisation;
 
 /**
- * A call that passed the gate: who makes it and until when it must have its answer.
+ * A call that was admitted, with its organisation and deadline.
  *
- * @param deadlineNanos on the monotonic clock
+ * @param receivedNanos time of receipt on the monotonic clock
+ * @param deadlineNanos time by which the call must be answered, on the monotonic clock
  */
 public record AdmittedCall(RequestId id, Organisation organisation, long receivedNanos, long deadlineNanos) {
     long remainingMillis(MonotonicClock clock) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmittedCompletion.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmittedCompletion.java
@@ -2,5 +2,5 @@
 
 import org.elmline.daemon.openai.CompletionRequest;
 
-/** One admitted request for an answer, with its size in tokens. */
+/** One admitted completion request with its size in tokens. */
 record AdmittedCompletion(AdmittedCall call, CompletionRequest request, int promptTokens, int maxOutputTokens) {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerForwarder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerForwarder.java
@@ -14,7 +14,10 @@
 import org.elmline.core.stream.AssemblyResult;
 import org.elmline.core.timeline.RequestEvent;
 
-/** Carries one request's answer from the streams of its attempts to its caller: each piece once, in order. */
+/**
+ * Forwards one request's answer from the streams of its attempts to its caller: each piece once, in order. Used by one
+ * thread.
+ */
 final class AnswerForwarder {
     private static final long IDLE_CHECK_MILLIS = 500;
     private static final AssemblyResult MISSING_PIECES =
@@ -36,7 +39,7 @@
         this.sink = sink;
     }
 
-    /** Pieces that the caller has. */
+    /** Pieces that were delivered to the caller. */
     List<String> deliveredPieces() {
         return assembler.delivered();
     }
@@ -64,7 +67,7 @@
         return read(events, engine.start(request, events), false);
     }
 
-    /** Reads the current attempt again from the first missing piece. */
+    /** Resumes the current attempt from the first missing piece. */
     StreamOutcome resume(EngineClient engine) throws IOException, InterruptedException {
         resumeCount++;
         StreamEventQueue events = new StreamEventQueue();
@@ -107,7 +110,10 @@
         }
     }
 
-    /** A piece that was left out never comes by itself: waiting for it would use up the whole time limit. */
+    /**
+     * Reports a stream as broken if pieces are missing when it is idle or has ended. An engine doesn't resend a skipped
+     * piece on the same stream, so waiting for it would use up the whole time limit.
+     */
     private AssemblyResult assemble(StreamEvent event) {
         if (event == null) {
             return MISSING_PIECES;
@@ -116,7 +122,10 @@
         return event instanceof StreamEvent.End && assembler.isMissingPieces() ? MISSING_PIECES : assembled;
     }
 
-    /** A resume that finds nobody there says nothing against the attempt having run. */
+    /**
+     * A resume that can't reach the engine doesn't show that the attempt didn't run, so it is reported as {@link
+     * Ran#YES}.
+     */
     private StreamOutcome toOutcome(AssemblyResult.Broken broken, boolean resumed) {
         anyAttemptRan |= broken.ran() == Ran.YES;
         Ran ran = resumed || !awaitingFirstPiece ? Ran.YES : broken.ran();
@@ -150,7 +159,7 @@
         try {
             handle.close();
         } catch (Exception e) {
-            // The stream is given up either way; the attempt is cancelled by name.
+            // The stream is abandoned either way; an unfinished attempt is cancelled by its id.
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerSink.java
@@ -5,17 +5,20 @@
 import org.elmline.core.common.Refusal;
 import org.elmline.core.engine.FinishReason;
 
-/** Where one request's answer goes. Used by one thread. A write fails when the caller has left. */
+/**
+ * Receives one request's answer. Used by one thread. Methods throw {@link IOException} when the caller has
+ * disconnected.
+ */
 interface AnswerSink {
     /** The next piece, in order and once. */
     void piece(String text) throws IOException;
 
-    /** The answer is whole. */
+    /** Ends a complete answer of the given number of output tokens. */
     void end(int tokens, FinishReason reason) throws IOException;
 
-    /** The request ends without a whole answer. */
+    /** Ends the request without a complete answer. */
     void refuse(Refusal refusal) throws IOException;
 
-    /** Called while nothing arrives; finds a caller who has left. */
+    /** Called while no event arrives; detects a caller that has disconnected. */
     void onIdle() throws IOException;
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
@@ -26,8 +26,9 @@
 import org.elmline.daemon.openai.CompletionRequest;
 
 /**
- * One request from its first placement to its final answer, over as many attempts as it takes. Runs on one worker. Every
- * way out gives the grant back: at once when the engine has finished, else once it has acknowledged the cancel.
+ * Executes one request from its first placement to its final answer, over as many attempts as needed. Runs on one
+ * worker. Every way to end releases the grant: at once when the engine has finished, else once it has acknowledged the
+ * cancel.
  */
 final class CompletionExecution {
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -103,12 +104,13 @@
         }
     }
 
-    /** False when the request has its final answer already: there is no place, or a group of engines served it. */
+    /** False when the request has its final answer already: no placement was found, or a group of engines served it. */
     private boolean place() throws IOException, InterruptedException {
         attemptCount++;
         PlacementResult placement = gateway.placer().place(completion.call(), ++placementCount, demand());
         long until = gateway.clock().millis() + CONTINUATION_TIMEOUT_MILLIS;
-        // A caller with half an answer can't use a refusal: for a while the rest is worth more tries, each a real one.
+        // A refusal is useless to a caller that has received part of the answer, so placement is retried for a limited
+        // time; each retry is a complete placement with its own attempt ids.
         while (placement instanceof PlacementResult.Refused none && mayRetryPlacement(none.refusal(), until)) {
             Thread.sleep(CONTINUATION_RETRY_DELAY_MILLIS);
             sink.onIdle();
@@ -155,7 +157,7 @@
                 failedServers);
     }
 
-    /** A refusal to place a later attempt doesn't undo that an earlier one ran. */
+    /** A refusal to place a later attempt doesn't change that an earlier one ran. */
     private Refusal withRan(Refusal refusal) {
         Ran ran = forwarder.anyAttemptRan() ? Ran.YES : refusal.ran();
         return new Refusal(refusal.reason(), refusal.message(), ran, refusal.retryAfterMillis());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionGateway.java
@@ -16,7 +16,7 @@
 import org.elmline.daemon.backend.EngineClients;
 import org.elmline.daemon.entry.HostIdentity;
 
-/** Serves requests for answers; what all of them share. */
+/** Serves completion requests; holds the components that they share. */
 public final class CompletionGateway {
     private static final double RETRY_RATIO = 0.1;
     private static final double RETRY_BURST = 20;
@@ -53,7 +53,7 @@
         this.disconnectedCallers = metrics.counter("gateway.callers.left");
     }
 
-    /** Runs on a worker until the caller has the answer, a refusal, or has left. */
+    /** Blocks the calling worker until the request is answered or refused, or its caller has disconnected. */
     void serve(AdmittedCompletion work, AnswerSink sink) {
         retryBudget.onFirstAttempt();
         try {
@@ -73,7 +73,7 @@
         try {
             sink.refuse(refusal);
         } catch (IOException e) {
-            // The caller has left as well.
+            // The caller has disconnected as well, so there is no one to answer.
         }
     }
 
@@ -109,7 +109,7 @@
         return retryBudget;
     }
 
-    /** Time to the first token, as callers have it, for prompts of one class. */
+    /** Time from receipt of a request to its first token, for prompts of one length class. */
     Timer firstTokenTimer(LengthClass lengthClass) {
         return metrics.timer("gateway.first-token." + lengthClass.name().toLowerCase(java.util.Locale.ROOT));
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancellations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancellations.java
@@ -22,9 +22,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * Attempts that this entry gave up and their engines haven't acknowledged yet. A cancel that is lost would leave the
- * engine's memory taken, so each is repeated until the engine acknowledges it or no owner knows the engine any more; only
- * then is the grant given back.
+ * Cancels attempts on engines, and repeats each cancel until it is acknowledged. A cancel that is lost would leave the
+ * engine's memory allocated, so each is repeated until the engine acknowledges it or no owner lists the engine any
+ * more; only then is the grant released. Thread-safe.
  */
 public final class EngineCancellations {
     private static final Logger LOG = Logger.getLogger(EngineCancellations.class);
@@ -58,13 +58,16 @@
                 this::sendAndLogFailures, SEND_INTERVAL_MILLIS, SEND_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Cancels an attempt on its engine and gives its grant back once that is acknowledged. */
+    /** Cancels an attempt on its engine and releases its grant once that is acknowledged. */
     void cancel(Grant grant) {
         Cancel cancel = Cancel.stream(grant.server(), grant.attempt());
         free(cancel, grant, freed -> grants.release(freed.attempt(), ReleaseCause.CANCELLED));
     }
 
-    /** Frees what an engine may hold, on the engine of the grant; tells once the engine holds nothing for it. */
+    /**
+     * Frees what the engine of the grant may hold; calls {@code onFreed} once it holds nothing for the cancelled
+     * target.
+     */
     void free(Cancel cancel, Grant grant, Consumer<Cancel> onFreed) {
         synchronized (this) {
             pending.putIfAbsent(cancel, new PendingCancel(grant, clock.millis(), onFreed));
@@ -81,7 +84,7 @@
         try {
             send();
         } catch (RuntimeException e) {
-            LOG.error("sending cancels failed; it is tried again", e);
+            LOG.error("sending cancels to engines failed; retrying at the next interval", e);
         }
     }
 
@@ -105,7 +108,7 @@
         Grant grant = held.grant();
         boolean old = clock.millis() - held.requestedAtMillis() > UNOWNED_ENGINE_TIMEOUT_MILLIS;
         if (old && owners.ownerOf(grant.server()).isEmpty()) {
-            // Every owner has dropped the engine: it is gone, and its memory with it.
+            // Every owner has removed the engine: it is gone, and its memory with it.
             onAcknowledged(cancel);
             return;
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
@@ -15,7 +15,7 @@
 import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.JsonResponses;
 
-/** {@code GET /v1/entry-hosts}: the addresses a caller may use and for how long to keep them. */
+/** {@code GET /v1/entry-hosts}: the addresses that a caller may use and how many seconds it may cache them. */
 public final class EntryHostsHandler implements HttpHandler {
     private static final long RETRY_AFTER_MILLIS = 1000;
     private static final int MAX_ADDRESSES = 4;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantTracker.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantTracker.java
@@ -35,15 +35,18 @@
 import org.jboss.logging.Logger;
 
 /**
- * The grants that this entry holds, and what its owners must still be told of them. Every report is repeated until the
- * owner has answered: a lost release would keep engine memory reserved for nothing. When an engine gets a new owner, the
- * open grants on it are registered there.
+ * Tracks the grants that this entry holds and the reports on them that owners haven't acknowledged. Every report is
+ * repeated until the owner has answered: a lost release would leave engine memory reserved without use. When an engine
+ * gets a new owner, the open grants on it are registered there.
  *
- * <p>One lock guards all state; no other lock is taken and nothing is sent under it.
+ * <p>Thread-safe: one lock guards all state; no other lock is taken and nothing is sent under it.
  */
 public final class GrantTracker {
     private static final Logger LOG = Logger.getLogger(GrantTracker.class);
-    /** Between repeats of reports that were not answered; a new one is sent at once. */
+    /**
+     * Interval at which unanswered reports are repeated; a new one is sent at once unless one is in flight to its
+     * owner.
+     */
     private static final long REPORT_INTERVAL_MILLIS = 250;
 
     private static final long REGISTER_INTERVAL_MILLIS = 500;
@@ -60,7 +63,7 @@
 
     private record TrackedGrant(Grant grant, HostId owner) {}
 
-    /** What one owner must be told. */
+    /** Reports that one owner has not acknowledged. */
     private static final class Outbox {
         private List<AttemptId> begun = new ArrayList<>();
         private List<FirstToken> firstTokens = new ArrayList<>();
@@ -106,7 +109,7 @@
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("reporting grants failed; it is tried again", e);
+            LOG.error("reporting grants to owners failed; retrying at the next interval", e);
         }
     }
 
@@ -114,7 +117,7 @@
         open.put(grant.attempt(), new TrackedGrant(grant, owner));
     }
 
-    /** The engine's first token came, so its prompt is no backlog any more. */
+    /** Reports an attempt's first token: its prompt no longer counts as prefill backlog. */
     void reportFirstToken(AttemptId attempt, long millisSinceStart) {
         synchronized (this) {
             TrackedGrant held = open.get(attempt);
@@ -127,7 +130,7 @@
         report();
     }
 
-    /** The turn of a segment to be read has come. */
+    /** Reports that the prefill of a segment begins. */
     void reportBegun(AttemptId attempt) {
         synchronized (this) {
             TrackedGrant held = open.get(attempt);
@@ -139,7 +142,7 @@
         report();
     }
 
-    /** Gives back a grant that was never used, whether this entry knows of it or not. */
+    /** Releases a grant that was never used, whether this entry tracks it or not. */
     void releaseUnused(AttemptId attempt, HostId owner) {
         synchronized (this) {
             open.remove(attempt);
@@ -147,7 +150,9 @@
         withdraw(attempt, owner);
     }
 
-    /** Those of the attempts that this entry doesn't run; an owner asks when an engine holds memory for them. */
+    /**
+     * Those of the attempts that this entry doesn't run; an owner sends an audit when an engine holds memory for them.
+     */
     public synchronized AuditAnswer audit(AuditRequest request) {
         List<AttemptId> notRunning = new ArrayList<>();
         boolean sameProcess =
@@ -160,7 +165,7 @@
         return new AuditAnswer(notRunning);
     }
 
-    /** The engine holds nothing for the attempt any more. */
+    /** Releases a grant whose engine holds nothing for the attempt any more. */
     void release(AttemptId attempt, ReleaseCause cause) {
         synchronized (this) {
             TrackedGrant held = open.remove(attempt);
@@ -172,7 +177,7 @@
         report();
     }
 
-    /** An owner was asked and its answer never came: whatever it reserved or queued is given back. */
+    /** Releases whatever an owner reserved or queued for a place request that was not answered. */
     void withdraw(AttemptId attempt, HostId owner) {
         synchronized (this) {
             outbox(owner).releases.add(new Release(attempt, ReleaseCause.NOT_STARTED));
@@ -210,7 +215,10 @@
         due.forEach(this::send);
     }
 
-    /** An owner whose lease is over has lost its ledger with it; the next one learns of open grants by registration. */
+    /**
+     * Drops the reports to owners whose lease has expired: their ledgers are gone, and the next owner receives the open
+     * grants by registration.
+     */
     private void dropLostOwners() {
         boolean membersKnown = !leasedView.members().hosts().isEmpty();
         outboxes.keySet()
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
@@ -30,11 +30,15 @@
 import org.elmline.core.timeline.RequestEvent;
 
 /**
- * Serves a prompt larger than any engine by a group of them: reserves all or nothing, reads the segments one after
- * another, streams the answer from the last engine, and frees every engine however it ends.
+ * Serves a prompt larger than any engine by a group of them: reserves all or nothing, prefills the segments one after
+ * another, streams the answer from the last engine, and frees every engine however the request ends. Runs on one
+ * worker.
  */
 final class GroupExecution {
-    /** Part of a segment's memory that its import takes on another engine, as engines announce it to be at most. */
+    /**
+     * Memory that importing a segment takes on another engine, as a fraction of the segment's memory; the upper bound
+     * that engines announce.
+     */
     private static final double IMPORT_MEMORY_SHARE = 1.0 / 16;
 
     private static final int MAX_RESERVATION_ATTEMPTS = 20;
@@ -54,7 +58,7 @@
         this.demand = demand;
     }
 
-    /** Empty once the caller has the whole answer, else the refusal to give. */
+    /** Empty once the caller has the whole answer, else the refusal to send. */
     Optional<Refusal> run() throws IOException, InterruptedException {
         for (int i = 0; i < MAX_RESERVATION_ATTEMPTS && remainingMillis() > 0; i++) {
             PlaceRequest whole = new PlaceRequest(
@@ -82,7 +86,8 @@
                     return serve(whole, plan.get(), reservation.grants());
                 }
             }
-            // Groups that meet hand back what they hold and come again at unlike times.
+            // Groups that compete for the same engines release what they hold and retry after random delays, so that
+            // they do not collide again.
             Thread.sleep(RETRY_DELAY_MILLIS + ThreadLocalRandom.current().nextLong(RETRY_DELAY_MILLIS));
         }
         return Optional.of(Refusal.retryLater(
@@ -194,7 +199,10 @@
                 ending instanceof StreamOutcome.Broken broken ? failureRefusal(broken.why()) : deadlineRefusal());
     }
 
-    /** Engines are told until they acknowledge; a grant is given back with its engine's last acknowledgement. */
+    /**
+     * Cancellations are repeated until the engines acknowledge them; a grant is released with its engine's last
+     * acknowledgement.
+     */
     private void freeEngines(GroupRun run) {
         for (Cancel each : run.end()) {
             gateway.cancellations().free(each, grantOn(run, each), freed -> {
@@ -220,7 +228,7 @@
         } catch (TimeoutException e) {
             return new CallResult.Unknown<>("out of time");
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a call's result is always a value", e);
+            throw new IllegalStateException("engine call failed with an exception instead of a CallResult", e);
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/ModelsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/ModelsHandler.java
@@ -9,7 +9,10 @@
 import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.JsonResponses;
 
-/** {@code GET /v1/models}, in the OpenAI API's form: each model, and each of its adapters as {@code model@adapter}. */
+/**
+ * {@code GET /v1/models} in the OpenAI API's format: lists each model, and each of its adapters as {@code
+ * model@adapter}.
+ */
 public final class ModelsHandler implements HttpHandler {
     private final AdmissionController admission;
     private final LeasedView leasedView;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/OrganisationLimitService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/OrganisationLimitService.java
@@ -29,8 +29,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Holds organisations to their limits over all entries: asks the entry that splits an organisation's limit for a share,
- * and splits the limits that fall to this one.
+ * Enforces the organisations' limits over all entries: requests a share of an organisation's limit from the entry that
+ * splits it, and splits the limits that are assigned to this entry.
  */
 public final class OrganisationLimitService {
     private static final Logger LOG = Logger.getLogger(OrganisationLimitService.class);
@@ -67,10 +67,10 @@
     }
 
     /**
-     * Admits a request, or says why not; {@link #onFinished} must follow an admission exactly once. May wait for a share
-     * on the calling worker, for at most half a second.
+     * Admits a request or returns the refusal; {@link #onFinished} must follow an admission exactly once. May block the
+     * calling worker for at most half a second, waiting for a share.
      *
-     * @param tokens its prompt and longest answer
+     * @param tokens prompt tokens plus the maximum number of output tokens
      */
     public Optional<Refusal> admit(Organisation organisation, long tokens) {
         LimitDecision answer = limits.admit(organisation, tokens, clock.nanos());
@@ -113,7 +113,7 @@
             shares.expire(clock.nanos());
             limits.dueRenewals(clock.nanos()).forEach(this::requestShare);
         } catch (RuntimeException e) {
-            LOG.error("renewing shares of limits failed; it is tried again", e);
+            LOG.error("renewing shares of limits failed; retrying at the next interval", e);
         }
     }
 
@@ -133,7 +133,10 @@
                 });
     }
 
-    /** An organisation this entry doesn't know yet gets nothing; its entry asks again. */
+    /**
+     * An organisation that is missing from this entry's configuration gets an empty share; the requesting entry
+     * requests again.
+     */
     private ShareAnswer grantShare(ShareRequest request) {
         return leasedView
                 .configuration()
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/PlacementResult.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/PlacementResult.java
@@ -4,9 +4,9 @@
 import org.elmline.core.common.Refusal;
 import org.elmline.core.route.Grant;
 
-/** Whether a place was found for an attempt. */
+/** Result of placing an attempt. */
 sealed interface PlacementResult {
-    /** Memory is reserved on an engine, by this owner. */
+    /** The owner has reserved memory on an engine. */
     record Placed(Grant grant, HostId owner) implements PlacementResult {}
 
     /** Nothing is reserved anywhere. */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
@@ -33,7 +33,7 @@
 import org.elmline.daemon.entry.HostIdentity;
 import org.elmline.daemon.entry.LeasedView;
 
-/** Finds a place for an attempt: asks a bounded number of owners, the most promising first. */
+/** Places an attempt on an engine: sends place requests to at most three owners, the most promising first. */
 public final class Placer {
     private static final int MAX_OWNERS = 3;
     private static final long MEMBERSHIP_CHECK_MILLIS = 250;
@@ -69,7 +69,7 @@
         this.requestsLost = metrics.counter("gateway.owners.lost");
     }
 
-    /** Waits for a place until the demand's time is up. */
+    /** Waits for a placement until the demand's time is up. */
     PlacementResult place(AdmittedCall call, int placement, Demand demand) throws InterruptedException {
         Set<HostId> tried = new HashSet<>();
         Refusal last = null;
@@ -108,19 +108,19 @@
         return new PlacementResult.Refused(last != null ? last : noOwnerRefusal(demand));
     }
 
-    /** The engines that may be free for segments of a prompt larger than one engine. */
+    /** The engines that may have room for segments of a prompt larger than one engine. */
     List<GroupSlot> slots(ModelName model) {
         return owners.groupSlots(model, clock.nanos());
     }
 
-    /** As the other, for an owner known by its id; empty when it is no member. */
+    /** Sends a place request to an owner given by its id; empty also when it is not a member. */
     Optional<OwnerPlaceAnswer> requestPlace(HostId owner, PlaceRequest request, AdmittedCall call)
             throws InterruptedException {
         Optional<HostRecord> record = leasedView.members().host(owner);
         return record.isEmpty() ? Optional.empty() : requestPlace(record.get(), request, call);
     }
 
-    /** Empty when the owner can't be reached, is no longer a member, or the time is up. */
+    /** Sends a place request; empty when the owner can't be reached, is no longer a member, or the time is up. */
     private Optional<OwnerPlaceAnswer> requestPlace(HostRecord owner, PlaceRequest request, AdmittedCall call)
             throws InterruptedException {
         CompletableFuture<Optional<OwnerPlaceAnswer>> answer = send(owner, request, call);
@@ -128,14 +128,15 @@
             try {
                 return answer.get(MEMBERSHIP_CHECK_MILLIS, TimeUnit.MILLISECONDS);
             } catch (TimeoutException e) {
-                // A frozen owner keeps its connections open: without this look at the members its callers would wait
-                // their whole time limit. Its lease ends within seconds, and another owner takes its engines.
+                // A hung owner keeps its connections open: without this check of the members, its callers would wait
+                // for their whole time limit. Its lease expires within seconds, and another owner takes over its
+                // engines.
                 boolean gone = leasedView.members().host(owner.id()).isEmpty();
                 if (gone || call.remainingMillis(clock) <= 0) {
                     return Optional.empty();
                 }
             } catch (ExecutionException e) {
-                throw new IllegalStateException("a call's result is always a value", e);
+                throw new IllegalStateException("place request failed with an exception instead of a CallResult", e);
             }
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamEventQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamEventQueue.java
@@ -8,8 +8,8 @@
 import org.elmline.core.engine.StreamListener;
 
 /**
- * Carries events from an engine's stream to the caller's worker. Bounded: a caller that reads slowly makes the engine's
- * stream wait, in place of filling this process's memory.
+ * Passes events from an engine's stream to the worker that serves the caller. Bounded: a caller that reads slowly
+ * blocks the engine's stream, instead of filling this process's memory. Thread-safe.
  */
 final class StreamEventQueue implements StreamListener {
     private static final int CAPACITY = 1024;
@@ -22,7 +22,7 @@
     public void onEvent(StreamEvent event) {
         try {
             while (!closed && !events.offer(event, OFFER_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)) {
-                // The caller reads slowly.
+                // The queue is full since the caller reads slowly.
                 continue;
             }
         } catch (InterruptedException e) {
@@ -35,7 +35,7 @@
         return events.poll(millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Nobody reads any more; a stream that still brings events must not wait for it. */
+    /** Ends reading: a stream that still delivers events must not block on the full queue. */
     void close() {
         closed = true;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamOutcome.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamOutcome.java
@@ -7,9 +7,9 @@
     /** The caller has the whole answer. */
     record Complete() implements StreamOutcome {}
 
-    /** The time is up. */
+    /** The deadline passed before the answer was complete. */
     record DeadlineExceeded() implements StreamOutcome {}
 
-    /** The stream broke; {@code reachable} tells whether the engine may still hold it. */
+    /** The stream broke; {@code reachable} states whether the engine may still hold the attempt. */
     record Broken(Ran ran, boolean reachable, String why) implements StreamOutcome {}
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/StreamSink.java
@@ -12,9 +12,9 @@
 import org.elmline.daemon.http.JsonResponses;
 import org.elmline.daemon.openai.CompletionWriter;
 
-/** Sends an answer piece by piece as server-sent events. The status line goes out with the first piece. */
+/** Sends an answer piece by piece as server-sent events. The status line is sent with the first piece. */
 final class StreamSink implements AnswerSink {
-    /** A comment line, which readers of server-sent events pass over. */
+    /** A comment line, which clients of server-sent events ignore. */
     private static final byte[] KEEP_ALIVE_COMMENT = ": waiting\n\n".getBytes(StandardCharsets.UTF_8);
 
     private final HttpServerExchange exchange;
@@ -51,7 +51,7 @@
     @Override
     public void onIdle() throws IOException {
         if (out == null) {
-            // The status isn't known yet, so nothing may be written to find out.
+            // The status isn't known yet, so no keep-alive comment may be written to detect a closed connection.
             new CallerDisconnectDetector(exchange).checkConnected();
             return;
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/package-info.java
@@ -1,2 +1,5 @@
-/** What callers reach: completions, plain services, models and the addresses to use. */
+/**
+ * Handles requests of API callers: completions, models and the addresses of entry hosts, with admission, placement and
+ * retries.
+ */
 package org.elmline.daemon.caller;
