--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/SendTracker.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/SendTracker.java
@@ -5,11 +5,14 @@
 import okhttp3.Request;
 import org.elmline.core.common.Ran;
 
-/** Remembers whether any byte of one call may have left this process: what decides between NO and UNKNOWN. */
+/**
+ * Records whether any byte of one call may have been sent, which decides between {@link Ran#NO} and {@link
+ * Ran#UNKNOWN}. Thread-safe.
+ */
 public final class SendTracker extends EventListener {
     private volatile boolean headersStarted;
 
-    /** The mark that the call's request carries. */
+    /** The tracker attached to the call's request as a tag; {@link EventListener#NONE} when there is none. */
     public static EventListener of(Request request) {
         SendTracker mark = request.tag(SendTracker.class);
         return mark == null ? EventListener.NONE : mark;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineClient.java
@@ -32,7 +32,7 @@
 import org.elmline.wire.engine.EnginePaths;
 import org.elmline.wire.engine.ImportRequest;
 
-/** One stand-in engine over HTTP. */
+/** Client of one stand-in engine over HTTP. Thread-safe. */
 final class StandinEngineClient implements EngineClient {
     private static final MediaType JSON = MediaType.get("application/json");
     private static final JavaType STREAM_INFOS = EngineJson.listOf(StreamInfo.class);
@@ -86,7 +86,10 @@
         return send(calls, readRequest(EnginePaths.STREAMS), json -> EngineJson.read(json, STREAM_INFOS));
     }
 
-    /** Takes as long as the segment's prefill; the engine's heartbeats bound its silence in place of the whole call. */
+    /**
+     * Takes as long as the segment's prefill, so only the time between the engine's heartbeats is limited, not the
+     * whole call.
+     */
     @Override
     public CompletableFuture<CallResult<KvExport>> exportKv(EngineRequest segment) {
         Request.Builder post =
@@ -144,7 +147,7 @@
         return call(new Request.Builder().url(url), CacheEvents.class);
     }
 
-    /** Connections belong to the protocol, which all its clients share. */
+    /** Does nothing: connections belong to the protocol, which all its clients share. */
     @Override
     public void close() {}
 
@@ -158,7 +161,7 @@
         return send(calls, request, json -> EngineJson.read(json, type));
     }
 
-    /** Turns an answer's body into its value. */
+    /** Decodes an answer's body. */
     private interface AnswerDecoder<T> {
         T decode(byte[] json) throws IOException;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineProtocol.java
@@ -15,14 +15,16 @@
 import org.elmline.core.engine.EngineProtocol;
 
 /**
- * Speaks the stand-ins' HTTP interface, see docs/ENGINE-PROTOCOL.md. Streams and short calls have bounded pools of
- * their own: with one pool, enough open streams would hold every thread, and the cancels that free them could not be
- * sent.
+ * Protocol of the stand-in engines over HTTP, see docs/ENGINE-PROTOCOL.md. Streams and short calls have separate
+ * bounded thread pools: with one pool, enough open streams would occupy every thread, and the cancels that free them
+ * could not be sent. Thread-safe.
  */
 public final class StandinEngineProtocol implements EngineProtocol, AutoCloseable {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final Duration CALL_TIMEOUT = Duration.ofSeconds(3);
-    /** The engine sends a line at least once a second, so this silence means that it is gone. */
+    /**
+     * The engine sends a line at least once a second; when none arrives for this long, the engine is taken as failed.
+     */
     private static final Duration STREAM_TIMEOUT = Duration.ofSeconds(5);
 
     private static final int DEFAULT_STREAM_THREADS = 1_024;
@@ -32,7 +34,7 @@
     private final OkHttpClient streamClient;
     private final OkHttpClient callClient;
 
-    /** As {@link java.util.ServiceLoader} makes it, with pools of its own. */
+    /** Used by {@link java.util.ServiceLoader}; creates its own thread pools. */
     public StandinEngineProtocol() {
         this(
                 threadPool("engine-stream", DEFAULT_STREAM_THREADS),
@@ -42,15 +44,16 @@
     }
 
     /**
-     * Uses the given pools, which it shuts down when closed.
+     * Uses the given pools, which {@link #close} shuts down.
      *
-     * @param maxStreams streams read at one time; further ones wait for a thread
+     * @param maxStreams maximum number of streams read concurrently; further ones wait for a thread
+     * @param maxCalls maximum number of concurrent short calls; further ones wait for a thread
      */
     public StandinEngineProtocol(ExecutorService streamReaders, int maxStreams, ExecutorService callers, int maxCalls) {
         OkHttpClient common = new OkHttpClient.Builder()
                 .connectTimeout(CONNECT_TIMEOUT)
                 .eventListenerFactory(call -> SendTracker.of(call.request()))
-                // A silent second try by the library would make "sent once" untrue.
+                // OkHttp must not retry by itself: a call that this process counts as sent once could then run twice.
                 .retryOnConnectionFailure(false)
                 .followRedirects(false)
                 .connectionPool(new ConnectionPool(64, 30, TimeUnit.SECONDS))
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
@@ -13,10 +13,13 @@
 import org.elmline.core.engine.StreamListener;
 import org.elmline.wire.engine.EngineJson;
 
-/** Reads one stream's lines until End, Failed or a broken connection, and tells exactly one of the last two. */
+/**
+ * Reads one stream's lines and passes their events to the listener, until End, Failed or {@link #close}. A broken
+ * connection is reported as Failed.
+ */
 final class StreamCall implements Callback, AutoCloseable {
     private static final int OK = 200;
-    /** A line longer than this is no event: it would fill memory. */
+    /** A longer line is rejected as invalid: it would fill memory. */
     private static final long MAX_LINE_BYTES = 1 << 20;
 
     private final AttemptId attempt;
@@ -63,7 +66,10 @@
         }
     }
 
-    /** A resumed attempt ran once already; 410 says the same of a doubled start; 5xx but 503 says nothing. */
+    /**
+     * A resumed attempt has run already. Status 410 means the same for a repeated start. 5xx other than 503 does not
+     * show whether the attempt ran.
+     */
     private Ran ranOfStatus(int status) {
         boolean refused = status >= 400 && status < 500 && status != 410 || status == 503;
         return refused && !resumed ? Ran.NO : Ran.UNKNOWN;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/package-info.java
@@ -1,2 +1,2 @@
-/** The plug-in that speaks to stand-in engines over HTTP. */
+/** The plug-in that connects to stand-in engines over HTTP. */
 package org.elmline.daemon.engine;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
@@ -38,7 +38,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** The plug-in against a stand-in engine over real HTTP. */
+/** Tests the plug-in against a stand-in engine over HTTP. */
 class StandinEngineProtocolTest {
     private static final ModelName MODEL = ModelName.of("elm-small");
     private static final String PROMPT = "Is the north trail open at nine? ".repeat(40);
@@ -81,8 +81,8 @@
     }
 
     /**
-     * The caller's entry loses its connection to the engine amid an answer. The engine goes on and keeps the memory;
-     * reading again from the next piece gives the rest, with no piece lost or doubled.
+     * The entry loses its connection to the engine in the middle of an answer. The engine continues and keeps the
+     * memory; a resume from the next piece must give the rest, with no piece lost or duplicated.
      */
     @Test
     void resumesFromAnOffsetAfterABrokenConnection() throws Exception {
@@ -103,7 +103,7 @@
         assertEquals(offset, second.pieces().get(0).index());
     }
 
-    /** An engine dies amid an answer; another goes on from the pieces that the caller has. */
+    /** An engine fails in the middle of an answer; another must continue from the pieces that were delivered. */
     @Test
     void continuesOnAnotherEngineWithTheSamePieces() throws Exception {
         List<String> whole = AnswerText.of(MODEL, "", PROMPT, 60).pieces();
@@ -115,7 +115,10 @@
         assertEquals(whole, concat(delivered, log));
     }
 
-    /** A reader goes away without cancelling. The engine's memory stays taken until somebody cancels: elmline must. */
+    /**
+     * A reader closes its stream without cancelling. The engine keeps the stream's memory until a cancel arrives, so
+     * elmline must send one.
+     */
     @Test
     void keepsMemoryOfAnAbandonedStreamUntilCancelled() throws Exception {
         engine.faults().slowdown(40);
@@ -153,7 +156,7 @@
         assertEquals(Ran.UNKNOWN, ((StreamEvent.Failed) unknown.last()).ran());
     }
 
-    /** The engine's process dies amid a stream: the caller must not be told that nothing ran. */
+    /** The engine fails in the middle of a stream: the failure must not be reported as not run. */
     @Test
     void aKilledEngineLeavesUnknown() throws Exception {
         engine.faults().slowdown(40);
@@ -164,7 +167,7 @@
         assertEquals(Ran.UNKNOWN, ((StreamEvent.Failed) log.last()).ran());
     }
 
-    /** The same attempt is started twice, as after a lost answer: the second must not claim that nothing ran. */
+    /** The same attempt is started twice, as after a lost answer: the second start must not be reported as not run. */
     @Test
     void aDoubledStartIsNotCalledNotRun() throws Exception {
         engine.faults().slowdown(40);
@@ -193,7 +196,7 @@
         assertEquals(count - count / 5, piecesOf("c3").size());
     }
 
-    /** A prompt of more than twice one engine's memory: two engines hold segments, a third answers over both. */
+    /** A prompt larger than twice the memory of one engine: two engines hold segments, and one answers over both. */
     @Test
     void answersOverImportedSegments() throws Exception {
         try (EngineServer second = engine("engine-2").start()) {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/engine/StreamLog.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/engine/StreamLog.java
@@ -8,7 +8,7 @@
 import org.elmline.core.engine.StreamEvent;
 import org.elmline.core.engine.StreamListener;
 
-/** Keeps what one stream brought. */
+/** Records the events of one stream. */
 final class StreamLog implements StreamListener {
     private final List<StreamEvent> events = new ArrayList<>();
     private final CountDownLatch ended = new CountDownLatch(1);
