--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
@@ -13,7 +13,10 @@
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
-/** {@code POST /v1/backend-servers/announce}: a backend server says what it is, and learns how often and where to. */
+/**
+ * {@code POST /v1/backend-servers/announce}: accepts the announcement of a backend server; the answer gives the
+ * interval of announcements and the addresses to send them to.
+ */
 public final class AnnounceHandler implements HttpHandler {
     private final Collection<String> keys;
     private final WorkerBodyReader bodies;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/EngineClients.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/EngineClients.java
@@ -9,7 +9,10 @@
 import org.elmline.core.engine.EngineClient;
 import org.elmline.core.engine.EngineProtocol;
 
-/** The connections to engines, one client an engine, made by the plug-in that the engine's announcement names. */
+/**
+ * The clients of engines, one for each protocol and address, created by the plug-in that the engine's announcement
+ * names. Thread-safe.
+ */
 public final class EngineClients implements AutoCloseable {
     private final Map<String, EngineProtocol> protocols = new ConcurrentHashMap<>();
     private final Map<Key, EngineClient> clients = new ConcurrentHashMap<>();
@@ -22,7 +25,7 @@
         }
     }
 
-    /** Empty when no plug-in speaks the protocol. */
+    /** Empty when no plug-in implements the protocol. */
     public Optional<EngineClient> client(String protocol, Address address) {
         EngineProtocol plugIn = protocols.get(protocol);
         if (plugIn == null) {
@@ -31,7 +34,7 @@
         return Optional.of(clients.computeIfAbsent(new Key(protocol, address), key -> plugIn.connect(address)));
     }
 
-    /** Drops the client of an engine that is gone. */
+    /** Closes the client of an engine that is gone. */
     public void remove(String protocol, Address address) {
         EngineClient client = clients.remove(new Key(protocol, address));
         if (client != null) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/EngineObserver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/EngineObserver.java
@@ -15,7 +15,10 @@
 import org.elmline.core.owner.Owner;
 import org.elmline.core.peer.HandlerRegistry;
 
-/** Reads what the owned engines serve, when the control leader asks. */
+/**
+ * Reads the state of the owned engines at the control leader's request. The state is null for an engine that did not
+ * answer.
+ */
 public final class EngineObserver {
     private final Owner owner;
     private final EngineClients engines;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerMaintenance.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerMaintenance.java
@@ -22,14 +22,14 @@
 import org.jboss.logging.Logger;
 
 /**
- * What an owner does unasked: moves waiting requests on, repeats cancels until engines acknowledge them, lists what its
- * engines hold to find what dead entries left there, and reads cache events.
+ * Runs an owner's periodic tasks: advances waiting requests, repeats cancels until engines acknowledge them, lists what
+ * its engines hold to find what failed entries left there, reads cache events, and records changes of its servers.
  */
 public final class OwnerMaintenance {
     private static final Logger LOG = Logger.getLogger(OwnerMaintenance.class);
-    /** Between steps while a request waits here. */
+    /** Interval of advancing while a request waits. */
     private static final long ADVANCE_INTERVAL_MILLIS = 20;
-    /** Between steps while none does: waking fifty times a second for nothing took over 1 % of a core. */
+    /** Interval of advancing while no request waits: waking fifty times a second when idle took over 1 % of a core. */
     private static final long IDLE_ADVANCE_INTERVAL_MILLIS = 200;
 
     private static final long CANCEL_INTERVAL_MILLIS = 250;
@@ -81,12 +81,15 @@
         timer.scheduleWithFixedDelay(() -> runAndLogFailures(task), millis, millis, TimeUnit.MILLISECONDS);
     }
 
-    /** A timer drops a task that throws: one failed round would silently end all later ones. */
+    /**
+     * Keeps the task scheduled: the executor ends a periodic task that throws, so one failed run would silently end all
+     * later ones.
+     */
     private static void runAndLogFailures(Runnable task) {
         try {
             task.run();
         } catch (RuntimeException e) {
-            LOG.error("a duty of the owner failed; it is tried again", e);
+            LOG.error("periodic task of the owner failed; retrying at the next interval", e);
         }
     }
 
@@ -125,7 +128,7 @@
         });
     }
 
-    /** Asks an entry whether it runs what an engine holds in its name. */
+    /** Requests from an entry whether it runs the attempts for which an engine holds memory. */
     private void audit(AuditRequest request) {
         service.audit(request)
                 .thenAccept(answer -> answer.ifPresent(known -> owner.onAuditAnswer(request, known, clock.nanos())));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
@@ -34,7 +34,10 @@
 import org.elmline.daemon.entry.HostIdentity;
 import org.elmline.daemon.entry.LeasedView;
 
-/** Serves the decisions of this entry's {@link Owner} to other entries, and passes on what belongs to other owners. */
+/**
+ * Serves requests of other entries to this entry's {@link Owner}, and forwards announcements that belong to other
+ * owners. Thread-safe.
+ */
 public final class OwnerService {
     private static final Duration FORWARD_TIMEOUT = Duration.ofMillis(500);
     private static final int MAX_CANDIDATES = 3;
@@ -74,9 +77,9 @@
     }
 
     /**
-     * Takes an announcement made here, or passes it to the owner. A candidate that can't be reached is passed over: a
-     * backend server without an owner would get no work until the dead candidate's lease has run out, while two owners
-     * for a moment cost accuracy only.
+     * Accepts an announcement received here, or forwards it to the owner. A candidate that can't be reached is skipped:
+     * otherwise a backend server without an owner would get no work until the failed candidate's lease expires. Two
+     * owners for a short time only make predictions less accurate.
      */
     CompletionStage<AnnounceAnswer> handleAnnouncement(Announcement announcement) {
         Ownership ownership = new Ownership(leasedView.members().hosts());
@@ -106,7 +109,9 @@
                 });
     }
 
-    /** Another owner has the server now; if it was owned here, it gets no more work from here at once. */
+    /**
+     * Another owner has accepted the server; if it was owned here, this owner places no more work on it from now on.
+     */
     private void releaseServer(Announcement announcement) {
         for (Announcement each : owner.engines()) {
             if (each.id().equals(announcement.id())) {
@@ -119,7 +124,7 @@
         return CompletableFuture.completedFuture(owner.announce(announcement, clock.nanos()));
     }
 
-    /** Decides one placement on the engines owned here; completes at the latest at the request's deadline. */
+    /** Decides one placement on the engines owned here; completes no later than the request's deadline. */
     public CompletableFuture<OwnerPlaceAnswer> place(PlaceRequest request) {
         CompletableFuture<OwnerPlaceAnswer> answer =
                 pendingAnswers.computeIfAbsent(request.attempt(), attempt -> new CompletableFuture<>());
@@ -131,7 +136,7 @@
         return answer;
     }
 
-    /** Takes an entry's news of its grants; a release may let a waiting request in at once. */
+    /** Applies an entry's report on its grants; a release may admit a waiting request at once. */
     public GrantReportAnswer report(GrantReport report) {
         GrantReportAnswer answer = owner.report(report, clock.nanos());
         report.releases().forEach(each -> pendingAnswers.remove(each.attempt()));
@@ -144,7 +149,7 @@
         return owner.register(grants, clock.nanos());
     }
 
-    /** What an entry says to an audit; empty when it can't be asked. */
+    /** Sends an audit to the entry that it names; empty when that entry is not a member or does not answer. */
     CompletableFuture<Optional<AuditAnswer>> audit(AuditRequest request) {
         if (request.host().equals(self.host())) {
             return CompletableFuture.completedFuture(Optional.of(localAudit.apply(request)));
@@ -159,7 +164,7 @@
                         : Optional.empty());
     }
 
-    /** Called when a request has to wait; {@link #advance} then brings its answer. */
+    /** Sets the listener that is notified when a request has to wait; {@link #advance} completes the request later. */
     void onWaiting(Runnable listener) {
         onWaiting = listener;
     }
@@ -168,12 +173,12 @@
         return !pendingAnswers.isEmpty();
     }
 
-    /** Who answers audits of this entry's own attempts. */
+    /** Sets the function that answers audits of this entry's own attempts. */
     public void localAudit(Function<AuditRequest, AuditAnswer> audit) {
         localAudit = audit;
     }
 
-    /** Moves the owner's time on and delivers what became known. */
+    /** Advances the owner to the present time and completes the placements that it has decided. */
     void advance() {
         for (OwnerDecision each : owner.advance(clock.nanos())) {
             complete(each.request().attempt(), each.answer());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/PlacementFactory.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/PlacementFactory.java
@@ -5,18 +5,22 @@
 import org.elmline.core.placement.PlacementPolicy;
 import org.elmline.daemon.settings.PlacementPolicySettings;
 
-/** Turns the settings of placement into the policy and the weights that they name. */
+/** Creates the placement policy and the weights that the settings name. */
 public final class PlacementFactory {
     private PlacementFactory() {}
 
-    /** Fails, naming what there is, when no such policy is registered. */
+    /**
+     * Creates the policy.
+     *
+     * @throws IllegalArgumentException when no such policy is registered; the message names those that are
+     */
     public static PlacementPolicy policy(PlacementPolicySettings settings) {
         return PlacementPolicies.named(settings.policy(), weights(settings))
                 .orElseThrow(() -> new IllegalArgumentException(
                         "no placement policy " + settings.policy() + "; there are " + PlacementPolicies.names()));
     }
 
-    /** The ledger predicts under the same weights as the policy. */
+    /** The ledger predicts with the same weights as the policy. */
     public static LedgerSettings ledgerSettings(PlacementPolicySettings settings) {
         return new LedgerSettings(weights(settings), LedgerSettings.DEFAULT.blockTokens());
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/SummarySender.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/SummarySender.java
@@ -19,7 +19,7 @@
 import org.elmline.wire.codec.Codecs;
 import org.jboss.logging.Logger;
 
-/** Tells other entries what this owner has, whenever {@link SummarySchedule} says so. */
+/** Sends this owner's summary to other entries when {@link SummarySchedule} makes them due. */
 public final class SummarySender {
     private static final Logger LOG = Logger.getLogger(SummarySender.class);
     private static final long CHECK_INTERVAL_MILLIS = 200;
@@ -69,7 +69,7 @@
                 network.call(each.peers(), RouteChannels.SUMMARY, summary, SEND_TIMEOUT);
             }
         } catch (RuntimeException e) {
-            LOG.error("sending the summary failed; it is tried again", e);
+            LOG.error("sending the owner summary failed; retrying at the next interval", e);
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/package-info.java
@@ -1,2 +1,5 @@
-/** What an entry does with backend servers: hears their announcements, owns some, and keeps connections to them. */
+/**
+ * What an entry does with backend servers: receives their announcements, owns some of them, and keeps connections to
+ * them.
+ */
 package org.elmline.daemon.backend;
