--- a/elmline-daemon/src/main/java/org/elmline/daemon/openai/ApiKind.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/openai/ApiKind.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The two APIs that ask for an answer. They differ in where the prompt stands and in the shape of a choice. */
+/** The two completion APIs. They differ in the field that holds the prompt and in the shape of a choice. */
 public enum ApiKind {
     COMPLETIONS("cmpl-", "text_completion", "text_completion") {
         @Override
--- a/elmline-daemon/src/main/java/org/elmline/daemon/openai/CompletionReader.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/openai/CompletionReader.java
@@ -8,19 +8,21 @@
 import org.elmline.core.common.ModelName;
 import org.elmline.wire.codec.Codecs;
 
-/** Reads a body of either API. Sampling fields are passed over, as engines choose their own; what changes the shape of
- * the answer and isn't served is refused by name. */
+/**
+ * Parses request bodies of both APIs. Sampling fields are ignored, as engines choose their own; a field that changes
+ * the shape of the answer and is not supported is rejected with a reason that names it.
+ */
 public final class CompletionReader {
     private static final ObjectMapper MAPPER = Codecs.jsonMapper();
 
     private CompletionReader() {}
 
-    /** What a body holds. */
+    /** Result of parsing a body. */
     public sealed interface Result {
         /** A request that can be served. */
         record Valid(CompletionRequest request) implements Result {}
 
-        /** Why not, in words for the caller. */
+        /** The reason for rejecting the body, as sent to the caller. */
         record Invalid(String why) implements Result {}
     }
 
@@ -94,7 +96,7 @@
         return null;
     }
 
-    /** The longest answer asked for; 0 when absent, -1 when it isn't a whole number of at least 1. */
+    /** The requested maximum of output tokens; 0 when absent, -1 when it isn't a whole number of at least 1. */
     private static int maxOutputTokens(JsonNode body) {
         for (String field : new String[] {"max_completion_tokens", "max_tokens"}) {
             JsonNode value = body.path(field);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/openai/CompletionWriter.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/openai/CompletionWriter.java
@@ -10,7 +10,7 @@
 import org.elmline.daemon.http.ErrorBody;
 import org.elmline.wire.codec.Codecs;
 
-/** Writes the answers to one request: whole, or as server-sent events. */
+/** Writes the answer to one request, as one JSON body or as server-sent events. */
 public final class CompletionWriter {
     private static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.UTF_8);
 
@@ -41,7 +41,7 @@
         return event(body);
     }
 
-    /** The last events of a whole answer: the finish reason, token counts when asked for, and the end mark. */
+    /** The last events of a complete answer: the finish reason, token counts if requested, and {@code [DONE]}. */
     public byte[] endEvents(int tokens, FinishReason reason) {
         ObjectNode last = newBody(request.api().pieceObject());
         choice(last, request.api().piece("", false), reason);
@@ -55,7 +55,7 @@
         return join(finish, event(usage), DONE);
     }
 
-    /** The event that tells a caller that the answer broke off: no end mark follows, so it can't pass for whole. */
+    /** The event for an answer that broke off: no {@code [DONE]} follows, so callers can't take it for complete. */
     public static byte[] errorEvent(Refusal refusal) {
         return event(ErrorBody.of(refusal));
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/openai/Prompt.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/openai/Prompt.java
@@ -1,6 +1,6 @@
 package org.elmline.daemon.openai;
 
-/** The prompt found in a body, or why there is none. */
+/** The prompt of a request body, or the reason why it is invalid. */
 sealed interface Prompt {
     /** The text for the engine. */
     record Text(String text) implements Prompt {}
