--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/IdempotencyKeysHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/IdempotencyKeysHandler.java
@@ -8,7 +8,7 @@
 import org.elmline.daemon.caller.AdmissionController;
 import org.elmline.daemon.http.JsonResponses;
 
-/** {@code POST /v1/idempotency-keys}: a fresh key for the caller's organisation. */
+/** {@code POST /v1/idempotency-keys}: issues a new key for the caller's organisation. */
 public final class IdempotencyKeysHandler implements HttpHandler {
     private final AdmissionController admission;
     private final SecureRandom random = new SecureRandom();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ReplicaSelector.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ReplicaSelector.java
@@ -16,7 +16,10 @@
 import org.elmline.core.route.OwnerTable;
 import org.elmline.core.route.ServiceReplica;
 
-/** Chooses a replica of a plain service: the less busy of two drawn at random, by this entry's own open calls. */
+/**
+ * Selects a replica of a plain service: the less busy of two drawn at random, by this entry's own open calls.
+ * Thread-safe.
+ */
 final class ReplicaSelector {
     private final OwnerTable owners;
     private final MonotonicClock clock;
@@ -27,7 +30,7 @@
         this.clock = clock;
     }
 
-    /** One replica held for a call; closing it gives it back. */
+    /** One replica acquired for a call; closing it ends the call's share of the open calls. */
     record AcquiredReplica(ServiceReplica replica, AtomicInteger openCalls) implements AutoCloseable {
         @Override
         public void close() {
@@ -35,7 +38,7 @@
         }
     }
 
-    /** Empty when no replica that wasn't tried takes calls. */
+    /** Acquires a replica; empty when none is available but those already tried. */
     Optional<AcquiredReplica> acquire(ServiceName service, Set<BackendServerId> tried) {
         List<ServiceReplica> able = new ArrayList<>();
         Set<BackendServerId> seen = new HashSet<>(tried);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceClient.java
@@ -21,12 +21,18 @@
 import org.elmline.core.control.RecordedAnswer;
 import org.elmline.daemon.engine.SendTracker;
 
-/** Sends one call to one replica of a plain service, once. Blocks the calling worker until the result is known. */
+/**
+ * Sends one call to one replica of a plain service, once. Blocks the calling worker until the result is known.
+ * Thread-safe.
+ */
 final class ServiceClient implements AutoCloseable {
     private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
     private static final int MAX_IDLE_CONNECTIONS = 64;
     private static final long IDLE_CONNECTION_SECONDS = 30;
-    /** A service that refuses before anything ran says so in this header; nothing else counts as "did not run". */
+    /**
+     * A service that refuses a call before anything ran sends this header with {@code no}; no other answer counts as
+     * "did not run".
+     */
     private static final String RAN_HEADER = "Elmline-Ran";
 
     private static final Set<String> EXCLUDED_ANSWER_HEADERS = hopByHopHeaders();
@@ -34,13 +40,13 @@
     private final OkHttpClient http = new OkHttpClient.Builder()
             .connectTimeout(CONNECT_TIMEOUT)
             .eventListenerFactory(call -> SendTracker.of(call.request()))
-            // A silent second try by the library would make "sent once" untrue.
+            // OkHttp must not retry by itself: a call that this process counts as sent once could then run twice.
             .retryOnConnectionFailure(false)
             .followRedirects(false)
             .connectionPool(new ConnectionPool(MAX_IDLE_CONNECTIONS, IDLE_CONNECTION_SECONDS, TimeUnit.SECONDS))
             .build();
 
-    /** Headers that belong to one connection, and those that this process sets itself. */
+    /** Headers that are not forwarded: those of a single connection, and those that this process sets itself. */
     static Set<String> hopByHopHeaders() {
         Set<String> names = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
         names.addAll(List.of(
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
@@ -23,7 +23,7 @@
 import org.elmline.core.stream.RetryBudget;
 import org.elmline.daemon.entry.ControlCalls;
 
-/** Passes calls on to plain services: those that may be repeated with retries, the others under a claim. */
+/** Forwards calls to plain services: repeatable ones with retries, the others under a claim. Thread-safe. */
 public final class ServiceGateway implements AutoCloseable {
     private static final int MAX_ATTEMPTS = 3;
     private static final double RETRY_RATIO = 0.1;
@@ -53,7 +53,7 @@
         this.retries = metrics.counter("service.retries");
     }
 
-    /** A call that may be repeated: tries other replicas while the time and the retry budget last. */
+    /** Sends a repeatable call; tries other replicas while the time and the retry budget last. */
     ClaimReply callRepeatable(Service service, ServiceCall call, long deadlineNanos) {
         retryBudget.onFirstAttempt();
         Set<BackendServerId> tried = new HashSet<>();
@@ -75,8 +75,9 @@
     }
 
     /**
-     * A call that may run at most once: works off the session's steps, so that the call leaves only after a quorum has
-     * committed the claim and is never sent a second time. The caller has its reply as soon as it is known.
+     * Sends a call that may run at most once. Executes the session's steps in order, so that the call is sent only
+     * after a quorum has committed the claim and is never sent a second time. The reply is delivered as soon as it is
+     * known.
      */
     void callOnce(
             Service service, ServiceCall call, ClaimSession session, long deadlineNanos, Consumer<ClaimReply> reply) {
@@ -112,7 +113,10 @@
         to.accept(reply);
     }
 
-    /** One replica, one try. A replica that can't be reached got nothing, so another may be asked. */
+    /**
+     * Sends the call to one replica. Another is tried only after {@link CallResult.NotSent}, that is, when the call did
+     * not run.
+     */
     private CallResult<RecordedAnswer> sendOnce(Service service, ServiceCall call, long deadlineNanos) {
         Set<BackendServerId> tried = new HashSet<>();
         CallResult<RecordedAnswer> result = new CallResult.NotSent<>("no replica of " + service.name() + " is ready");
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
@@ -38,9 +38,9 @@
 import org.elmline.daemon.http.WorkerBodyReader;
 
 /**
- * {@code * /v1/services/{service}/{path}}: passes a call on. A call is repeatable when the service's ticket lists its
- * method or the caller says {@code Elmline-Idempotent: true}; every other one runs at most once and needs an
- * {@code Idempotency-Key}.
+ * {@code * /v1/services/{service}/{path}}: forwards a call to a plain service. A call is repeatable when the service's
+ * ticket lists its method or the caller sends {@code Elmline-Idempotent: true}; every other one runs at most once and
+ * needs an {@code Idempotency-Key}.
  */
 public final class ServiceHandler implements HttpHandler {
     private static final String PREFIX = "/v1/services/";
@@ -86,8 +86,9 @@
     }
 
     /**
-     * A call under a key may have run in an earlier try that this entry knows nothing of. Told that it did not run, a
-     * caller could take a new key and pay twice; so a refusal that a retry may change says that nobody knows.
+     * A call with a key may have run in an earlier attempt that this entry has no record of. If the refusal stated that
+     * it did not run, the caller could repeat it under a new key and, for example, pay twice. So a refusal that a retry
+     * may change reports {@link Ran#UNKNOWN}.
      */
     private static Refusal withUnknownRan(HttpServerExchange exchange, Refusal refusal) {
         boolean keyed = exchange.getRequestHeaders().contains(KEY_HEADER);
@@ -207,7 +208,7 @@
             digest.update(head.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest.digest(call.body()));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("this Java platform lacks SHA-256", e);
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/package-info.java
@@ -1,2 +1,2 @@
-/** Plain services: passing calls on, at most once where a call may not be repeated. */
+/** Plain services: forwards calls to them, at most once where a call may not be repeated. */
 package org.elmline.daemon.service;
