--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/BearerKey.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/BearerKey.java
@@ -24,7 +24,10 @@
         return key.isEmpty() ? Optional.empty() : Optional.of(key);
     }
 
-    /** Whether the call carries one of the keys; compared in constant time, so that timing tells nothing of them. */
+    /**
+     * Whether the call carries one of the keys. Compares in constant time, so that response times reveal nothing about
+     * the keys.
+     */
     public static boolean matchesAny(HttpServerExchange exchange, Collection<String> keys) {
         byte[] given = of(exchange).orElse("").getBytes(StandardCharsets.UTF_8);
         boolean found = false;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/CallerDisconnectDetector.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/CallerDisconnectDetector.java
@@ -7,9 +7,9 @@
 import io.undertow.server.protocol.http.HttpServerConnection;
 
 /**
- * Finds a caller who has hung up while nothing is being written to it. Undertow reads nothing from a connection whose
- * request is being served, so the end of its input would go unseen until the answer is written: an engine would work on
- * for nobody. Used by the one worker that serves the request.
+ * Detects a caller that has disconnected while nothing is being written to it. Undertow reads nothing from a connection
+ * whose request is being served, so the end of its input would go undetected until the answer is written, and an engine
+ * would generate an answer for a caller that is gone. Used by the one worker that serves the request.
  */
 public final class CallerDisconnectDetector {
     private final HttpServerExchange exchange;
@@ -18,7 +18,11 @@
         this.exchange = exchange;
     }
 
-    /** Fails when the caller's side of the connection is closed. */
+    /**
+     * Checks the connection.
+     *
+     * @throws IOException when the caller's side of the connection is closed
+     */
     public void checkConnected() throws IOException {
         if (!(exchange.getConnection() instanceof HttpServerConnection connection)) {
             return;
@@ -28,10 +32,11 @@
         try {
             int read = connection.getOriginalSourceConduit().read(buffer.getBuffer());
             if (read < 0) {
-                throw new IOException("the caller has hung up");
+                throw new IOException("the caller closed its connection");
             }
             if (read > 0) {
-                // The caller's next request came early; it is handed back to be read in its turn.
+                // The caller has pipelined its next request; the bytes are returned to the connection to be parsed in
+                // order.
                 buffer.getBuffer().flip();
                 connection.ungetRequestBytes(buffer);
                 kept = true;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/ErrorBody.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/ErrorBody.java
@@ -2,11 +2,11 @@
 
 import org.elmline.core.common.Refusal;
 
-/** The body of every answer that is not the result asked for. */
+/** JSON body of every answer that reports an error. */
 public record ErrorBody(Detail error) {
     /**
      * @param ran {@code no}, {@code yes} or {@code unknown}: whether the call ran on a backend server
-     * @param retryAfterMs milliseconds until a retry may do better; 0 when a retry won't help
+     * @param retryAfterMs milliseconds after which a retry may succeed; 0 when a retry won't help
      */
     public record Detail(String type, String message, String ran, long retryAfterMs) {}
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/HttpLimits.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/HttpLimits.java
@@ -1,13 +1,13 @@
 package org.elmline.daemon.http;
 
 /**
- * Bounds of one HTTP port.
+ * Limits of one HTTP port.
  *
- * @param maxBodyBytes longest body accepted
- * @param maxHeaderBytes longest request line and headers together
- * @param maxConnections connections open at once; one more waits until another closes
+ * @param maxBodyBytes longest body accepted, in bytes
+ * @param maxHeaderBytes longest request line and headers together, in bytes
+ * @param maxConnections maximum number of open connections; one more waits until another closes
  * @param idleTimeoutMillis milliseconds after which an idle connection is closed
- * @param readTimeoutMillis milliseconds that headers or a hanging body may take
+ * @param readTimeoutMillis milliseconds within which the headers, or the next bytes of a body, must arrive
  */
 public record HttpLimits(
         long maxBodyBytes, int maxHeaderBytes, int maxConnections, int idleTimeoutMillis, int readTimeoutMillis) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/HttpListener.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/HttpListener.java
@@ -20,7 +20,7 @@
         this.ip = ip;
     }
 
-    /** Binds at once; port 0 takes a free one. */
+    /** Binds at once; port 0 selects a free one. */
     public static HttpListener start(String ip, int port, HttpLimits limits, HttpHandler handler) {
         Undertow server = Undertow.builder()
                 .addHttpListener(port, ip)
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/IoThreadBodyReader.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/IoThreadBodyReader.java
@@ -10,7 +10,7 @@
 import org.xnio.ChannelListener;
 import org.xnio.channels.StreamSourceChannel;
 
-/** Reads a request's body to its end on the I/O thread without waiting on it; the exchange must be dispatched. */
+/** Reads a request's body to its end on the I/O thread without blocking it; the exchange must be dispatched. */
 public final class IoThreadBodyReader {
     private final HttpServerExchange exchange;
     private final Consumer<byte[]> onBody;
@@ -25,9 +25,9 @@
     }
 
     /**
-     * Begins to read.
+     * Starts reading.
      *
-     * @param onFailure gets a {@link io.undertow.server.RequestTooBigException} when the body is over the limit
+     * @param onFailure receives a {@link io.undertow.server.RequestTooBigException} when the body is over the limit
      */
     public static void read(HttpServerExchange exchange, Consumer<byte[]> onBody, Consumer<IOException> onFailure) {
         new IoThreadBodyReader(exchange, onBody, onFailure).start();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/JsonResponses.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/JsonResponses.java
@@ -8,7 +8,7 @@
 import org.elmline.core.common.Refusal;
 import org.elmline.wire.codec.Codecs;
 
-/** Writes whole JSON answers. */
+/** Sends JSON responses. */
 public final class JsonResponses {
     private static final String JSON = "application/json";
     private static final long MILLIS_PER_SECOND = 1000;
@@ -25,7 +25,9 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(Codecs.JSON.encode(body)));
     }
 
-    /** The refusal's status, its body, and {@code Retry-After} in whole seconds when a retry may help. */
+    /**
+     * Sends the refusal's status and body, and {@code Retry-After} in whole seconds, rounded up, when a retry may help.
+     */
     public static void sendRefusal(HttpServerExchange exchange, Refusal refusal) {
         if (refusal.retryAfterMillis() > 0) {
             long seconds = (refusal.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/WorkerBodyReader.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/WorkerBodyReader.java
@@ -9,8 +9,8 @@
 import org.elmline.core.common.RefusalReason;
 
 /**
- * Reads a whole body without holding a thread, then hands it to a worker. A body over the listener's limit, one that is
- * cut off and a process without a free worker each end in a refusal.
+ * Reads a whole body without holding a thread, then passes it to a worker. Sends a refusal when the body is over the
+ * listener's limit or cut off, or when no worker is free.
  */
 public final class WorkerBodyReader {
     private static final long BUSY_RETRY_AFTER_MILLIS = 500;
@@ -25,7 +25,7 @@
         long declared = exchange.getRequestContentLength();
         long limit = exchange.getMaxEntitySize();
         if (limit > 0 && declared > limit) {
-            // The body is not read: closing spares both sides the transfer.
+            // The body is not read: closing the connection saves both sides the transfer.
             exchange.setPersistent(false);
             JsonResponses.sendRefusal(exchange, tooLarge(limit));
             return;
@@ -37,7 +37,7 @@
                 });
     }
 
-    /** Runs a task on a worker, with a refusal when none is free. */
+    /** Runs a task on a worker; sends a refusal when none is free. */
     public void runOnWorker(HttpServerExchange exchange, Runnable task) {
         exchange.dispatch(
                 command -> {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/http/HttpListenerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/http/HttpListenerTest.java
@@ -21,9 +21,9 @@
     private static final byte[] REQUEST = "GET / HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /**
-     * One client opens as many connections as the limit allows and keeps them. A further caller connects but is not
-     * answered, since each connection would cost memory; once one of the others closes it is served. Without the limit
-     * one client could use up the process by opening connections.
+     * One client opens as many connections as the limit allows and keeps them. A further connection is accepted by the
+     * system but not served, since each connection costs memory; once one of the others closes, it must be served.
+     * Without the limit, one client could exhaust the process by opening connections.
      */
     @Test
     void aConnectionOverTheLimitWaitsForAnotherToClose() throws IOException {
