--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricSamples.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricSamples.java
@@ -17,8 +17,9 @@
 import com.codahale.metrics.Timer;
 
 /**
- * Takes the numbers of all metrics of a registry, in the order of their names. Dots and dashes of names become underscores; timers are given in
- * seconds. Gauges that are not numbers are left out.
+ * Reads the values of all metrics of a registry, in the order of their names. Characters that Prometheus does not allow
+ * in names, such as dots and dashes, become underscores; timers are given in seconds. Gauges that are not numbers are
+ * omitted.
  */
 final class MetricSamples {
     private static final String PREFIX = "elmline_";
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/OperatorKeyHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/OperatorKeyHandler.java
@@ -9,7 +9,7 @@
 import org.elmline.daemon.http.BearerKey;
 import org.elmline.daemon.http.JsonResponses;
 
-/** Lets only holders of an operator key through. */
+/** Refuses requests that carry no operator key. */
 public final class OperatorKeyHandler implements HttpHandler {
     private final List<String> keys;
     private final HttpHandler next;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/ProcessMetrics.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/ProcessMetrics.java
@@ -8,11 +8,14 @@
 import org.elmline.core.timeline.EventRing;
 import org.elmline.core.timeline.HybridClock;
 
-/** What every process shows of itself: memory, threads, collections, time line. */
+/** Metrics that every process reports of itself: memory, threads, garbage collection, time line. */
 public final class ProcessMetrics {
     private ProcessMetrics() {}
 
-    /** The runtime's beans are made when somebody asks for the figures, as a start would be longer with them. */
+    /**
+     * Registers the metrics of the Java runtime. Its beans are created when a metric is read, since creating them at
+     * registration would make the start slower.
+     */
     public static void register(MetricRegistry registry) {
         registerGauge(registry, "process.heap.used.bytes", () -> ManagementFactory.getMemoryMXBean()
                 .getHeapMemoryUsage()
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/StatusHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/StatusHandler.java
@@ -11,7 +11,7 @@
 import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.JsonResponses;
 
-/** {@code GET /v1/status}: this host and all that it knows of the others. */
+/** {@code GET /v1/status}: this host's state, and the entry hosts among its members. */
 public final class StatusHandler implements HttpHandler {
     private final HostIdentity self;
     private final LeasedView view;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/TicketView.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/TicketView.java
@@ -11,12 +11,12 @@
 import org.elmline.daemon.http.ErrorBody;
 
 /**
- * A ticket as operators see it.
+ * A ticket in the form sent to operators.
  *
- * @param version configuration version that brought it; null when refused
- * @param inForce whether every entry that may admit work acts on it
- * @param outstanding entries that may not act on it yet
- * @param settling whether a new control leader can't tell yet
+ * @param version configuration version that contains the ticket; null when refused
+ * @param inForce whether every entry that may admit work applies it
+ * @param outstanding entries that may not apply it yet
+ * @param settling whether the control leader is too new to have determined {@code inForce}
  * @param error why it was refused; null when accepted
  */
 public record TicketView(
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/TicketsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/TicketsHandler.java
@@ -39,7 +39,7 @@
         this.bodyReader = bodies;
     }
 
-    /** The body of a ticket. The number may be left out, since the path has it; a different one is refused. */
+    /** The body of a ticket. The number may be omitted, since the path has it; a different one is rejected. */
     record TicketBody(TicketNumber number, String author, List<ConfigObject> objects) {}
 
     public void put(HttpServerExchange exchange) {
@@ -158,7 +158,7 @@
         JsonResponses.sendRefusal(exchange, Refusal.didNotRun(RefusalReason.BAD_REQUEST, why));
     }
 
-    /** What to write once a result has come. */
+    /** Writes the response once the result is known. */
     private interface ResponseWriter<T> {
         void write(HttpServerExchange exchange, T result);
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/package-info.java
@@ -1,2 +1,2 @@
-/** What operators reach: tickets, status, events and metrics. */
+/** HTTP endpoints for operators: tickets, status, events and metrics. */
 package org.elmline.daemon.operator;
