--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmissionController.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AdmissionController.java
@@ -32,17 +32,17 @@
     private final int maxConcurrent;
     private final AtomicLong nextRequest = new AtomicLong();
     private final AtomicInteger inFlight = new AtomicInteger();
-    private volatile boolean closed;
+    private volatile boolean admissionStopped;
 
     public AdmissionController(
             HostIdentity self,
-            LeasedView view,
+            LeasedView leasedView,
             MonotonicClock clock,
             CallerSettings settings,
             int maxConcurrent,
             MetricRegistry metrics) {
         this.self = self;
-        this.leasedView = view;
+        this.leasedView = leasedView;
         this.clock = clock;
         this.settings = settings;
         this.maxConcurrent = maxConcurrent;
@@ -103,7 +103,7 @@
 
     /** Refuses every further call; calls in flight continue. */
     public void stopAdmission() {
-        closed = true;
+        admissionStopped = true;
     }
 
     public int inFlight() {
@@ -111,7 +111,7 @@
     }
 
     private Optional<Refusal> hostRefusal() {
-        if (closed) {
+        if (admissionStopped) {
             return Optional.of(Refusal.retryLater(
                     RefusalReason.LEAVING, "this host is stopping; ask for entry hosts again", RETRY_AFTER_MILLIS));
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerForwarder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/AnswerForwarder.java
@@ -33,9 +33,9 @@
     private boolean anyAttemptRan;
     private int resumeCount;
 
-    AnswerForwarder(CompletionGateway gateway, AdmittedCompletion work, AnswerSink sink) {
+    AnswerForwarder(CompletionGateway gateway, AdmittedCompletion completion, AnswerSink sink) {
         this.gateway = gateway;
-        this.completion = work;
+        this.completion = completion;
         this.sink = sink;
     }
 
@@ -86,11 +86,11 @@
 
     private StreamOutcome forward(StreamEventQueue events, boolean resumed) throws IOException, InterruptedException {
         while (true) {
-            long left = completion.call().remainingMillis(gateway.clock());
-            if (left <= 0) {
+            long remainingMillis = completion.call().remainingMillis(gateway.clock());
+            if (remainingMillis <= 0) {
                 return new StreamOutcome.DeadlineExceeded();
             }
-            StreamEvent event = events.poll(Math.min(left, IDLE_CHECK_MILLIS));
+            StreamEvent event = events.poll(Math.min(remainingMillis, IDLE_CHECK_MILLIS));
             if (event == null && !assembler.isMissingPieces()) {
                 sink.onIdle();
                 continue;
@@ -144,11 +144,11 @@
         }
     }
 
-    private void reportFirstToken(boolean ofTheAnswer) {
+    private void reportFirstToken(boolean firstOfAnswer) {
         long now = gateway.clock().nanos();
         gateway.grants()
                 .reportFirstToken(assembler.attempt(), TimeUnit.NANOSECONDS.toMillis(now - attemptStartedNanos));
-        if (ofTheAnswer) {
+        if (firstOfAnswer) {
             gateway.record(new RequestEvent.FirstToken(completion.call().id(), assembler.attempt()));
             gateway.firstTokenTimer(LengthClass.of(completion.promptTokens()))
                     .update(now - completion.call().receivedNanos(), TimeUnit.NANOSECONDS);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/BufferingSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/BufferingSink.java
@@ -20,7 +20,7 @@
     private final HttpServerExchange exchange;
     private final CompletionWriter writer;
     private final MonotonicClock clock;
-    private final CallerDisconnectDetector callerPresence;
+    private final CallerDisconnectDetector disconnectDetector;
     private final StringBuilder text = new StringBuilder();
     private long lastCheckNanos;
 
@@ -28,7 +28,7 @@
         this.exchange = exchange;
         this.writer = writer;
         this.clock = clock;
-        this.callerPresence = new CallerDisconnectDetector(exchange);
+        this.disconnectDetector = new CallerDisconnectDetector(exchange);
         this.lastCheckNanos = clock.nanos();
     }
 
@@ -54,7 +54,7 @@
         long now = clock.nanos();
         if (now - lastCheckNanos >= CHECK_INTERVAL_NANOS) {
             lastCheckNanos = now;
-            callerPresence.checkConnected();
+            disconnectDetector.checkConnected();
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
@@ -45,12 +45,12 @@
     private int attemptCount;
     private int placementCount;
 
-    CompletionExecution(CompletionGateway gateway, AdmittedCompletion work, AnswerSink sink) {
+    CompletionExecution(CompletionGateway gateway, AdmittedCompletion completion, AnswerSink sink) {
         this.gateway = gateway;
-        this.completion = work;
+        this.completion = completion;
         this.sink = sink;
-        this.forwarder = new AnswerForwarder(gateway, work, sink);
-        CompletionRequest request = work.request();
+        this.forwarder = new AnswerForwarder(gateway, completion, sink);
+        CompletionRequest request = completion.request();
         this.prefixHashes = PromptBlocks.blockHashes(request.model().value(), request.adapter(), request.prompt());
     }
 
@@ -77,19 +77,19 @@
             if (!resume && !place()) {
                 return;
             }
-            StreamOutcome ending = stream(resume);
-            if (ending instanceof StreamOutcome.Complete) {
+            StreamOutcome outcome = stream(resume);
+            if (outcome instanceof StreamOutcome.Complete) {
                 gateway.record(new RequestEvent.Finished(id(), forwarder.deliveredCount()));
                 gateway.grants().release(grant.attempt(), ReleaseCause.FINISHED);
                 grant = null;
                 return;
             }
-            if (ending instanceof StreamOutcome.DeadlineExceeded) {
+            if (outcome instanceof StreamOutcome.DeadlineExceeded) {
                 gateway.counter("deadline").inc();
                 refuse(deadlineRefusal());
                 return;
             }
-            StreamOutcome.Broken broken = (StreamOutcome.Broken) ending;
+            StreamOutcome.Broken broken = (StreamOutcome.Broken) outcome;
             RetryDecision decision = decide(broken);
             gateway.counter("broken." + decision.name().toLowerCase(Locale.ROOT))
                     .inc();
@@ -108,39 +108,40 @@
     private boolean place() throws IOException, InterruptedException {
         attemptCount++;
         PlacementResult placement = gateway.placer().place(completion.call(), ++placementCount, demand());
-        long until = gateway.clock().millis() + CONTINUATION_TIMEOUT_MILLIS;
+        long retryUntilMillis = gateway.clock().millis() + CONTINUATION_TIMEOUT_MILLIS;
         // A refusal is useless to a caller that has received part of the answer, so placement is retried for a limited
         // time; each retry is a complete placement with its own attempt ids.
-        while (placement instanceof PlacementResult.Refused none && mayRetryPlacement(none.refusal(), until)) {
+        while (placement instanceof PlacementResult.Refused refused
+                && mayRetryPlacement(refused.refusal(), retryUntilMillis)) {
             Thread.sleep(CONTINUATION_RETRY_DELAY_MILLIS);
             sink.onIdle();
             placement = gateway.placer().place(completion.call(), ++placementCount, demand());
         }
-        if (placement instanceof PlacementResult.Refused none) {
-            refuseOrServeByGroup(none.refusal());
+        if (placement instanceof PlacementResult.Refused refused) {
+            refuseOrServeByGroup(refused.refusal());
             return false;
         }
-        PlacementResult.Placed found = (PlacementResult.Placed) placement;
-        grant = found.grant();
-        gateway.record(new RequestEvent.Placed(id(), grant.attempt(), grant.server(), found.owner()));
+        PlacementResult.Placed placed = (PlacementResult.Placed) placement;
+        grant = placed.grant();
+        gateway.record(new RequestEvent.Placed(id(), grant.attempt(), grant.server(), placed.owner()));
         return true;
     }
 
     private boolean mayRetryPlacement(Refusal refusal, long untilMillis) {
-        boolean half = forwarder.deliveredCount() > 0;
-        return half
+        boolean partlyDelivered = forwarder.deliveredCount() > 0;
+        return partlyDelivered
                 && refusal.reason().retryable()
                 && remainingMillis() > 0
                 && gateway.clock().millis() < untilMillis;
     }
 
     private void refuseOrServeByGroup(Refusal refusal) throws IOException, InterruptedException {
-        boolean larger = refusal.reason() == RefusalReason.TOO_LARGE && !forwarder.anyAttemptRan();
-        Optional<Refusal> last =
-                larger ? new GroupExecution(gateway, completion, forwarder, demand()).run() : Optional.of(refusal);
-        if (last.isPresent()) {
+        boolean needsGroup = refusal.reason() == RefusalReason.TOO_LARGE && !forwarder.anyAttemptRan();
+        Optional<Refusal> finalRefusal =
+                needsGroup ? new GroupExecution(gateway, completion, forwarder, demand()).run() : Optional.of(refusal);
+        if (finalRefusal.isPresent()) {
             gateway.counter("refused").inc();
-            refuse(withRan(last.get()));
+            refuse(withRan(finalRefusal.get()));
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionGateway.java
@@ -39,7 +39,7 @@
             Placer placer,
             GrantTracker grants,
             EngineClients engines,
-            EngineCancellations cancels,
+            EngineCancellations cancellations,
             EventRing events,
             MetricRegistry metrics) {
         this.self = self;
@@ -47,17 +47,17 @@
         this.placer = placer;
         this.grants = grants;
         this.engines = engines;
-        this.cancellations = cancels;
+        this.cancellations = cancellations;
         this.events = events;
         this.metrics = metrics;
         this.disconnectedCallers = metrics.counter("gateway.callers.left");
     }
 
     /** Blocks the calling worker until the request is answered or refused, or its caller has disconnected. */
-    void serve(AdmittedCompletion work, AnswerSink sink) {
+    void serve(AdmittedCompletion completion, AnswerSink sink) {
         retryBudget.onFirstAttempt();
         try {
-            new CompletionExecution(this, work, sink).run();
+            new CompletionExecution(this, completion, sink).run();
         } catch (IOException e) {
             disconnectedCallers.inc();
         } catch (InterruptedException e) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionsHandler.java
@@ -24,35 +24,35 @@
     private final ApiKind api;
     private final AdmissionController admission;
     private final LeasedView leasedView;
-    private final WorkerBodyReader bodies;
+    private final WorkerBodyReader bodyReader;
     private final CompletionGateway gateway;
     private final OrganisationLimitService limits;
 
     public CompletionsHandler(
             ApiKind api,
-            AdmissionController gate,
-            LeasedView view,
-            WorkerBodyReader bodies,
+            AdmissionController admission,
+            LeasedView leasedView,
+            WorkerBodyReader bodyReader,
             CompletionGateway gateway,
             OrganisationLimitService limits) {
         this.api = api;
-        this.admission = gate;
-        this.leasedView = view;
-        this.bodies = bodies;
+        this.admission = admission;
+        this.leasedView = leasedView;
+        this.bodyReader = bodyReader;
         this.gateway = gateway;
         this.limits = limits;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        AdmissionController.Admission passage = admission.admit(exchange);
-        if (passage instanceof AdmissionController.Admission.Refused closed) {
-            JsonResponses.sendRefusal(exchange, closed.refusal());
+        AdmissionController.Admission decision = admission.admit(exchange);
+        if (decision instanceof AdmissionController.Admission.Refused refused) {
+            JsonResponses.sendRefusal(exchange, refused.refusal());
             return;
         }
-        AdmittedCall call = ((AdmissionController.Admission.Admitted) passage).call();
+        AdmittedCall call = ((AdmissionController.Admission.Admitted) decision).call();
         admission.releaseOnCompletion(exchange);
-        bodies.read(exchange, body -> serve(exchange, call, body));
+        bodyReader.read(exchange, body -> serve(exchange, call, body));
     }
 
     private void serve(HttpServerExchange exchange, AdmittedCall call, byte[] body) {
@@ -69,9 +69,9 @@
             return;
         }
         int promptTokens = PromptBlocks.tokenCount(request.prompt());
-        Optional<Refusal> unfit = validate(request, model.get(), promptTokens);
-        if (unfit.isPresent()) {
-            JsonResponses.sendRefusal(exchange, unfit.get());
+        Optional<Refusal> invalidRequest = validate(request, model.get(), promptTokens);
+        if (invalidRequest.isPresent()) {
+            JsonResponses.sendRefusal(exchange, invalidRequest.get());
             return;
         }
         int maxOutput = request.maxOutputTokens() == 0
@@ -85,15 +85,16 @@
         serve(new AdmittedCompletion(call, request, promptTokens, maxOutput), sink, exchange);
     }
 
-    private void serve(AdmittedCompletion work, AnswerSink sink, HttpServerExchange exchange) {
-        Organisation organisation = work.call().organisation();
-        Optional<Refusal> over = limits.admit(organisation, (long) work.promptTokens() + work.maxOutputTokens());
-        if (over.isPresent()) {
-            JsonResponses.sendRefusal(exchange, over.get());
+    private void serve(AdmittedCompletion completion, AnswerSink sink, HttpServerExchange exchange) {
+        Organisation organisation = completion.call().organisation();
+        Optional<Refusal> limitRefusal =
+                limits.admit(organisation, (long) completion.promptTokens() + completion.maxOutputTokens());
+        if (limitRefusal.isPresent()) {
+            JsonResponses.sendRefusal(exchange, limitRefusal.get());
             return;
         }
         try {
-            gateway.serve(work, sink);
+            gateway.serve(completion, sink);
         } finally {
             limits.onFinished(organisation.id());
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancellations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancellations.java
@@ -94,20 +94,20 @@
             due = queue.due(clock.nanos());
         }
         for (Cancel each : due) {
-            PendingCancel held;
+            PendingCancel pendingCancel;
             synchronized (this) {
-                held = pending.get(each);
+                pendingCancel = pending.get(each);
             }
-            if (held != null) {
-                send(each, held);
+            if (pendingCancel != null) {
+                send(each, pendingCancel);
             }
         }
     }
 
-    private void send(Cancel cancel, PendingCancel held) {
-        Grant grant = held.grant();
-        boolean old = clock.millis() - held.requestedAtMillis() > UNOWNED_ENGINE_TIMEOUT_MILLIS;
-        if (old && owners.ownerOf(grant.server()).isEmpty()) {
+    private void send(Cancel cancel, PendingCancel pendingCancel) {
+        Grant grant = pendingCancel.grant();
+        boolean timedOut = clock.millis() - pendingCancel.requestedAtMillis() > UNOWNED_ENGINE_TIMEOUT_MILLIS;
+        if (timedOut && owners.ownerOf(grant.server()).isEmpty()) {
             // Every owner has removed the engine: it is gone, and its memory with it.
             onAcknowledged(cancel);
             return;
@@ -125,13 +125,13 @@
     }
 
     private void onAcknowledged(Cancel cancel) {
-        PendingCancel held;
+        PendingCancel pendingCancel;
         synchronized (this) {
             queue.acknowledge(cancel);
-            held = pending.remove(cancel);
+            pendingCancel = pending.remove(cancel);
         }
-        if (held != null) {
-            held.onFreed().accept(cancel);
+        if (pendingCancel != null) {
+            pendingCancel.onFreed().accept(cancel);
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
@@ -25,8 +25,8 @@
     private final Region region;
     private final int keepSeconds;
 
-    public EntryHostsHandler(LeasedView view, Region region, int keepSeconds) {
-        this.leasedView = view;
+    public EntryHostsHandler(LeasedView leasedView, Region region, int keepSeconds) {
+        this.leasedView = leasedView;
         this.region = region;
         this.keepSeconds = keepSeconds;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantTracker.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantTracker.java
@@ -77,17 +77,17 @@
 
     public GrantTracker(
             HostIdentity self,
-            LeasedView view,
+            LeasedView leasedView,
             MonotonicClock clock,
             PeerNetwork network,
-            OwnerService local,
+            OwnerService localOwner,
             OwnerTable owners,
             MetricRegistry metrics) {
         this.self = self;
-        this.leasedView = view;
+        this.leasedView = leasedView;
         this.clock = clock;
         this.network = network;
-        this.localOwner = local;
+        this.localOwner = localOwner;
         this.owners = owners;
         metrics.gauge("gateway.grants.open", () -> this::size);
     }
@@ -120,12 +120,12 @@
     /** Reports an attempt's first token: its prompt no longer counts as prefill backlog. */
     void reportFirstToken(AttemptId attempt, long millisSinceStart) {
         synchronized (this) {
-            TrackedGrant held = open.get(attempt);
-            if (held == null) {
+            TrackedGrant tracked = open.get(attempt);
+            if (tracked == null) {
                 return;
             }
-            open.put(attempt, new TrackedGrant(held.grant().afterFirstToken(), held.owner()));
-            outbox(held.owner()).firstTokens.add(new FirstToken(attempt, millisSinceStart));
+            open.put(attempt, new TrackedGrant(tracked.grant().afterFirstToken(), tracked.owner()));
+            outbox(tracked.owner()).firstTokens.add(new FirstToken(attempt, millisSinceStart));
         }
         report();
     }
@@ -133,11 +133,11 @@
     /** Reports that the prefill of a segment begins. */
     void reportBegun(AttemptId attempt) {
         synchronized (this) {
-            TrackedGrant held = open.get(attempt);
-            if (held == null) {
+            TrackedGrant tracked = open.get(attempt);
+            if (tracked == null) {
                 return;
             }
-            outbox(held.owner()).begun.add(attempt);
+            outbox(tracked.owner()).begun.add(attempt);
         }
         report();
     }
@@ -168,11 +168,11 @@
     /** Releases a grant whose engine holds nothing for the attempt any more. */
     void release(AttemptId attempt, ReleaseCause cause) {
         synchronized (this) {
-            TrackedGrant held = open.remove(attempt);
-            if (held == null) {
+            TrackedGrant tracked = open.remove(attempt);
+            if (tracked == null) {
                 return;
             }
-            outbox(held.owner()).releases.add(new Release(attempt, cause));
+            outbox(tracked.owner()).releases.add(new Release(attempt, cause));
         }
         report();
     }
@@ -228,11 +228,11 @@
     }
 
     private void send(HostId owner, GrantReport report) {
-        deliver(owner, report).thenAccept(told -> {
+        deliver(owner, report).thenAccept(delivered -> {
             synchronized (this) {
                 Outbox outbox = outbox(owner);
                 outbox.inFlight = false;
-                if (told) {
+                if (delivered) {
                     outbox.begun = new ArrayList<>(outbox.begun);
                     outbox.begun.removeAll(report.begun());
                     outbox.firstTokens = new ArrayList<>(outbox.firstTokens);
@@ -288,9 +288,9 @@
 
     private synchronized void onRegistered(HostId owner, List<Grant> grants, RegisterAnswer answer) {
         for (Grant each : grants) {
-            TrackedGrant held = open.get(each.attempt());
-            if (held != null && !answer.notOwned().contains(each.attempt())) {
-                open.put(each.attempt(), new TrackedGrant(held.grant(), owner));
+            TrackedGrant tracked = open.get(each.attempt());
+            if (tracked != null && !answer.notOwned().contains(each.attempt())) {
+                open.put(each.attempt(), new TrackedGrant(tracked.grant(), owner));
             }
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
@@ -51,10 +51,10 @@
     private final AnswerForwarder forwarder;
     private final Demand demand;
 
-    GroupExecution(CompletionGateway gateway, AdmittedCompletion work, AnswerForwarder pump, Demand demand) {
+    GroupExecution(CompletionGateway gateway, AdmittedCompletion completion, AnswerForwarder forwarder, Demand demand) {
         this.gateway = gateway;
-        this.completion = work;
-        this.forwarder = pump;
+        this.completion = completion;
+        this.forwarder = forwarder;
         this.demand = demand;
     }
 
@@ -96,19 +96,19 @@
 
     private GroupReservation reserve(PlaceRequest whole, GroupPlan plan) throws InterruptedException {
         GroupReservation reservation = new GroupReservation(whole, plan);
-        Optional<GroupReservation.OwnerCall> ask = reservation.nextCall();
-        while (ask.isPresent()) {
+        Optional<GroupReservation.OwnerCall> call = reservation.nextCall();
+        while (call.isPresent()) {
             Optional<OwnerPlaceAnswer> answer =
-                    gateway.placer().requestPlace(ask.get().owner(), ask.get().request(), completion.call());
+                    gateway.placer().requestPlace(call.get().owner(), call.get().request(), completion.call());
             if (answer.isPresent()) {
                 reservation.onAnswer(answer.get());
             } else {
                 reservation.onNoAnswer();
             }
             if (answer.isPresent() && answer.get() instanceof OwnerPlaceAnswer.Placed placed) {
-                gateway.grants().open(placed.grant(), ask.get().owner());
+                gateway.grants().open(placed.grant(), call.get().owner());
             }
-            ask = reservation.nextCall();
+            call = reservation.nextCall();
         }
         for (GroupReservation.OwnerRelease each : reservation.releases()) {
             gateway.grants().releaseUnused(each.attempt(), each.owner());
@@ -185,18 +185,18 @@
     private Optional<Refusal> streamAnswer(EngineClient engine, GroupStep.StreamAnswer step)
             throws IOException, InterruptedException {
         gateway.grants().reportBegun(step.target().attempt());
-        StreamOutcome ending = forwarder.start(engine, step.request());
-        while (ending instanceof StreamOutcome.Broken broken
+        StreamOutcome outcome = forwarder.start(engine, step.request());
+        while (outcome instanceof StreamOutcome.Broken broken
                 && broken.reachable()
                 && forwarder.resumeCount() < MAX_RESUMES) {
-            ending = forwarder.resume(engine);
+            outcome = forwarder.resume(engine);
         }
-        if (ending instanceof StreamOutcome.Complete) {
+        if (outcome instanceof StreamOutcome.Complete) {
             gateway.record(new RequestEvent.Finished(completion.call().id(), forwarder.deliveredCount()));
             return Optional.empty();
         }
         return Optional.of(
-                ending instanceof StreamOutcome.Broken broken ? failureRefusal(broken.why()) : deadlineRefusal());
+                outcome instanceof StreamOutcome.Broken broken ? failureRefusal(broken.why()) : deadlineRefusal());
     }
 
     /**
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/ModelsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/ModelsHandler.java
@@ -17,16 +17,16 @@
     private final AdmissionController admission;
     private final LeasedView leasedView;
 
-    public ModelsHandler(AdmissionController gate, LeasedView view) {
-        this.admission = gate;
-        this.leasedView = view;
+    public ModelsHandler(AdmissionController admission, LeasedView leasedView) {
+        this.admission = admission;
+        this.leasedView = leasedView;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        AdmissionController.Admission passage = admission.admit(exchange);
-        if (passage instanceof AdmissionController.Admission.Refused closed) {
-            JsonResponses.sendRefusal(exchange, closed.refusal());
+        AdmissionController.Admission decision = admission.admit(exchange);
+        if (decision instanceof AdmissionController.Admission.Refused refused) {
+            JsonResponses.sendRefusal(exchange, refused.refusal());
             return;
         }
         admission.release();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/OrganisationLimitService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/OrganisationLimitService.java
@@ -49,9 +49,13 @@
     private final Counter refused;
 
     public OrganisationLimitService(
-            HostIdentity self, LeasedView view, PeerNetwork network, MonotonicClock clock, MetricRegistry metrics) {
+            HostIdentity self,
+            LeasedView leasedView,
+            PeerNetwork network,
+            MonotonicClock clock,
+            MetricRegistry metrics) {
         this.self = self;
-        this.leasedView = view;
+        this.leasedView = leasedView;
         this.network = network;
         this.clock = clock;
         this.limits = new OrganisationLimits(self.host(), self.incarnation());
@@ -90,20 +94,20 @@
             return Optional.empty();
         }
         refused.inc();
-        String who = "organisation " + organisation.id();
+        String subject = "organisation " + organisation.id();
         return Optional.of(
                 switch (answer) {
                     case TOO_MANY_TOKENS -> Refusal.retryLater(
                             RefusalReason.OVER_LIMIT,
-                            who + " is over its " + organisation.maxTokensPerMinute() + " tokens a minute",
+                            subject + " is over its " + organisation.maxTokensPerMinute() + " tokens a minute",
                             TOKENS_RETRY_AFTER_MILLIS);
                     case TOO_MANY_REQUESTS -> Refusal.retryLater(
                             RefusalReason.OVER_LIMIT,
-                            who + " is over its " + organisation.maxConcurrentRequests() + " requests at once",
+                            subject + " is over its " + organisation.maxConcurrentRequests() + " requests at once",
                             REQUESTS_RETRY_AFTER_MILLIS);
                     default -> Refusal.retryLater(
                             RefusalReason.OVER_LIMIT,
-                            "the share of " + who + " can't be learnt now",
+                            "the share of " + subject + " can't be learnt now",
                             REQUESTS_RETRY_AFTER_MILLIS);
                 });
     }
@@ -118,17 +122,17 @@
     }
 
     private CompletableFuture<Void> requestShare(OrganisationId organisation) {
-        long asked = clock.nanos();
-        ShareRequest request = limits.shareRequest(organisation, asked);
+        long requestedAtNanos = clock.nanos();
+        ShareRequest request = limits.shareRequest(organisation, requestedAtNanos);
         Optional<HostRecord> splitter = new Ownership(leasedView.members().hosts()).limitSplitter(organisation);
         if (splitter.isEmpty() || splitter.get().id().equals(self.host())) {
-            limits.applyShare(grantShare(request), asked, clock.nanos());
+            limits.applyShare(grantShare(request), requestedAtNanos, clock.nanos());
             return CompletableFuture.completedFuture(null);
         }
         return network.call(splitter.get().peers(), RouteChannels.LIMIT_SHARE, request, SHARE_REQUEST_TIMEOUT)
                 .thenAccept(result -> {
                     if (result instanceof CallResult.Answered<ShareAnswer> answered) {
-                        limits.applyShare(answered.value(), asked, clock.nanos());
+                        limits.applyShare(answered.value(), requestedAtNanos, clock.nanos());
                     }
                 });
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
@@ -51,18 +51,18 @@
 
     public Placer(
             HostIdentity self,
-            LeasedView view,
+            LeasedView leasedView,
             MonotonicClock clock,
             PeerNetwork network,
-            OwnerService local,
+            OwnerService localOwner,
             OwnerTable owners,
             GrantTracker grants,
             MetricRegistry metrics) {
         this.self = self;
-        this.leasedView = view;
+        this.leasedView = leasedView;
         this.clock = clock;
         this.network = network;
-        this.localOwner = local;
+        this.localOwner = localOwner;
         this.owners = owners;
         this.grants = grants;
         this.requestsSent = metrics.counter("gateway.owners.asked");
@@ -72,7 +72,7 @@
     /** Waits for a placement until the demand's time is up. */
     PlacementResult place(AdmittedCall call, int placement, Demand demand) throws InterruptedException {
         Set<HostId> tried = new HashSet<>();
-        Refusal last = null;
+        Refusal lastRefusal = null;
         for (int i = 0; i < MAX_OWNERS; i++) {
             Optional<OwnerChoice> choice = owners.choose(demand, tried, ThreadLocalRandom.current(), clock.nanos());
             if (choice.isEmpty()) {
@@ -103,9 +103,9 @@
             }
             OwnerPlaceAnswer.Refused refused = (OwnerPlaceAnswer.Refused) answer.get();
             owners.refresh(owner.id(), demand, refused.summary());
-            last = refused.refusal();
+            lastRefusal = refused.refusal();
         }
-        return new PlacementResult.Refused(last != null ? last : noOwnerRefusal(demand));
+        return new PlacementResult.Refused(lastRefusal != null ? lastRefusal : noOwnerRefusal(demand));
     }
 
     /** The engines that may have room for segments of a prompt larger than one engine. */
@@ -131,8 +131,8 @@
                 // A hung owner keeps its connections open: without this check of the members, its callers would wait
                 // for their whole time limit. Its lease expires within seconds, and another owner takes over its
                 // engines.
-                boolean gone = leasedView.members().host(owner.id()).isEmpty();
-                if (gone || call.remainingMillis(clock) <= 0) {
+                boolean ownerRemoved = leasedView.members().host(owner.id()).isEmpty();
+                if (ownerRemoved || call.remainingMillis(clock) <= 0) {
                     return Optional.empty();
                 }
             } catch (ExecutionException e) {
@@ -154,8 +154,8 @@
     }
 
     private Refusal noOwnerRefusal(Demand demand) {
-        boolean known = leasedView.configuration().model(demand.model()).isPresent();
-        String why = known ? "no engine of " + demand.model() + " is ready" : "no model " + demand.model();
+        boolean modelExists = leasedView.configuration().model(demand.model()).isPresent();
+        String why = modelExists ? "no engine of " + demand.model() + " is ready" : "no model " + demand.model();
         return Refusal.retryLater(RefusalReason.NO_BACKEND_SERVER, why, RETRY_AFTER_MILLIS);
     }
 }
