--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/SendTracker.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/SendTracker.java
@@ -14,8 +14,8 @@
 
     /** The tracker attached to the call's request as a tag; {@link EventListener#NONE} when there is none. */
     public static EventListener of(Request request) {
-        SendTracker mark = request.tag(SendTracker.class);
-        return mark == null ? EventListener.NONE : mark;
+        SendTracker tracker = request.tag(SendTracker.class);
+        return tracker == null ? EventListener.NONE : tracker;
     }
 
     @Override
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineClient.java
@@ -152,9 +152,9 @@
     public void close() {}
 
     private StreamCall stream(AttemptId attempt, boolean resumed, Request.Builder request, StreamListener listener) {
-        SendTracker mark = new SendTracker();
-        Call call = streams.newCall(request.tag(SendTracker.class, mark).build());
-        return new StreamCall(attempt, resumed, mark, listener, call).start();
+        SendTracker sendTracker = new SendTracker();
+        Call call = streams.newCall(request.tag(SendTracker.class, sendTracker).build());
+        return new StreamCall(attempt, resumed, sendTracker, listener, call).start();
     }
 
     private <T> CompletableFuture<CallResult<T>> call(Request.Builder request, Class<T> type) {
@@ -167,32 +167,33 @@
     }
 
     private <T> CompletableFuture<CallResult<T>> send(
-            OkHttpClient client, Request.Builder request, AnswerDecoder<T> reader) {
+            OkHttpClient client, Request.Builder request, AnswerDecoder<T> decoder) {
         CompletableFuture<CallResult<T>> result = new CompletableFuture<>();
-        SendTracker mark = new SendTracker();
-        client.newCall(request.tag(SendTracker.class, mark).build()).enqueue(new Callback() {
+        SendTracker sendTracker = new SendTracker();
+        client.newCall(request.tag(SendTracker.class, sendTracker).build()).enqueue(new Callback() {
             @Override
             public void onFailure(Call call, IOException e) {
                 String why = String.valueOf(e.getMessage());
-                result.complete(mark.ran() == Ran.NO ? new CallResult.NotSent<>(why) : new CallResult.Unknown<>(why));
+                result.complete(
+                        sendTracker.ran() == Ran.NO ? new CallResult.NotSent<>(why) : new CallResult.Unknown<>(why));
             }
 
             @Override
             public void onResponse(Call call, Response response) {
-                result.complete(toResult(response, reader));
+                result.complete(toResult(response, decoder));
             }
         });
         return result;
     }
 
-    private static <T> CallResult<T> toResult(Response response, AnswerDecoder<T> reader) {
+    private static <T> CallResult<T> toResult(Response response, AnswerDecoder<T> decoder) {
         try (response) {
             if (!response.isSuccessful()) {
                 String why = "engine answered " + response.code();
                 boolean refused = response.code() < 500 && response.code() != 410 || response.code() == 503;
                 return refused ? new CallResult.NotSent<>(why) : new CallResult.Unknown<>(why);
             }
-            return new CallResult.Answered<>(reader.decode(response.body().bytes()));
+            return new CallResult.Answered<>(decoder.decode(response.body().bytes()));
         } catch (IOException e) {
             return new CallResult.Unknown<>(String.valueOf(e.getMessage()));
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineProtocol.java
@@ -88,10 +88,10 @@
         streamClient.connectionPool().evictAll();
     }
 
-    private static Dispatcher dispatcher(ExecutorService executor, int most) {
+    private static Dispatcher dispatcher(ExecutorService executor, int maxRequests) {
         Dispatcher dispatcher = new Dispatcher(executor);
-        dispatcher.setMaxRequests(most);
-        dispatcher.setMaxRequestsPerHost(most);
+        dispatcher.setMaxRequests(maxRequests);
+        dispatcher.setMaxRequestsPerHost(maxRequests);
         return dispatcher;
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
@@ -29,10 +29,10 @@
     private final Call call;
     private final AtomicBoolean closed = new AtomicBoolean();
 
-    StreamCall(AttemptId attempt, boolean resumed, SendTracker mark, StreamListener listener, Call call) {
+    StreamCall(AttemptId attempt, boolean resumed, SendTracker sendTracker, StreamListener listener, Call call) {
         this.attempt = attempt;
         this.resumed = resumed;
-        this.sendTracker = mark;
+        this.sendTracker = sendTracker;
         this.listener = listener;
         this.call = call;
     }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
@@ -140,14 +140,15 @@
     }
 
     @Test
-    void tellsWhatDidNotRun() throws Exception {
-        Address nobody = new Address("127.0.0.1", 1);
-        EngineClient absent = protocol.connect(nobody);
+    void reportsNotRunOnlyForAttemptsThatCannotHaveRun() throws Exception {
+        Address unreachable = new Address("127.0.0.1", 1);
+        EngineClient unreachableClient = protocol.connect(unreachable);
         StreamLog log = new StreamLog();
-        absent.start(request("b1", PROMPT, 60), log);
+        unreachableClient.start(request("b1", PROMPT, 60), log);
         assertEquals(Ran.NO, ((StreamEvent.Failed) log.last()).ran());
         assertInstanceOf(
-                CallResult.NotSent.class, absent.cancel(AttemptId.of("b1")).get(10, TimeUnit.SECONDS));
+                CallResult.NotSent.class,
+                unreachableClient.cancel(AttemptId.of("b1")).get(10, TimeUnit.SECONDS));
         StreamLog tooLarge = new StreamLog();
         client.start(sized("b2", 2_000_000), tooLarge);
         assertEquals(Ran.NO, ((StreamEvent.Failed) tooLarge.last()).ran());
@@ -158,7 +159,7 @@
 
     /** The engine fails in the middle of a stream: the failure must not be reported as not run. */
     @Test
-    void aKilledEngineLeavesUnknown() throws Exception {
+    void reportsUnknownWhenEngineFailsDuringStream() throws Exception {
         engine.faults().slowdown(40);
         StreamLog log = new StreamLog();
         client.start(request("b3", longAnswerPrompt(), 200), log);
@@ -169,18 +170,18 @@
 
     /** The same attempt is started twice, as after a lost answer: the second start must not be reported as not run. */
     @Test
-    void aDoubledStartIsNotCalledNotRun() throws Exception {
+    void reportsUnknownForDuplicateStart() throws Exception {
         engine.faults().slowdown(40);
         StreamLog log = new StreamLog();
         client.start(request("b4", longAnswerPrompt(), 200), log);
         log.awaitPieces(1);
-        StreamLog doubled = new StreamLog();
-        client.start(request("b4", longAnswerPrompt(), 200), doubled);
-        assertEquals(Ran.UNKNOWN, ((StreamEvent.Failed) doubled.last()).ran());
+        StreamLog duplicate = new StreamLog();
+        client.start(request("b4", longAnswerPrompt(), 200), duplicate);
+        assertEquals(Ran.UNKNOWN, ((StreamEvent.Failed) duplicate.last()).ran());
     }
 
     @Test
-    void faultyPiecesComeAsSet() throws Exception {
+    void standInInjectsConfiguredPieceFaults() throws Exception {
         int count = AnswerText.of(MODEL, "", PROMPT, 60).pieceCount();
         engine.faults().pieces(PieceFault.DOUBLED);
         assertEquals(2 * count, piecesOf("c1").size());
@@ -224,12 +225,12 @@
     }
 
     @Test
-    void anEngineThatChecksRefusesAnOldFencingNumberAndAnotherIgnoresIt() throws Exception {
+    void onlyEngineThatChecksFencingRejectsStaleNumber() throws Exception {
         assertEquals(OrderAnswer.ACCEPTED, answered(client.order(order(5, "2"), Duration.ofSeconds(1))));
         assertEquals(OrderAnswer.STALE_FENCING_NUMBER, answered(client.order(order(4, "1"), Duration.ofSeconds(1))));
         assertEquals("2", answered(client.state()).version());
-        try (EngineServer careless = engine("engine-3").checksFencing(false).start()) {
-            EngineClient other = protocol.connect(careless.address());
+        try (EngineServer unchecked = engine("engine-3").checksFencing(false).start()) {
+            EngineClient other = protocol.connect(unchecked.address());
             assertEquals(OrderAnswer.ACCEPTED, answered(other.order(order(5, "2"), Duration.ofSeconds(1))));
             assertEquals(OrderAnswer.ACCEPTED, answered(other.order(order(4, "1"), Duration.ofSeconds(1))));
             assertEquals("1", answered(other.state()).version());
