--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
@@ -19,12 +19,12 @@
  */
 public final class AnnounceHandler implements HttpHandler {
     private final Collection<String> keys;
-    private final WorkerBodyReader bodies;
+    private final WorkerBodyReader bodyReader;
     private final OwnerService owners;
 
-    public AnnounceHandler(Collection<String> keys, WorkerBodyReader bodies, OwnerService owners) {
+    public AnnounceHandler(Collection<String> keys, WorkerBodyReader bodyReader, OwnerService owners) {
         this.keys = keys;
-        this.bodies = bodies;
+        this.bodyReader = bodyReader;
         this.owners = owners;
     }
 
@@ -35,7 +35,7 @@
                     exchange, Refusal.didNotRun(RefusalReason.UNAUTHENTICATED, "not a key of backend servers"));
             return;
         }
-        bodies.read(exchange, body -> announce(exchange, body));
+        bodyReader.read(exchange, body -> announce(exchange, body));
     }
 
     private void announce(HttpServerExchange exchange, byte[] body) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
@@ -56,17 +56,17 @@
             HostIdentity self,
             Owner owner,
             OwnerTable owners,
-            LeasedView view,
+            LeasedView leasedView,
             PeerNetwork network,
             MonotonicClock clock) {
         this.self = self;
         this.owner = owner;
         this.owners = owners;
-        this.leasedView = view;
+        this.leasedView = leasedView;
         this.network = network;
         this.clock = clock;
-        view.onRenewal(this::onLeaseRenewed);
-        view.onMembers(() -> owner.members(view.members().hosts(), clock.nanos()));
+        leasedView.onRenewal(this::onLeaseRenewed);
+        leasedView.onMembers(() -> owner.members(leasedView.members().hosts(), clock.nanos()));
     }
 
     public void register(HandlerRegistry handlers) {
@@ -128,9 +128,9 @@
     public CompletableFuture<OwnerPlaceAnswer> place(PlaceRequest request) {
         CompletableFuture<OwnerPlaceAnswer> answer =
                 pendingAnswers.computeIfAbsent(request.attempt(), attempt -> new CompletableFuture<>());
-        Optional<OwnerPlaceAnswer> known = owner.place(request, clock.nanos());
-        known.ifPresent(each -> complete(request.attempt(), each));
-        if (known.isEmpty()) {
+        Optional<OwnerPlaceAnswer> immediate = owner.place(request, clock.nanos());
+        immediate.ifPresent(each -> complete(request.attempt(), each));
+        if (immediate.isEmpty()) {
             onWaiting.run();
         }
         return answer;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/PlacementFactory.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/PlacementFactory.java
@@ -26,10 +26,10 @@
     }
 
     private static org.elmline.core.placement.PlacementSettings weights(PlacementPolicySettings settings) {
-        org.elmline.core.placement.PlacementSettings measured = org.elmline.core.placement.PlacementSettings.defaults();
+        org.elmline.core.placement.PlacementSettings defaults = org.elmline.core.placement.PlacementSettings.defaults();
         return org.elmline.core.placement.PlacementSettings.builder()
-                .shortSlowdownWeight(measured.shortSlowdownWeight() * settings.shortSlowdownWeight())
-                .longStepSeconds(measured.longStepSeconds() * settings.shortSlowdownWeight())
+                .shortSlowdownWeight(defaults.shortSlowdownWeight() * settings.shortSlowdownWeight())
+                .longStepSeconds(defaults.longStepSeconds() * settings.shortSlowdownWeight())
                 .maxLongShare(settings.maxLongShare())
                 .build();
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/SummarySender.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/SummarySender.java
@@ -26,7 +26,7 @@
     private static final Duration SEND_TIMEOUT = Duration.ofSeconds(1);
 
     private final Owner owner;
-    private final OwnerTable table;
+    private final OwnerTable owners;
     private final SummarySchedule schedule;
     private final LeasedView leasedView;
     private final PeerNetwork network;
@@ -36,16 +36,16 @@
 
     public SummarySender(
             Owner owner,
-            OwnerTable table,
+            OwnerTable owners,
             SummarySchedule schedule,
-            LeasedView view,
+            LeasedView leasedView,
             PeerNetwork network,
             MonotonicClock clock,
             MetricRegistry metrics) {
         this.owner = owner;
-        this.table = table;
+        this.owners = owners;
         this.schedule = schedule;
-        this.leasedView = view;
+        this.leasedView = leasedView;
         this.network = network;
         this.clock = clock;
         this.sent = metrics.counter("owner.summaries.sent");
@@ -60,7 +60,7 @@
         try {
             long now = clock.nanos();
             OwnerSummary summary = owner.summary(now);
-            table.accept(summary, now);
+            owners.accept(summary, now);
             int bytes = Codecs.MESSAGE_PACK.encode(summary).length;
             List<HostRecord> members = leasedView.members().hosts();
             for (HostRecord each : schedule.targets(summary, bytes, members, now)) {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/backend/PoliciesTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/backend/PoliciesTest.java
@@ -10,7 +10,7 @@
 
 class PoliciesTest {
     @Test
-    void theSettingsNameThePolicyAndItsWeights() {
+    void createsPolicyAndWeightsOfSettings() {
         for (String name : PlacementPolicies.names()) {
             assertEquals(
                     name,
@@ -20,14 +20,14 @@
         assertEquals(PlacementPolicies.DEFAULT, PlacementPolicySettings.DEFAULT.policy());
         var weights = PlacementFactory.ledgerSettings(new PlacementPolicySettings("two-ended", 2, 0.5))
                 .placement();
-        var measured = org.elmline.core.placement.PlacementSettings.defaults();
+        var defaults = org.elmline.core.placement.PlacementSettings.defaults();
         assertEquals(0.5, weights.maxLongShare());
-        assertEquals(2 * measured.shortSlowdownWeight(), weights.shortSlowdownWeight());
-        assertEquals(2 * measured.longStepSeconds(), weights.longStepSeconds());
+        assertEquals(2 * defaults.shortSlowdownWeight(), weights.shortSlowdownWeight());
+        assertEquals(2 * defaults.longStepSeconds(), weights.longStepSeconds());
     }
 
     @Test
-    void anUnknownPolicyIsNamedWithWhatThereIs() {
+    void unknownPolicyFailsAndListsRegisteredPolicies() {
         PlacementPolicySettings misspelt = new PlacementPolicySettings("two-eneded", 1, 0.5);
         Exception failure = assertThrows(IllegalArgumentException.class, () -> PlacementFactory.policy(misspelt));
         assertTrue(failure.getMessage().contains("two-eneded"));
