--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/IdempotencyKeysHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/IdempotencyKeysHandler.java
@@ -13,20 +13,21 @@
     private final AdmissionController admission;
     private final SecureRandom random = new SecureRandom();
 
-    public IdempotencyKeysHandler(AdmissionController gate) {
-        this.admission = gate;
+    public IdempotencyKeysHandler(AdmissionController admission) {
+        this.admission = admission;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        AdmissionController.Admission passage = admission.admit(exchange);
-        if (passage instanceof AdmissionController.Admission.Refused closed) {
-            JsonResponses.sendRefusal(exchange, closed.refusal());
+        AdmissionController.Admission decision = admission.admit(exchange);
+        if (decision instanceof AdmissionController.Admission.Refused refused) {
+            JsonResponses.sendRefusal(exchange, refused.refusal());
             return;
         }
         admission.release();
-        AdmissionController.Admission.Admitted open = (AdmissionController.Admission.Admitted) passage;
-        IdempotencyKey key = IdempotencyKey.issue(open.call().organisation().id(), System.currentTimeMillis(), random);
+        AdmissionController.Admission.Admitted admitted = (AdmissionController.Admission.Admitted) decision;
+        IdempotencyKey key =
+                IdempotencyKey.issue(admitted.call().organisation().id(), System.currentTimeMillis(), random);
         JsonResponses.send(exchange, new Issued(key.value()));
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ReplicaSelector.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ReplicaSelector.java
@@ -40,25 +40,25 @@
 
     /** Acquires a replica; empty when none is available but those already tried. */
     Optional<AcquiredReplica> acquire(ServiceName service, Set<BackendServerId> tried) {
-        List<ServiceReplica> able = new ArrayList<>();
+        List<ServiceReplica> candidates = new ArrayList<>();
         Set<BackendServerId> seen = new HashSet<>(tried);
         for (ServiceReplica each : owners.serviceReplicas(service, clock.nanos())) {
             if (seen.add(each.server())) {
-                able.add(each);
+                candidates.add(each);
             }
         }
-        if (able.isEmpty()) {
+        if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        ServiceReplica first = pickRandom(able);
-        ServiceReplica second = pickRandom(able);
+        ServiceReplica first = pickRandom(candidates);
+        ServiceReplica second = pickRandom(candidates);
         ServiceReplica chosen = openCallsOf(first).get() <= openCallsOf(second).get() ? first : second;
         openCallsOf(chosen).incrementAndGet();
         return Optional.of(new AcquiredReplica(chosen, openCallsOf(chosen)));
     }
 
-    private static ServiceReplica pickRandom(List<ServiceReplica> able) {
-        return able.get(ThreadLocalRandom.current().nextInt(able.size()));
+    private static ServiceReplica pickRandom(List<ServiceReplica> candidates) {
+        return candidates.get(ThreadLocalRandom.current().nextInt(candidates.size()));
     }
 
     private AtomicInteger openCallsOf(ServiceReplica replica) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceClient.java
@@ -65,10 +65,10 @@
     }
 
     CallResult<RecordedAnswer> send(Address replica, ServiceCall call, Duration timeout) {
-        SendTracker mark = new SendTracker();
+        SendTracker sendTracker = new SendTracker();
         Request request;
         try {
-            request = request(replica, call).tag(SendTracker.class, mark).build();
+            request = request(replica, call).tag(SendTracker.class, sendTracker).build();
         } catch (IllegalArgumentException e) {
             return new CallResult.NotSent<>("the call can't be passed on: " + e.getMessage());
         }
@@ -85,7 +85,7 @@
                     response.code(), headers(response), response.body().bytes()));
         } catch (IOException e) {
             String why = String.valueOf(e.getMessage());
-            return mark.ran() == Ran.NO ? new CallResult.NotSent<>(why) : new CallResult.Unknown<>(why);
+            return sendTracker.ran() == Ran.NO ? new CallResult.NotSent<>(why) : new CallResult.Unknown<>(why);
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
@@ -59,14 +59,14 @@
         Set<BackendServerId> tried = new HashSet<>();
         CallResult<RecordedAnswer> result = new CallResult.NotSent<>("no replica of " + service.name() + " is ready");
         for (int i = 0; i < MAX_ATTEMPTS && remainingMillis(deadlineNanos) > 0; i++) {
-            Optional<ReplicaSelector.AcquiredReplica> held = replicas.acquire(service.name(), tried);
-            if (held.isEmpty() || (i > 0 && !retryBudget.tryAcquire())) {
-                held.ifPresent(ReplicaSelector.AcquiredReplica::close);
+            Optional<ReplicaSelector.AcquiredReplica> acquired = replicas.acquire(service.name(), tried);
+            if (acquired.isEmpty() || (i > 0 && !retryBudget.tryAcquire())) {
+                acquired.ifPresent(ReplicaSelector.AcquiredReplica::close);
                 break;
             }
             retries.inc(i > 0 ? 1 : 0);
-            tried.add(held.get().replica().server());
-            result = send(held.get(), service, call, deadlineNanos);
+            tried.add(acquired.get().replica().server());
+            result = send(acquired.get(), service, call, deadlineNanos);
             if (result instanceof CallResult.Answered<RecordedAnswer> answered) {
                 return new ClaimReply.Answered(answered.value(), false);
             }
@@ -106,11 +106,11 @@
         }
     }
 
-    private void deliver(ClaimReply reply, Consumer<ClaimReply> to) {
+    private void deliver(ClaimReply reply, Consumer<ClaimReply> receiver) {
         if (reply instanceof ClaimReply.Answered answered && answered.repeated()) {
             claimsRepeated.inc();
         }
-        to.accept(reply);
+        receiver.accept(reply);
     }
 
     /**
@@ -121,12 +121,12 @@
         Set<BackendServerId> tried = new HashSet<>();
         CallResult<RecordedAnswer> result = new CallResult.NotSent<>("no replica of " + service.name() + " is ready");
         for (int i = 0; i < MAX_ATTEMPTS && remainingMillis(deadlineNanos) > 0; i++) {
-            Optional<ReplicaSelector.AcquiredReplica> held = replicas.acquire(service.name(), tried);
-            if (held.isEmpty()) {
+            Optional<ReplicaSelector.AcquiredReplica> acquired = replicas.acquire(service.name(), tried);
+            if (acquired.isEmpty()) {
                 return result;
             }
-            tried.add(held.get().replica().server());
-            result = send(held.get(), service, call, deadlineNanos);
+            tried.add(acquired.get().replica().server());
+            result = send(acquired.get(), service, call, deadlineNanos);
             if (!(result instanceof CallResult.NotSent)) {
                 return result;
             }
@@ -135,10 +135,10 @@
     }
 
     private CallResult<RecordedAnswer> send(
-            ReplicaSelector.AcquiredReplica held, Service service, ServiceCall call, long deadlineNanos) {
-        try (held) {
+            ReplicaSelector.AcquiredReplica acquired, Service service, ServiceCall call, long deadlineNanos) {
+        try (acquired) {
             long millis = Math.min(service.timeoutMillis(), Math.max(1, remainingMillis(deadlineNanos)));
-            return client.send(held.replica().address(), call, Duration.ofMillis(millis));
+            return client.send(acquired.replica().address(), call, Duration.ofMillis(millis));
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
@@ -53,36 +53,36 @@
     private final HostIdentity self;
     private final AdmissionController admission;
     private final LeasedView leasedView;
-    private final WorkerBodyReader bodies;
+    private final WorkerBodyReader bodyReader;
     private final ServiceGateway gateway;
     private final EventRing events;
     private final AtomicLong lastSession = new AtomicLong();
 
     public ServiceHandler(
             HostIdentity self,
-            AdmissionController gate,
-            LeasedView view,
-            WorkerBodyReader bodies,
+            AdmissionController admission,
+            LeasedView leasedView,
+            WorkerBodyReader bodyReader,
             ServiceGateway gateway,
             EventRing events) {
         this.self = self;
-        this.admission = gate;
-        this.leasedView = view;
-        this.bodies = bodies;
+        this.admission = admission;
+        this.leasedView = leasedView;
+        this.bodyReader = bodyReader;
         this.gateway = gateway;
         this.events = events;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        AdmissionController.Admission passage = admission.admit(exchange);
-        if (passage instanceof AdmissionController.Admission.Refused closed) {
-            JsonResponses.sendRefusal(exchange, withUnknownRan(exchange, closed.refusal()));
+        AdmissionController.Admission decision = admission.admit(exchange);
+        if (decision instanceof AdmissionController.Admission.Refused refused) {
+            JsonResponses.sendRefusal(exchange, withUnknownRan(exchange, refused.refusal()));
             return;
         }
-        AdmittedCall call = ((AdmissionController.Admission.Admitted) passage).call();
+        AdmittedCall call = ((AdmissionController.Admission.Admitted) decision).call();
         admission.releaseOnCompletion(exchange);
-        bodies.read(exchange, body -> serve(exchange, call, body));
+        bodyReader.read(exchange, body -> serve(exchange, call, body));
     }
 
     /**
@@ -164,9 +164,9 @@
         return service.idempotentMethods().contains(exchange.getRequestMethod().toString());
     }
 
-    private static List<RecordedAnswer.Header> forwardedHeaders(HeaderMap given) {
+    private static List<RecordedAnswer.Header> forwardedHeaders(HeaderMap requestHeaders) {
         List<RecordedAnswer.Header> headers = new ArrayList<>();
-        for (HeaderValues values : given) {
+        for (HeaderValues values : requestHeaders) {
             String name = values.getHeaderName().toString();
             if (!EXCLUDED_REQUEST_HEADERS.contains(name)
                     && !name.regionMatches(true, 0, "Elmline-", 0, "Elmline-".length())) {
