--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/BearerKey.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/BearerKey.java
@@ -29,10 +29,10 @@
      * the keys.
      */
     public static boolean matchesAny(HttpServerExchange exchange, Collection<String> keys) {
-        byte[] given = of(exchange).orElse("").getBytes(StandardCharsets.UTF_8);
+        byte[] presented = of(exchange).orElse("").getBytes(StandardCharsets.UTF_8);
         boolean found = false;
         for (String key : keys) {
-            found |= MessageDigest.isEqual(key.getBytes(StandardCharsets.UTF_8), given);
+            found |= MessageDigest.isEqual(key.getBytes(StandardCharsets.UTF_8), presented);
         }
         return found;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/http/CallerDisconnectDetector.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/http/CallerDisconnectDetector.java
@@ -28,7 +28,7 @@
             return;
         }
         PooledByteBuffer buffer = connection.getByteBufferPool().allocate();
-        boolean kept = false;
+        boolean pushedBack = false;
         try {
             int read = connection.getOriginalSourceConduit().read(buffer.getBuffer());
             if (read < 0) {
@@ -39,10 +39,10 @@
                 // order.
                 buffer.getBuffer().flip();
                 connection.ungetRequestBytes(buffer);
-                kept = true;
+                pushedBack = true;
             }
         } finally {
-            if (!kept) {
+            if (!pushedBack) {
                 buffer.close();
             }
         }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/http/HttpListenerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/http/HttpListenerTest.java
@@ -16,8 +16,8 @@
 
 class HttpListenerTest {
     private static final int MAX_CONNECTIONS = 4;
-    private static final int PATIENCE_MILLIS = 30_000;
-    private static final int UNANSWERED_MILLIS = 500;
+    private static final int ANSWER_TIMEOUT_MILLIS = 30_000;
+    private static final int NO_ANSWER_WAIT_MILLIS = 500;
     private static final byte[] REQUEST = "GET / HTTP/1.1\r\nHost: a\r\n\r\n".getBytes(StandardCharsets.US_ASCII);
 
     /**
@@ -26,22 +26,23 @@
      * Without the limit, one client could exhaust the process by opening connections.
      */
     @Test
-    void aConnectionOverTheLimitWaitsForAnotherToClose() throws IOException {
-        HttpLimits limits = new HttpLimits(1 << 20, 1 << 14, MAX_CONNECTIONS, PATIENCE_MILLIS, PATIENCE_MILLIS);
+    void connectionOverLimitWaitsUntilAnotherCloses() throws IOException {
+        HttpLimits limits =
+                new HttpLimits(1 << 20, 1 << 14, MAX_CONNECTIONS, ANSWER_TIMEOUT_MILLIS, ANSWER_TIMEOUT_MILLIS);
         List<Socket> open = new ArrayList<>();
         try (HttpListener listener =
                 HttpListener.start("127.0.0.1", 0, limits, exchange -> JsonResponses.send(exchange, List.of()))) {
             for (int i = 0; i < MAX_CONNECTIONS; i++) {
                 open.add(connect(listener.address()));
-                assertEquals('H', firstByte(open.get(i), PATIENCE_MILLIS));
+                assertEquals('H', firstByte(open.get(i), ANSWER_TIMEOUT_MILLIS));
             }
             Socket over = connect(listener.address());
             open.add(over);
-            assertThrows(SocketTimeoutException.class, () -> firstByte(over, UNANSWERED_MILLIS));
+            assertThrows(SocketTimeoutException.class, () -> firstByte(over, NO_ANSWER_WAIT_MILLIS));
             for (int i = 0; i < MAX_CONNECTIONS; i++) {
                 open.get(i).close();
             }
-            assertEquals('H', firstByte(over, PATIENCE_MILLIS));
+            assertEquals('H', firstByte(over, ANSWER_TIMEOUT_MILLIS));
         } finally {
             for (Socket socket : open) {
                 socket.close();
