--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricSamples.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricSamples.java
@@ -31,11 +31,11 @@
     private MetricSamples() {}
 
     static List<MetricSample> of(MetricRegistry registry) {
-        MetricSamples taken = new MetricSamples();
+        MetricSamples collected = new MetricSamples();
         for (Map.Entry<String, Metric> each : new TreeMap<>(registry.getMetrics()).entrySet()) {
-            taken.addSamples(PREFIX + each.getKey().replaceAll("[^A-Za-z0-9_:]", "_"), each.getValue());
+            collected.addSamples(PREFIX + each.getKey().replaceAll("[^A-Za-z0-9_:]", "_"), each.getValue());
         }
-        return taken.samples;
+        return collected.samples;
     }
 
     private void addSamples(String name, Metric metric) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/StatusHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/StatusHandler.java
@@ -14,13 +14,13 @@
 /** {@code GET /v1/status}: this host's state, and the entry hosts among its members. */
 public final class StatusHandler implements HttpHandler {
     private final HostIdentity self;
-    private final LeasedView view;
-    private final AdmissionController gate;
+    private final LeasedView leasedView;
+    private final AdmissionController admission;
 
-    public StatusHandler(HostIdentity self, LeasedView view, AdmissionController gate) {
+    public StatusHandler(HostIdentity self, LeasedView leasedView, AdmissionController admission) {
         this.self = self;
-        this.view = view;
-        this.gate = gate;
+        this.leasedView = leasedView;
+        this.admission = admission;
     }
 
     @Override
@@ -29,10 +29,10 @@
                 exchange,
                 new Status(
                         self,
-                        view.mayServe(),
-                        view.configuration().version(),
-                        gate.inFlight(),
-                        view.members().hosts()));
+                        leasedView.mayServe(),
+                        leasedView.configuration().version(),
+                        admission.inFlight(),
+                        leasedView.members().hosts()));
     }
 
     record Status(
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/TicketsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/TicketsHandler.java
@@ -34,9 +34,9 @@
     private final ControlCalls control;
     private final WorkerBodyReader bodyReader;
 
-    public TicketsHandler(ControlCalls control, WorkerBodyReader bodies) {
+    public TicketsHandler(ControlCalls control, WorkerBodyReader bodyReader) {
         this.control = control;
-        this.bodyReader = bodies;
+        this.bodyReader = bodyReader;
     }
 
     /** The body of a ticket. The number may be omitted, since the path has it; a different one is rejected. */
@@ -68,8 +68,8 @@
             return;
         }
         TicketNumber first = below.get() == 0 ? null : TicketNumber.of(below.get());
-        int most = (int) Math.max(1, Math.min(limit.get(), MAX_LIST_LIMIT));
-        whenComplete(exchange, control.tickets(new TicketListQuery(first, most)), TicketsHandler::sendList);
+        int maxTickets = (int) Math.max(1, Math.min(limit.get(), MAX_LIST_LIMIT));
+        whenComplete(exchange, control.tickets(new TicketListQuery(first, maxTickets)), TicketsHandler::sendList);
     }
 
     private void submit(HttpServerExchange exchange, TicketNumber number, byte[] body) {
@@ -78,14 +78,14 @@
             refuseBadRequest(exchange, malformed.reason());
             return;
         }
-        TicketBody given = ((Decoded.Value<TicketBody>) decoded).value();
-        if (given.number() != null && !given.number().equals(number)) {
-            refuseBadRequest(exchange, "the path names ticket " + number + ", the body ticket " + given.number());
+        TicketBody ticketBody = ((Decoded.Value<TicketBody>) decoded).value();
+        if (ticketBody.number() != null && !ticketBody.number().equals(number)) {
+            refuseBadRequest(exchange, "the path names ticket " + number + ", the body ticket " + ticketBody.number());
             return;
         }
         Ticket ticket;
         try {
-            ticket = new Ticket(number, given.author(), given.objects());
+            ticket = new Ticket(number, ticketBody.author(), ticketBody.objects());
         } catch (IllegalArgumentException e) {
             refuseBadRequest(exchange, e.getMessage());
             return;
@@ -142,10 +142,10 @@
         return queryNumber(exchange, "number", -1).filter(each -> each >= 0).map(TicketNumber::of);
     }
 
-    private static Optional<Long> queryNumber(HttpServerExchange exchange, String name, long otherwise) {
+    private static Optional<Long> queryNumber(HttpServerExchange exchange, String name, long defaultValue) {
         Deque<String> values = exchange.getQueryParameters().get(name);
         if (values == null || values.isEmpty()) {
-            return Optional.of(otherwise);
+            return Optional.of(defaultValue);
         }
         try {
             return Optional.of(Long.parseLong(values.getFirst())).filter(each -> each >= 0);
--- a/elmline-daemon/src/test/java/org/elmline/daemon/operator/EventsAndMetricsTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/operator/EventsAndMetricsTest.java
@@ -65,12 +65,12 @@
 
     @ParameterizedTest
     @CsvSource({"'',3", "request=r1,1", "request=r3,0", "ticket=7,1", "host=e1,3", "host=e2,0", "limit=2,2"})
-    void eventsAreFiltered(String query, int expected) throws Exception {
+    void filtersEventsByQuery(String query, int expected) throws Exception {
         assertEquals(expected, page(query).events().size());
     }
 
     @Test
-    void eventsComeBackAsTheyWereRecorded() throws Exception {
+    void returnsEventsAsRecorded() throws Exception {
         EventPage page = page("ticket=7");
         assertEquals(
                 new TicketEvent.Followed(TicketNumber.of(7), ConfigVersion.of(2)),
@@ -80,14 +80,14 @@
 
     @ParameterizedTest
     @CsvSource({"limit=0", "limit=x", "ticket=x", "ticket=-1", "request=%20"})
-    void badQueriesAreRefused(String query) throws Exception {
+    void rejectsInvalidQueries(String query) throws Exception {
         try (Response response = get("/v1/events?" + query, null)) {
             assertEquals(400, response.code());
         }
     }
 
     @Test
-    void metricsInPrometheusText() throws Exception {
+    void returnsMetricsAsPrometheusText() throws Exception {
         metrics.counter("gate.refused").inc(3);
         metrics.meter("lease.renewals").mark(2);
         metrics.histogram("prompt.tokens").update(1000);
@@ -109,7 +109,7 @@
     }
 
     @Test
-    void metricsInJson() throws Exception {
+    void returnsMetricsAsJson() throws Exception {
         ProcessMetrics.register(metrics);
         ProcessMetrics.register(metrics, ring, clock);
         try (Response response = get("/metrics", "application/json")) {
