--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
@@ -109,9 +109,7 @@
                 });
     }
 
-    /**
-     * Another owner has accepted the server; if it was owned here, this owner places no more work on it from now on.
-     */
+    /** Another owner has accepted the server; if it was owned here, it gets no more work from this owner, at once. */
     private void releaseServer(Announcement announcement) {
         for (Announcement each : owner.engines()) {
             if (each.id().equals(announcement.id())) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StreamCall.java
@@ -14,8 +14,8 @@
 import org.elmline.wire.engine.EngineJson;
 
 /**
- * Reads one stream's lines and passes their events to the listener, until End, Failed or {@link #close}. A broken
- * connection is reported as Failed.
+ * Reads one stream's lines and passes their events to the listener, ending with exactly one End or Failed unless {@link
+ * #close} is called first. A broken connection is reported as Failed.
  */
 final class StreamCall implements Callback, AutoCloseable {
     private static final int OK = 200;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ReplicaSelector.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ReplicaSelector.java
@@ -30,7 +30,7 @@
         this.clock = clock;
     }
 
-    /** One replica acquired for a call; closing it ends the call's share of the open calls. */
+    /** One replica acquired for a call; closing it decrements the replica's open calls. */
     record AcquiredReplica(ServiceReplica replica, AtomicInteger openCalls) implements AutoCloseable {
         @Override
         public void close() {
@@ -38,7 +38,7 @@
         }
     }
 
-    /** Acquires a replica; empty when none is available but those already tried. */
+    /** Acquires a replica outside {@code tried}; empty when none is available. */
     Optional<AcquiredReplica> acquire(ServiceName service, Set<BackendServerId> tried) {
         List<ServiceReplica> candidates = new ArrayList<>();
         Set<BackendServerId> seen = new HashSet<>(tried);
--- a/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
@@ -197,7 +197,7 @@
         assertEquals(count - count / 5, piecesOf("c3").size());
     }
 
-    /** A prompt larger than twice the memory of one engine: two engines hold segments, and one answers over both. */
+    /** A prompt split into segments: two engines hold one each, and one of them answers over both. */
     @Test
     void answersOverImportedSegments() throws Exception {
         try (EngineServer second = engine("engine-2").start()) {
