--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/AnnounceHandler.java
@@ -13,15 +13,18 @@
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
-/** {@code POST /v1/backend-servers/announce}: a backend server says what it is, and learns how often and where to. */
+/**
+ * {@code POST /v1/backend-servers/announce}: accepts the announcement of a backend server; the answer gives the
+ * interval of announcements and the addresses to send them to.
+ */
 public final class AnnounceHandler implements HttpHandler {
     private final Collection<String> keys;
-    private final WorkerBodyReader bodies;
+    private final WorkerBodyReader bodyReader;
     private final OwnerService owners;
 
-    public AnnounceHandler(Collection<String> keys, WorkerBodyReader bodies, OwnerService owners) {
+    public AnnounceHandler(Collection<String> keys, WorkerBodyReader bodyReader, OwnerService owners) {
         this.keys = keys;
-        this.bodies = bodies;
+        this.bodyReader = bodyReader;
         this.owners = owners;
     }
 
@@ -32,7 +35,7 @@
                     exchange, Refusal.didNotRun(RefusalReason.UNAUTHENTICATED, "not a key of backend servers"));
             return;
         }
-        bodies.read(exchange, body -> announce(exchange, body));
+        bodyReader.read(exchange, body -> announce(exchange, body));
     }
 
     private void announce(HttpServerExchange exchange, byte[] body) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/BufferingSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/BufferingSink.java
@@ -13,14 +13,14 @@
 import org.elmline.daemon.http.JsonResponses;
 import org.elmline.daemon.openai.CompletionWriter;
 
-/** Gathers an answer and sends it whole. Looks now and then whether the caller is still there. */
+/** Buffers an answer and sends it whole. Checks every 500 ms whether the caller is still connected. */
 final class BufferingSink implements AnswerSink {
     private static final long CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
     private final HttpServerExchange exchange;
     private final CompletionWriter writer;
     private final MonotonicClock clock;
-    private final CallerDisconnectDetector callerPresence;
+    private final CallerDisconnectDetector disconnectDetector;
     private final StringBuilder text = new StringBuilder();
     private long lastCheckNanos;
 
@@ -28,7 +28,7 @@
         this.exchange = exchange;
         this.writer = writer;
         this.clock = clock;
-        this.callerPresence = new CallerDisconnectDetector(exchange);
+        this.disconnectDetector = new CallerDisconnectDetector(exchange);
         this.lastCheckNanos = clock.nanos();
     }
 
@@ -54,7 +54,7 @@
         long now = clock.nanos();
         if (now - lastCheckNanos >= CHECK_INTERVAL_NANOS) {
             lastCheckNanos = now;
-            callerPresence.checkConnected();
+            disconnectDetector.checkConnected();
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
@@ -26,8 +26,9 @@
 import org.elmline.daemon.openai.CompletionRequest;
 
 /**
- * One request from its first placement to its final answer, over as many attempts as it takes. Runs on one worker. Every
- * way out gives the grant back: at once when the engine has finished, else once it has acknowledged the cancel.
+ * Executes one request from its first placement to its final answer, over as many attempts as needed. Runs on one
+ * worker. Every way to end releases the grant: at once when the engine has finished, else once it has acknowledged the
+ * cancel.
  */
 final class CompletionExecution {
     private static final long RETRY_AFTER_MILLIS = 1_000;
@@ -44,12 +45,12 @@
     private int attemptCount;
     private int placementCount;
 
-    CompletionExecution(CompletionGateway gateway, AdmittedCompletion work, AnswerSink sink) {
+    CompletionExecution(CompletionGateway gateway, AdmittedCompletion completion, AnswerSink sink) {
         this.gateway = gateway;
-        this.completion = work;
+        this.completion = completion;
         this.sink = sink;
-        this.forwarder = new AnswerForwarder(gateway, work, sink);
-        CompletionRequest request = work.request();
+        this.forwarder = new AnswerForwarder(gateway, completion, sink);
+        CompletionRequest request = completion.request();
         this.prefixHashes = PromptBlocks.blockHashes(request.model().value(), request.adapter(), request.prompt());
     }
 
@@ -76,19 +77,19 @@
             if (!resume && !place()) {
                 return;
             }
-            StreamOutcome ending = stream(resume);
-            if (ending instanceof StreamOutcome.Complete) {
+            StreamOutcome outcome = stream(resume);
+            if (outcome instanceof StreamOutcome.Complete) {
                 gateway.record(new RequestEvent.Finished(id(), forwarder.deliveredCount()));
                 gateway.grants().release(grant.attempt(), ReleaseCause.FINISHED);
                 grant = null;
                 return;
             }
-            if (ending instanceof StreamOutcome.DeadlineExceeded) {
+            if (outcome instanceof StreamOutcome.DeadlineExceeded) {
                 gateway.counter("deadline").inc();
                 refuse(deadlineRefusal());
                 return;
             }
-            StreamOutcome.Broken broken = (StreamOutcome.Broken) ending;
+            StreamOutcome.Broken broken = (StreamOutcome.Broken) outcome;
             RetryDecision decision = decide(broken);
             gateway.counter("broken." + decision.name().toLowerCase(Locale.ROOT))
                     .inc();
@@ -103,42 +104,44 @@
         }
     }
 
-    /** False when the request has its final answer already: there is no place, or a group of engines served it. */
+    /** False when the request has its final answer already: no placement was found, or a group of engines served it. */
     private boolean place() throws IOException, InterruptedException {
         attemptCount++;
         PlacementResult placement = gateway.placer().place(completion.call(), ++placementCount, demand());
-        long until = gateway.clock().millis() + CONTINUATION_TIMEOUT_MILLIS;
-        // A caller with half an answer can't use a refusal: for a while the rest is worth more tries, each a real one.
-        while (placement instanceof PlacementResult.Refused none && mayRetryPlacement(none.refusal(), until)) {
+        long retryUntilMillis = gateway.clock().millis() + CONTINUATION_TIMEOUT_MILLIS;
+        // A refusal is useless to a caller that has received part of the answer, so placement is retried for a limited
+        // time; each retry is a complete placement with its own attempt ids.
+        while (placement instanceof PlacementResult.Refused refused
+                && mayRetryPlacement(refused.refusal(), retryUntilMillis)) {
             Thread.sleep(CONTINUATION_RETRY_DELAY_MILLIS);
             sink.onIdle();
             placement = gateway.placer().place(completion.call(), ++placementCount, demand());
         }
-        if (placement instanceof PlacementResult.Refused none) {
-            refuseOrServeByGroup(none.refusal());
+        if (placement instanceof PlacementResult.Refused refused) {
+            refuseOrServeByGroup(refused.refusal());
             return false;
         }
-        PlacementResult.Placed found = (PlacementResult.Placed) placement;
-        grant = found.grant();
-        gateway.record(new RequestEvent.Placed(id(), grant.attempt(), grant.server(), found.owner()));
+        PlacementResult.Placed placed = (PlacementResult.Placed) placement;
+        grant = placed.grant();
+        gateway.record(new RequestEvent.Placed(id(), grant.attempt(), grant.server(), placed.owner()));
         return true;
     }
 
     private boolean mayRetryPlacement(Refusal refusal, long untilMillis) {
-        boolean half = forwarder.deliveredCount() > 0;
-        return half
+        boolean partlyDelivered = forwarder.deliveredCount() > 0;
+        return partlyDelivered
                 && refusal.reason().retryable()
                 && remainingMillis() > 0
                 && gateway.clock().millis() < untilMillis;
     }
 
     private void refuseOrServeByGroup(Refusal refusal) throws IOException, InterruptedException {
-        boolean larger = refusal.reason() == RefusalReason.TOO_LARGE && !forwarder.anyAttemptRan();
-        Optional<Refusal> last =
-                larger ? new GroupExecution(gateway, completion, forwarder, demand()).run() : Optional.of(refusal);
-        if (last.isPresent()) {
+        boolean needsGroup = refusal.reason() == RefusalReason.TOO_LARGE && !forwarder.anyAttemptRan();
+        Optional<Refusal> finalRefusal =
+                needsGroup ? new GroupExecution(gateway, completion, forwarder, demand()).run() : Optional.of(refusal);
+        if (finalRefusal.isPresent()) {
             gateway.counter("refused").inc();
-            refuse(withRan(last.get()));
+            refuse(withRan(finalRefusal.get()));
         }
     }
 
@@ -155,7 +158,7 @@
                 failedServers);
     }
 
-    /** A refusal to place a later attempt doesn't undo that an earlier one ran. */
+    /** A refusal to place a later attempt doesn't change that an earlier one ran. */
     private Refusal withRan(Refusal refusal) {
         Ran ran = forwarder.anyAttemptRan() ? Ran.YES : refusal.ran();
         return new Refusal(refusal.reason(), refusal.message(), ran, refusal.retryAfterMillis());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EntryHostsHandler.java
@@ -15,7 +15,7 @@
 import org.elmline.daemon.entry.LeasedView;
 import org.elmline.daemon.http.JsonResponses;
 
-/** {@code GET /v1/entry-hosts}: the addresses a caller may use and for how long to keep them. */
+/** {@code GET /v1/entry-hosts}: the addresses that a caller may use and how many seconds it may cache them. */
 public final class EntryHostsHandler implements HttpHandler {
     private static final long RETRY_AFTER_MILLIS = 1000;
     private static final int MAX_ADDRESSES = 4;
@@ -25,8 +25,8 @@
     private final Region region;
     private final int keepSeconds;
 
-    public EntryHostsHandler(LeasedView view, Region region, int keepSeconds) {
-        this.leasedView = view;
+    public EntryHostsHandler(LeasedView leasedView, Region region, int keepSeconds) {
+        this.leasedView = leasedView;
         this.region = region;
         this.keepSeconds = keepSeconds;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
@@ -30,11 +30,15 @@
 import org.elmline.core.timeline.RequestEvent;
 
 /**
- * Serves a prompt larger than any engine by a group of them: reserves all or nothing, reads the segments one after
- * another, streams the answer from the last engine, and frees every engine however it ends.
+ * Serves a prompt larger than any engine by a group of them: reserves all or nothing, prefills the segments one after
+ * another, streams the answer from the last engine, and frees every engine however the request ends. Runs on one
+ * worker.
  */
 final class GroupExecution {
-    /** Part of a segment's memory that its import takes on another engine, as engines announce it to be at most. */
+    /**
+     * Memory that importing a segment takes on another engine, as a fraction of the segment's memory; the upper bound
+     * that engines announce.
+     */
     private static final double IMPORT_MEMORY_SHARE = 1.0 / 16;
 
     private static final int MAX_RESERVATION_ATTEMPTS = 20;
@@ -47,14 +51,14 @@
     private final AnswerForwarder forwarder;
     private final Demand demand;
 
-    GroupExecution(CompletionGateway gateway, AdmittedCompletion work, AnswerForwarder pump, Demand demand) {
+    GroupExecution(CompletionGateway gateway, AdmittedCompletion completion, AnswerForwarder forwarder, Demand demand) {
         this.gateway = gateway;
-        this.completion = work;
-        this.forwarder = pump;
+        this.completion = completion;
+        this.forwarder = forwarder;
         this.demand = demand;
     }
 
-    /** Empty once the caller has the whole answer, else the refusal to give. */
+    /** Empty once the caller has the whole answer, else the refusal to send. */
     Optional<Refusal> run() throws IOException, InterruptedException {
         for (int i = 0; i < MAX_RESERVATION_ATTEMPTS && remainingMillis() > 0; i++) {
             PlaceRequest whole = new PlaceRequest(
@@ -82,7 +86,8 @@
                     return serve(whole, plan.get(), reservation.grants());
                 }
             }
-            // Groups that meet hand back what they hold and come again at unlike times.
+            // Groups that compete for the same engines release what they hold and retry after random delays, so that
+            // they do not collide again.
             Thread.sleep(RETRY_DELAY_MILLIS + ThreadLocalRandom.current().nextLong(RETRY_DELAY_MILLIS));
         }
         return Optional.of(Refusal.retryLater(
@@ -91,19 +96,19 @@
 
     private GroupReservation reserve(PlaceRequest whole, GroupPlan plan) throws InterruptedException {
         GroupReservation reservation = new GroupReservation(whole, plan);
-        Optional<GroupReservation.OwnerCall> ask = reservation.nextCall();
-        while (ask.isPresent()) {
+        Optional<GroupReservation.OwnerCall> call = reservation.nextCall();
+        while (call.isPresent()) {
             Optional<OwnerPlaceAnswer> answer =
-                    gateway.placer().requestPlace(ask.get().owner(), ask.get().request(), completion.call());
+                    gateway.placer().requestPlace(call.get().owner(), call.get().request(), completion.call());
             if (answer.isPresent()) {
                 reservation.onAnswer(answer.get());
             } else {
                 reservation.onNoAnswer();
             }
             if (answer.isPresent() && answer.get() instanceof OwnerPlaceAnswer.Placed placed) {
-                gateway.grants().open(placed.grant(), ask.get().owner());
+                gateway.grants().open(placed.grant(), call.get().owner());
             }
-            ask = reservation.nextCall();
+            call = reservation.nextCall();
         }
         for (GroupReservation.OwnerRelease each : reservation.releases()) {
             gateway.grants().releaseUnused(each.attempt(), each.owner());
@@ -180,21 +185,24 @@
     private Optional<Refusal> streamAnswer(EngineClient engine, GroupStep.StreamAnswer step)
             throws IOException, InterruptedException {
         gateway.grants().reportBegun(step.target().attempt());
-        StreamOutcome ending = forwarder.start(engine, step.request());
-        while (ending instanceof StreamOutcome.Broken broken
+        StreamOutcome outcome = forwarder.start(engine, step.request());
+        while (outcome instanceof StreamOutcome.Broken broken
                 && broken.reachable()
                 && forwarder.resumeCount() < MAX_RESUMES) {
-            ending = forwarder.resume(engine);
+            outcome = forwarder.resume(engine);
         }
-        if (ending instanceof StreamOutcome.Complete) {
+        if (outcome instanceof StreamOutcome.Complete) {
             gateway.record(new RequestEvent.Finished(completion.call().id(), forwarder.deliveredCount()));
             return Optional.empty();
         }
         return Optional.of(
-                ending instanceof StreamOutcome.Broken broken ? failureRefusal(broken.why()) : deadlineRefusal());
+                outcome instanceof StreamOutcome.Broken broken ? failureRefusal(broken.why()) : deadlineRefusal());
     }
 
-    /** Engines are told until they acknowledge; a grant is given back with its engine's last acknowledgement. */
+    /**
+     * Cancellations are repeated until the engines acknowledge them; a grant is released with its engine's last
+     * acknowledgement.
+     */
     private void freeEngines(GroupRun run) {
         for (Cancel each : run.end()) {
             gateway.cancellations().free(each, grantOn(run, each), freed -> {
@@ -220,7 +228,7 @@
         } catch (TimeoutException e) {
             return new CallResult.Unknown<>("out of time");
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a call's result is always a value", e);
+            throw new IllegalStateException("engine call failed with an exception instead of a CallResult", e);
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/OrganisationLimitService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/OrganisationLimitService.java
@@ -29,8 +29,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Holds organisations to their limits over all entries: asks the entry that splits an organisation's limit for a share,
- * and splits the limits that fall to this one.
+ * Enforces the organisations' limits over all entries: requests a share of an organisation's limit from the entry that
+ * splits it, and splits the limits that are assigned to this entry.
  */
 public final class OrganisationLimitService {
     private static final Logger LOG = Logger.getLogger(OrganisationLimitService.class);
@@ -49,9 +49,13 @@
     private final Counter refused;
 
     public OrganisationLimitService(
-            HostIdentity self, LeasedView view, PeerNetwork network, MonotonicClock clock, MetricRegistry metrics) {
+            HostIdentity self,
+            LeasedView leasedView,
+            PeerNetwork network,
+            MonotonicClock clock,
+            MetricRegistry metrics) {
         this.self = self;
-        this.leasedView = view;
+        this.leasedView = leasedView;
         this.network = network;
         this.clock = clock;
         this.limits = new OrganisationLimits(self.host(), self.incarnation());
@@ -67,10 +71,10 @@
     }
 
     /**
-     * Admits a request, or says why not; {@link #onFinished} must follow an admission exactly once. May wait for a share
-     * on the calling worker, for at most half a second.
+     * Admits a request or returns the refusal; {@link #onFinished} must follow an admission exactly once. May block the
+     * calling worker for at most half a second, waiting for a share.
      *
-     * @param tokens its prompt and longest answer
+     * @param tokens prompt tokens plus the maximum number of output tokens
      */
     public Optional<Refusal> admit(Organisation organisation, long tokens) {
         LimitDecision answer = limits.admit(organisation, tokens, clock.nanos());
@@ -90,20 +94,20 @@
             return Optional.empty();
         }
         refused.inc();
-        String who = "organisation " + organisation.id();
+        String subject = "organisation " + organisation.id();
         return Optional.of(
                 switch (answer) {
                     case TOO_MANY_TOKENS -> Refusal.retryLater(
                             RefusalReason.OVER_LIMIT,
-                            who + " is over its " + organisation.maxTokensPerMinute() + " tokens a minute",
+                            subject + " is over its " + organisation.maxTokensPerMinute() + " tokens a minute",
                             TOKENS_RETRY_AFTER_MILLIS);
                     case TOO_MANY_REQUESTS -> Refusal.retryLater(
                             RefusalReason.OVER_LIMIT,
-                            who + " is over its " + organisation.maxConcurrentRequests() + " requests at once",
+                            subject + " is over its " + organisation.maxConcurrentRequests() + " requests at once",
                             REQUESTS_RETRY_AFTER_MILLIS);
                     default -> Refusal.retryLater(
                             RefusalReason.OVER_LIMIT,
-                            "the share of " + who + " can't be learnt now",
+                            "the share of " + subject + " can't be learnt now",
                             REQUESTS_RETRY_AFTER_MILLIS);
                 });
     }
@@ -113,27 +117,30 @@
             shares.expire(clock.nanos());
             limits.dueRenewals(clock.nanos()).forEach(this::requestShare);
         } catch (RuntimeException e) {
-            LOG.error("renewing shares of limits failed; it is tried again", e);
+            LOG.error("renewing shares of limits failed; retrying at the next interval", e);
         }
     }
 
     private CompletableFuture<Void> requestShare(OrganisationId organisation) {
-        long asked = clock.nanos();
-        ShareRequest request = limits.shareRequest(organisation, asked);
+        long requestedAtNanos = clock.nanos();
+        ShareRequest request = limits.shareRequest(organisation, requestedAtNanos);
         Optional<HostRecord> splitter = new Ownership(leasedView.members().hosts()).limitSplitter(organisation);
         if (splitter.isEmpty() || splitter.get().id().equals(self.host())) {
-            limits.applyShare(grantShare(request), asked, clock.nanos());
+            limits.applyShare(grantShare(request), requestedAtNanos, clock.nanos());
             return CompletableFuture.completedFuture(null);
         }
         return network.call(splitter.get().peers(), RouteChannels.LIMIT_SHARE, request, SHARE_REQUEST_TIMEOUT)
                 .thenAccept(result -> {
                     if (result instanceof CallResult.Answered<ShareAnswer> answered) {
-                        limits.applyShare(answered.value(), asked, clock.nanos());
+                        limits.applyShare(answered.value(), requestedAtNanos, clock.nanos());
                     }
                 });
     }
 
-    /** An organisation this entry doesn't know yet gets nothing; its entry asks again. */
+    /**
+     * An organisation that is missing from this entry's configuration gets an empty share; the requesting entry
+     * requests again.
+     */
     private ShareAnswer grantShare(ShareRequest request) {
         return leasedView
                 .configuration()
--- a/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/engine/StandinEngineClient.java
@@ -32,7 +32,7 @@
 import org.elmline.wire.engine.EnginePaths;
 import org.elmline.wire.engine.ImportRequest;
 
-/** One stand-in engine over HTTP. */
+/** Client of one stand-in engine over HTTP. Thread-safe. */
 final class StandinEngineClient implements EngineClient {
     private static final MediaType JSON = MediaType.get("application/json");
     private static final JavaType STREAM_INFOS = EngineJson.listOf(StreamInfo.class);
@@ -86,7 +86,10 @@
         return send(calls, readRequest(EnginePaths.STREAMS), json -> EngineJson.read(json, STREAM_INFOS));
     }
 
-    /** Takes as long as the segment's prefill; the engine's heartbeats bound its silence in place of the whole call. */
+    /**
+     * Takes as long as the segment's prefill, so only the time between the engine's heartbeats is limited, not the
+     * whole call.
+     */
     @Override
     public CompletableFuture<CallResult<KvExport>> exportKv(EngineRequest segment) {
         Request.Builder post =
@@ -144,52 +147,53 @@
         return call(new Request.Builder().url(url), CacheEvents.class);
     }
 
-    /** Connections belong to the protocol, which all its clients share. */
+    /** Does nothing: connections belong to the protocol, which all its clients share. */
     @Override
     public void close() {}
 
     private StreamCall stream(AttemptId attempt, boolean resumed, Request.Builder request, StreamListener listener) {
-        SendTracker mark = new SendTracker();
-        Call call = streams.newCall(request.tag(SendTracker.class, mark).build());
-        return new StreamCall(attempt, resumed, mark, listener, call).start();
+        SendTracker sendTracker = new SendTracker();
+        Call call = streams.newCall(request.tag(SendTracker.class, sendTracker).build());
+        return new StreamCall(attempt, resumed, sendTracker, listener, call).start();
     }
 
     private <T> CompletableFuture<CallResult<T>> call(Request.Builder request, Class<T> type) {
         return send(calls, request, json -> EngineJson.read(json, type));
     }
 
-    /** Turns an answer's body into its value. */
+    /** Decodes an answer's body. */
     private interface AnswerDecoder<T> {
         T decode(byte[] json) throws IOException;
     }
 
     private <T> CompletableFuture<CallResult<T>> send(
-            OkHttpClient client, Request.Builder request, AnswerDecoder<T> reader) {
+            OkHttpClient client, Request.Builder request, AnswerDecoder<T> decoder) {
         CompletableFuture<CallResult<T>> result = new CompletableFuture<>();
-        SendTracker mark = new SendTracker();
-        client.newCall(request.tag(SendTracker.class, mark).build()).enqueue(new Callback() {
+        SendTracker sendTracker = new SendTracker();
+        client.newCall(request.tag(SendTracker.class, sendTracker).build()).enqueue(new Callback() {
             @Override
             public void onFailure(Call call, IOException e) {
                 String why = String.valueOf(e.getMessage());
-                result.complete(mark.ran() == Ran.NO ? new CallResult.NotSent<>(why) : new CallResult.Unknown<>(why));
+                result.complete(
+                        sendTracker.ran() == Ran.NO ? new CallResult.NotSent<>(why) : new CallResult.Unknown<>(why));
             }
 
             @Override
             public void onResponse(Call call, Response response) {
-                result.complete(toResult(response, reader));
+                result.complete(toResult(response, decoder));
             }
         });
         return result;
     }
 
-    private static <T> CallResult<T> toResult(Response response, AnswerDecoder<T> reader) {
+    private static <T> CallResult<T> toResult(Response response, AnswerDecoder<T> decoder) {
         try (response) {
             if (!response.isSuccessful()) {
                 String why = "engine answered " + response.code();
                 boolean refused = response.code() < 500 && response.code() != 410 || response.code() == 503;
                 return refused ? new CallResult.NotSent<>(why) : new CallResult.Unknown<>(why);
             }
-            return new CallResult.Answered<>(reader.decode(response.body().bytes()));
+            return new CallResult.Answered<>(decoder.decode(response.body().bytes()));
         } catch (IOException e) {
             return new CallResult.Unknown<>(String.valueOf(e.getMessage()));
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricSamples.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/operator/MetricSamples.java
@@ -17,8 +17,9 @@
 import com.codahale.metrics.Timer;
 
 /**
- * Takes the numbers of all metrics of a registry, in the order of their names. Dots and dashes of names become underscores; timers are given in
- * seconds. Gauges that are not numbers are left out.
+ * Reads the values of all metrics of a registry, in the order of their names. Characters that Prometheus does not allow
+ * in names, such as dots and dashes, become underscores; timers are given in seconds. Gauges that are not numbers are
+ * omitted.
  */
 final class MetricSamples {
     private static final String PREFIX = "elmline_";
@@ -30,11 +31,11 @@
     private MetricSamples() {}
 
     static List<MetricSample> of(MetricRegistry registry) {
-        MetricSamples taken = new MetricSamples();
+        MetricSamples collected = new MetricSamples();
         for (Map.Entry<String, Metric> each : new TreeMap<>(registry.getMetrics()).entrySet()) {
-            taken.addSamples(PREFIX + each.getKey().replaceAll("[^A-Za-z0-9_:]", "_"), each.getValue());
+            collected.addSamples(PREFIX + each.getKey().replaceAll("[^A-Za-z0-9_:]", "_"), each.getValue());
         }
-        return taken.samples;
+        return collected.samples;
     }
 
     private void addSamples(String name, Metric metric) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ReplicaSelector.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ReplicaSelector.java
@@ -16,7 +16,10 @@
 import org.elmline.core.route.OwnerTable;
 import org.elmline.core.route.ServiceReplica;
 
-/** Chooses a replica of a plain service: the less busy of two drawn at random, by this entry's own open calls. */
+/**
+ * Selects a replica of a plain service: the less busy of two drawn at random, by this entry's own open calls.
+ * Thread-safe.
+ */
 final class ReplicaSelector {
     private final OwnerTable owners;
     private final MonotonicClock clock;
@@ -27,7 +30,7 @@
         this.clock = clock;
     }
 
-    /** One replica held for a call; closing it gives it back. */
+    /** One replica acquired for a call; closing it decrements the replica's open calls. */
     record AcquiredReplica(ServiceReplica replica, AtomicInteger openCalls) implements AutoCloseable {
         @Override
         public void close() {
@@ -35,27 +38,27 @@
         }
     }
 
-    /** Empty when no replica that wasn't tried takes calls. */
+    /** Acquires a replica outside {@code tried}; empty when none is available. */
     Optional<AcquiredReplica> acquire(ServiceName service, Set<BackendServerId> tried) {
-        List<ServiceReplica> able = new ArrayList<>();
+        List<ServiceReplica> candidates = new ArrayList<>();
         Set<BackendServerId> seen = new HashSet<>(tried);
         for (ServiceReplica each : owners.serviceReplicas(service, clock.nanos())) {
             if (seen.add(each.server())) {
-                able.add(each);
+                candidates.add(each);
             }
         }
-        if (able.isEmpty()) {
+        if (candidates.isEmpty()) {
             return Optional.empty();
         }
-        ServiceReplica first = pickRandom(able);
-        ServiceReplica second = pickRandom(able);
+        ServiceReplica first = pickRandom(candidates);
+        ServiceReplica second = pickRandom(candidates);
         ServiceReplica chosen = openCallsOf(first).get() <= openCallsOf(second).get() ? first : second;
         openCallsOf(chosen).incrementAndGet();
         return Optional.of(new AcquiredReplica(chosen, openCallsOf(chosen)));
     }
 
-    private static ServiceReplica pickRandom(List<ServiceReplica> able) {
-        return able.get(ThreadLocalRandom.current().nextInt(able.size()));
+    private static ServiceReplica pickRandom(List<ServiceReplica> candidates) {
+        return candidates.get(ThreadLocalRandom.current().nextInt(candidates.size()));
     }
 
     private AtomicInteger openCallsOf(ServiceReplica replica) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceHandler.java
@@ -38,9 +38,9 @@
 import org.elmline.daemon.http.WorkerBodyReader;
 
 /**
- * {@code * /v1/services/{service}/{path}}: passes a call on. A call is repeatable when the service's ticket lists its
- * method or the caller says {@code Elmline-Idempotent: true}; every other one runs at most once and needs an
- * {@code Idempotency-Key}.
+ * {@code * /v1/services/{service}/{path}}: forwards a call to a plain service. A call is repeatable when the service's
+ * ticket lists its method or the caller sends {@code Elmline-Idempotent: true}; every other one runs at most once and
+ * needs an {@code Idempotency-Key}.
  */
 public final class ServiceHandler implements HttpHandler {
     private static final String PREFIX = "/v1/services/";
@@ -53,41 +53,42 @@
     private final HostIdentity self;
     private final AdmissionController admission;
     private final LeasedView leasedView;
-    private final WorkerBodyReader bodies;
+    private final WorkerBodyReader bodyReader;
     private final ServiceGateway gateway;
     private final EventRing events;
     private final AtomicLong lastSession = new AtomicLong();
 
     public ServiceHandler(
             HostIdentity self,
-            AdmissionController gate,
-            LeasedView view,
-            WorkerBodyReader bodies,
+            AdmissionController admission,
+            LeasedView leasedView,
+            WorkerBodyReader bodyReader,
             ServiceGateway gateway,
             EventRing events) {
         this.self = self;
-        this.admission = gate;
-        this.leasedView = view;
-        this.bodies = bodies;
+        this.admission = admission;
+        this.leasedView = leasedView;
+        this.bodyReader = bodyReader;
         this.gateway = gateway;
         this.events = events;
     }
 
     @Override
     public void handleRequest(HttpServerExchange exchange) {
-        AdmissionController.Admission passage = admission.admit(exchange);
-        if (passage instanceof AdmissionController.Admission.Refused closed) {
-            JsonResponses.sendRefusal(exchange, withUnknownRan(exchange, closed.refusal()));
+        AdmissionController.Admission decision = admission.admit(exchange);
+        if (decision instanceof AdmissionController.Admission.Refused refused) {
+            JsonResponses.sendRefusal(exchange, withUnknownRan(exchange, refused.refusal()));
             return;
         }
-        AdmittedCall call = ((AdmissionController.Admission.Admitted) passage).call();
+        AdmittedCall call = ((AdmissionController.Admission.Admitted) decision).call();
         admission.releaseOnCompletion(exchange);
-        bodies.read(exchange, body -> serve(exchange, call, body));
+        bodyReader.read(exchange, body -> serve(exchange, call, body));
     }
 
     /**
-     * A call under a key may have run in an earlier try that this entry knows nothing of. Told that it did not run, a
-     * caller could take a new key and pay twice; so a refusal that a retry may change says that nobody knows.
+     * A call with a key may have run in an earlier attempt that this entry has no record of. If the refusal stated that
+     * it did not run, the caller could repeat it under a new key and, for example, pay twice. So a refusal that a retry
+     * may change reports {@link Ran#UNKNOWN}.
      */
     private static Refusal withUnknownRan(HttpServerExchange exchange, Refusal refusal) {
         boolean keyed = exchange.getRequestHeaders().contains(KEY_HEADER);
@@ -163,9 +164,9 @@
         return service.idempotentMethods().contains(exchange.getRequestMethod().toString());
     }
 
-    private static List<RecordedAnswer.Header> forwardedHeaders(HeaderMap given) {
+    private static List<RecordedAnswer.Header> forwardedHeaders(HeaderMap requestHeaders) {
         List<RecordedAnswer.Header> headers = new ArrayList<>();
-        for (HeaderValues values : given) {
+        for (HeaderValues values : requestHeaders) {
             String name = values.getHeaderName().toString();
             if (!EXCLUDED_REQUEST_HEADERS.contains(name)
                     && !name.regionMatches(true, 0, "Elmline-", 0, "Elmline-".length())) {
@@ -207,7 +208,7 @@
             digest.update(head.getBytes(StandardCharsets.UTF_8));
             return HexFormat.of().formatHex(digest.digest(call.body()));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has SHA-256", e);
+            throw new IllegalStateException("this Java platform lacks SHA-256", e);
         }
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/engine/StandinEngineProtocolTest.java
@@ -38,7 +38,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** The plug-in against a stand-in engine over real HTTP. */
+/** Tests the plug-in against a stand-in engine over HTTP. */
 class StandinEngineProtocolTest {
     private static final ModelName MODEL = ModelName.of("elm-small");
     private static final String PROMPT = "Is the north trail open at nine? ".repeat(40);
@@ -81,8 +81,8 @@
     }
 
     /**
-     * The caller's entry loses its connection to the engine amid an answer. The engine goes on and keeps the memory;
-     * reading again from the next piece gives the rest, with no piece lost or doubled.
+     * The entry loses its connection to the engine in the middle of an answer. The engine continues and keeps the
+     * memory; a resume from the next piece must give the rest, with no piece lost or duplicated.
      */
     @Test
     void resumesFromAnOffsetAfterABrokenConnection() throws Exception {
@@ -103,7 +103,7 @@
         assertEquals(offset, second.pieces().get(0).index());
     }
 
-    /** An engine dies amid an answer; another goes on from the pieces that the caller has. */
+    /** An engine fails in the middle of an answer; another must continue from the pieces that were delivered. */
     @Test
     void continuesOnAnotherEngineWithTheSamePieces() throws Exception {
         List<String> whole = AnswerText.of(MODEL, "", PROMPT, 60).pieces();
@@ -115,7 +115,10 @@
         assertEquals(whole, concat(delivered, log));
     }
 
-    /** A reader goes away without cancelling. The engine's memory stays taken until somebody cancels: elmline must. */
+    /**
+     * A reader closes its stream without cancelling. The engine keeps the stream's memory until a cancel arrives, so
+     * elmline must send one.
+     */
     @Test
     void keepsMemoryOfAnAbandonedStreamUntilCancelled() throws Exception {
         engine.faults().slowdown(40);
@@ -137,14 +140,15 @@
     }
 
     @Test
-    void tellsWhatDidNotRun() throws Exception {
-        Address nobody = new Address("127.0.0.1", 1);
-        EngineClient absent = protocol.connect(nobody);
+    void reportsNotRunOnlyForAttemptsThatCannotHaveRun() throws Exception {
+        Address unreachable = new Address("127.0.0.1", 1);
+        EngineClient unreachableClient = protocol.connect(unreachable);
         StreamLog log = new StreamLog();
-        absent.start(request("b1", PROMPT, 60), log);
+        unreachableClient.start(request("b1", PROMPT, 60), log);
         assertEquals(Ran.NO, ((StreamEvent.Failed) log.last()).ran());
         assertInstanceOf(
-                CallResult.NotSent.class, absent.cancel(AttemptId.of("b1")).get(10, TimeUnit.SECONDS));
+                CallResult.NotSent.class,
+                unreachableClient.cancel(AttemptId.of("b1")).get(10, TimeUnit.SECONDS));
         StreamLog tooLarge = new StreamLog();
         client.start(sized("b2", 2_000_000), tooLarge);
         assertEquals(Ran.NO, ((StreamEvent.Failed) tooLarge.last()).ran());
@@ -153,9 +157,9 @@
         assertEquals(Ran.UNKNOWN, ((StreamEvent.Failed) unknown.last()).ran());
     }
 
-    /** The engine's process dies amid a stream: the caller must not be told that nothing ran. */
+    /** The engine fails in the middle of a stream: the failure must not be reported as not run. */
     @Test
-    void aKilledEngineLeavesUnknown() throws Exception {
+    void reportsUnknownWhenEngineFailsDuringStream() throws Exception {
         engine.faults().slowdown(40);
         StreamLog log = new StreamLog();
         client.start(request("b3", longAnswerPrompt(), 200), log);
@@ -164,20 +168,20 @@
         assertEquals(Ran.UNKNOWN, ((StreamEvent.Failed) log.last()).ran());
     }
 
-    /** The same attempt is started twice, as after a lost answer: the second must not claim that nothing ran. */
+    /** The same attempt is started twice, as after a lost answer: the second start must not be reported as not run. */
     @Test
-    void aDoubledStartIsNotCalledNotRun() throws Exception {
+    void reportsUnknownForDuplicateStart() throws Exception {
         engine.faults().slowdown(40);
         StreamLog log = new StreamLog();
         client.start(request("b4", longAnswerPrompt(), 200), log);
         log.awaitPieces(1);
-        StreamLog doubled = new StreamLog();
-        client.start(request("b4", longAnswerPrompt(), 200), doubled);
-        assertEquals(Ran.UNKNOWN, ((StreamEvent.Failed) doubled.last()).ran());
+        StreamLog duplicate = new StreamLog();
+        client.start(request("b4", longAnswerPrompt(), 200), duplicate);
+        assertEquals(Ran.UNKNOWN, ((StreamEvent.Failed) duplicate.last()).ran());
     }
 
     @Test
-    void faultyPiecesComeAsSet() throws Exception {
+    void standInInjectsConfiguredPieceFaults() throws Exception {
         int count = AnswerText.of(MODEL, "", PROMPT, 60).pieceCount();
         engine.faults().pieces(PieceFault.DOUBLED);
         assertEquals(2 * count, piecesOf("c1").size());
@@ -193,7 +197,7 @@
         assertEquals(count - count / 5, piecesOf("c3").size());
     }
 
-    /** A prompt of more than twice one engine's memory: two engines hold segments, a third answers over both. */
+    /** A prompt split into segments: two engines hold one each, and one of them answers over both. */
     @Test
     void answersOverImportedSegments() throws Exception {
         try (EngineServer second = engine("engine-2").start()) {
@@ -221,12 +225,12 @@
     }
 
     @Test
-    void anEngineThatChecksRefusesAnOldFencingNumberAndAnotherIgnoresIt() throws Exception {
+    void onlyEngineThatChecksFencingRejectsStaleNumber() throws Exception {
         assertEquals(OrderAnswer.ACCEPTED, answered(client.order(order(5, "2"), Duration.ofSeconds(1))));
         assertEquals(OrderAnswer.STALE_FENCING_NUMBER, answered(client.order(order(4, "1"), Duration.ofSeconds(1))));
         assertEquals("2", answered(client.state()).version());
-        try (EngineServer careless = engine("engine-3").checksFencing(false).start()) {
-            EngineClient other = protocol.connect(careless.address());
+        try (EngineServer unchecked = engine("engine-3").checksFencing(false).start()) {
+            EngineClient other = protocol.connect(unchecked.address());
             assertEquals(OrderAnswer.ACCEPTED, answered(other.order(order(5, "2"), Duration.ofSeconds(1))));
             assertEquals(OrderAnswer.ACCEPTED, answered(other.order(order(4, "1"), Duration.ofSeconds(1))));
             assertEquals("1", answered(other.state()).version());
