--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
@@ -36,25 +36,35 @@
 import org.elmline.storage.OpenResult;
 import org.elmline.storage.SystemFiles;
 
-/** One control host for routed calls: everything it opens, how it is put together, and its graceful stop. */
+/**
+ * One control host for routed calls: opens its data folder, log, registry and ports, connects them and stops them
+ * gracefully.
+ */
 public final class Coordinator implements AutoCloseable {
     private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(600);
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(100);
 
-    /** A restarted control host is back within this, so only one that stays away is replaced. */
+    /**
+     * Time without contact after which a voter is replaced. A restarted control host is back within this time, so that
+     * only one that stays down is replaced.
+     */
     private static final Duration VOTER_LOST_TIMEOUT = Duration.ofMillis(3_000);
 
-    /** Longest routing document: the operators' own bound of 4 MB, and room for the ticket around it. */
+    /**
+     * Longest log command: a routing document has at most 4 MB, the operators' own limit, and the ticket around it
+     * needs room.
+     */
     private static final int MAX_COMMAND_BYTES = 5 * 1024 * 1024;
 
-    /** Log bytes after which it is compacted: a sixteenth of the smallest disk. */
+    /** Log size in bytes that triggers a compaction: a sixteenth of the smallest disk. */
     private static final long SNAPSHOT_BYTES = 8L * 1024 * 1024;
 
     private static final long STATUS_CHECK_MILLIS = 200;
 
     /**
-     * Time for which a restarted host that remembers a routing table does nothing but answer its peers. Entries that have
-     * lost theirs serve nobody until one of these answers, and the log takes more of a small host than all of them.
+     * Delay before a restarted host that restored a routing table opens its log; until then it only answers its peers.
+     * Entries that lost their routing table serve no callers until a control host answers them, and on a small host
+     * opening the log takes more CPU time than answering all of them.
      */
     private static final long LOG_OPEN_DELAY_MILLIS = 200;
 
@@ -86,9 +96,9 @@
     }
 
     /**
-     * Opens everything and begins to serve.
+     * Opens everything and starts to serve.
      *
-     * @param onFailure called when the disk failed or an invariant broke; the process must end then
+     * @param onFailure called when the disk failed or an invariant was broken; the process must end then
      */
     public static Coordinator start(
             NodeSettings settings, CoordinatorProtocol protocol, DecisionLog log, Runnable onFailure)
@@ -103,7 +113,7 @@
         }
     }
 
-    /** Peers are answered from memory first; the log, which decides, takes longer to open. */
+    /** Starts answering peers from the restored state before the log is opened, as opening the log takes longer. */
     private void open() throws IOException, InterruptedException {
         ExecutorService handlers = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "handlers");
@@ -133,7 +143,7 @@
         openLog(machine);
         RoutingStore store = new RoutingStore(driver, machine);
         held.attachStore(store);
-        // The applying thread holds the state's lock here, so the polls are answered by another.
+        // The applying thread holds the state machine's lock here, so the polls are answered on the timer thread.
         machine.onApplied((command, result) -> peers.timer().execute(registry::onRoutingChanged));
         peers.timer().execute(registry::onRoutingChanged);
         serve(store);
@@ -184,13 +194,13 @@
                 .write();
     }
 
-    /** Where the leader is, null when none is known. */
+    /** Peer address of the leader, null when none is known. */
     private Address leaderAddress() {
         ReplicaId leader = driver.status().leader();
         return leader == null ? null : settings.peerAddressOf(leader.host());
     }
 
-    /** Where a fresh replica asks to become a member. */
+    /** Peer addresses to which a new replica sends its join requests. */
     private List<Address> joinAddresses() {
         Set<Address> all = new LinkedHashSet<>(configuredControlHosts);
         RaftDriver running = driver;
@@ -201,7 +211,10 @@
         return List.copyOf(all);
     }
 
-    /** Where the control hosts are, as far as the membership of the log tells. */
+    /**
+     * Peer addresses of the control hosts in the log's membership; those of the settings while the membership is
+     * unknown.
+     */
     private List<Address> controlHostAddresses() {
         List<Address> all = new ArrayList<>();
         RaftDriver running = driver;
@@ -228,11 +241,11 @@
             }
             followControlHosts();
         } catch (RuntimeException e) {
-            log.line("watch failed").with("why", e).write();
+            log.line("status check failed").with("why", e).write();
         }
     }
 
-    /** Follows every other control host, and stops to follow those that are none any more. */
+    /** Starts polling the registries of control hosts that were added and stops polling those that were removed. */
     private synchronized void followControlHosts() {
         Set<Address> wanted = new LinkedHashSet<>(controlHostAddresses());
         wanted.remove(settings.peerAddress());
@@ -261,12 +274,15 @@
         }
     }
 
-    /** Takes settings that have changed while this process runs; only the control hosts to join by can change so. */
+    /**
+     * Applies settings that changed while this process runs; only the addresses of the control hosts to join can
+     * change.
+     */
     public void reload(NodeSettings next) {
         configuredControlHosts = next.controlPeerAddresses();
     }
 
-    /** Hands leadership over, then closes. */
+    /** Transfers leadership, then closes. */
     public void stop() {
         log.line("stopping").with("leads", driver.isLeader()).write();
         if (driver.isLeader()) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorDataFolder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorDataFolder.java
@@ -22,12 +22,13 @@
 import org.elmline.storage.SystemFiles;
 
 /**
- * Opens a control host's files. At the very first start the hosts that the settings name form the cluster, each under
- * the same identity on all hosts' lists, so that it does not matter in which order they come up. Any other empty folder
- * gets an identity of its own and joins: it has forgotten what its predecessor promised and must not vote for it.
+ * Opens a control host's data folder. At the first start of a cluster the hosts in the settings are its voters, each
+ * under an incarnation that all of them know in advance, so that they may start in any order. Any other empty folder
+ * gets a new identity and joins: its predecessor's votes are lost, so voting under the old identity could elect two
+ * leaders in one term.
  */
 final class CoordinatorDataFolder {
-    /** Log files are small, as the disk is. */
+    /** Log segments are small, as the disk is. */
     private static final int SEGMENT_BYTES = 2 * 1024 * 1024;
 
     private static final long FIRST_INCARNATION = 0;
@@ -41,7 +42,10 @@
         this.log = log;
     }
 
-    /** Opens the folder; waits while the disk is full. */
+    /**
+     * Opens the folder and retries until that succeeds, for example while the disk is full. A corrupt folder is
+     * cleared.
+     */
     OpenResult.Opened open() throws IOException, InterruptedException {
         while (true) {
             OpenResult result = tryOpen();
@@ -50,7 +54,8 @@
             }
             log.line("data folder not opened").with("why", result).write();
             if (result instanceof OpenResult.Corrupt) {
-                // What was synced is gone, so this host may not speak for its old identity; it joins as a new one.
+                // Synced entries and votes are lost, so this host must not act under its old identity; it joins under a
+                // new one.
                 clear(settings.dataFolder());
             }
             Thread.sleep(RETRY_DELAY_MILLIS);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorProtocol.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorProtocol.java
@@ -2,8 +2,11 @@
 
 import io.undertow.server.HttpHandler;
 
-/** How operators and backend servers speak to a control host; translates and decides nothing. */
+/**
+ * Protocol between a control host and its operators and backend servers. It translates requests and answers, and makes
+ * no decisions.
+ */
 public interface CoordinatorProtocol {
-    /** Answers operators and backend servers. */
+    /** Returns the handler for requests of operators and backend servers. */
     HttpHandler operatorHandler(RoutingService routing, RegistryService registry);
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/PersistedValue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/PersistedValue.java
@@ -12,8 +12,8 @@
 import org.elmline.wire.codec.Decoded;
 
 /**
- * Something a control host knew, kept in a file for its next start. Written by a thread of its own, so that a disk that
- * hangs holds up nothing else.
+ * A value that a control host persists in a file for its next start. Writes run on a thread of their own, so that a
+ * disk that hangs blocks nothing else. Thread-safe.
  */
 final class PersistedValue<T> implements AutoCloseable {
     private final String name;
@@ -24,7 +24,7 @@
     private volatile boolean lastWriteFailed;
     private final ExecutorService writer;
 
-    /** @param name what it is, for the log and the thread */
+    /** @param name name of the value in log lines and in the writer thread's name */
     PersistedValue(String name, Class<T> type, ChecksummedFile file, DecisionLog log) {
         this.name = name;
         this.type = type;
@@ -37,7 +37,7 @@
         });
     }
 
-    /** What was written last; empty where the file is missing or damaged. */
+    /** Returns the value written last; empty when the file is missing or damaged. */
     Optional<T> read() {
         Optional<byte[]> bytes = file.read();
         if (bytes.isEmpty()) {
@@ -46,16 +46,16 @@
         if (Codecs.MESSAGE_PACK.decode(bytes.get(), type) instanceof Decoded.Value<T> known) {
             return Optional.of(known.value());
         }
-        log.line("memory unreadable").with("of", name).write();
+        log.line("persisted value unreadable").with("of", name).write();
         return Optional.empty();
     }
 
-    /** Whether the last writing failed, so that the file is older than what was to be written. */
+    /** Whether the last write failed, so that the file holds an older value. */
     boolean lastWriteFailed() {
         return lastWriteFailed;
     }
 
-    /** Begins to write; false while the last writing goes on. */
+    /** Starts to write a value; returns false while an earlier write is in progress. */
     boolean tryWrite(T value) {
         if (!writeInProgress.compareAndSet(false, true)) {
             return false;
@@ -66,7 +66,10 @@
                 lastWriteFailed = false;
             } catch (IOException e) {
                 lastWriteFailed = true;
-                log.line("memory not written").with("of", name).with("why", e).write();
+                log.line("persisted value not written")
+                        .with("of", name)
+                        .with("why", e)
+                        .write();
             } finally {
                 writeInProgress.set(false);
             }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
@@ -26,28 +26,37 @@
 import org.elmline.daemon.log.DecisionLog;
 
 /**
- * Hears backend servers and entries, and answers the polls of those who follow. One lock, held for short steps; futures
- * are completed outside of it.
+ * Receives heartbeats of backend servers and entries, and answers the polls of entries and other control hosts.
+ * Thread-safe: one lock, held for short steps; futures are completed outside of it.
  */
 public final class RegistryService {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Heartbeats in a row that may be lost or late before a server counts as silent. */
+    /** Heartbeat intervals without a heartbeat after which a server is timed out. */
     private static final int TIMEOUT_HEARTBEATS = 3;
 
-    /** Heartbeats in which a server that is only remembered must be heard; fewer than for one that was heard here. */
+    /**
+     * Heartbeat intervals in which a restored server must send a heartbeat; fewer than for one that has sent heartbeats
+     * since this host started.
+     */
     private static final int RESTORED_TIMEOUT_HEARTBEATS = 2;
 
-    /** Shortest pause between two writings of the servers known; changes come in bursts. */
+    /** Shortest interval between two writes of the known servers; changes come in bursts. */
     private static final long MIN_WRITE_INTERVAL_NANOS = 250 * NANOS_PER_MILLI;
 
-    /** A heartbeat held up by a cut may come this late; until then a server that left is remembered. */
+    /**
+     * Time for which a server that left is kept as a tombstone. A heartbeat delayed by a network partition may arrive
+     * this late and would register the server again.
+     */
     private static final long TOMBSTONE_RETENTION_NANOS = 600_000 * NANOS_PER_MILLI;
 
-    /** Time after a poll's hold for which its entry counts as alive: as much as an answer's way takes at worst. */
+    /**
+     * Time after the end of a poll's hold for which its entry counts as live: the longest delay of an answer on its
+     * way.
+     */
     private static final long LIVENESS_MARGIN_NANOS = 450 * NANOS_PER_MILLI;
 
-    /** Longest wait for all entries to have a change: a backend server expects its answer within a second. */
+    /** Longest wait until all entries have received a change: a backend server expects its answer within a second. */
     private static final long PROPAGATION_TIMEOUT_NANOS = 600 * NANOS_PER_MILLI;
 
     private static final long TICK_INTERVAL_MILLIS = 25;
@@ -103,7 +112,7 @@
                 TOMBSTONE_RETENTION_NANOS);
     }
 
-    /** Takes up what the last start knew, and begins to let time pass. */
+    /** Restores the persisted servers and starts the periodic tick. */
     void start(ScheduledExecutorService timer) {
         List<Registration> remembered =
                 persistedServers.read().map(PersistedServers::servers).orElse(List.of());
@@ -114,7 +123,7 @@
             persistedChanges = servers.lastChange();
             persistedAtNanos = now;
         }
-        log.line("remembered")
+        log.line("registry restored")
                 .with("servers", remembered.size())
                 .with("routingVersion", routing.currentVersion())
                 .write();
@@ -122,15 +131,17 @@
     }
 
     /**
-     * Takes a heartbeat. Completes with true when it may be acknowledged: a server that leaves counts its time from then,
-     * so first every entry that is alive must have the news; and a host that nobody polls would keep the news to itself.
+     * Records a heartbeat. Completes with true when it may be acknowledged. A leaving server measures its remaining
+     * time from the acknowledgement, so every live entry must have received the change before. A change can't spread
+     * from a control host that nobody polls: a server that accepts work is acknowledged only with a live entry or a
+     * quorum, a leaving one only with both.
      */
     public CompletableFuture<Boolean> register(Registration registration) {
         long now = clock.nanos();
         CompletableFuture<Boolean> done;
         synchronized (this) {
             if (servers.onHeartbeat(registration, now)) {
-                log.line("server heard")
+                log.line("server registered")
                         .with("server", registration.id())
                         .with("service", registration.service())
                         .with("address", registration.address())
@@ -147,13 +158,13 @@
         return done;
     }
 
-    /** Notes a heartbeat that names no server to use, as it can't be read or lacks what a server must tell. */
+    /** Records a heartbeat that can't be used, as it can't be decoded or lacks a required field. */
     public void unreadableHeartbeat(String server) {
         unreadableHeartbeat.inc();
         log.line("heartbeat unreadable").with("server", server).write();
     }
 
-    /** The server leaves; completes like {@link #register}. */
+    /** Deregisters a server; completes as {@link #register} does. */
     public CompletableFuture<Boolean> leave(BackendServerId id) {
         long now = clock.nanos();
         CompletableFuture<Boolean> done;
@@ -181,7 +192,7 @@
         return done;
     }
 
-    /** Answers a poll when there are news or its time is up. */
+    /** Answers a poll as soon as there are changes, or when its hold time is over. */
     CompletableFuture<FollowAnswer> follow(FollowRequest request) {
         CompletableFuture<FollowAnswer> answer = new CompletableFuture<>();
         long now = clock.nanos();
@@ -192,7 +203,7 @@
             follower.serversSeen = request.epoch() == epoch ? request.serversSeen() : -1;
             follower.isEntry = request.entry() != null;
             if (request.entry() != null && entries.renew(request.entry(), follower.aliveUntilNanos)) {
-                log.line("entry heard")
+                log.line("entry registered")
                         .with("entry", request.host())
                         .with("serving", request.entry().serving())
                         .write();
@@ -203,7 +214,7 @@
         return answer;
     }
 
-    /** Takes what another control host tells. */
+    /** Merges the servers and heartbeats that another control host reports. */
     void merge(FollowAnswer answer) {
         long now = clock.nanos();
         synchronized (this) {
@@ -224,7 +235,9 @@
             synchronized (this) {
                 servers.expire(now);
                 if (entries.expire(now)) {
-                    log.line("entries lost").with("left", entries.all().size()).write();
+                    log.line("entries expired")
+                            .with("left", entries.all().size())
+                            .write();
                 }
                 persistServers(now);
             }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingProvider.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingProvider.java
@@ -7,12 +7,13 @@
 import org.elmline.core.registry.RegistryChannels.RoutingText;
 
 /**
- * The routing document that a control host hands out: the one of its log, and before that is open the one it remembers.
- * After a loss of all hosts entries serve nobody without it, and opening and replaying the log takes a small host longer
- * than all before. What is remembered was committed, so it can only be old, as the log's own first state can.
+ * Provides a control host's routing document: that of its log, and the persisted one until the log is open. After a
+ * loss of all hosts, entries serve no callers without a routing document, and opening and replaying the log is the
+ * slowest step of a small host's start. The persisted document was committed, so it can be stale but not wrong, as the
+ * log's own first state can. Thread-safe, but for {@link #persist}, which one thread calls.
  */
 final class RoutingProvider {
-    /** Pause before another try on a disk that took nothing. */
+    /** Delay before the next write after one that failed. */
     private static final long WRITE_RETRY_NANOS = Duration.ofMillis(500).toNanos();
 
     private final PersistedValue<RoutingText> persistedRouting;
@@ -28,12 +29,12 @@
         this.persistedVersion = restored.version();
     }
 
-    /** Whether there is a document from the last start. */
+    /** Whether a document of an earlier start was restored. */
     boolean hasRestored() {
         return restored.version() >= 0;
     }
 
-    /** The log is open. */
+    /** Sets the store once the log is open. */
     void attachStore(RoutingStore opened) {
         store = opened;
     }
@@ -43,14 +44,14 @@
         return Math.max(logVersion(), restored.version());
     }
 
-    /** The document; {@link RoutingText#NONE} where there is none. */
+    /** Returns the document, {@link RoutingText#NONE} when there is none. */
     RoutingText current() {
         return logVersion() >= restored.version()
                 ? Optional.ofNullable(store).map(RoutingStore::current).orElse(RoutingText.NONE)
                 : restored;
     }
 
-    /** The document, packed once for all who ask. */
+    /** Returns the document, packed once for all requests. */
     synchronized PackedRouting packed() {
         RoutingText document = current();
         if (packed == null || packed.version() != document.version()) {
@@ -63,12 +64,12 @@
         return store == null ? -1 : store.currentVersion();
     }
 
-    /** Whether this host leads or hears a leader, and so a majority of the voters. */
+    /** Whether this host leads or is in contact with a leader, and so with a majority of the voters. */
     boolean hasQuorum() {
         return store != null && store.hasQuorum();
     }
 
-    /** Keeps the log's document for the next start, when it is newer than what is kept. */
+    /** Persists the log's document for the next start when it is newer than the persisted one. */
     void persist(long now) {
         long version = logVersion();
         boolean news = version > persistedVersion
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
@@ -22,11 +22,12 @@
 import org.elmline.daemon.log.DecisionLog;
 
 /**
- * Submits and reads the routing table at any control host, by way of the leader. Gives up within a second, in which an
- * operator expects an answer, and then says so: another host may do better.
+ * Submits and reads the routing table from any control host, through the leader. A request times out within the second
+ * in which an operator expects an answer, and the result says so: another control host may reach the leader.
+ * Thread-safe.
  */
 public final class RoutingService {
-    /** An operator waits a second for an answer; the rest is for the way. */
+    /** An operator waits one second for an answer; the rest of it is for the network. */
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(850);
 
     private static final long RETRY_DELAY_MILLIS = 40;
@@ -59,7 +60,7 @@
         handlers.register(RegistryChannels.FETCH_ROUTING, query -> CompletableFuture.completedFuture(store.current()));
     }
 
-    /** Puts a valid document in force, unless one of its version or a higher one is. */
+    /** Puts a valid document in force, unless one with the same or a higher version is. */
     public CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submit) {
         LeaderRequest<RoutingSubmission, RoutingSubmitResult> attempts = new LeaderRequest<>(
                 RegistryChannels.SUBMIT_ROUTING,
@@ -77,7 +78,7 @@
                 .write());
     }
 
-    /** Reads the newest document; unknown where no leader can be asked. */
+    /** Reads the newest document; {@link RoutingText#UNKNOWN} when no leader can be reached. */
     public CompletableFuture<RoutingText> read() {
         LeaderRequest<RoutingQuery, RoutingText> attempts = new LeaderRequest<>(
                 RegistryChannels.READ_ROUTING,
@@ -90,7 +91,7 @@
         return attempts.completion;
     }
 
-    /** Asks the leader, here or elsewhere, again while there is none. */
+    /** Sends a request to the leader, which may be this host, and retries while there is none. */
     private final class LeaderRequest<Q, R> {
         private final CompletableFuture<R> completion = new CompletableFuture<>();
         private final Channel<Q, R> channel;
@@ -141,7 +142,8 @@
             } else if (result instanceof CallResult.NotSent<R>) {
                 retryLater(noLeaderResult);
             }
-            // Sent and not answered: the time runs out, as it may have taken effect.
+            // Sent without an answer: the request may have taken effect, so it is left to time out with an unknown
+            // result.
         }
 
         private void retryLater(R otherwise) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
@@ -20,7 +20,10 @@
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
-/** The routing table in the replicated state: one ticket sets it whole, and the ticket's number is its version. */
+/**
+ * The routing table in the replicated state. One ticket replaces the whole table, and the ticket's number is its
+ * version. Thread-safe.
+ */
 final class RoutingStore {
     private static final String TICKET_AUTHOR = "operator";
 
@@ -32,7 +35,7 @@
         this.machine = machine;
     }
 
-    /** Decides a document here, which only the leader can. Completes normally in every case. */
+    /** Proposes a document to the log, which only the leader can. Completes normally in every case. */
     CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submit) {
         if (!driver.isLeader()) {
             return CompletableFuture.completedFuture(RoutingSubmitResult.NOT_LEADER);
@@ -57,13 +60,13 @@
         return outcome instanceof TicketOutcome.Accepted ? RoutingSubmitResult.ACCEPTED : RoutingSubmitResult.OVERTAKEN;
     }
 
-    /** Reads the newest document, which only the leader can. */
+    /** Reads the newest committed document, which only the leader can; {@link RoutingText#UNKNOWN} elsewhere. */
     CompletableFuture<RoutingText> read() {
         return driver.readIndex()
                 .thenApply(result -> result instanceof ReadResult.Readable ? current() : RoutingText.UNKNOWN);
     }
 
-    /** The document as far as this host has it. */
+    /** Returns the document that this host has applied, which may be stale. */
     RoutingText current() {
         return machine.read(state -> state.configuration()
                 .object(RoutingDocument.KEY)
@@ -71,7 +74,7 @@
                 .orElse(RoutingText.NONE));
     }
 
-    /** Version of {@link #current()}, -1 without one. */
+    /** Returns the version of {@link #current()}, -1 without one. */
     long currentVersion() {
         return machine.read(state -> state.configuration()
                 .object(RoutingDocument.KEY)
@@ -83,7 +86,7 @@
         return new RoutingText(true, object.ticket().value(), ((RoutingDocument) object.object()).text());
     }
 
-    /** Whether this host leads or hears a leader, and so a majority of the voters. */
+    /** Whether this host leads or is in contact with a leader, and so with a majority of the voters. */
     boolean hasQuorum() {
         return driver.status().leader() != null;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A control host where callers, backend servers and operators speak a protocol of their own: it keeps the routing table
- * in the replicated log, hears backend servers, and tells callers which entries to use.
+ * A control host for callers, backend servers and operators with a protocol of their own: it keeps the routing table in
+ * the replicated log, receives heartbeats of backend servers, and provides callers with the addresses of entries.
  */
 package org.elmline.daemon.coordinator;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/coordinator/MemoryTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/coordinator/MemoryTest.java
@@ -53,7 +53,10 @@
         }
     }
 
-    /** The next start would know an old state for ever: the disk is full for a while. The failure is told until one is written. */
+    /**
+     * Guards against a host that restores a stale value after its disk was full for a while: the failure must be
+     * reported until a write succeeds, so that the value is written again.
+     */
     @Test
     void aFullDiskIsToldUntilThereIsRoom() throws Exception {
         try (PersistedValue<RoutingText> memory = memory()) {
@@ -87,6 +90,6 @@
             }
             Thread.sleep(10);
         }
-        fail("the condition has not come to hold");
+        fail("condition not met within 10 s");
     }
 }
