--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
@@ -78,7 +78,7 @@
     private final ProcessComponent process;
     private final DecisionLog log;
     private final long epoch = System.currentTimeMillis();
-    private final Map<Address, RegistryPoller> followLoops = new HashMap<>();
+    private final Map<Address, RegistryPoller> pollers = new HashMap<>();
     private volatile RaftDriver driver;
     private PeerEndpoint peers;
     private RegistryService registry;
@@ -122,27 +122,29 @@
         });
         closer.register(handlers::shutdownNow);
         peers = closer.register(new PeerEndpoint(settings, "coordinator", handlers, process.hybridClock()));
-        RoutingProvider held = new RoutingProvider(persistedValue("routing", RoutingText.class));
+        RoutingProvider routingProvider = new RoutingProvider(persistedValue("routing", RoutingText.class));
         registry = new RegistryService(
                 epoch,
                 settings.heartbeatMillis(),
                 process.clock(),
                 this::controlHostAddresses,
-                held,
+                routingProvider,
                 persistedValue("servers", PersistedServers.class),
                 process.metrics(),
                 log);
         registry.start(peers.timer());
         peers.handlers().register(RegistryChannels.FOLLOW, registry::follow);
         peers.handlers()
-                .register(RegistryChannels.FETCH_PACKED, query -> CompletableFuture.completedFuture(held.packed()));
-        if (held.hasRestored()) {
+                .register(
+                        RegistryChannels.FETCH_PACKED,
+                        query -> CompletableFuture.completedFuture(routingProvider.packed()));
+        if (routingProvider.hasRestored()) {
             Thread.sleep(LOG_OPEN_DELAY_MILLIS);
         }
         ControlStateMachine machine = new ControlStateMachine();
         openLog(machine);
         RoutingStore store = new RoutingStore(driver, machine);
-        held.attachStore(store);
+        routingProvider.attachStore(store);
         // The applying thread holds the state machine's lock here, so the polls are answered on the timer thread.
         machine.onApplied((command, result) -> peers.timer().execute(registry::onRoutingChanged));
         peers.timer().execute(registry::onRoutingChanged);
@@ -228,9 +230,9 @@
     private void checkStatus() {
         try {
             RaftStatus status = driver.status();
-            String now = status.role() + " " + status.term() + " " + status.leader() + " " + status.membership();
-            if (!now.equals(lastStatus)) {
-                lastStatus = now;
+            String current = status.role() + " " + status.term() + " " + status.leader() + " " + status.membership();
+            if (!current.equals(lastStatus)) {
+                lastStatus = current;
                 log.line("standing")
                         .with("raftRole", status.role())
                         .with("term", status.term())
@@ -239,27 +241,27 @@
                         .with("committed", status.committedIndex())
                         .write();
             }
-            followControlHosts();
+            updatePollers();
         } catch (RuntimeException e) {
             log.line("status check failed").with("why", e).write();
         }
     }
 
     /** Starts polling the registries of control hosts that were added and stops polling those that were removed. */
-    private synchronized void followControlHosts() {
-        Set<Address> wanted = new LinkedHashSet<>(controlHostAddresses());
-        wanted.remove(settings.peerAddress());
-        followLoops.entrySet().removeIf(each -> {
-            boolean over = !wanted.contains(each.getKey());
-            if (over) {
+    private synchronized void updatePollers() {
+        Set<Address> targets = new LinkedHashSet<>(controlHostAddresses());
+        targets.remove(settings.peerAddress());
+        pollers.entrySet().removeIf(each -> {
+            boolean removed = !targets.contains(each.getKey());
+            if (removed) {
                 each.getValue().close();
                 peers.network().disconnect(each.getKey());
             }
-            return over;
+            return removed;
         });
-        for (Address each : wanted) {
-            if (!followLoops.containsKey(each)) {
-                RegistryPoller loop = new RegistryPoller(
+        for (Address each : targets) {
+            if (!pollers.containsKey(each)) {
+                RegistryPoller poller = new RegistryPoller(
                         peers.network(),
                         each,
                         settings.host(),
@@ -268,8 +270,8 @@
                         () -> PendingPoll.HOLD_MILLIS,
                         registry::merge,
                         peers.timer());
-                followLoops.put(each, loop);
-                loop.start();
+                pollers.put(each, poller);
+                poller.start();
             }
         }
     }
@@ -295,7 +297,7 @@
 
     @Override
     public void close() {
-        followLoops.values().forEach(RegistryPoller::close);
+        pollers.values().forEach(RegistryPoller::close);
         closer.close();
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/PersistedValue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/PersistedValue.java
@@ -43,8 +43,8 @@
         if (bytes.isEmpty()) {
             return Optional.empty();
         }
-        if (Codecs.MESSAGE_PACK.decode(bytes.get(), type) instanceof Decoded.Value<T> known) {
-            return Optional.of(known.value());
+        if (Codecs.MESSAGE_PACK.decode(bytes.get(), type) instanceof Decoded.Value<T> decoded) {
+            return Optional.of(decoded.value());
         }
         log.line("persisted value unreadable").with("of", name).write();
         return Optional.empty();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
@@ -85,7 +85,7 @@
         private boolean isEntry;
     }
 
-    private record Poll(PendingPoll open, CompletableFuture<FollowAnswer> answer) {}
+    private record Poll(PendingPoll pending, CompletableFuture<FollowAnswer> answer) {}
 
     private record Propagation(long changeNumber, long expiresAtNanos, CompletableFuture<Boolean> done) {}
 
@@ -93,18 +93,18 @@
             long epoch,
             int heartbeatMillis,
             MonotonicClock clock,
-            Supplier<List<Address>> controls,
+            Supplier<List<Address>> controlHosts,
             RoutingProvider routing,
-            PersistedValue<PersistedServers> memory,
+            PersistedValue<PersistedServers> persistedServers,
             MetricRegistry metrics,
             DecisionLog log) {
         this.epoch = epoch;
         this.clock = clock;
-        this.controlHosts = controls;
+        this.controlHosts = controlHosts;
         this.routing = routing;
         this.unreadableHeartbeat = metrics.counter("registry.heartbeats.unreadable");
         this.log = log;
-        this.persistedServers = memory;
+        this.persistedServers = persistedServers;
         long heartbeatNanos = heartbeatMillis * NANOS_PER_MILLI;
         this.servers = new ServerRegistry(
                 TIMEOUT_HEARTBEATS * heartbeatNanos,
@@ -114,17 +114,17 @@
 
     /** Restores the persisted servers and starts the periodic tick. */
     void start(ScheduledExecutorService timer) {
-        List<Registration> remembered =
+        List<Registration> restored =
                 persistedServers.read().map(PersistedServers::servers).orElse(List.of());
         long now = clock.nanos();
         synchronized (this) {
             startedAtNanos = now;
-            remembered.forEach(each -> servers.restore(each, now));
+            restored.forEach(each -> servers.restore(each, now));
             persistedChanges = servers.lastChange();
             persistedAtNanos = now;
         }
         log.line("registry restored")
-                .with("servers", remembered.size())
+                .with("servers", restored.size())
                 .with("routingVersion", routing.currentVersion())
                 .write();
         timer.scheduleWithFixedDelay(this::tick, TICK_INTERVAL_MILLIS, TICK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
@@ -249,8 +249,8 @@
     }
 
     private void persistServers(long now) {
-        boolean news = servers.lastChange() != persistedChanges || persistedServers.lastWriteFailed();
-        boolean due = news && now - persistedAtNanos >= MIN_WRITE_INTERVAL_NANOS;
+        boolean changed = servers.lastChange() != persistedChanges || persistedServers.lastWriteFailed();
+        boolean due = changed && now - persistedAtNanos >= MIN_WRITE_INTERVAL_NANOS;
         if (due && persistedServers.tryWrite(new PersistedServers(servers.availableServers()))) {
             persistedChanges = servers.lastChange();
             persistedAtNanos = now;
@@ -261,14 +261,14 @@
         List<Runnable> completions = new ArrayList<>();
         synchronized (this) {
             long now = clock.nanos();
-            RegistryVersions news = new RegistryVersions(
+            RegistryVersions versions = new RegistryVersions(
                     epoch, servers.lastChange(), lastLeaveChange, entries.lastChange(), routing.currentVersion());
             Iterator<Poll> each = openPolls.iterator();
             while (each.hasNext()) {
                 Poll poll = each.next();
-                if (poll.open().isDue(news, now)) {
+                if (poll.pending().isDue(versions, now)) {
                     each.remove();
-                    FollowAnswer answer = buildAnswer(poll.open().request(), news.routingVersion(), now);
+                    FollowAnswer answer = buildAnswer(poll.pending().request(), versions.routingVersion(), now);
                     completions.add(() -> poll.answer().complete(answer));
                 }
             }
@@ -278,43 +278,44 @@
     }
 
     private FollowAnswer buildAnswer(FollowRequest request, long version, long now) {
-        boolean whole = request.epoch() != epoch;
-        boolean entry = request.entry() != null;
-        boolean entryNews = entry && (whole || entries.lastChange() != request.entriesSeen());
-        boolean deltas = entryNews
-                && !whole
+        boolean full = request.epoch() != epoch;
+        boolean isEntry = request.entry() != null;
+        boolean entriesChanged = isEntry && (full || entries.lastChange() != request.entriesSeen());
+        boolean deltas = entriesChanged
+                && !full
                 && request.acceptsPackedUpdates()
                 && entries.canListChangesSince(request.entriesSeen());
-        boolean document = request.needsRouting() && version >= 0;
+        boolean sendsRouting = request.needsRouting() && version >= 0;
         Follower follower = followers.get(request.host());
-        long heardFrom = follower.heartbeatsReportedUntilNanos;
+        long reportedUntilNanos = follower.heartbeatsReportedUntilNanos;
         follower.heartbeatsReportedUntilNanos = now;
         return new FollowAnswer(
                 epoch,
                 (now - startedAtNanos) / NANOS_PER_MILLI,
-                servers.changesSince(whole ? 0 : request.serversSeen()),
+                servers.changesSince(full ? 0 : request.serversSeen()),
                 servers.lastChange(),
-                entry
+                isEntry
                         ? List.of()
-                        : servers.localHeartbeatsSince(whole ? now - TOMBSTONE_RETENTION_NANOS : heardFrom, now),
-                entryNews && !deltas ? entries.all() : null,
+                        : servers.localHeartbeatsSince(
+                                full ? now - TOMBSTONE_RETENTION_NANOS : reportedUntilNanos, now),
+                entriesChanged && !deltas ? entries.all() : null,
                 deltas ? entries.changesSince(request.entriesSeen()) : List.of(),
                 entries.lastChange(),
                 controlHosts.get(),
                 version,
-                document && !request.acceptsPackedUpdates() ? routing.current() : null,
-                document && request.acceptsPackedUpdates() ? routing.packed() : null);
+                sendsRouting && !request.acceptsPackedUpdates() ? routing.current() : null,
+                sendsRouting && request.acceptsPackedUpdates() ? routing.packed() : null);
     }
 
     private void completePropagations(long now, List<Runnable> completions) {
         Iterator<Propagation> each = propagations.iterator();
         while (each.hasNext()) {
-            Propagation spread = each.next();
-            boolean over = now - spread.expiresAtNanos() >= 0;
-            if (over || hasReachedAllEntries(spread.changeNumber(), now)) {
+            Propagation propagation = each.next();
+            boolean expired = now - propagation.expiresAtNanos() >= 0;
+            if (expired || hasReachedAllEntries(propagation.changeNumber(), now)) {
                 each.remove();
                 boolean acknowledged = routing.hasQuorum();
-                completions.add(() -> spread.done().complete(acknowledged));
+                completions.add(() -> propagation.done().complete(acknowledged));
             }
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingProvider.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingProvider.java
@@ -7,10 +7,10 @@
 import org.elmline.core.registry.RegistryChannels.RoutingText;
 
 /**
- * Provides a control host's routing document: that of its log, and the persisted one until the log is open. After a
- * loss of all hosts, entries serve no callers without a routing document, and opening and replaying the log is the
- * slowest step of a small host's start. The persisted document was committed, so it can be stale but not wrong, as the
- * log's own first state can. Thread-safe, but for {@link #persist}, which one thread calls.
+ * Provides a control host's routing document: that of its log, or the persisted one while the log is not open or is
+ * older. After a loss of all hosts, entries serve no callers without a routing document, and opening and replaying the
+ * log takes a small host longer than the rest of its start. The persisted document was committed, so it can be stale
+ * but not wrong, as the log's own first state can. Thread-safe, but for {@link #persist}, which one thread calls.
  */
 final class RoutingProvider {
     /** Delay before the next write after one that failed. */
@@ -23,9 +23,9 @@
     private volatile RoutingStore store;
     private PackedRouting packed;
 
-    RoutingProvider(PersistedValue<RoutingText> memory) {
-        this.persistedRouting = memory;
-        this.restored = memory.read().orElse(RoutingText.NONE);
+    RoutingProvider(PersistedValue<RoutingText> persistedRouting) {
+        this.persistedRouting = persistedRouting;
+        this.restored = persistedRouting.read().orElse(RoutingText.NONE);
         this.persistedVersion = restored.version();
     }
 
@@ -35,8 +35,8 @@
     }
 
     /** Sets the store once the log is open. */
-    void attachStore(RoutingStore opened) {
-        store = opened;
+    void attachStore(RoutingStore store) {
+        this.store = store;
     }
 
     /** Version of {@link #current()}, -1 without a document. */
@@ -72,9 +72,9 @@
     /** Persists the log's document for the next start when it is newer than the persisted one. */
     void persist(long now) {
         long version = logVersion();
-        boolean news = version > persistedVersion
+        boolean writeNeeded = version > persistedVersion
                 || (persistedRouting.lastWriteFailed() && now - persistedAtNanos >= WRITE_RETRY_NANOS);
-        if (news && persistedRouting.tryWrite(store.current())) {
+        if (writeNeeded && persistedRouting.tryWrite(store.current())) {
             persistedVersion = version;
             persistedAtNanos = now;
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
@@ -41,13 +41,13 @@
 
     RoutingService(
             RoutingStore store,
-            Supplier<Address> leader,
+            Supplier<Address> leaderAddress,
             PeerNetwork network,
             ScheduledExecutorService timer,
             MonotonicClock clock,
             DecisionLog log) {
         this.store = store;
-        this.leaderAddress = leader;
+        this.leaderAddress = leaderAddress;
         this.network = network;
         this.timer = timer;
         this.clock = clock;
@@ -61,17 +61,17 @@
     }
 
     /** Puts a valid document in force, unless one with the same or a higher version is. */
-    public CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submit) {
-        LeaderRequest<RoutingSubmission, RoutingSubmitResult> attempts = new LeaderRequest<>(
+    public CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submission) {
+        LeaderRequest<RoutingSubmission, RoutingSubmitResult> leaderRequest = new LeaderRequest<>(
                 RegistryChannels.SUBMIT_ROUTING,
-                submit,
+                submission,
                 store::submit,
                 each -> each == RoutingSubmitResult.NOT_LEADER,
                 RoutingSubmitResult.NOT_LEADER,
                 RoutingSubmitResult.UNKNOWN);
-        attempts.attempt();
-        return attempts.completion.whenComplete((outcome, failure) -> log.line("routing submitted")
-                .with("version", submit.version())
+        leaderRequest.attempt();
+        return leaderRequest.completion.whenComplete((outcome, failure) -> log.line("routing submitted")
+                .with("version", submission.version())
                 .with("outcome", outcome)
                 .with("heldVersion", store.currentVersion())
                 .with("leader", leaderAddress.get())
@@ -80,15 +80,15 @@
 
     /** Reads the newest document; {@link RoutingText#UNKNOWN} when no leader can be reached. */
     public CompletableFuture<RoutingText> read() {
-        LeaderRequest<RoutingQuery, RoutingText> attempts = new LeaderRequest<>(
+        LeaderRequest<RoutingQuery, RoutingText> leaderRequest = new LeaderRequest<>(
                 RegistryChannels.READ_ROUTING,
                 new RoutingQuery(),
                 query -> store.read(),
                 each -> !each.known(),
                 RoutingText.UNKNOWN,
                 RoutingText.UNKNOWN);
-        attempts.attempt();
-        return attempts.completion;
+        leaderRequest.attempt();
+        return leaderRequest.completion;
     }
 
     /** Sends a request to the leader, which may be this host, and retries while there is none. */
@@ -104,28 +104,28 @@
         LeaderRequest(
                 Channel<Q, R> channel,
                 Q request,
-                Function<Q, CompletionStage<R>> here,
-                Function<R, Boolean> notLeader,
-                R noLeader,
-                R unknown) {
+                Function<Q, CompletionStage<R>> localHandler,
+                Function<R, Boolean> isNotLeader,
+                R noLeaderResult,
+                R unknownResult) {
             this.channel = channel;
             this.request = request;
-            this.localHandler = here;
-            this.isNotLeader = notLeader;
-            this.noLeaderResult = noLeader;
-            completion.completeOnTimeout(unknown, REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+            this.localHandler = localHandler;
+            this.isNotLeader = isNotLeader;
+            this.noLeaderResult = noLeaderResult;
+            completion.completeOnTimeout(unknownResult, REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         }
 
         void attempt() {
-            Address to = leaderAddress.get();
-            if (to == null) {
+            Address leader = leaderAddress.get();
+            if (leader == null) {
                 retryLater(noLeaderResult);
                 return;
             }
-            Duration left = Duration.ofNanos(Math.max(1_000_000, deadlineNanos - clock.nanos()));
+            Duration remaining = Duration.ofNanos(Math.max(1_000_000, deadlineNanos - clock.nanos()));
             localHandler.apply(request).thenAccept(result -> {
                 if (isNotLeader.apply(result)) {
-                    network.call(to, channel, request, left).thenAccept(this::onAnswer);
+                    network.call(leader, channel, request, remaining).thenAccept(this::onAnswer);
                 } else {
                     completion.complete(result);
                 }
@@ -146,9 +146,9 @@
             // result.
         }
 
-        private void retryLater(R otherwise) {
+        private void retryLater(R fallback) {
             if (deadlineNanos - clock.nanos() < TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS)) {
-                completion.complete(otherwise);
+                completion.complete(fallback);
                 return;
             }
             timer.schedule(this::attempt, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingStore.java
@@ -36,12 +36,12 @@
     }
 
     /** Proposes a document to the log, which only the leader can. Completes normally in every case. */
-    CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submit) {
+    CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submission) {
         if (!driver.isLeader()) {
             return CompletableFuture.completedFuture(RoutingSubmitResult.NOT_LEADER);
         }
         Ticket ticket = new Ticket(
-                TicketNumber.of(submit.version()), TICKET_AUTHOR, List.of(new RoutingDocument(submit.text())));
+                TicketNumber.of(submission.version()), TICKET_AUTHOR, List.of(new RoutingDocument(submission.text())));
         byte[] command = Codecs.MESSAGE_PACK.encode(Command.ApplyTicket.of(ticket));
         return driver.propose(command).thenApply(RoutingStore::submitOutcome);
     }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/coordinator/MemoryTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/coordinator/PersistedValueTest.java
@@ -18,19 +18,19 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 import static org.junit.jupiter.api.Assertions.fail;
 
-class MemoryTest {
+class PersistedValueTest {
     private static final RoutingText TEXT = new RoutingText(true, 7, "{}");
 
     @TempDir
     private Path folder;
 
-    private volatile boolean full;
+    private volatile boolean diskFull;
 
-    private PersistedValue<RoutingText> memory() {
+    private PersistedValue<RoutingText> openValue() {
         SystemFiles files = new SystemFiles() {
             @Override
             public OutputFile open(Path file) throws IOException {
-                if (full) {
+                if (diskFull) {
                     throw new DiskFullException("no room");
                 }
                 return super.open(file);
@@ -42,14 +42,14 @@
     }
 
     @Test
-    void theNextStartKnowsWhatWasWritten() throws Exception {
-        try (PersistedValue<RoutingText> memory = memory()) {
-            assertTrue(memory.read().isEmpty());
-            assertTrue(memory.tryWrite(TEXT));
-            await(() -> memory.read().isPresent());
+    void readsWrittenValueAfterRestart() throws Exception {
+        try (PersistedValue<RoutingText> value = openValue()) {
+            assertTrue(value.read().isEmpty());
+            assertTrue(value.tryWrite(TEXT));
+            await(() -> value.read().isPresent());
         }
-        try (PersistedValue<RoutingText> again = memory()) {
-            assertEquals(TEXT, again.read().orElseThrow());
+        try (PersistedValue<RoutingText> reopened = openValue()) {
+            assertEquals(TEXT, reopened.read().orElseThrow());
         }
     }
 
@@ -58,24 +58,24 @@
      * reported until a write succeeds, so that the value is written again.
      */
     @Test
-    void aFullDiskIsToldUntilThereIsRoom() throws Exception {
-        try (PersistedValue<RoutingText> memory = memory()) {
-            full = true;
-            assertTrue(memory.tryWrite(TEXT));
-            await(memory::lastWriteFailed);
-            assertTrue(memory.read().isEmpty());
-            full = false;
-            await(() -> memory.tryWrite(TEXT));
-            await(() -> !memory.lastWriteFailed());
-            assertEquals(TEXT, memory.read().orElseThrow());
+    void reportsFailedWriteUntilDiskHasRoom() throws Exception {
+        try (PersistedValue<RoutingText> value = openValue()) {
+            diskFull = true;
+            assertTrue(value.tryWrite(TEXT));
+            await(value::lastWriteFailed);
+            assertTrue(value.read().isEmpty());
+            diskFull = false;
+            await(() -> value.tryWrite(TEXT));
+            await(() -> !value.lastWriteFailed());
+            assertEquals(TEXT, value.read().orElseThrow());
         }
     }
 
     @Test
-    void whatIsNoSuchValueCountsAsNothing() throws Exception {
+    void readsNothingFromUndecodableFile() throws Exception {
         new ChecksummedFile(new SystemFiles(), folder.resolve("routing")).write(new byte[] {1, 2});
-        try (PersistedValue<RoutingText> memory = memory()) {
-            assertFalse(memory.read().isPresent());
+        try (PersistedValue<RoutingText> value = openValue()) {
+            assertFalse(value.read().isPresent());
         }
     }
 
