--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/JoinRequester.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/JoinRequester.java
@@ -14,11 +14,11 @@
 import org.elmline.core.raft.ReplicaId;
 
 /**
- * How a replica that is no voter finds the leader and asks it to join. Whoever is asked names the leader and all members,
- * so that one reachable member is enough, be it in the settings or not. Used by the log's thread only.
+ * Sends the join requests of a replica that is no voter. Each answer names the leader and all members, so that one
+ * reachable member is enough, whether the settings name it or not. Used by the log's thread only.
  */
 final class JoinRequester {
-    /** Hosts learned from others; more are those of long ago. */
+    /** Limit on hosts learned from answers and messages; beyond it all are dropped, as most of them are outdated. */
     private static final int MAX_LEARNED_HOSTS = 64;
 
     private final RaftDriver.Builder configuration;
@@ -32,24 +32,24 @@
     private long nextRequestNanos;
     private long leaderSeenNanos;
 
-    /** @param answers takes each answer on the network's thread, and hands it to {@link #onAnswer} */
+    /** @param answerCallback receives each answer on the network's thread and passes it to {@link #onAnswer} */
     JoinRequester(
             RaftDriver.Builder parts,
             RaftNode node,
             RaftMessageSender sender,
             MembershipReporter log,
-            Consumer<RaftChannels.JoinAnswer> answers) {
+            Consumer<RaftChannels.JoinAnswer> answerCallback) {
         this.configuration = parts;
         this.node = node;
         this.sender = sender;
         this.membershipReporter = log;
-        this.answerCallback = answers;
+        this.answerCallback = answerCallback;
         this.requestIntervalNanos = parts.settings.electionTimeout().toNanos();
         this.nextRequestNanos = parts.clock.nanos();
         this.leaderSeenNanos = nextRequestNanos;
     }
 
-    /** Asks all known hosts, once in each election timeout. */
+    /** Sends join requests to all known hosts, once per election timeout. */
     void tick(long now) {
         if (node.leader() != null) {
             leaderSeenNanos = now;
@@ -62,9 +62,10 @@
     }
 
     /**
-     * A fresh data folder asks to become a member until it is a voter; a replica that an operator removed does not ask
-     * again. Where lost voters are replaced by themselves, one that was only cut off asks too: it can't know that it was
-     * replaced, as nobody sends it anything any more.
+     * Whether this replica should join. One with a new data folder requests it until it is a voter; one that an
+     * operator removed does not request it again. Where lost voters are replaced automatically, a replica without
+     * contact to a leader for two election timeouts requests it too: it may have been replaced while partitioned, and
+     * no member sends messages to a replaced replica.
      */
     private boolean shouldJoin(long now) {
         Membership membership = node.membership();
@@ -95,7 +96,7 @@
         }
     }
 
-    /** A member that was asked names the leader, which is asked at once. */
+    /** Handles an answer; the leader it names gets a join request at once. */
     void onAnswer(RaftChannels.JoinAnswer answer, long now) {
         answer.membership().all().forEach(each -> addLearnedHost(each.host()));
         if (answer.leader() != null) {
@@ -106,14 +107,14 @@
         }
     }
 
-    /** Somebody writes to the replica that this host had before its disk was lost, and so is a member. */
+    /** Handles a message to the replica that this host had before it lost its disk: its sender is a member. */
     void onMessageToPredecessor(ReplicaId from, long now) {
         if (addLearnedHost(from.host()) && shouldJoin(now)) {
             request(knownAddresses());
         }
     }
 
-    /** Returns whether it is new. */
+    /** Returns whether the host was unknown before. */
     private boolean addLearnedHost(HostId host) {
         if (learnedHosts.size() >= MAX_LEARNED_HOSTS) {
             learnedHosts.clear();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/MembershipReporter.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/MembershipReporter.java
@@ -15,14 +15,15 @@
 import org.jboss.logging.Logger;
 
 /**
- * Tells operators how the membership of the log goes: who asks to join and what becomes of it, each step and its
- * refusal, and which voters are missing. Repetitions are left out. Used by the log's thread only.
+ * Logs changes of the log's membership for operators: join requests and their outcome, each membership change and its
+ * rejection, and missing voters. Repeated lines are left out. Used by the log's thread only; the gauge is read by any
+ * thread.
  */
 final class MembershipReporter {
     private static final Logger LOG = Logger.getLogger(MembershipReporter.class);
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Replicas of which the last line is remembered; each start with an empty disk brings a new one. */
+    /** Limit on replicas whose last line is kept; each start with an empty disk brings a new replica. */
     private static final int MAX_LAST_LINES = 256;
 
     private final RaftNode node;
@@ -31,32 +32,34 @@
     private final Set<ReplicaId> missingReplicas = new HashSet<>();
     private volatile int missingVoterCount;
 
-    /** @param missingNanos silence after which a voter counts as missing */
-    MembershipReporter(RaftNode node, MetricRegistry metrics, long missingNanos) {
+    /** @param missingTimeoutNanos time without contact after which a voter counts as missing */
+    MembershipReporter(RaftNode node, MetricRegistry metrics, long missingTimeoutNanos) {
         this.node = node;
-        this.missingTimeoutNanos = missingNanos;
+        this.missingTimeoutNanos = missingTimeoutNanos;
         metrics.gauge("raft.voters.missing", () -> () -> missingVoterCount);
     }
 
-    /** This replica asks these hosts to let it join. */
+    /** Logs that this replica sends join requests to these hosts. */
     void logJoinRequest(Collection<Address> hosts) {
-        logOnce(node.self(), "asks to join at " + hosts + ", knows " + node.membership());
+        logOnce(node.self(), "requests to join at " + hosts + ", known membership " + node.membership());
     }
 
-    /** A replica asked here to join, and nothing is done about it. */
+    /** Logs a join request of a replica that is not acted upon. */
     void logJoinRefused(ReplicaId joining, boolean known) {
         if (joining.equals(node.self())) {
             return;
         }
-        logOnce(joining, "asks to join: " + (known ? "not the leader, which is " + node.leader() : "host unknown"));
+        logOnce(
+                joining,
+                "join request ignored: " + (known ? "not the leader, which is " + node.leader() : "host unknown"));
     }
 
-    /** A step was proposed. */
+    /** Logs a proposed membership change and its outcome. */
     void logChange(MembershipChange change, ProposeOutcome outcome) {
         logOnce(change.replica(), change + ": " + outcome);
     }
 
-    /** Looks at who is missing, which only the leader knows. */
+    /** Updates the missing voters, which only the leader can detect. */
     void checkMissingVoters() {
         Set<ReplicaId> now = new HashSet<>();
         if (node.isLeader()) {
@@ -67,7 +70,7 @@
                 }
                 now.add(each);
                 if (missingReplicas.add(each)) {
-                    LOG.warnf("voter %s missing, silent for %d ms", each, silent / NANOS_PER_MILLI);
+                    LOG.warnf("voter %s is missing: no contact for %d ms", each, silent / NANOS_PER_MILLI);
                 }
             }
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/PendingOperations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/PendingOperations.java
@@ -10,7 +10,7 @@
 import org.elmline.core.raft.Entry;
 import org.elmline.core.raft.ReplicaId;
 
-/** Callers whose proposals or reads are under way. Used by the log's thread only. */
+/** Proposals, reads and leadership transfers that await their result. Used by the log's thread only. */
 final class PendingOperations {
     private record Proposal(long term, CompletableFuture<ProposeResult> done) {}
 
@@ -37,7 +37,7 @@
         if (waiting == null) {
             return;
         }
-        // Another entry was committed in this place, so the proposed one never can be.
+        // When another entry was committed at this index, the proposed one never can be.
         boolean own = waiting.term() == entry.term();
         waiting.done()
                 .complete(
@@ -52,8 +52,9 @@
     }
 
     /**
-     * This replica leads no term before {@code term} any more. What it put in the log then may be committed by another
-     * leader or not. A term of Long.MAX_VALUE says that it leads none, so that hand-overs are done.
+     * Completes the operations of terms before {@code term}, in which this replica no longer leads. Its proposals of
+     * those terms may still be committed by another leader. Long.MAX_VALUE means that it leads no term, so that
+     * leadership transfers are complete too.
      */
     void onDeposed(long term, ReplicaId leader, String why) {
         proposals.values().removeIf(each -> each.term() < term && each.done().complete(new ProposeResult.Unknown(why)));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftChannels.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftChannels.java
@@ -7,36 +7,36 @@
 import org.elmline.core.raft.Message;
 import org.elmline.core.raft.ReplicaId;
 
-/** What control hosts serve to each other for the log. */
+/** Channels between the replicas of the log. */
 public final class RaftChannels {
-    /** Messages of the log; one-way, the answer only says that they were taken. */
+    /** Raft messages. One-way: the answer only acknowledges that they were received. */
     public static final Channel<Messages, Acknowledged> MESSAGES =
             new Channel<>("raft.messages", Messages.class, Acknowledged.class);
 
-    /** A replica with a fresh data folder asks to become a member; to be repeated until it votes. */
+    /** Request of a replica with a new data folder to become a member; repeated until it is a voter. */
     public static final Channel<Join, JoinAnswer> JOIN = new Channel<>("raft.join", Join.class, JoinAnswer.class);
 
-    /** A replica's standing, for operators. */
+    /** Status of a replica, for operators. */
     public static final Channel<StatusQuery, RaftStatus> STATUS =
             new Channel<>("raft.status", StatusQuery.class, RaftStatus.class);
 
     private RaftChannels() {}
 
-    /** Messages to replicas of one host. */
+    /** Messages to replicas on one host. */
     public record Messages(List<Message> messages) {
         public Messages {
             messages = List.copyOf(messages);
         }
     }
 
-    /** Asks to become a member. */
+    /** Request to become a member. */
     public record Join(ReplicaId replica) {}
 
     /**
-     * Taken, not yet handled; only the leader can let a replica join.
+     * The request was received, but not yet handled; only the leader can add a replica.
      *
-     * @param leader null when the host that was asked knows of none
-     * @param membership as the host that was asked knows it; empty where it is no member itself
+     * @param leader null when the host that answers knows none
+     * @param membership as the host that answers knows it; empty where it is no member itself
      */
     public record JoinAnswer(ReplicaId leader, Membership membership) {
         public JoinAnswer {
@@ -44,9 +44,9 @@
         }
     }
 
-    /** Taken, not yet handled. */
+    /** The messages were received, but not yet handled. */
     public record Acknowledged() {}
 
-    /** Asks for a replica's standing. */
+    /** Request for a replica's status. */
     public record StatusQuery() {}
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
@@ -29,10 +29,7 @@
 import org.elmline.storage.DataFolder;
 import org.jboss.logging.Logger;
 
-/**
- * One replica of the log, run by one thread behind a bounded queue. Safe for use by many threads; every future
- * completes normally.
- */
+/** One replica of the log, run by one thread behind a bounded queue. Thread-safe; every future completes normally. */
 public final class RaftDriver implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(RaftDriver.class);
     private static final long CLOSE_SECONDS = 10;
@@ -74,20 +71,20 @@
         handlers.register(RaftChannels.STATUS, request -> CompletableFuture.completedFuture(status()));
     }
 
-    /** A message that finds the queue full counts as lost. */
+    /** Queues an input; one that finds the queue full is dropped and counts as lost. */
     private void enqueue(RaftInput input) {
         if (!queue.offer(input)) {
             droppedMessages.inc();
         }
     }
 
-    /** Proposes a command; completes when it is applied here or known not to be decided here. */
+    /** Proposes a command; completes once it is applied here or known not to be decided here. */
     public CompletableFuture<ProposeResult> propose(byte[] command) {
         CompletableFuture<ProposeResult> done = new CompletableFuture<>();
         return submit(new RaftInput.Propose(command, done), done);
     }
 
-    /** Adds a replica that receives the log and decides nothing. */
+    /** Adds a replica that receives the log without a vote. */
     public CompletableFuture<ProposeResult> addLearner(ReplicaId replica) {
         return change(new MembershipChange.AddLearner(replica));
     }
@@ -112,13 +109,13 @@
         } else if (!queue.offer(input)) {
             done.complete(new ProposeResult.Refused(ProposeRefusal.QUEUE_FULL));
         } else if (closed) {
-            // The loop may have ended before it could see this input.
+            // The loop may have ended before it took this input.
             done.completeOnTimeout(new ProposeResult.Unknown("closing"), CLOSE_SECONDS, TimeUnit.SECONDS);
         }
         return done;
     }
 
-    /** Completes when the state machine here holds all that is committed now. */
+    /** Completes once the state machine here has applied all that is committed at the time of this call. */
     public CompletableFuture<ReadResult> readIndex() {
         CompletableFuture<ReadResult> done = new CompletableFuture<>();
         if (closed || !queue.offer(new RaftInput.Read(done))) {
@@ -128,14 +125,15 @@
     }
 
     /**
-     * Hands leadership to the voter that holds most of the log. Completes with true once this replica leads no more,
-     * which takes about a lease, and with false when there is nobody to hand over to; a planned stop waits for it.
+     * Transfers leadership to the voter that holds most of the log. Completes with true once this replica no longer
+     * leads, which takes about one lease, and with false when there is no voter to transfer to. A planned stop waits
+     * for it.
      */
     public CompletableFuture<Boolean> transferLeadership() {
         return transferLeadership(null);
     }
 
-    /** Hands leadership to a voter, null for the one that holds most of the log. */
+    /** Transfers leadership to a voter, null for the one that holds most of the log. */
     public CompletableFuture<Boolean> transferLeadership(ReplicaId target) {
         CompletableFuture<Boolean> done = new CompletableFuture<>();
         if (closed || !queue.offer(new RaftInput.TransferLeadership(target, done))) {
@@ -152,17 +150,17 @@
         return status().leads();
     }
 
-    /** Null when none is known. */
+    /** Returns the leader, null when none is known. */
     public ReplicaId leader() {
         return status().leader();
     }
 
-    /** See {@link RaftNode#leaseUntilNanos()}; to be compared with the clock just before acting. */
+    /** See {@link RaftNode#leaseUntilNanos()}; compare it with the clock right before acting. */
     public long leaseUntilNanos() {
         return status().leaseUntilNanos();
     }
 
-    /** Stops the thread, answers everyone who waits and closes the data folder. */
+    /** Stops the thread, completes all pending operations and closes the data folder. */
     @Override
     public void close() {
         closed = true;
@@ -170,14 +168,15 @@
         thread.shutdown();
         try {
             if (!thread.awaitTermination(CLOSE_SECONDS, TimeUnit.SECONDS)) {
-                LOG.warnf("replica %s does not end", folder.identity());
+                LOG.warnf(
+                        "replica %s did not stop within the time limit; its data folder stays open", folder.identity());
                 return;
             }
             folder.close();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (java.io.IOException e) {
-            LOG.warnf("data folder of %s not closed in order: %s", folder.identity(), e);
+            LOG.warnf("failed to close data folder of %s: %s", folder.identity(), e);
         }
     }
 
@@ -185,7 +184,7 @@
         return new Builder();
     }
 
-    /** Gathers the parts of a replica. */
+    /** Builder of a replica. */
     public static final class Builder {
         private static final int QUEUE_LENGTH = 16_384;
         private static final int SNAPSHOT_ENTRIES = 4_096;
@@ -210,7 +209,10 @@
 
         private Builder() {}
 
-        /** The opened folder, whose identity this replica has, and what it held; the driver closes it. */
+        /**
+         * Sets the opened folder, whose identity this replica takes, and its restored contents; the driver closes the
+         * folder.
+         */
         public Builder folder(DataFolder value, RestoredState held) {
             folder = value;
             restored = held;
@@ -229,10 +231,10 @@
         }
 
         /**
-         * Where the other replicas are.
+         * Sets how to find the other replicas.
          *
-         * @param byHost peer address of a control host, null for one that is none and so may not join
-         * @param all peer addresses that a fresh replica asks to become a member
+         * @param byHost peer address of a control host, null for a host that is none and so may not join
+         * @param all peer addresses to which a replica with a new data folder sends join requests
          */
         public Builder addresses(Function<HostId, Address> byHost, Supplier<List<Address>> all) {
             addresses = byHost;
@@ -260,34 +262,34 @@
             return this;
         }
 
-        /** Inputs that may wait; more are refused. */
+        /** Sets the limit on queued inputs; more are rejected. */
         public Builder queueLength(int value) {
             queueLength = value;
             return this;
         }
 
-        /** Applied entries after which the log is compacted into a snapshot. */
+        /** Sets the number of applied entries after which the log is compacted into a snapshot. */
         public Builder snapshotEntries(int value) {
             snapshotEntries = value;
             return this;
         }
 
-        /** Bytes of applied entries after which the log is compacted too; they are held in memory until then. */
+        /** Sets the bytes of applied entries, held in memory until then, after which the log is compacted too. */
         public Builder snapshotBytes(long value) {
             snapshotBytes = value;
             return this;
         }
 
         /**
-         * Time without a sign of life after which a voter is taken for lost and makes room for one that joins; without
-         * it members change only by hand.
+         * Sets the time without contact after which a voter counts as lost and is replaced by a replica that joins;
+         * without it the membership changes only on an operator's request.
          */
         public Builder voterLostTimeout(Duration value) {
             voterLostTimeout = value;
             return this;
         }
 
-        /** Called when the disk failed or an invariant broke; the process must end. */
+        /** Sets the callback for a failed disk or a broken invariant; the process must end then. */
         public Builder onFailure(Runnable value) {
             onFailure = value;
             return this;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftInput.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftInput.java
@@ -6,7 +6,7 @@
 import org.elmline.core.raft.Message;
 import org.elmline.core.raft.ReplicaId;
 
-/** What waits in the queue before the log. */
+/** Inputs in the queue of the log's thread. */
 sealed interface RaftInput {
     record Propose(byte[] command, CompletableFuture<ProposeResult> done) implements RaftInput {}
 
@@ -21,7 +21,7 @@
     record JoinAnswerReceived(RaftChannels.JoinAnswer answer) implements RaftInput {}
 
     /**
-     * Hands leadership over.
+     * Transfers leadership.
      *
      * @param target null for the voter that holds most of the log
      */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
@@ -26,15 +26,19 @@
 import org.jboss.logging.Logger;
 
 /**
- * The log's thread: takes inputs in batches, syncs once for all of them, sends, applies. A full disk stops it until
- * there is room, so that this replica promises nothing meanwhile and another can lead.
+ * The log's thread: takes inputs in batches, syncs once per batch, sends messages and applies committed entries. While
+ * the disk is full it handles no input, so that this replica neither votes nor acknowledges entries and another can
+ * lead.
  */
 final class RaftLoop implements Runnable {
     private static final Logger LOG = Logger.getLogger(RaftLoop.class);
     private static final int MAX_BATCH = 1_024;
     private static final long FULL_DISK_RETRY_MILLIS = 100;
 
-    /** Syncs that take less leave time for one more that isn't owed to anybody; a faulty disk is left alone. */
+    /**
+     * Below this duration of the last sync, the committed index is synced too, which correctness does not require; a
+     * slow or faulty disk gets no optional sync.
+     */
     private static final long QUICK_SYNC_NANOS = 20_000_000;
 
     private static final byte[] EMPTY_RESULT = new byte[0];
@@ -135,9 +139,10 @@
             inputs.add(first);
             queue.drainTo(inputs, MAX_BATCH - 1);
         }
-        // The clock is read after the messages were taken, as the node demands.
+        // RaftNode requires that the clock is read after the messages were received.
         long now = clock.nanos();
-        // Answers that waited while this thread was held up must count before the node judges who is silent.
+        // Messages that were queued while this thread was paused must be handled before the node checks for timeouts;
+        // otherwise live replicas would count as lost.
         handleAll(inputs, now);
         node.tick(now);
         proposeNextJoin(now);
@@ -247,7 +252,7 @@
         }
     }
 
-    /** All in one batch, or each on its own when the batch as a whole is too much. */
+    /** Proposes all in one batch, or each on its own when the batch is refused, as it may be too large as a whole. */
     private void propose(List<RaftInput.Propose> proposals, long now) {
         if (proposals.isEmpty()) {
             return;
@@ -289,8 +294,8 @@
             recordCommitted(ready.committedEntries());
             ready.confirmedReads().forEach(pendingOperations::onReadConfirmed);
             node.advance(clock.nanos(), ready);
-            // A sync may have waited for room; without a look at the time a leader would be published as such although
-            // another leads meanwhile.
+            // A sync may have waited for free disk space. Without this tick the old status would be published, and this
+            // replica would count as leader although another leads meanwhile.
             node.tick(clock.nanos());
         }
         publish();
@@ -307,7 +312,7 @@
         }
     }
 
-    /** Returns false when the replica was stopped before there was room. */
+    /** Returns false when the replica was stopped before there was free disk space. */
     private boolean sync(Ready ready) throws InterruptedException {
         if (ready.snapshotToInstall() != null && !write(() -> folder.install(ready.snapshotToInstall()))) {
             return false;
@@ -333,7 +338,7 @@
                 throw new StorageFailure(failed.reason());
             }
             if (!full) {
-                LOG.warnf("replica %s waits: its disk is full", node.self());
+                LOG.warnf("replica %s waits for free disk space: its disk is full", node.self());
                 full = true;
             }
             waitForDiskSpace();
@@ -349,7 +354,7 @@
         Thread.sleep(FULL_DISK_RETRY_MILLIS);
     }
 
-    /** Messages are dropped: what is not answered counts as lost. */
+    /** Completes the input's future; messages are dropped, which counts as loss on the network. */
     private static void reject(RaftInput input, ProposeRefusal why) {
         if (input instanceof RaftInput.Propose propose) {
             propose.done().complete(new ProposeResult.Refused(why));
@@ -377,7 +382,7 @@
         long firstLedTerm = after.leads() ? after.term() : Long.MAX_VALUE;
         pendingOperations.onDeposed(firstLedTerm, after.leader(), "this replica leads no more");
         if (after.role() != before.role() && (after.leads() || before.leads())) {
-            LOG.infof("replica %s is %s in term %d", after.self(), after.role(), after.term());
+            LOG.infof("replica %s became %s in term %d", after.self(), after.role(), after.term());
         }
     }
 
@@ -394,11 +399,11 @@
         if (result instanceof StoreResult.Failed failed) {
             throw new StorageFailure(failed.reason());
         }
-        // With a full disk the log stays as it is, and the next snapshot stands in for this one.
+        // With a full disk the log stays uncompacted, and the next snapshot replaces this one.
         snapshots.inc();
     }
 
-    /** The disk failed; nothing this replica says can be trusted any more. */
+    /** The disk failed, so this replica must stop: it can no longer keep its votes and acknowledged entries. */
     private static final class StorageFailure extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftMessageSender.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftMessageSender.java
@@ -19,9 +19,15 @@
 import org.elmline.core.raft.Message;
 import org.elmline.core.raft.ReplicaId;
 
-/** Sends messages to the hosts of other replicas, those of one step to one host in one call. A lost one is not resent. */
+/**
+ * Sends messages to the hosts of other replicas, those of one step to one host in one call. Lost messages are not
+ * resent. Thread-safe.
+ */
 final class RaftMessageSender {
-    /** Calls to one host that may be unanswered; a host that does not answer must not pile up messages here. */
+    /**
+     * Limit on unanswered calls to one host; further messages to it are dropped, so that a host that does not answer
+     * uses bounded memory here.
+     */
     private static final int MAX_UNANSWERED_CALLS = 64;
 
     private final PeerNetwork network;
@@ -61,7 +67,7 @@
                 .whenComplete((answer, failure) -> unanswered.decrementAndGet());
     }
 
-    /** Asks these hosts; one that does not answer is left out. */
+    /** Sends a join request to these hosts; a host that does not answer is ignored. */
     void requestJoin(List<Address> hosts, ReplicaId self, Consumer<RaftChannels.JoinAnswer> answers) {
         for (Address each : hosts) {
             network.call(each, RaftChannels.JOIN, new RaftChannels.Join(self), timeout)
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftStatus.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftStatus.java
@@ -6,10 +6,10 @@
 import org.elmline.core.raft.Role;
 
 /**
- * A replica's standing after its last input.
+ * A replica's status after its last input.
  *
  * @param leader null when none is known
- * @param leaseUntilNanos end of the own lease on the own monotonic clock, {@link RaftNode#NO_LEASE} without one
+ * @param leaseUntilNanos end of this replica's own lease on its monotonic clock, {@link RaftNode#NO_LEASE} without one
  */
 public record RaftStatus(
         ReplicaId self,
@@ -35,7 +35,10 @@
                 node.lastIndex());
     }
 
-    /** The same replica while its disk is full: it can promise nothing, so it does not count as leader. */
+    /**
+     * Status while this replica's disk is full and after it stopped: it can neither vote nor acknowledge entries, so it
+     * does not count as leader.
+     */
     RaftStatus withoutLeadership() {
         return new RaftStatus(
                 self,
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/ReadResult.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/ReadResult.java
@@ -2,14 +2,14 @@
 
 import org.elmline.core.raft.ReplicaId;
 
-/** What became of a request to read the latest committed state. */
+/** Result of a request to read the latest committed state. */
 public sealed interface ReadResult {
-    /** The state machine here holds all that was committed when the read was asked for. */
+    /** The state machine here has applied all that was committed when the read was requested. */
     record Readable(long index) implements ReadResult {}
 
-    /** Ask the leader, null when none is known. */
+    /** This replica does not lead; {@code leader} is null when none is known. */
     record NotLeader(ReplicaId leader) implements ReadResult {}
 
-    /** Try again shortly. */
+    /** Not possible at present; to be retried after a short delay. */
     record NotReady() implements ReadResult {}
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/LogMeasurement.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/LogMeasurement.java
@@ -20,7 +20,7 @@
 import org.elmline.storage.StoreResult;
 import org.elmline.storage.SystemFiles;
 
-/** Prints proposals a second against syncs a second, and replay and snapshot times, on the disk of a given folder. */
+/** Prints syncs per second by batch size, and replay and snapshot times, on the disk of a given folder. */
 public final class LogMeasurement {
     private static final HostId HOST = HostId.of("h1");
     private static final int ENTRY_BYTES = 300;
@@ -34,7 +34,7 @@
         this.parent = parent;
     }
 
-    /** @param args the folder to measure on */
+    /** @param args the folder for the data, on the disk to measure */
     public static void main(String[] args) throws IOException {
         LogMeasurement measurement = new LogMeasurement(Files.createDirectories(Path.of(args[0])));
         for (int batch : new int[] {1, 8, 64, 512}) {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/ProposalMeasurement.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/ProposalMeasurement.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.Semaphore;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Prints committed proposals a second through three replicas in one process, by how many callers wait at once. */
+/** Prints committed proposals per second through three replicas in one process, by the number of concurrent callers. */
 public final class ProposalMeasurement {
     private static final int ROUNDS = 7;
     private static final long ROUND_NANOS = 1_000_000_000L;
@@ -17,7 +17,7 @@
 
     private ProposalMeasurement() {}
 
-    /** @param args the folder to measure on */
+    /** @param args the folder for the data, on the disk to measure */
     public static void main(String[] args) throws Exception {
         Path data = Files.createDirectories(Path.of(args[0]));
         MemoryNetwork network = new MemoryNetwork();
@@ -56,7 +56,10 @@
                 callers, proposals[ROUNDS / 2], proposals[0], proposals[ROUNDS - 1], perSync[ROUNDS / 2]);
     }
 
-    /** Asked for each round, since a busy machine may stop a leader's thread for an election timeout. */
+    /**
+     * Looked up for each round, since on a busy machine the leader's thread may pause for an election timeout and
+     * another replica become leader.
+     */
     private static TestReplica leader(List<TestReplica> replicas) throws InterruptedException {
         while (true) {
             for (TestReplica each : replicas) {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/RaftDriverTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/RaftDriverTest.java
@@ -57,7 +57,7 @@
             }
             Thread.sleep(10);
         }
-        throw new AssertionError("never: " + what);
+        throw new AssertionError("condition not met within 30 s: " + what);
     }
 
     private TestReplica leader() throws Exception {
@@ -72,7 +72,9 @@
         return to.driver.propose(ByteBuffer.allocate(Long.BYTES).putLong(number).array());
     }
 
-    /** Proposes until committed commands number so many more than before; returns how many were surely committed. */
+    /**
+     * Proposes until this many commands are known to be committed; a command with an unknown result is proposed again.
+     */
     private void commit(int commands) throws Exception {
         int done = 0;
         while (done < commands) {
@@ -93,8 +95,8 @@
     }
 
     /**
-     * The leader's host stops, hundreds of changes pass, it comes back with its old folder; then another host comes
-     * back with an empty one. Each catches up, and the lost replica is replaced by the new one.
+     * Stops the leader's host, commits 500 commands and restarts it with its old folder; then restarts another host
+     * with an empty folder. Both must catch up, and the new replica must replace the lost one.
      */
     @Test
     void aStoppedAndAnEmptiedHostCatchUp() throws Exception {
@@ -109,7 +111,7 @@
         emptied.stop();
         emptied.start(data.resolve("second"), false);
         await("replaced", this::allAgree);
-        // A leader's status is published after its sync, when the replica that it promoted may know already.
+        // The leader publishes its status after its sync, possibly later than the replica that it promoted.
         TestReplica leader = leader();
         await("known to the leader", () -> voters(leader).size() == 3);
         assertEquals(
@@ -135,8 +137,8 @@
     }
 
     /**
-     * The leader's disk fills up. What it had not synced is unknown or refused, never answered as committed by it; it
-     * stops to lead, another takes over, and it follows again once there is room.
+     * Fills the leader's disk. Commands that it had not synced must be unknown or refused, never answered as committed
+     * by it; it stops leading, another replica takes over, and it follows again once its disk has room.
      */
     @Test
     void aLeaderWithAFullDiskGivesWay() throws Exception {
@@ -155,7 +157,9 @@
         caught.get(30, TimeUnit.SECONDS);
     }
 
-    /** Guards against a lost disk that costs its voter for good, where the settings name no host that leads. */
+    /**
+     * Guards against the permanent loss of a voter whose disk was lost when the settings don't name the leader's host.
+     */
     @Test
     void aHostThatLostItsDiskIsLetInThoughItKnowsOnlyAFollower() throws Exception {
         TestReplica leader = leader();
@@ -171,7 +175,10 @@
                 () -> leader.driver.status().membership().voters().size() == 3);
     }
 
-    /** Guards against a lost disk that costs its voter for good, where none of the hosts of the settings is left. */
+    /**
+     * Guards against the permanent loss of a voter whose disk was lost when none of the hosts in the settings exists
+     * any more.
+     */
     @Test
     void aHostThatLostItsDiskAsksWhoStillWritesToIt() throws Exception {
         int emptied = (replicas.indexOf(leader()) + 1) % 3;
@@ -182,7 +189,7 @@
         await("a voter again", fresh::votes);
     }
 
-    /** Guards against a replacement that waits for another question before each of its steps. */
+    /** Guards against a replacement that needs a further join request for each of its steps. */
     @Test
     void oneQuestionIsEnoughToReplaceALostReplica() throws Exception {
         TestReplica leader = leader();
@@ -196,7 +203,7 @@
         await("a voter again", fresh::votes);
     }
 
-    /** Guards against a control host that stays lost while nobody is told of it. */
+    /** Guards against a lost control host that is not reported to operators. */
     @Test
     void theLeaderCountsVotersThatAreMissing() throws Exception {
         TestReplica leader = leader();
@@ -216,7 +223,10 @@
         return (Integer) leader.metrics.getGauges().get("raft.voters.missing").getValue();
     }
 
-    /** Proposals that come while a sync runs share the next one: a sync each would bound claims by the disk. */
+    /**
+     * Proposals that arrive during a sync share the next one; with one sync per proposal the disk would limit the rate
+     * of claims.
+     */
     @Test
     void oneSyncServesManyProposals() throws Exception {
         commit(1);
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/TestReplica.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/TestReplica.java
@@ -22,7 +22,9 @@
 import org.elmline.storage.OpenResult;
 import org.elmline.storage.SystemFiles;
 
-/** One control host's replica over real files; its state counts and sums up the commands. */
+/**
+ * A replica of one control host with real files; its state machine counts the commands and computes a checksum of them.
+ */
 final class TestReplica implements StateMachine {
     volatile boolean diskFull;
     volatile CountDownLatch gate = new CountDownLatch(0);
