--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/JoinRequester.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/JoinRequester.java
@@ -34,18 +34,18 @@
 
     /** @param answerCallback receives each answer on the network's thread and passes it to {@link #onAnswer} */
     JoinRequester(
-            RaftDriver.Builder parts,
+            RaftDriver.Builder configuration,
             RaftNode node,
             RaftMessageSender sender,
-            MembershipReporter log,
+            MembershipReporter membershipReporter,
             Consumer<RaftChannels.JoinAnswer> answerCallback) {
-        this.configuration = parts;
+        this.configuration = configuration;
         this.node = node;
         this.sender = sender;
-        this.membershipReporter = log;
+        this.membershipReporter = membershipReporter;
         this.answerCallback = answerCallback;
-        this.requestIntervalNanos = parts.settings.electionTimeout().toNanos();
-        this.nextRequestNanos = parts.clock.nanos();
+        this.requestIntervalNanos = configuration.settings.electionTimeout().toNanos();
+        this.nextRequestNanos = configuration.clock.nanos();
         this.leaderSeenNanos = nextRequestNanos;
     }
 
@@ -70,8 +70,9 @@
     private boolean shouldJoin(long now) {
         Membership membership = node.membership();
         boolean fresh = membership.equals(Membership.EMPTY) || membership.isLearner(node.self());
-        boolean forgotten = configuration.voterLostTimeout != null && now - leaderSeenNanos >= 2 * requestIntervalNanos;
-        return fresh || forgotten;
+        boolean mayBeReplaced =
+                configuration.voterLostTimeout != null && now - leaderSeenNanos >= 2 * requestIntervalNanos;
+        return fresh || mayBeReplaced;
     }
 
     private Collection<Address> knownAddresses() {
@@ -80,19 +81,19 @@
         return hosts;
     }
 
-    private void addAddress(HostId host, Collection<Address> to) {
+    private void addAddress(HostId host, Collection<Address> addresses) {
         Address address = configuration.addresses.apply(host);
         if (address != null && !host.equals(node.self().host())) {
-            to.add(address);
+            addresses.add(address);
         }
     }
 
     private void request(Collection<Address> hosts) {
-        List<Address> now = new ArrayList<>(hosts);
-        now.removeIf(each -> !requestedAddresses.add(each));
-        if (!now.isEmpty()) {
-            membershipReporter.logJoinRequest(now);
-            sender.requestJoin(now, node.self(), answerCallback);
+        List<Address> targets = new ArrayList<>(hosts);
+        targets.removeIf(each -> !requestedAddresses.add(each));
+        if (!targets.isEmpty()) {
+            membershipReporter.logJoinRequest(targets);
+            sender.requestJoin(targets, node.self(), answerCallback);
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/MembershipReporter.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/MembershipReporter.java
@@ -61,29 +61,29 @@
 
     /** Updates the missing voters, which only the leader can detect. */
     void checkMissingVoters() {
-        Set<ReplicaId> now = new HashSet<>();
+        Set<ReplicaId> missing = new HashSet<>();
         if (node.isLeader()) {
             for (ReplicaId each : node.membership().voters()) {
-                long silent = node.nanosSinceContact(each);
-                if (each.equals(node.self()) || silent < missingTimeoutNanos) {
+                long sinceContactNanos = node.nanosSinceContact(each);
+                if (each.equals(node.self()) || sinceContactNanos < missingTimeoutNanos) {
                     continue;
                 }
-                now.add(each);
+                missing.add(each);
                 if (missingReplicas.add(each)) {
-                    LOG.warnf("voter %s is missing: no contact for %d ms", each, silent / NANOS_PER_MILLI);
+                    LOG.warnf("voter %s is missing: no contact for %d ms", each, sinceContactNanos / NANOS_PER_MILLI);
                 }
             }
         }
-        missingReplicas.retainAll(now);
-        missingVoterCount = now.size();
+        missingReplicas.retainAll(missing);
+        missingVoterCount = missing.size();
     }
 
-    private void logOnce(ReplicaId about, String line) {
+    private void logOnce(ReplicaId replica, String line) {
         if (lastLines.size() >= MAX_LAST_LINES) {
             lastLines.clear();
         }
-        if (!line.equals(lastLines.put(about, line))) {
-            LOG.infof("replica %s term %d: %s %s", node.self(), node.term(), about, line);
+        if (!line.equals(lastLines.put(replica, line))) {
+            LOG.infof("replica %s term %d: %s %s", node.self(), node.term(), replica, line);
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/PendingOperations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/PendingOperations.java
@@ -33,21 +33,23 @@
     }
 
     void onApplied(Entry entry, byte[] result, ReplicaId leader) {
-        Proposal waiting = proposals.remove(entry.index());
-        if (waiting == null) {
+        Proposal pending = proposals.remove(entry.index());
+        if (pending == null) {
             return;
         }
         // When another entry was committed at this index, the proposed one never can be.
-        boolean own = waiting.term() == entry.term();
-        waiting.done()
+        boolean sameTerm = pending.term() == entry.term();
+        pending.done()
                 .complete(
-                        own ? new ProposeResult.Committed(entry.index(), result) : new ProposeResult.NotLeader(leader));
+                        sameTerm
+                                ? new ProposeResult.Committed(entry.index(), result)
+                                : new ProposeResult.NotLeader(leader));
     }
 
     void onReadConfirmed(ConfirmedRead read) {
-        Read waiting = reads.remove(read.number());
-        if (waiting != null) {
-            waiting.done().complete(new ReadResult.Readable(read.index()));
+        Read pending = reads.remove(read.number());
+        if (pending != null) {
+            pending.done().complete(new ReadResult.Readable(read.index()));
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
@@ -41,19 +41,23 @@
     private final Counter droppedMessages;
     private volatile boolean closed;
 
-    private RaftDriver(Builder parts) {
-        queue = new ArrayBlockingQueue<>(parts.queueLength);
-        folder = parts.folder;
-        droppedMessages = parts.metrics.counter("raft.messages.dropped");
-        RestoredState restored = parts.restored;
+    private RaftDriver(Builder configuration) {
+        queue = new ArrayBlockingQueue<>(configuration.queueLength);
+        folder = configuration.folder;
+        droppedMessages = configuration.metrics.counter("raft.messages.dropped");
+        RestoredState restored = configuration.restored;
         if (restored.snapshot() != null) {
-            parts.machine.restore(restored.snapshot().data());
+            configuration.machine.restore(restored.snapshot().data());
         }
-        RaftNode node = new RaftNode(folder.identity(), parts.settings, restored, parts.random, parts.clock.nanos());
-        RaftMessageSender sender =
-                new RaftMessageSender(parts.network, parts.addresses, parts.settings.electionTimeout(), parts.metrics);
-        loop = new RaftLoop(parts, node, queue, sender);
-        register(parts.handlers);
+        RaftNode node = new RaftNode(
+                folder.identity(), configuration.settings, restored, configuration.random, configuration.clock.nanos());
+        RaftMessageSender sender = new RaftMessageSender(
+                configuration.network,
+                configuration.addresses,
+                configuration.settings.electionTimeout(),
+                configuration.metrics);
+        loop = new RaftLoop(configuration, node, queue, sender);
+        register(configuration.handlers);
         thread = Executors.newSingleThreadExecutor(task -> new Thread(task, "raft-" + folder.identity()));
         thread.execute(loop);
     }
@@ -213,9 +217,9 @@
          * Sets the opened folder, whose identity this replica takes, and its restored contents; the driver closes the
          * folder.
          */
-        public Builder folder(DataFolder value, RestoredState held) {
+        public Builder folder(DataFolder value, RestoredState state) {
             folder = value;
-            restored = held;
+            restored = state;
             return this;
         }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
@@ -67,21 +67,23 @@
     private long nextVoterCheckNanos;
     private long lastSyncNanos;
 
-    RaftLoop(RaftDriver.Builder parts, RaftNode node, BlockingQueue<RaftInput> queue, RaftMessageSender sender) {
-        this.configuration = parts;
+    RaftLoop(
+            RaftDriver.Builder configuration, RaftNode node, BlockingQueue<RaftInput> queue, RaftMessageSender sender) {
+        this.configuration = configuration;
         this.node = node;
-        this.folder = parts.folder;
-        this.machine = parts.machine;
-        this.clock = parts.clock;
+        this.folder = configuration.folder;
+        this.machine = configuration.machine;
+        this.clock = configuration.clock;
         this.queue = queue;
         this.sender = sender;
-        this.tickNanos = parts.settings.heartbeat().toNanos() / 4;
-        MetricRegistry metrics = parts.metrics;
+        this.tickNanos = configuration.settings.heartbeat().toNanos() / 4;
+        MetricRegistry metrics = configuration.metrics;
         this.membershipReporter = new MembershipReporter(
-                node, metrics, 2 * parts.settings.electionTimeout().toNanos());
-        this.joinQueue = new JoinQueue(2 * parts.settings.electionTimeout().toNanos());
+                node, metrics, 2 * configuration.settings.electionTimeout().toNanos());
+        this.joinQueue =
+                new JoinQueue(2 * configuration.settings.electionTimeout().toNanos());
         this.joinRequester = new JoinRequester(
-                parts,
+                configuration,
                 node,
                 sender,
                 membershipReporter,
@@ -127,9 +129,9 @@
         stopping = true;
         status = status.withoutLeadership();
         pendingOperations.onDeposed(Long.MAX_VALUE, null, "the replica stopped");
-        List<RaftInput> left = new ArrayList<>();
-        queue.drainTo(left);
-        left.forEach(each -> reject(each, ProposeRefusal.CLOSED));
+        List<RaftInput> unhandled = new ArrayList<>();
+        queue.drainTo(unhandled);
+        unhandled.forEach(each -> reject(each, ProposeRefusal.CLOSED));
     }
 
     private void runOnce() throws InterruptedException {
@@ -189,8 +191,8 @@
             node.step(now, received.message());
         } else if (input instanceof RaftInput.ChangeMembership change) {
             ProposeOutcome outcome = node.propose(now, change.change());
-            if (outcome instanceof ProposeOutcome.Appended at) {
-                pendingOperations.addProposal(at.firstIndex(), at.term(), change.done());
+            if (outcome instanceof ProposeOutcome.Appended appended) {
+                pendingOperations.addProposal(appended.firstIndex(), appended.term(), change.done());
             } else {
                 change.done().complete(result(outcome));
             }
@@ -232,9 +234,9 @@
     }
 
     private boolean isReadyToVote(ReplicaId joining) {
-        boolean heard = node.nanosSinceContact(joining)
+        boolean inContact = node.nanosSinceContact(joining)
                 < configuration.settings.electionTimeout().toNanos();
-        return heard && node.isCaughtUp(joining);
+        return inContact && node.isCaughtUp(joining);
     }
 
     private void proposeChange(MembershipChange change, long now) {
@@ -243,10 +245,10 @@
 
     private void read(RaftInput.Read read, long now) {
         ReadOutcome outcome = node.readIndex(now);
-        if (outcome instanceof ReadOutcome.AwaitingQuorum waiting) {
-            pendingOperations.addRead(waiting.number(), node.term(), read.done());
-        } else if (outcome instanceof ReadOutcome.NotLeader not) {
-            read.done().complete(new ReadResult.NotLeader(not.leader()));
+        if (outcome instanceof ReadOutcome.AwaitingQuorum awaiting) {
+            pendingOperations.addRead(awaiting.number(), node.term(), read.done());
+        } else if (outcome instanceof ReadOutcome.NotLeader notLeader) {
+            read.done().complete(new ReadResult.NotLeader(notLeader.leader()));
         } else {
             read.done().complete(new ReadResult.NotReady());
         }
@@ -259,10 +261,12 @@
         }
         ProposeOutcome outcome = node.propose(
                 now, proposals.stream().map(RaftInput.Propose::command).toList());
-        if (outcome instanceof ProposeOutcome.Appended at) {
+        if (outcome instanceof ProposeOutcome.Appended appended) {
             for (int i = 0; i < proposals.size(); i++) {
                 pendingOperations.addProposal(
-                        at.firstIndex() + i, at.term(), proposals.get(i).done());
+                        appended.firstIndex() + i,
+                        appended.term(),
+                        proposals.get(i).done());
             }
         } else if (outcome instanceof ProposeOutcome.Refused && proposals.size() > 1) {
             proposals.forEach(each -> propose(List.of(each), now));
@@ -272,8 +276,8 @@
     }
 
     private static ProposeResult result(ProposeOutcome outcome) {
-        if (outcome instanceof ProposeOutcome.NotLeader not) {
-            return new ProposeResult.NotLeader(not.leader());
+        if (outcome instanceof ProposeOutcome.NotLeader notLeader) {
+            return new ProposeResult.NotLeader(notLeader.leader());
         }
         return new ProposeResult.Refused(((ProposeOutcome.Refused) outcome).reason());
     }
@@ -317,17 +321,17 @@
         if (ready.snapshotToInstall() != null && !write(() -> folder.install(ready.snapshotToInstall()))) {
             return false;
         }
-        boolean records = ready.hardState() != null || !ready.entries().isEmpty();
-        long before = clock.nanos();
-        boolean written = !records || write(() -> folder.append(ready.hardState(), ready.entries()));
-        if (records) {
-            lastSyncNanos = clock.nanos() - before;
+        boolean hasRecords = ready.hardState() != null || !ready.entries().isEmpty();
+        long startNanos = clock.nanos();
+        boolean written = !hasRecords || write(() -> folder.append(ready.hardState(), ready.entries()));
+        if (hasRecords) {
+            lastSyncNanos = clock.nanos() - startNanos;
         }
         return written;
     }
 
     private boolean write(Supplier<StoreResult> write) throws InterruptedException {
-        boolean full = false;
+        boolean waiting = false;
         while (!stopping) {
             StoreResult result = write.get();
             if (result instanceof StoreResult.Done) {
@@ -337,9 +341,9 @@
             if (result instanceof StoreResult.Failed failed) {
                 throw new StorageFailure(failed.reason());
             }
-            if (!full) {
+            if (!waiting) {
                 LOG.warnf("replica %s waits for free disk space: its disk is full", node.self());
-                full = true;
+                waiting = true;
             }
             waitForDiskSpace();
         }
@@ -348,9 +352,9 @@
 
     private void waitForDiskSpace() throws InterruptedException {
         status = status.withoutLeadership();
-        List<RaftInput> waiting = new ArrayList<>();
-        queue.drainTo(waiting);
-        waiting.forEach(each -> reject(each, ProposeRefusal.DISK_FULL));
+        List<RaftInput> unhandled = new ArrayList<>();
+        queue.drainTo(unhandled);
+        unhandled.forEach(each -> reject(each, ProposeRefusal.DISK_FULL));
         Thread.sleep(FULL_DISK_RETRY_MILLIS);
     }
 
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/LogMeasurement.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/LogMeasurement.java
@@ -38,10 +38,10 @@
     public static void main(String[] args) throws IOException {
         LogMeasurement measurement = new LogMeasurement(Files.createDirectories(Path.of(args[0])));
         for (int batch : new int[] {1, 8, 64, 512}) {
-            measurement.syncs(batch);
+            measurement.measureSyncs(batch);
         }
         for (int thousands : new int[] {1, 10, 50}) {
-            measurement.replay(thousands);
+            measurement.measureReplay(thousands);
         }
     }
 
@@ -49,7 +49,7 @@
         return new Entry(index, 1, EntryKind.COMMAND, new byte[ENTRY_BYTES]);
     }
 
-    private Path fresh() {
+    private Path newFolder() {
         return parent.resolve("run-" + ProcessHandle.current().pid() + "-" + folders++);
     }
 
@@ -72,8 +72,8 @@
         return batch;
     }
 
-    private void syncs(int size) throws IOException {
-        DataFolder folder = open(fresh()).folder();
+    private void measureSyncs(int size) throws IOException {
+        DataFolder folder = open(newFolder()).folder();
         int batches = Math.max(20, 400 / size);
         long[] next = {1};
         print("syncs a second, " + size + " proposals each", () -> {
@@ -87,8 +87,8 @@
         folder.close();
     }
 
-    private void replay(int thousands) throws IOException {
-        Path path = fresh();
+    private void measureReplay(int thousands) throws IOException {
+        Path path = newFolder();
         DataFolder folder = open(path).folder();
         int entries = thousands * 1_000;
         require(folder.append(new HardState(1, null), List.of()));
@@ -100,22 +100,22 @@
             long start = System.nanoTime();
             OpenResult.Opened opened = open(path);
             double millis = (System.nanoTime() - start) / 1e6 / thousands;
-            closed(opened.folder());
+            closeUnchecked(opened.folder());
             return millis;
         });
-        DataFolder again = open(path).folder();
+        DataFolder reopened = open(path).folder();
         Membership members = Membership.ofVoters(List.of(new ReplicaId(HOST, 1)));
         long[] index = {0};
         print("snapshot, ms per thousand of " + entries, () -> {
             Snapshot snapshot = new Snapshot(++index[0], 1, members, new byte[entries * ENTRY_BYTES]);
             long start = System.nanoTime();
-            require(again.compact(snapshot));
+            require(reopened.compact(snapshot));
             return (System.nanoTime() - start) / 1e6 / thousands;
         });
-        again.close();
+        reopened.close();
     }
 
-    private static void closed(DataFolder folder) {
+    private static void closeUnchecked(DataFolder folder) {
         try {
             folder.close();
         } catch (IOException e) {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/MemoryNetwork.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/MemoryNetwork.java
@@ -29,7 +29,7 @@
         };
     }
 
-    void down(Address address) {
+    void disconnect(Address address) {
         hosts.remove(address);
     }
 
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/ProposalMeasurement.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/ProposalMeasurement.java
@@ -28,7 +28,7 @@
                     .toList()));
             replicas.get(i).start(data.resolve("run-" + ProcessHandle.current().pid() + "-" + i), i == 0);
         }
-        while (!replicas.stream().allMatch(TestReplica::votes)) {
+        while (!replicas.stream().allMatch(TestReplica::isVoter)) {
             Thread.sleep(10);
         }
         for (int callers : new int[] {1, 16, 256, 2_048}) {
@@ -38,13 +38,13 @@
     }
 
     private static void measure(List<TestReplica> replicas, int callers) throws Exception {
-        round(leader(replicas), callers);
+        runRound(leader(replicas), callers);
         double[] proposals = new double[ROUNDS];
         double[] perSync = new double[ROUNDS];
         for (int i = 0; i < ROUNDS; i++) {
             TestReplica leader = leader(replicas);
             long syncs = leader.metrics.counter("raft.syncs").getCount();
-            int done = round(leader, callers);
+            int done = runRound(leader, callers);
             proposals[i] = done;
             perSync[i] = done
                     / (double) Math.max(1, leader.metrics.counter("raft.syncs").getCount() - syncs);
@@ -71,11 +71,11 @@
         }
     }
 
-    private static int round(TestReplica leader, int callers) throws InterruptedException {
+    private static int runRound(TestReplica leader, int callers) throws InterruptedException {
         Semaphore slots = new Semaphore(callers);
         AtomicInteger committed = new AtomicInteger();
-        long until = System.nanoTime() + ROUND_NANOS;
-        while (System.nanoTime() < until) {
+        long endNanos = System.nanoTime() + ROUND_NANOS;
+        while (System.nanoTime() < endNanos) {
             slots.acquire();
             CompletableFuture<ProposeResult> result = leader.driver.propose(new byte[COMMAND_BYTES]);
             result.thenAccept(each -> {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/RaftDriverTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/RaftDriverTest.java
@@ -38,7 +38,7 @@
             replicas.add(each);
             each.start(data.resolve("first-" + i), i == 0);
         }
-        await("three voters", () -> replicas.stream().allMatch(TestReplica::votes));
+        await("three voters", () -> replicas.stream().allMatch(TestReplica::isVoter));
     }
 
     @AfterEach
@@ -91,7 +91,7 @@
 
     private boolean allAgree() {
         TestReplica first = replicas.get(0);
-        return replicas.stream().allMatch(each -> each.votes() && each.count == first.count && each.sum == first.sum);
+        return replicas.stream().allMatch(each -> each.isVoter() && each.count == first.count && each.sum == first.sum);
     }
 
     /**
@@ -99,7 +99,7 @@
      * with an empty folder. Both must catch up, and the new replica must replace the lost one.
      */
     @Test
-    void aStoppedAndAnEmptiedHostCatchUp() throws Exception {
+    void restartedAndEmptiedHostsCatchUp() throws Exception {
         commit(50);
         TestReplica stopped = leader();
         int number = replicas.indexOf(stopped);
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void leadershipMovesAndReadsAreConfirmed() throws Exception {
+    void transfersLeadershipAndConfirmsReads() throws Exception {
         commit(10);
         TestReplica old = leader();
         assertTrue(old.driver.transferLeadership().get(30, TimeUnit.SECONDS));
@@ -141,11 +141,11 @@
      * by it; it stops leading, another replica takes over, and it follows again once its disk has room.
      */
     @Test
-    void aLeaderWithAFullDiskGivesWay() throws Exception {
+    void leaderWithFullDiskStopsLeading() throws Exception {
         commit(10);
         TestReplica full = leader();
         full.diskFull = true;
-        CompletableFuture<ProposeResult> caught = propose(full, 1);
+        CompletableFuture<ProposeResult> pending = propose(full, 1);
         await("does not lead", () -> !full.driver.isLeader());
         assertEquals(
                 new ProposeResult.Refused(ProposeRefusal.DISK_FULL),
@@ -154,14 +154,14 @@
         commit(10);
         full.diskFull = false;
         await("follows again", this::allAgree);
-        caught.get(30, TimeUnit.SECONDS);
+        pending.get(30, TimeUnit.SECONDS);
     }
 
     /**
      * Guards against the permanent loss of a voter whose disk was lost when the settings don't name the leader's host.
      */
     @Test
-    void aHostThatLostItsDiskIsLetInThoughItKnowsOnlyAFollower() throws Exception {
+    void emptiedHostJoinsThroughFollower() throws Exception {
         TestReplica leader = leader();
         int follower = (replicas.indexOf(leader) + 1) % 3;
         int emptied = (replicas.indexOf(leader) + 2) % 3;
@@ -169,7 +169,7 @@
         TestReplica fresh = new TestReplica(network, emptied, () -> List.of(replicas.get(follower).address));
         replicas.set(emptied, fresh);
         fresh.start(data.resolve("second"), false);
-        await("a voter again", fresh::votes);
+        await("a voter again", fresh::isVoter);
         await(
                 "the lost replica is out",
                 () -> leader.driver.status().membership().voters().size() == 3);
@@ -180,32 +180,33 @@
      * any more.
      */
     @Test
-    void aHostThatLostItsDiskAsksWhoStillWritesToIt() throws Exception {
+    void emptiedHostJoinsThroughSenderOfMessages() throws Exception {
         int emptied = (replicas.indexOf(leader()) + 1) % 3;
         replicas.get(emptied).stop();
         TestReplica fresh = new TestReplica(network, emptied, () -> List.of(new Address("127.0.0.1", 99)));
         replicas.set(emptied, fresh);
         fresh.start(data.resolve("second"), false);
-        await("a voter again", fresh::votes);
+        await("a voter again", fresh::isVoter);
     }
 
     /** Guards against a replacement that needs a further join request for each of its steps. */
     @Test
-    void oneQuestionIsEnoughToReplaceALostReplica() throws Exception {
+    void replacesLostReplicaAfterOneJoinRequest() throws Exception {
         TestReplica leader = leader();
         int emptied = (replicas.indexOf(leader) + 1) % 3;
         replicas.get(emptied).stop();
         TestReplica fresh = new TestReplica(network, emptied, List::of);
         replicas.set(emptied, fresh);
         fresh.start(data.resolve("second"), false);
-        RaftChannels.Join question = new RaftChannels.Join(fresh.driver.status().self());
-        network.call(leader.address, RaftChannels.JOIN, question, Duration.ofSeconds(1));
-        await("a voter again", fresh::votes);
+        RaftChannels.Join joinRequest =
+                new RaftChannels.Join(fresh.driver.status().self());
+        network.call(leader.address, RaftChannels.JOIN, joinRequest, Duration.ofSeconds(1));
+        await("a voter again", fresh::isVoter);
     }
 
     /** Guards against a lost control host that is not reported to operators. */
     @Test
-    void theLeaderCountsVotersThatAreMissing() throws Exception {
+    void leaderCountsMissingVoters() throws Exception {
         TestReplica leader = leader();
         assertEquals(0, missingVoters(leader));
         TestReplica stopped = replicas.get((replicas.indexOf(leader) + 1) % 3);
@@ -228,12 +229,12 @@
      * of claims.
      */
     @Test
-    void oneSyncServesManyProposals() throws Exception {
+    void sharesSyncsBetweenProposals() throws Exception {
         commit(1);
         TestReplica leader = leader();
         CountDownLatch gate = new CountDownLatch(1);
         long before = leader.metrics.counter("raft.syncs").getCount();
-        leader.gate = gate;
+        leader.syncGate = gate;
         List<CompletableFuture<ProposeResult>> all = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             all.add(propose(leader, i));
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/TestReplica.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/TestReplica.java
@@ -27,7 +27,7 @@
  */
 final class TestReplica implements StateMachine {
     volatile boolean diskFull;
-    volatile CountDownLatch gate = new CountDownLatch(0);
+    volatile CountDownLatch syncGate = new CountDownLatch(0);
     volatile long count;
     volatile long sum;
     final Address address;
@@ -54,8 +54,8 @@
         SystemFiles files = new SystemFiles() {
             @Override
             public OutputFile open(Path file) throws IOException {
-                OutputFile real = super.open(file);
-                return new FillingFile(real);
+                OutputFile delegate = super.open(file);
+                return new DiskFullFile(delegate);
             }
         };
         OpenResult.Opened opened =
@@ -84,11 +84,11 @@
     }
 
     void stop() {
-        network.down(address);
+        network.disconnect(address);
         driver.close();
     }
 
-    boolean votes() {
+    boolean isVoter() {
         return driver.status().membership().isVoter(driver.status().self());
     }
 
@@ -111,11 +111,11 @@
         sum = from.getLong();
     }
 
-    private final class FillingFile implements org.elmline.storage.FileOperations.OutputFile {
-        private final org.elmline.storage.FileOperations.OutputFile real;
+    private final class DiskFullFile implements org.elmline.storage.FileOperations.OutputFile {
+        private final org.elmline.storage.FileOperations.OutputFile delegate;
 
-        private FillingFile(org.elmline.storage.FileOperations.OutputFile real) {
-            this.real = real;
+        private DiskFullFile(org.elmline.storage.FileOperations.OutputFile delegate) {
+            this.delegate = delegate;
         }
 
         @Override
@@ -123,27 +123,27 @@
             if (diskFull) {
                 throw new DiskFullException("full");
             }
-            real.write(bytes);
+            delegate.write(bytes);
         }
 
         @Override
         public void sync() throws IOException {
             try {
-                gate.await();
+                syncGate.await();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
-            real.sync();
+            delegate.sync();
         }
 
         @Override
         public void truncate(long length) throws IOException {
-            real.truncate(length);
+            delegate.truncate(length);
         }
 
         @Override
         public void close() throws IOException {
-            real.close();
+            delegate.close();
         }
     }
 }
