--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ClaimService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ClaimService.java
@@ -16,7 +16,10 @@
 import org.elmline.core.control.ClaimFinish;
 import org.elmline.core.control.CommandResult;
 
-/** Begins and finishes claims through the log, many in one command while earlier ones are being synced. */
+/**
+ * Begins and finishes claims through the log. Claims that arrive while earlier ones are synced share one command.
+ * Thread-safe.
+ */
 final class ClaimService {
     private static final long OVERLOADED_RETRY_AFTER_MILLIS = 500;
     private static final int MAX_BATCH_CLAIMS = 256;
@@ -61,7 +64,10 @@
         return waiter;
     }
 
-    /** Claims that still wait when this host stops leading are told so, in place of waiting for a batch to come back. */
+    /**
+     * Answers the pending claims once this host no longer leads, so that they don't wait for the result of an earlier
+     * batch.
+     */
     private void rejectPending(LeadershipStatus standing) {
         List<CompletableFuture<ClaimAnswer>> waiting;
         synchronized (batcher) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDaemon.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDaemon.java
@@ -43,7 +43,7 @@
 import org.elmline.wire.tcp.TcpPeerServer;
 import org.jboss.logging.Logger;
 
-/** One control host: everything it opens, how it is put together, and its graceful stop. */
+/** One control host: opens its data folder, log, services and ports, connects them and stops them gracefully. */
 public final class ControlDaemon implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(ControlDaemon.class);
     private static final int MAX_BLOCKING_TASKS = 16;
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Opens everything and begins to serve; closes what was opened when any of it fails.
+     * Opens everything and starts to serve; on failure, closes what was opened.
      *
-     * @param onFailure called when the disk failed or an invariant broke; the process must end then
+     * @param onFailure called when the disk failed or an invariant was broken; the process must end then
      */
     public static ControlDaemon start(ControlSettings settings, Runnable onFailure) throws IOException {
         ControlDaemon daemon = new ControlDaemon(settings, onFailure);
@@ -181,27 +181,27 @@
         return HttpListener.start(bind.ip(), bind.port(), HttpLimits.DEFAULT, new OperatorKeyHandler(keys, routes));
     }
 
-    /** How this control host stands, for operators. */
+    /** Returns this control host's status, for operators. */
     public ControlStatus status() {
         return ControlStatus.of(settings.host(), driver.status(), log.leadershipStatus());
     }
 
     private void onReplicaFailure() {
-        LOG.errorf("control host %s can't go on", settings.host());
+        LOG.errorf("control host %s stops: its replica failed", settings.host());
         onFailure.run();
     }
 
-    /** Where other elmline processes connect. */
+    /** Returns the address for other elmline processes. */
     public Address peers() {
         return peerServer.address(settings.addresses().peers().ip());
     }
 
-    /** Where operators connect. */
+    /** Returns the address for operators. */
     public Address operators() {
         return operators.address();
     }
 
-    /** Hands leadership over, then closes. */
+    /** Transfers leadership, then closes. */
     public void stop() {
         events.record(new HostEvent.Stopping(settings.host()));
         log.transferLeadership();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDataFolder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDataFolder.java
@@ -13,13 +13,17 @@
 import org.elmline.storage.StoreResult;
 import org.elmline.storage.SystemFiles;
 
-/** Opens a control host's data folder, and makes the first one of a new deployment. */
+/** Opens a control host's data folder and initialises the first one of a new deployment. */
 public final class ControlDataFolder {
     private static final int SEGMENT_BYTES = 8 * 1024 * 1024;
 
     private ControlDataFolder() {}
 
-    /** Fails with the reason in words when the folder can't be used. */
+    /**
+     * Opens the folder.
+     *
+     * @throws IOException when the folder can't be used; its message names the reason and the folder
+     */
     static OpenResult.Opened open(Path folder, HostId host) throws IOException {
         OpenResult result = DataFolder.open(new SystemFiles(), folder, host, new SecureRandom(), SEGMENT_BYTES);
         if (result instanceof OpenResult.Opened opened) {
@@ -39,9 +43,11 @@
     }
 
     /**
-     * Makes this host the first voter of a new deployment. To be done once, on one host: done again on a host that lost
-     * its disk it would begin a second deployment that knows nothing of the first, so it refuses a folder that has ever
-     * been used, and is never part of a start.
+     * Makes this host the first voter of a new deployment. To be run once, on one host, and never as part of a start:
+     * on a host that lost its disk it would create a second deployment without the state of the first. For that reason
+     * it rejects a folder that has ever been used.
+     *
+     * @throws IOException when the folder is in use or the membership can't be stored
      */
     public static void bootstrap(ControlSettings settings) throws IOException {
         OpenResult.Opened opened = open(settings.dataFolder(), settings.host());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStateMachine.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStateMachine.java
@@ -13,8 +13,8 @@
 import org.elmline.wire.codec.Decoded;
 
 /**
- * Guards the replicated state: one lock for the applying thread and for all readers. The lock is held for short steps
- * only and no other lock is taken under it.
+ * The replicated control state behind one lock, which the applying thread and all readers share. The lock is held for
+ * short steps only, and no other lock is acquired under it. Thread-safe.
  */
 public final class ControlStateMachine implements StateMachine {
     private static final Codec CODEC = Codecs.MESSAGE_PACK;
@@ -23,8 +23,8 @@
     private BiConsumer<Command, CommandResult> onApplied = (command, result) -> {};
 
     /**
-     * Called with each command under the lock, so that what the listener records comes before everything that a reader
-     * can do with the command's effect. The listener must not wait or take a lock.
+     * Sets the listener that is called with each applied command under the lock, so that what it records precedes
+     * everything that a reader can do with the command's effect. The listener must not block or acquire a lock.
      */
     public synchronized void onApplied(BiConsumer<Command, CommandResult> listener) {
         onApplied = listener;
@@ -54,11 +54,15 @@
         return reader.apply(state);
     }
 
-    /** A command or snapshot that can't be read is a broken invariant: going on would let this replica diverge. */
+    /**
+     * Decodes a command or snapshot. One that can't be decoded is a broken invariant: to skip it would let this replica
+     * diverge from the others.
+     */
     private static <T> T read(byte[] bytes, Class<T> type) {
         if (CODEC.decode(bytes, type) instanceof Decoded.Value<T> value) {
             return value.value();
         }
-        throw new IllegalStateException("a committed " + type.getSimpleName() + " can't be read");
+        throw new IllegalStateException(
+                "can't decode a committed " + type.getSimpleName() + " of " + bytes.length + " bytes");
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStatus.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStatus.java
@@ -9,11 +9,11 @@
 import org.elmline.daemon.raft.RaftStatus;
 
 /**
- * One control host as operators see it.
+ * Status of one control host, for operators.
  *
  * @param replica its identity: the host and the incarnation of its data folder
  * @param leader peer address of the leader, null when none is known
- * @param appliedIndex last index of the log that its state holds
+ * @param appliedIndex index of the last log entry applied to its state
  */
 public record ControlStatus(
         HostId host,
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/EngineOrderService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/EngineOrderService.java
@@ -38,14 +38,18 @@
 import org.jboss.logging.Logger;
 
 /**
- * Orders engines while this control host leads: asks each entry what its engines serve, plans, sends inside its own
- * lease, and asks again until the wanted state shows. Runs on one timer thread at a time.
+ * Sends orders to engines while this control host leads. Each round requests the engines' states from every entry,
+ * plans, and sends orders within the leader's lease, until the observed states match the configured ones. Rounds run on
+ * one timer thread at a time; answers arrive on network threads and are handled under this object's lock.
  */
 final class EngineOrderService {
     private static final Logger LOG = Logger.getLogger(EngineOrderService.class);
     private static final long ROUND_INTERVAL_MILLIS = 1_000;
     private static final Duration OBSERVE_TIMEOUT = Duration.ofSeconds(4);
-    /** Parts of a leader's lease: an order must be over well inside it, and it is held back where less than this is left. */
+    /**
+     * The time limit of an order is the leader's lease divided by this, so that it ends well within the lease; an order
+     * is held back when less than that is left of the lease.
+     */
     private static final int ORDER_TIMEOUT_LEASE_DIVISOR = 4;
 
     private final LeadershipMonitor leadership;
@@ -62,10 +66,10 @@
     private FencingNumber plannedFencing;
     private OrderPlanner planner;
 
-    /** One engine's last report, with the leader's clock when it asked. */
+    /** One engine's last report, and the leader's clock in nanoseconds when it requested the report. */
     private record TimedObservation(EngineObservation engine, long requestedNanos) {}
 
-    /** @param leaderLease whole length of a leader's lease */
+    /** @param leaderLease full duration of a leader's lease */
     EngineOrderService(
             LeadershipMonitor watch,
             CommandLog log,
@@ -99,7 +103,7 @@
         try {
             runRound();
         } catch (RuntimeException e) {
-            LOG.error("a round of engine orders failed; it is tried again", e);
+            LOG.error("a round of engine orders failed; the next round retries", e);
         }
     }
 
@@ -186,7 +190,8 @@
         }
         Optional<EngineClient> client =
                 engines.client(target.engine().protocol(), target.engine().address());
-        // Read right before sending: a leader frozen since planning must not send what it planned.
+        // The clock is read right before sending: a leader paused since planning must not send orders whose time limit
+        // has passed.
         long limit = order.timeLimitMillis(clock.nanos());
         if (client.isEmpty() || limit <= 0) {
             return;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
@@ -20,8 +20,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Follows whether this control host leads. Each new term first commits a {@link Command.StartLeadership}; only then,
- * with every earlier leader's commands applied, may this host grant leases and answer for tickets.
+ * Monitors whether this control host leads. Each new term first commits a {@link Command.StartLeadership}; only then
+ * are all commands of earlier leaders applied, and this host may grant leases and answer for tickets. Thread-safe.
  */
 final class LeadershipMonitor {
     private static final Logger LOG = Logger.getLogger(LeadershipMonitor.class);
@@ -40,7 +40,7 @@
     private long lastProposedTerm = -1;
     private long checkCount;
 
-    /** One term of this host as leader. Its keeper is used under the machine's lock only. */
+    /** One term of this host as leader. The lease manager is used under the state machine's lock only. */
     private record LeaderTerm(
             long number, FencingNumber fencingNumber, LeaseManager leases, CommandClock commandClock) {}
 
@@ -65,19 +65,19 @@
         timer.scheduleWithFixedDelay(this::checkLeadership, 0, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** The term's fencing number, while this host leads and its leadership is committed. */
+    /** Returns the term's fencing number while this host leads and its leadership is committed. */
     Optional<FencingNumber> fencingNumber() {
         return currentTerm().map(LeaderTerm::fencingNumber);
     }
 
-    /** Milliseconds since 1970 to stamp into a command; see {@link CommandClock}. */
+    /** Returns the time to stamp into a command, in milliseconds since 1970; see {@link CommandClock}. */
     long commandTimeMillis() {
         return currentTerm()
                 .map(each -> each.commandClock().stamp(System.currentTimeMillis(), clock.nanos()))
                 .orElseGet(System::currentTimeMillis);
     }
 
-    /** Uses the lease keeper under the machine's lock; empty when this host doesn't lead. */
+    /** Applies a function to the lease manager under the state machine's lock; empty when this host does not lead. */
     <T> Optional<T> withLeases(Function<LeaseManager, T> use) {
         return currentTerm().map(each -> machine.read(state -> use.apply(each.leases())));
     }
@@ -105,7 +105,7 @@
         }
     }
 
-    /** True once for each term. */
+    /** Returns true once per term. */
     private synchronized boolean markTermProposed(long number) {
         if (lastProposedTerm == number) {
             return false;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipStatus.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipStatus.java
@@ -5,9 +5,9 @@
 import org.elmline.core.common.Address;
 
 /**
- * How one control host stands in the replicated log.
+ * Status of one control host in the replicated log.
  *
- * @param leaseUntilNanos end of the leader's own lease on the monotonic clock; past it another leader may exist
+ * @param leaseUntilNanos end of the leader's own lease on the monotonic clock; after it another leader may exist
  * @param leader peer address of the leader, null when none is known
  * @param controlHosts peer addresses of all control hosts, the leader first when it is known
  */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeaseService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeaseService.java
@@ -12,7 +12,7 @@
 import org.elmline.core.control.LeaseDecision;
 import org.elmline.core.control.LeaseRequest;
 
-/** Answers entries that renew their leases. */
+/** Answers lease renewals of entries. Thread-safe. */
 final class LeaseService {
     private static final int MAX_JOIN_ATTEMPTS = 2;
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/RaftCommandLog.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/RaftCommandLog.java
@@ -18,7 +18,7 @@
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
-/** The replicated log of this control host: commands in MessagePack over a Raft replica. */
+/** The replicated log of this control host: commands, encoded in MessagePack, over a Raft replica. Thread-safe. */
 final class RaftCommandLog implements CommandLog {
     private static final long LEADERSHIP_TRANSFER_TIMEOUT_SECONDS = 5;
 
@@ -52,7 +52,7 @@
         return new LeadershipStatus(status.leads(), status.term(), status.leaseUntilNanos(), leader, hosts);
     }
 
-    /** Hands leadership over, so that a planned stop costs no election timeout. */
+    /** Transfers leadership, so that a planned stop does not cost an election timeout. */
     void transferLeadership() {
         if (driver.isLeader()) {
             driver.transferLeadership()
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
@@ -20,8 +20,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Records what the leader decides about tickets, and when each is in force. A ticket whose leader is deposed before it
- * is in force gets no event of that; the next leader doesn't know what was reported.
+ * Records the leader's decisions on tickets and when each ticket is in force. A ticket whose leader is deposed before
+ * it is in force gets no in-force event, as the next leader does not know which events were recorded. Thread-safe.
  */
 final class TicketEventRecorder {
     private static final Logger LOG = Logger.getLogger(TicketEventRecorder.class);
@@ -47,7 +47,9 @@
                 this::recordTicketsInForce, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** A ticket is about to be proposed here. One that is decided already is a retry, and nothing new happens to it. */
+    /**
+     * To be called before a ticket is proposed here. A ticket that is already decided is a retry and gets no new event.
+     */
     void beforeProposal(Command.ApplyTicket command) {
         boolean decided = machine.read(state -> state.ticket(command.ticket().number(), command.digest()))
                 .isPresent();
@@ -56,12 +58,15 @@
         }
     }
 
-    /** The proposal has ended, one way or another. */
+    /** To be called when the proposal has ended, whatever its outcome. */
     void afterProposal(Command.ApplyTicket command) {
         proposedDigests.remove(command.digest());
     }
 
-    /** Only what was proposed here is recorded: every replica applies every ticket, and again after a restart. */
+    /**
+     * Records only tickets that were proposed here: every replica applies every ticket, and applies it again after a
+     * restart.
+     */
     private void onApplied(Command command, CommandResult result) {
         if (!(command instanceof Command.ApplyTicket apply)
                 || !(result instanceof CommandResult.TicketDecided decided)
@@ -96,7 +101,7 @@
         }
     }
 
-    /** Empty when this host no longer leads. */
+    /** Returns the ticket's status, empty when this host no longer leads. */
     private Optional<TicketStatus> status(TicketNumber number) {
         Optional<TicketRecord> record = machine.read(state -> state.ticket(number));
         return record.flatMap(found -> leadership.withLeases(keeper -> keeper.status(found, clock.nanos())));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketService.java
@@ -14,7 +14,7 @@
 import org.elmline.core.control.TicketQuery;
 import org.elmline.core.control.TicketRecord;
 
-/** Decides tickets through the log and tells where they are in force. */
+/** Decides tickets through the log and reports where they are in force. Thread-safe. */
 final class TicketService {
     private final CommandLog log;
     private final ControlStateMachine machine;
@@ -70,7 +70,7 @@
             return new TicketAnswer.Undecided(undecided.why());
         }
         CommandResult applied = ((ProposalOutcome.Applied) result).result();
-        // Not read back from the state: a ticket older than all that are kept leaves no record there.
+        // Not read from the state, which keeps no record of a ticket that is older than all kept ones.
         TicketRecord record = TicketRecord.of(ticket, digest, ((CommandResult.TicketDecided) applied).outcome());
         return leadership
                 .withLeases(keeper -> keeper.status(record, clock.nanos()))
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/package-info.java
@@ -1,2 +1,5 @@
-/** The control role: serves the replicated state to entries and does the leader's duties over it. */
+/**
+ * The control role: serves the replicated state to entries and, on the leader, grants leases, decides tickets and
+ * orders engines.
+ */
 package org.elmline.daemon.control;
