--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ClaimService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ClaimService.java
@@ -31,9 +31,9 @@
     private final ClaimBatcher<CompletableFuture<ClaimAnswer>> batcher =
             new ClaimBatcher<>(MAX_BATCH_CLAIMS, MAX_PENDING_CLAIMS);
 
-    ClaimService(CommandLog log, LongSupplier stampMillis, MetricRegistry metrics) {
+    ClaimService(CommandLog log, LongSupplier commandTimeMillis, MetricRegistry metrics) {
         this.log = log;
-        this.commandTimeMillis = stampMillis;
+        this.commandTimeMillis = commandTimeMillis;
         this.batchSizes = metrics.histogram("control.claims.batch");
     }
 
@@ -47,17 +47,17 @@
 
     private <C> CompletionStage<ClaimAnswer> submit(
             C claim, BiFunction<C, CompletableFuture<ClaimAnswer>, Boolean> offer) {
-        LeadershipStatus standing = log.leadershipStatus();
-        if (!standing.isLeader()) {
-            rejectPending(standing);
-            return CompletableFuture.completedFuture(new ClaimAnswer.NotLeader(standing.leader()));
+        LeadershipStatus status = log.leadershipStatus();
+        if (!status.isLeader()) {
+            rejectPending(status);
+            return CompletableFuture.completedFuture(new ClaimAnswer.NotLeader(status.leader()));
         }
         CompletableFuture<ClaimAnswer> waiter = new CompletableFuture<>();
-        boolean taken;
+        boolean accepted;
         synchronized (batcher) {
-            taken = offer.apply(claim, waiter);
+            accepted = offer.apply(claim, waiter);
         }
-        if (!taken) {
+        if (!accepted) {
             return CompletableFuture.completedFuture(new ClaimAnswer.Overloaded(OVERLOADED_RETRY_AFTER_MILLIS));
         }
         proposeNext();
@@ -68,12 +68,12 @@
      * Answers the pending claims once this host no longer leads, so that they don't wait for the result of an earlier
      * batch.
      */
-    private void rejectPending(LeadershipStatus standing) {
-        List<CompletableFuture<ClaimAnswer>> waiting;
+    private void rejectPending(LeadershipStatus status) {
+        List<CompletableFuture<ClaimAnswer>> pending;
         synchronized (batcher) {
-            waiting = batcher.drainWaiters();
+            pending = batcher.drainWaiters();
         }
-        waiting.forEach(each -> each.complete(new ClaimAnswer.NotLeader(standing.leader())));
+        pending.forEach(each -> each.complete(new ClaimAnswer.NotLeader(status.leader())));
     }
 
     private void proposeNext() {
@@ -106,9 +106,9 @@
         return answers;
     }
 
-    private static ClaimAnswer toAnswer(int position, ProposalOutcome result) {
-        if (result instanceof ProposalOutcome.NotLeader not) {
-            return new ClaimAnswer.NotLeader(not.leader());
+    private static ClaimAnswer toAnswer(int index, ProposalOutcome result) {
+        if (result instanceof ProposalOutcome.NotLeader notLeader) {
+            return new ClaimAnswer.NotLeader(notLeader.leader());
         }
         if (result instanceof ProposalOutcome.Overloaded) {
             return new ClaimAnswer.Overloaded(OVERLOADED_RETRY_AFTER_MILLIS);
@@ -118,6 +118,6 @@
         }
         CommandResult applied = ((ProposalOutcome.Applied) result).result();
         return new ClaimAnswer.Decided(
-                ((CommandResult.ClaimsDecided) applied).outcomes().get(position));
+                ((CommandResult.ClaimsDecided) applied).outcomes().get(index));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDaemon.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDaemon.java
@@ -89,24 +89,24 @@
 
     private void open() throws IOException {
         OpenResult.Opened opened = ControlDataFolder.open(settings.dataFolder(), settings.host());
-        ProcessExecutors workers = closer.register(new ProcessExecutors("control", MAX_BLOCKING_TASKS));
-        PeerHandlers channels = new PeerHandlers(workers.handlers());
+        ProcessExecutors executors = closer.register(new ProcessExecutors("control", MAX_BLOCKING_TASKS));
+        PeerHandlers handlers = new PeerHandlers(executors.handlers());
         PeerKey key = new PeerKey(settings.keys().peerKey().value());
         ListenAddress bind = settings.addresses().peers();
         peerServer = closer.register(TcpPeerServer.start(
                 new InetSocketAddress(bind.ip(), bind.port()),
-                channels,
+                handlers,
                 key,
                 PeerLimits.DEFAULT,
-                workers.channelGroup(),
-                workers.timer(),
+                executors.channelGroup(),
+                executors.timer(),
                 process.hybridClock()));
         TcpPeerNetwork network = closer.register(new TcpPeerNetwork(
                 key,
                 PeerLimits.DEFAULT,
-                workers.channelGroup(),
-                workers.timer(),
-                workers.handlers(),
+                executors.channelGroup(),
+                executors.timer(),
+                executors.handlers(),
                 process.hybridClock()));
         ControlStateMachine machine = new ControlStateMachine();
         Map<HostId, Address> peers = new LinkedHashMap<>();
@@ -114,7 +114,7 @@
         driver = RaftDriver.builder()
                 .folder(opened.folder(), opened.restored())
                 .machine(machine)
-                .network(network, channels)
+                .network(network, handlers)
                 .addresses(peers::get, () -> List.copyOf(peers.values()))
                 .clock(clock)
                 .metrics(metrics)
@@ -123,7 +123,7 @@
                 .onFailure(this::onReplicaFailure)
                 .start();
         log = closer.register(new RaftCommandLog(driver, settings.control()));
-        startServices(workers, channels, network, machine);
+        startServices(executors, handlers, network, machine);
         operators = closer.register(startOperatorListener());
         events.record(new HostEvent.Started(settings.host(), incarnation, "control"));
         LOG.infof("control host %s serves peers at %s", settings.host(), peers());
@@ -137,37 +137,37 @@
     }
 
     private void startServices(
-            ProcessExecutors workers, HandlerRegistry channels, PeerNetwork network, ControlStateMachine machine) {
+            ProcessExecutors executors, HandlerRegistry handlers, PeerNetwork network, ControlStateMachine machine) {
         LeaseSettings leases = new LeaseSettings(settings.lease().leaseMillis(), LEASE_EXPIRY_GRACE_MILLIS);
-        LeadershipMonitor watch =
+        LeadershipMonitor leadership =
                 new LeadershipMonitor(settings.host(), events, log, machine, clock, leases, controlLimits());
-        LeaseService leaseService = new LeaseService(log, watch, clock, metrics);
-        TicketEventRecorder ticketEvents = new TicketEventRecorder(events, machine, watch, clock);
-        ticketEvents.start(workers.timer());
-        TicketService tickets = new TicketService(log, machine, watch, clock, ticketEvents);
-        ClaimService claims = new ClaimService(log, watch::commandTimeMillis, metrics);
-        channels.register(ControlChannels.LEASE_RENEW, leaseService::renew);
-        channels.register(ControlChannels.TICKET_SUBMIT, tickets::submit);
-        channels.register(ControlChannels.TICKET_READ, tickets::read);
-        channels.register(ControlChannels.TICKET_LIST, tickets::list);
-        channels.register(ControlChannels.CLAIM_BEGIN, claims::begin);
-        channels.register(ControlChannels.CLAIM_FINISH, claims::finish);
-        watch.start(workers.timer());
+        LeaseService leaseService = new LeaseService(log, leadership, clock, metrics);
+        TicketEventRecorder ticketEvents = new TicketEventRecorder(events, machine, leadership, clock);
+        ticketEvents.start(executors.timer());
+        TicketService tickets = new TicketService(log, machine, leadership, clock, ticketEvents);
+        ClaimService claims = new ClaimService(log, leadership::commandTimeMillis, metrics);
+        handlers.register(ControlChannels.LEASE_RENEW, leaseService::renew);
+        handlers.register(ControlChannels.TICKET_SUBMIT, tickets::submit);
+        handlers.register(ControlChannels.TICKET_READ, tickets::read);
+        handlers.register(ControlChannels.TICKET_LIST, tickets::list);
+        handlers.register(ControlChannels.CLAIM_BEGIN, claims::begin);
+        handlers.register(ControlChannels.CLAIM_FINISH, claims::finish);
+        leadership.start(executors.timer());
         EngineClients engines = closer.register(new EngineClients());
         Duration leaderLease = Duration.ofMillis(settings.raft().electionMillis());
-        new EngineOrderService(watch, log, machine, network, engines, clock, leaderLease, metrics)
-                .start(workers.timer());
+        new EngineOrderService(leadership, log, machine, network, engines, clock, leaderLease, metrics)
+                .start(executors.timer());
     }
 
     private ControlLimits controlLimits() {
-        ControlLimits standard = ControlLimits.DEFAULT;
+        ControlLimits defaults = ControlLimits.DEFAULT;
         return new ControlLimits(
                 settings.retention().tickets(),
-                standard.claims(),
-                standard.claimsPerOrganisation(),
+                defaults.claims(),
+                defaults.claimsPerOrganisation(),
                 settings.retention().claimMillis(),
-                standard.recordedBodyBytes(),
-                standard.endedHosts());
+                defaults.recordedBodyBytes(),
+                defaults.endedHosts());
     }
 
     private HttpListener startOperatorListener() {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStateMachine.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStateMachine.java
@@ -33,9 +33,9 @@
     /** Applies a committed command and returns its encoded {@link CommandResult}. */
     @Override
     public synchronized byte[] apply(long index, byte[] command) {
-        Command read = read(command, Command.class);
-        CommandResult result = state.apply(index, read);
-        onApplied.accept(read, result);
+        Command decoded = decode(command, Command.class);
+        CommandResult result = state.apply(index, decoded);
+        onApplied.accept(decoded, result);
         return CODEC.encode(result);
     }
 
@@ -46,7 +46,7 @@
 
     @Override
     public synchronized void restore(byte[] snapshot) {
-        state = ControlState.restore(read(snapshot, ControlSnapshot.class));
+        state = ControlState.restore(decode(snapshot, ControlSnapshot.class));
     }
 
     /** Reads the state under the lock. */
@@ -58,7 +58,7 @@
      * Decodes a command or snapshot. One that can't be decoded is a broken invariant: to skip it would let this replica
      * diverge from the others.
      */
-    private static <T> T read(byte[] bytes, Class<T> type) {
+    private static <T> T decode(byte[] bytes, Class<T> type) {
         if (CODEC.decode(bytes, type) instanceof Decoded.Value<T> value) {
             return value.value();
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStatus.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlStatus.java
@@ -25,13 +25,13 @@
         List<ReplicaId> learners,
         long committedIndex,
         long appliedIndex) {
-    static ControlStatus of(HostId host, RaftStatus raft, LeadershipStatus standing) {
+    static ControlStatus of(HostId host, RaftStatus raft, LeadershipStatus leadership) {
         return new ControlStatus(
                 host,
                 raft.self(),
                 raft.role(),
                 raft.term(),
-                standing.leader(),
+                leadership.leader(),
                 raft.membership().voters(),
                 raft.membership().learners(),
                 raft.committedIndex(),
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/EngineOrderService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/EngineOrderService.java
@@ -71,7 +71,7 @@
 
     /** @param leaderLease full duration of a leader's lease */
     EngineOrderService(
-            LeadershipMonitor watch,
+            LeadershipMonitor leadership,
             CommandLog log,
             ControlStateMachine machine,
             PeerNetwork network,
@@ -79,7 +79,7 @@
             MonotonicClock clock,
             Duration leaderLease,
             MetricRegistry metrics) {
-        this.leadership = watch;
+        this.leadership = leadership;
         this.log = log;
         this.machine = machine;
         this.network = network;
@@ -128,13 +128,13 @@
     }
 
     private OrderSettings orderSettings() {
-        OrderSettings standard = OrderSettings.DEFAULT;
+        OrderSettings defaults = OrderSettings.DEFAULT;
         return new OrderSettings(
                 Math.max(1, leaderLease.toMillis() / ORDER_TIMEOUT_LEASE_DIVISOR),
-                standard.repeatMillis(),
-                standard.maxStateAgeMillis(),
-                standard.loadsPerMinute(),
-                standard.loadBurst());
+                defaults.repeatMillis(),
+                defaults.maxStateAgeMillis(),
+                defaults.loadsPerMinute(),
+                defaults.loadBurst());
     }
 
     private long heldOrders(HoldReason reason) {
@@ -145,48 +145,48 @@
         return configuration.objects().stream().anyMatch(each -> each.object() instanceof BackendRole);
     }
 
-    private void requestObservations(FencingNumber number) {
+    private void requestObservations(FencingNumber fencingNumber) {
         List<Member> members = machine.read(state -> List.copyOf(state.members()));
         for (Member each : members) {
-            long asked = clock.nanos();
-            network.call(each.host().peers(), OrderChannels.OBSERVE, new ObserveRequest(number), OBSERVE_TIMEOUT)
+            long requestedNanos = clock.nanos();
+            network.call(each.host().peers(), OrderChannels.OBSERVE, new ObserveRequest(fencingNumber), OBSERVE_TIMEOUT)
                     .thenAccept(result -> {
                         if (result instanceof CallResult.Answered<ObserveAnswer> answered) {
-                            recordObservations(answered.value(), asked);
+                            recordObservations(answered.value(), requestedNanos);
                         }
                     });
         }
     }
 
-    private synchronized void recordObservations(ObserveAnswer answer, long askedNanos) {
+    private synchronized void recordObservations(ObserveAnswer answer, long requestedNanos) {
         for (EngineObservation each : answer.engines()) {
             observations.merge(
                     each.id(),
-                    new TimedObservation(each, askedNanos),
-                    (a, b) -> b.requestedNanos() - a.requestedNanos() >= 0
-                                    && b.engine().state() != null
-                            ? b
-                            : a);
+                    new TimedObservation(each, requestedNanos),
+                    (previous, latest) -> latest.requestedNanos() - previous.requestedNanos() >= 0
+                                    && latest.engine().state() != null
+                            ? latest
+                            : previous);
         }
     }
 
     private synchronized OrderPlan planOrders(Configuration configuration) {
-        List<ObservedEngine> seen = new ArrayList<>();
+        List<ObservedEngine> observed = new ArrayList<>();
         for (TimedObservation each : observations.values()) {
             EngineObservation engine = each.engine();
-            seen.add(new ObservedEngine(
+            observed.add(new ObservedEngine(
                     engine.id(), engine.checksFencing(), engine.leaving(), engine.state(), each.requestedNanos()));
         }
         return planner.plan(
-                configuration, seen, clock.nanos(), log.leadershipStatus().leaseUntilNanos());
+                configuration, observed, clock.nanos(), log.leadershipStatus().leaseUntilNanos());
     }
 
     private void sendOrder(PlannedOrder order) {
         TimedObservation target;
-        OrderPlanner by;
+        OrderPlanner currentPlanner;
         synchronized (this) {
             target = observations.get(order.server());
-            by = planner;
+            currentPlanner = planner;
         }
         Optional<EngineClient> client =
                 engines.client(target.engine().protocol(), target.engine().address());
@@ -199,15 +199,15 @@
         sentOrders.inc();
         client.get().order(order.order(), Duration.ofMillis(limit)).thenAccept(result -> {
             if (result instanceof CallResult.Answered<OrderAnswer> answered) {
-                onAnswer(by, order, answered.value());
+                onAnswer(currentPlanner, order, answered.value());
             }
         });
     }
 
-    private synchronized void onAnswer(OrderPlanner by, PlannedOrder order, OrderAnswer answer) {
+    private synchronized void onAnswer(OrderPlanner usedPlanner, PlannedOrder order, OrderAnswer answer) {
         if (answer == OrderAnswer.STALE_FENCING_NUMBER) {
             staleOrders.inc();
         }
-        by.onAnswer(order.server(), order.order(), answer);
+        usedPlanner.onAnswer(order.server(), order.order(), answer);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
@@ -50,14 +50,14 @@
             CommandLog log,
             ControlStateMachine machine,
             MonotonicClock clock,
-            LeaseSettings leases,
+            LeaseSettings leaseSettings,
             ControlLimits limits) {
         this.host = host;
         this.events = events;
         this.log = log;
         this.machine = machine;
         this.clock = clock;
-        this.leaseSettings = leases;
+        this.leaseSettings = leaseSettings;
         this.limits = limits;
     }
 
@@ -83,21 +83,21 @@
     }
 
     private synchronized Optional<LeaderTerm> currentTerm() {
-        LeadershipStatus standing = log.leadershipStatus();
-        boolean valid = leaderTerm != null && standing.isLeader() && standing.term() == leaderTerm.number();
+        LeadershipStatus status = log.leadershipStatus();
+        boolean valid = leaderTerm != null && status.isLeader() && status.term() == leaderTerm.number();
         return valid ? Optional.of(leaderTerm) : Optional.empty();
     }
 
     private void checkLeadership() {
         try {
-            LeadershipStatus standing = log.leadershipStatus();
-            if (!standing.isLeader()) {
+            LeadershipStatus status = log.leadershipStatus();
+            if (!status.isLeader()) {
                 onLeadershipLost();
                 return;
             }
-            if (markTermProposed(standing.term())) {
-                Command command = new Command.StartLeadership(host, standing.term(), limits);
-                log.propose(command).thenAccept(result -> onLeadershipStarted(standing.term(), result));
+            if (markTermProposed(status.term())) {
+                Command command = new Command.StartLeadership(host, status.term(), limits);
+                log.propose(command).thenAccept(result -> onLeadershipStarted(status.term(), result));
             }
             expireHostsAndClaims();
         } catch (RuntimeException e) {
@@ -120,12 +120,12 @@
             clearProposedTerm(number);
             return;
         }
-        LeaseManager keeper = machine.read(state -> new LeaseManager(state, leaseSettings, clock.nanos()));
+        LeaseManager leaseManager = machine.read(state -> new LeaseManager(state, leaseSettings, clock.nanos()));
         CommandClock commandClock =
                 machine.read(state -> new CommandClock(state.timeMillis(), System.currentTimeMillis(), clock.nanos()));
         synchronized (this) {
             if (lastProposedTerm == number) {
-                leaderTerm = new LeaderTerm(number, started.fencing(), keeper, commandClock);
+                leaderTerm = new LeaderTerm(number, started.fencing(), leaseManager, commandClock);
             }
         }
         events.record(new HostEvent.LeaderElected(host, number));
@@ -152,8 +152,8 @@
         if (checkCount % HOST_EXPIRY_INTERVAL_CHECKS != 0) {
             return;
         }
-        List<Command.EndHost> ended =
-                withLeases(keeper -> keeper.endExpired(clock.nanos())).orElse(List.of());
+        List<Command.EndHost> ended = withLeases(leaseManager -> leaseManager.endExpired(clock.nanos()))
+                .orElse(List.of());
         ended.forEach(log::propose);
         if (checkCount % CLAIM_EXPIRY_INTERVAL_CHECKS == 0 && currentTerm().isPresent()) {
             log.propose(new Command.ExpireClaims(commandTimeMillis()));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeaseService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeaseService.java
@@ -22,9 +22,9 @@
     private final Counter grantedLeases;
     private final Counter rejectedRenewals;
 
-    LeaseService(CommandLog log, LeadershipMonitor watch, MonotonicClock clock, MetricRegistry metrics) {
+    LeaseService(CommandLog log, LeadershipMonitor leadership, MonotonicClock clock, MetricRegistry metrics) {
         this.log = log;
-        this.leadership = watch;
+        this.leadership = leadership;
         this.clock = clock;
         this.grantedLeases = metrics.counter("control.lease.granted");
         this.rejectedRenewals = metrics.counter("control.lease.turned-away");
@@ -34,31 +34,31 @@
         return renew(request, 0).thenApply(this::countAnswer);
     }
 
-    private CompletionStage<LeaseAnswer> renew(LeaseRequest request, int round) {
-        LeadershipStatus standing = log.leadershipStatus();
-        Optional<LeaseDecision> decision = leadership.withLeases(
-                keeper -> keeper.renew(request, clock.nanos(), standing.leaseUntilNanos(), standing.controlHosts()));
+    private CompletionStage<LeaseAnswer> renew(LeaseRequest request, int attempt) {
+        LeadershipStatus status = log.leadershipStatus();
+        Optional<LeaseDecision> decision = leadership.withLeases(leaseManager ->
+                leaseManager.renew(request, clock.nanos(), status.leaseUntilNanos(), status.controlHosts()));
         if (decision.isEmpty()) {
-            return completed(new LeaseAnswer.NotLeader(standing.isLeader() ? null : standing.leader()));
+            return completed(new LeaseAnswer.NotLeader(status.isLeader() ? null : status.leader()));
         }
         if (decision.get() instanceof LeaseDecision.Answer answer) {
             return completed(answer.answer());
         }
-        if (round == MAX_JOIN_ATTEMPTS) {
+        if (attempt == MAX_JOIN_ATTEMPTS) {
             return completed(new LeaseAnswer.NotLeader(null));
         }
         LeaseDecision.Join join = (LeaseDecision.Join) decision.get();
-        return log.propose(join.command()).thenCompose(result -> afterJoin(request, round, result));
+        return log.propose(join.command()).thenCompose(result -> afterJoin(request, attempt, result));
     }
 
-    private CompletionStage<LeaseAnswer> afterJoin(LeaseRequest request, int round, ProposalOutcome result) {
+    private CompletionStage<LeaseAnswer> afterJoin(LeaseRequest request, int attempt, ProposalOutcome result) {
         if (result instanceof ProposalOutcome.Applied applied) {
             return applied.result() instanceof CommandResult.HostReplaced replaced
                     ? completed(new LeaseAnswer.Replaced(replaced.by()))
-                    : renew(request, round + 1);
+                    : renew(request, attempt + 1);
         }
-        return completed(
-                new LeaseAnswer.NotLeader(result instanceof ProposalOutcome.NotLeader not ? not.leader() : null));
+        return completed(new LeaseAnswer.NotLeader(
+                result instanceof ProposalOutcome.NotLeader notLeader ? notLeader.leader() : null));
     }
 
     private LeaseAnswer countAnswer(LeaseAnswer answer) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/RaftCommandLog.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/RaftCommandLog.java
@@ -67,8 +67,8 @@
             Decoded<CommandResult> decoded = Codecs.MESSAGE_PACK.decode(committed.result(), CommandResult.class);
             return new ProposalOutcome.Applied(((Decoded.Value<CommandResult>) decoded).value());
         }
-        if (result instanceof ProposeResult.NotLeader not) {
-            return new ProposalOutcome.NotLeader(peerAddress(not.leader()));
+        if (result instanceof ProposeResult.NotLeader notLeader) {
+            return new ProposalOutcome.NotLeader(peerAddress(notLeader.leader()));
         }
         if (result instanceof ProposeResult.Refused) {
             return new ProposalOutcome.Overloaded();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
@@ -34,10 +34,11 @@
     private final Set<String> proposedDigests = ConcurrentHashMap.newKeySet();
     private final Map<TicketNumber, TicketOutcome.Accepted> acceptedNotInForce = new ConcurrentHashMap<>();
 
-    TicketEventRecorder(EventRing events, ControlStateMachine machine, LeadershipMonitor watch, MonotonicClock clock) {
+    TicketEventRecorder(
+            EventRing events, ControlStateMachine machine, LeadershipMonitor leadership, MonotonicClock clock) {
         this.events = events;
         this.machine = machine;
-        this.leadership = watch;
+        this.leadership = leadership;
         this.clock = clock;
         machine.onApplied(this::onApplied);
     }
@@ -84,17 +85,17 @@
 
     private void recordTicketsInForce() {
         try {
-            Iterator<Map.Entry<TicketNumber, TicketOutcome.Accepted>> each =
+            Iterator<Map.Entry<TicketNumber, TicketOutcome.Accepted>> pending =
                     acceptedNotInForce.entrySet().iterator();
-            while (each.hasNext()) {
-                Map.Entry<TicketNumber, TicketOutcome.Accepted> ticket = each.next();
+            while (pending.hasNext()) {
+                Map.Entry<TicketNumber, TicketOutcome.Accepted> ticket = pending.next();
                 Optional<TicketStatus> status = status(ticket.getKey());
                 if (status.isPresent() && !status.get().inForce()) {
                     continue;
                 }
                 status.ifPresent(known -> events.record(new TicketEvent.InForce(
                         known.number(), ticket.getValue().version())));
-                each.remove();
+                pending.remove();
             }
         } catch (RuntimeException e) {
             LOG.error("check of tickets in force failed", e);
@@ -104,6 +105,7 @@
     /** Returns the ticket's status, empty when this host no longer leads. */
     private Optional<TicketStatus> status(TicketNumber number) {
         Optional<TicketRecord> record = machine.read(state -> state.ticket(number));
-        return record.flatMap(found -> leadership.withLeases(keeper -> keeper.status(found, clock.nanos())));
+        return record.flatMap(
+                found -> leadership.withLeases(leaseManager -> leaseManager.status(found, clock.nanos())));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketService.java
@@ -25,14 +25,14 @@
     TicketService(
             CommandLog log,
             ControlStateMachine machine,
-            LeadershipMonitor watch,
+            LeadershipMonitor leadership,
             MonotonicClock clock,
-            TicketEventRecorder events) {
+            TicketEventRecorder eventRecorder) {
         this.log = log;
         this.machine = machine;
-        this.leadership = watch;
+        this.leadership = leadership;
         this.clock = clock;
-        this.eventRecorder = events;
+        this.eventRecorder = eventRecorder;
     }
 
     CompletionStage<TicketAnswer> submit(Ticket ticket) {
@@ -49,8 +49,8 @@
 
     CompletionStage<TicketAnswer> read(TicketQuery query) {
         Optional<TicketAnswer> answer =
-                leadership.withLeases(keeper -> machine.read(state -> state.ticket(query.number())
-                        .<TicketAnswer>map(found -> new TicketAnswer.Decided(keeper.status(found, clock.nanos())))
+                leadership.withLeases(leaseManager -> machine.read(state -> state.ticket(query.number())
+                        .<TicketAnswer>map(found -> new TicketAnswer.Decided(leaseManager.status(found, clock.nanos())))
                         .orElseGet(() -> new TicketAnswer.Unknown(query.number()))));
         return completed(answer.orElseGet(this::notLeader));
     }
@@ -60,8 +60,8 @@
     }
 
     private TicketAnswer toAnswer(Ticket ticket, String digest, ProposalOutcome result) {
-        if (result instanceof ProposalOutcome.NotLeader not) {
-            return new TicketAnswer.NotLeader(not.leader());
+        if (result instanceof ProposalOutcome.NotLeader notLeader) {
+            return new TicketAnswer.NotLeader(notLeader.leader());
         }
         if (result instanceof ProposalOutcome.Overloaded) {
             return new TicketAnswer.NotLeader(null);
@@ -73,14 +73,14 @@
         // Not read from the state, which keeps no record of a ticket that is older than all kept ones.
         TicketRecord record = TicketRecord.of(ticket, digest, ((CommandResult.TicketDecided) applied).outcome());
         return leadership
-                .withLeases(keeper -> keeper.status(record, clock.nanos()))
+                .withLeases(leaseManager -> leaseManager.status(record, clock.nanos()))
                 .<TicketAnswer>map(TicketAnswer.Decided::new)
                 .orElseGet(() -> new TicketAnswer.Undecided("this control host stopped leading meanwhile"));
     }
 
     private TicketAnswer notLeader() {
-        LeadershipStatus standing = log.leadershipStatus();
-        return new TicketAnswer.NotLeader(standing.isLeader() ? null : standing.leader());
+        LeadershipStatus status = log.leadershipStatus();
+        return new TicketAnswer.NotLeader(status.isLeader() ? null : status.leader());
     }
 
     private static CompletionStage<TicketAnswer> completed(TicketAnswer answer) {
