--- a/elmline-daemon/src/main/java/org/elmline/daemon/component/ProcessComponent.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/component/ProcessComponent.java
@@ -14,7 +14,10 @@
 import org.elmline.daemon.operator.MetricsHandler;
 import org.elmline.daemon.settings.TimelineSettings;
 
-/** What every process has, whatever its role: clocks, metrics, events and their pages on the operators' port. */
+/**
+ * Parts that every process has, whatever its role: clocks, metrics, events, and the handlers that show them on the
+ * operators' port.
+ */
 @Singleton
 @Component(modules = ProcessModule.class)
 public interface ProcessComponent {
@@ -30,7 +33,7 @@
 
     MetricsHandler metricsHandler();
 
-    /** Puts the parts together for one start of a host. */
+    /** Creates the parts for one start of a host. */
     @Component.Factory
     interface Factory {
         ProcessComponent create(
--- a/elmline-daemon/src/main/java/org/elmline/daemon/component/ProcessModule.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/component/ProcessModule.java
@@ -17,7 +17,7 @@
 import org.elmline.daemon.runtime.SystemClock;
 import org.elmline.daemon.settings.TimelineSettings;
 
-/** Makes the parts that every process has, one of each. */
+/** Provides the parts that every process has, one instance of each. */
 @Module
 final class ProcessModule {
     private ProcessModule() {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/component/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/component/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Dagger components that put a process together. The code Dagger writes from them is committed under
- * {@code src/generated/java}; {@code mvn -Pgenerate-dagger -pl elmline-daemon -am clean compile} writes it anew.
+ * Dagger components that assemble a process. The code that Dagger generates from them is committed under {@code
+ * src/generated/java}; {@code mvn -Pgenerate-dagger -pl elmline-daemon -am clean compile} generates it again.
  */
 package org.elmline.daemon.component;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlCalls.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlCalls.java
@@ -15,7 +15,7 @@
 import org.elmline.core.control.TicketListQuery;
 import org.elmline.core.control.TicketQuery;
 
-/** The control calls that an entry makes for its callers and operators. */
+/** The calls that an entry makes to control hosts for its callers and operators. Thread-safe. */
 public final class ControlCalls {
     private static final Duration TICKET_TIMEOUT = Duration.ofSeconds(8);
     private static final Duration READ_TIMEOUT = Duration.ofSeconds(3);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlClient.java
@@ -15,8 +15,8 @@
 import org.elmline.core.peer.PeerNetwork;
 
 /**
- * Calls the control leader, wherever it is. Every call of the control channels is idempotent, so a lost answer is asked
- * for again, at the next control host, until the time is up.
+ * Calls the control leader and finds it where necessary. All calls on the control channels are idempotent, so a call
+ * without an answer is retried at the next control host until its timeout. Thread-safe.
  */
 public final class ControlClient {
     private static final Duration ATTEMPT_TIMEOUT = Duration.ofMillis(1000);
@@ -39,7 +39,7 @@
         this.preferredHost = this.seeds.get(0);
     }
 
-    /** Takes the control hosts as a lease answer lists them; the settings' hosts stay known as a way back. */
+    /** Sets the control hosts that a lease answer lists. Those of the settings are kept as a fallback. */
     void updateHosts(List<Address> current) {
         List<Address> all = new ArrayList<>(current);
         for (Address seed : seeds) {
@@ -50,7 +50,10 @@
         hosts = List.copyOf(all);
     }
 
-    /** Completes with the leader's answer, or after the timeout with how the last try ended. */
+    /**
+     * Completes with the leader's answer. After the timeout it completes with {@link CallResult.Unknown} when the
+     * result of any attempt is unknown, and with {@link CallResult.NotSent} otherwise.
+     */
     <Q, R> CompletableFuture<CallResult<R>> call(
             Channel<Q, R> channel, Q request, Duration timeout, LeaderHint<R> hint) {
         long deadline = clock.nanos() + timeout.toNanos();
@@ -110,7 +113,7 @@
             retryLater(nextHost(host));
         }
 
-        /** A pause between rounds, so that a cluster without a leader isn't flooded. */
+        /** Retries after a delay, so that a cluster without a leader is not flooded with requests. */
         private void retryLater(Address host) {
             preferredHost = host;
             if (timer.isShutdown()) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/EntryDaemon.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/EntryDaemon.java
@@ -68,7 +68,7 @@
 import org.elmline.wire.tcp.TcpPeerServer;
 import org.jboss.logging.Logger;
 
-/** One entry host: everything it opens, how it is put together, and its graceful stop. */
+/** One entry host: opens its ports, services and connections, connects them and stops them gracefully. */
 public final class EntryDaemon implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(EntryDaemon.class);
     private static final int BODY_TIMEOUT_MILLIS = 30_000;
@@ -108,7 +108,7 @@
         this.events = process.events();
     }
 
-    /** Opens everything and begins to serve; closes what was opened when any of it fails. */
+    /** Opens everything and starts to serve; on failure, closes what was opened. */
     public static EntryDaemon start(EntrySettings settings) throws IOException {
         EntryDaemon daemon = new EntryDaemon(settings);
         try {
@@ -157,7 +157,7 @@
         LOG.infof("entry host %s serves callers at %s", self.host(), callers.address());
     }
 
-    /** Binds all ports first, since this host's record carries them; their routes follow. */
+    /** Binds all ports first, since this host's record names their addresses; the handlers are added later. */
     private void bind(ProcessExecutors workers, PeerKey key, PeerHandlers channels) throws IOException {
         ListenAddress bind = settings.addresses().peers();
         peers = closer.register(TcpPeerServer.start(
@@ -284,24 +284,25 @@
                 leaving.get());
     }
 
-    /** Where callers connect. */
+    /** Returns the address for callers. */
     public Address callers() {
         return callers.address();
     }
 
-    /** Where operators connect. */
+    /** Returns the address for operators. */
     public Address operators() {
         return operators.address();
     }
 
-    /** The control calls, for a program that embeds this entry. */
+    /** Returns the calls to control hosts, for a program that embeds this entry. */
     public ControlCalls control() {
         return control;
     }
 
     /**
-     * Stops gracefully: says that it leaves, so that no caller is sent here and its backend servers get other owners;
-     * serves on for as long as callers keep an answer that names it; then refuses new calls and waits for those inside.
+     * Stops gracefully. First reports that this host leaves, so that callers are no longer directed to it and its
+     * backend servers get other owners. Continues to serve for as long as callers cache an answer that lists it, then
+     * rejects new calls and waits until those in flight end, at most for the longest caller timeout.
      */
     public void stop() throws InterruptedException {
         leaving.set(true);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/HostIdentity.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/HostIdentity.java
@@ -5,5 +5,5 @@
 import org.elmline.core.common.Incarnation;
 import org.elmline.core.common.Region;
 
-/** Who this process is. */
+/** Identity and location of this process. */
 public record HostIdentity(HostId host, Incarnation incarnation, FailureDomain failureDomain, Region region) {}
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaderHint.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaderHint.java
@@ -7,7 +7,7 @@
 import org.elmline.core.control.LeaseAnswer;
 import org.elmline.core.control.TicketAnswer;
 
-/** Whether an answer sends the asker to another control host. */
+/** Decides whether an answer redirects the caller to another control host. */
 @FunctionalInterface
 interface LeaderHint<R> {
     LeaderHint<LeaseAnswer> OF_LEASE =
@@ -19,16 +19,16 @@
 
     Redirect redirect(R answer);
 
-    /** For answers that any control host gives. */
+    /** Returns the hint for answers that any control host gives. */
     static <R> LeaderHint<R> none() {
         return answer -> Redirect.NONE;
     }
 
     /**
-     * Where to ask next.
+     * Redirect to another control host.
      *
-     * @param required whether the answer is no answer yet
-     * @param leader the leader, empty when the asked host knows none
+     * @param required whether the call must be repeated at another control host
+     * @param leader the leader, empty when the control host that answered knows none
      */
     record Redirect(boolean required, Optional<Address> leader) {
         static final Redirect NONE = new Redirect(false, Optional.empty());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaseRenewer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaseRenewer.java
@@ -25,7 +25,10 @@
 import org.elmline.core.timeline.TicketEvent;
 import org.jboss.logging.Logger;
 
-/** Renews this entry's lease at a steady beat, and at once after a change so that it is acknowledged early. */
+/**
+ * Renews this entry's lease at a fixed interval, and at once after a configuration change, so that the change is
+ * acknowledged early. At most one renewal is in flight.
+ */
 public final class LeaseRenewer {
     private static final Logger LOG = Logger.getLogger(LeaseRenewer.class);
 
@@ -67,7 +70,7 @@
                 this::checkLease, renewInterval.toMillis(), renewInterval.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Asks now, unless an answer is under way. */
+    /** Sends a renewal, unless one is in flight. */
     CompletableFuture<Void> renew() {
         if (!renewalInFlight.compareAndSet(false, true)) {
             return CompletableFuture.completedFuture(null);
@@ -94,7 +97,7 @@
         }
         if (answered.value() instanceof LeaseAnswer.Replaced replaced) {
             leasedView.onReplaced();
-            LOG.errorf("another process of this host holds the lease under incarnation %s", replaced.by());
+            LOG.errorf("lease replaced: another process of this host holds it under incarnation %s", replaced.by());
             onReplaced.run();
             return;
         }
@@ -106,13 +109,14 @@
             leasedView.onGranted(asked, granted);
             if (news) {
                 recordFollowed(config);
-                // The next renewal acknowledges the change; asking now spares the operator the rest of the beat.
+                // The next renewal acknowledges the change; sending it at once saves the operator up to one renewal
+                // interval.
                 renew();
             }
         }
     }
 
-    /** One event for each ticket, however many objects it changed. */
+    /** Records one event per ticket, however many objects it changed. */
     private void recordFollowed(ConfigDelta config) {
         Set<TicketEvent> followed = new LinkedHashSet<>();
         for (VersionedObject each : config.changed()) {
@@ -127,7 +131,7 @@
             wasHeld = now;
             HostId host = hostRecord.get().id();
             events.record(now ? new HostEvent.LeaseGranted(host) : new HostEvent.LeaseLost(host));
-            LOG.infof(now ? "lease held" : "lease lost: nothing new is admitted until it is held again");
+            LOG.infof(now ? "lease granted" : "lease lost: no new work is admitted until it is renewed");
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeasedView.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeasedView.java
@@ -8,7 +8,10 @@
 import org.elmline.core.control.HostLease;
 import org.elmline.core.control.LeaseAnswer;
 
-/** What the lease keeps up to date on this entry: the configuration, the live entries, and the lease itself. */
+/**
+ * The state that lease renewals keep up to date on this entry: the configuration, the live entries, and the lease
+ * itself. Thread-safe for readers.
+ */
 public final class LeasedView {
     private final HostLease lease = new HostLease();
     private final MonotonicClock clock;
@@ -29,7 +32,7 @@
         return members;
     }
 
-    /** Whether this entry may admit work or send a claimed call at this moment. */
+    /** Whether this entry may admit work or send a claimed call now. */
     public boolean mayServe() {
         return lease.isValid(clock.nanos());
     }
@@ -38,17 +41,17 @@
         return lease.remainingNanos(clock.nanos());
     }
 
-    /** Called after each change of the live entries. */
+    /** Adds a listener that is called after each change of the live entries. */
     public void onMembers(Runnable listener) {
         onMembers.add(listener);
     }
 
-    /** Called after each renewal of the lease. */
+    /** Adds a listener that is called after each renewal of the lease. */
     public void onRenewal(Runnable listener) {
         onRenewal.add(listener);
     }
 
-    /** The lease itself, for a claim session to check right before it sends. */
+    /** Returns the lease, which a claim session checks right before it sends. */
     public HostLease lease() {
         return lease;
     }
@@ -57,7 +60,8 @@
         configuration = configuration.with(granted.config());
         MemberTable before = members;
         members = before.with(granted.members());
-        // Last, so that nothing is admitted under an older configuration than the lease stands for.
+        // The lease is renewed last, so that nothing is admitted under an older configuration than the one that came
+        // with the grant.
         lease.recordGrant(askedNanos, granted.leaseMillis());
         if (members != before) {
             onMembers.forEach(Runnable::run);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/MemberTable.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/MemberTable.java
@@ -9,7 +9,7 @@
 import org.elmline.core.control.HostRecord;
 import org.elmline.core.control.MembersDelta;
 
-/** The live entries at one members version. Immutable; a delta makes a new one. */
+/** The live entries at one version of the membership. Immutable. */
 public final class MemberTable {
     public static final MemberTable EMPTY = new MemberTable(0, new TreeMap<>());
 
@@ -25,7 +25,7 @@
         return version;
     }
 
-    /** In the order of their ids. */
+    /** Returns the entries in the order of their ids. */
     public List<HostRecord> hosts() {
         return new ArrayList<>(hosts.values());
     }
@@ -34,7 +34,10 @@
         return Optional.ofNullable(hosts.get(id));
     }
 
-    /** This table with a delta on top; a delta that starts elsewhere or ends at or before this version changes nothing. */
+    /**
+     * Returns this table with a delta applied. A delta that does not start at this version, or that ends at or before
+     * it, changes nothing, unless it is full.
+     */
     MemberTable with(MembersDelta delta) {
         boolean follows = delta.full() || delta.from() == version;
         if (!follows || (delta.to() <= version && !delta.full())) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/package-info.java
@@ -1,2 +1,2 @@
-/** The entry role: holds a lease, owns backend servers, and takes calls. */
+/** The entry role: holds a lease, owns backend servers, and serves callers. */
 package org.elmline.daemon.entry;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/runtime/ProcessExecutors.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/runtime/ProcessExecutors.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * The executors of one process. Three pools, so that a slow reader of one kind can't keep another kind from running:
- * short handlers, blocking streams, and the connections' completions.
+ * The executors of one process. Short handlers, blocking streams and the completions of connections run in three
+ * separate pools, so that a slow reader of one kind can't block the tasks of another kind. Thread-safe.
  */
 public final class ProcessExecutors implements AutoCloseable {
     private static final int HANDLER_THREADS = Math.max(4, Runtime.getRuntime().availableProcessors());
@@ -28,7 +28,10 @@
     private final ScheduledThreadPoolExecutor timer;
     private final AsynchronousChannelGroup channelGroup;
 
-    /** @param maxStreams blocking streams that may run at once; one more is refused, never queued */
+    /**
+     * @param name prefix of the thread names
+     * @param maxStreams limit on concurrent blocking streams; a further one is rejected, never queued
+     */
     public ProcessExecutors(String name, int maxStreams) {
         handlers = Executors.newFixedThreadPool(HANDLER_THREADS, namedThreadFactory(name + "-handler"));
         streams = new ThreadPoolExecutor(
@@ -43,12 +46,15 @@
         channelGroup = openChannelGroup(name);
     }
 
-    /** Runs short tasks that never wait for another process. */
+    /** Returns the executor of short tasks, which must not wait for another process. */
     public ExecutorService handlers() {
         return handlers;
     }
 
-    /** Runs tasks that wait: one request or one engine stream each. Rejects a task when all its threads are busy. */
+    /**
+     * Returns the executor of tasks that block: one request or one engine stream each. Rejects a task when all its
+     * threads are busy.
+     */
     public ExecutorService streams() {
         return streams;
     }
@@ -73,7 +79,7 @@
         try {
             channelGroup.shutdownNow();
         } catch (IOException e) {
-            // The process is ending; the sockets go with it.
+            // The process ends, and the operating system closes its sockets.
         }
     }
 
@@ -82,7 +88,7 @@
             return AsynchronousChannelGroup.withFixedThreadPool(
                     CONNECTION_THREADS, namedThreadFactory(name + "-connection"));
         } catch (IOException e) {
-            throw new UncheckedIOException("no channel group can be opened", e);
+            throw new UncheckedIOException("failed to open the channel group for connections", e);
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/runtime/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** What every process has: its clock, its workers and its connections to other processes. */
+/** The clock and the executors that every process has. */
 package org.elmline.daemon.runtime;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/entry/LeaseRenewerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/entry/LeaseRenewerTest.java
@@ -49,9 +49,9 @@
     }
 
     /**
-     * A ticket of two objects reaches an entry, and its control host sends the same change once more because the
-     * acknowledgement was late. The operator's time line must say once that this entry follows the ticket: said for
-     * each object and each answer, a ticket of 1,400 organisations would push everything else out of the ring.
+     * A ticket of two objects reaches an entry, and the control host sends the same change twice because the
+     * acknowledgement was late. The time line must record once that this entry follows the ticket: with one event per
+     * object and answer, a ticket of 1,400 organisations would evict all other events from the ring.
      */
     @Test
     void aTicketIsFollowedOnce() {
@@ -87,7 +87,7 @@
         return new VersionedObject(object, TicketNumber.of(7), ConfigVersion.of(3));
     }
 
-    /** A leader that grants every renewal and always sends the same change. */
+    /** A leader that grants every renewal and sends the same change each time. */
     private static final class AnsweringNetwork implements PeerNetwork {
         @Override
         public <Q, R> CompletableFuture<CallResult<R>> call(
