--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/ControlClient.java
@@ -56,9 +56,9 @@
      */
     <Q, R> CompletableFuture<CallResult<R>> call(
             Channel<Q, R> channel, Q request, Duration timeout, LeaderHint<R> hint) {
-        long deadline = clock.nanos() + timeout.toNanos();
+        long deadlineNanos = clock.nanos() + timeout.toNanos();
         CompletableFuture<CallResult<R>> result = new CompletableFuture<>();
-        new RetryingCall<>(channel, request, hint, deadline, result).attempt(preferredHost);
+        new RetryingCall<>(channel, request, hint, deadlineNanos, result).attempt(preferredHost);
         return result;
     }
 
@@ -74,22 +74,22 @@
                 Channel<Q, R> channel,
                 Q request,
                 LeaderHint<R> hint,
-                long deadline,
+                long deadlineNanos,
                 CompletableFuture<CallResult<R>> result) {
             this.channel = channel;
             this.request = request;
             this.hint = hint;
-            this.deadlineNanos = deadline;
+            this.deadlineNanos = deadlineNanos;
             this.result = result;
         }
 
         void attempt(Address host) {
-            long left = deadlineNanos - clock.nanos();
-            if (left <= 0) {
+            long remainingNanos = deadlineNanos - clock.nanos();
+            if (remainingNanos <= 0) {
                 result.complete(maybeSent ? new CallResult.Unknown<>("no answer in time") : noLeader());
                 return;
             }
-            Duration timeout = Duration.ofNanos(Math.min(left, ATTEMPT_TIMEOUT.toNanos()));
+            Duration timeout = Duration.ofNanos(Math.min(remainingNanos, ATTEMPT_TIMEOUT.toNanos()));
             network.call(host, channel, request, timeout).thenAccept(answer -> onAnswer(host, answer));
         }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/EntryDaemon.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/EntryDaemon.java
@@ -121,27 +121,27 @@
     }
 
     private void open() throws IOException {
-        ProcessExecutors workers =
+        ProcessExecutors executors =
                 closer.register(new ProcessExecutors("entry", settings.limits().maxConcurrentRequests()));
         PeerKey key = new PeerKey(settings.keys().peerKey().value());
-        PeerHandlers channels = new PeerHandlers(workers.handlers());
-        bind(workers, key, channels);
+        PeerHandlers handlers = new PeerHandlers(executors.handlers());
+        bind(executors, key, handlers);
         TcpPeerNetwork network = closer.register(new TcpPeerNetwork(
                 key,
                 PeerLimits.DEFAULT,
-                workers.channelGroup(),
-                workers.timer(),
-                workers.handlers(),
+                executors.channelGroup(),
+                executors.timer(),
+                executors.handlers(),
                 process.hybridClock()));
         LeasedView view = new LeasedView(clock);
         List<Address> seeds =
                 settings.control().stream().map(each -> each.peers()).toList();
-        ControlClient client = new ControlClient(network, clock, workers.timer(), seeds);
+        ControlClient client = new ControlClient(network, clock, executors.timer(), seeds);
         admission = new AdmissionController(
                 self, view, clock, settings.callers(), settings.limits().maxConcurrentRequests(), metrics);
-        WorkerBodyReader bodies = new WorkerBodyReader(workers.streams());
+        WorkerBodyReader bodies = new WorkerBodyReader(executors.streams());
         control = new ControlCalls(client);
-        openBackends(workers, channels, network, view, bodies);
+        openBackends(executors, handlers, network, view, bodies);
         openOperators(view, bodies);
         renewer = new LeaseRenewer(
                 client,
@@ -152,21 +152,21 @@
                 metrics,
                 events,
                 admission::stopAdmission);
-        renewer.start(workers.timer());
+        renewer.start(executors.timer());
         events.record(new HostEvent.Started(self.host(), self.incarnation(), "entry"));
         LOG.infof("entry host %s serves callers at %s", self.host(), callers.address());
     }
 
     /** Binds all ports first, since this host's record names their addresses; the handlers are added later. */
-    private void bind(ProcessExecutors workers, PeerKey key, PeerHandlers channels) throws IOException {
+    private void bind(ProcessExecutors executors, PeerKey key, PeerHandlers handlers) throws IOException {
         ListenAddress bind = settings.addresses().peers();
         peers = closer.register(TcpPeerServer.start(
                 new InetSocketAddress(bind.ip(), bind.port()),
-                channels,
+                handlers,
                 key,
                 PeerLimits.DEFAULT,
-                workers.channelGroup(),
-                workers.timer(),
+                executors.channelGroup(),
+                executors.timer(),
                 process.hybridClock()));
         callers = closer.register(listen(settings.addresses().callers(), callerRoutes));
         List<String> operatorKeys =
@@ -176,8 +176,8 @@
     }
 
     private void openBackends(
-            ProcessExecutors workers,
-            HandlerRegistry channels,
+            ProcessExecutors executors,
+            HandlerRegistry handlers,
             PeerNetwork network,
             LeasedView view,
             WorkerBodyReader bodies) {
@@ -192,27 +192,27 @@
         OwnerTable table = new OwnerTable(record, OwnerTableSettings.DEFAULT);
         view.onMembers(() -> table.members(view.members().hosts()));
         OwnerService service = new OwnerService(self, owner, table, view, network, clock);
-        service.register(channels);
-        channels.register(
+        service.register(handlers);
+        handlers.register(
                 RouteChannels.SUMMARY,
                 summary -> CompletableFuture.completedFuture(table.accept(summary, clock.nanos())));
-        new EngineObserver(owner, engines).register(channels);
-        new OwnerMaintenance(owner, service, engines, clock, events).start(workers.timer());
+        new EngineObserver(owner, engines).register(handlers);
+        new OwnerMaintenance(owner, service, engines, clock, events).start(executors.timer());
         SummarySchedule schedule = new SummarySchedule(record, SUMMARY_INTERVAL_MILLIS, SUMMARY_BYTES_PER_SECOND);
-        new SummarySender(owner, table, schedule, view, network, clock, metrics).start(workers.timer());
+        new SummarySender(owner, table, schedule, view, network, clock, metrics).start(executors.timer());
         GrantTracker grants = new GrantTracker(self, view, clock, network, service, table, metrics);
         service.localAudit(grants::audit);
-        channels.register(RouteChannels.AUDIT, request -> CompletableFuture.completedFuture(grants.audit(request)));
-        grants.start(workers.timer());
-        EngineCancellations cancels = new EngineCancellations(engines, table, grants, clock, metrics);
-        cancels.start(workers.timer());
+        handlers.register(RouteChannels.AUDIT, request -> CompletableFuture.completedFuture(grants.audit(request)));
+        grants.start(executors.timer());
+        EngineCancellations cancellations = new EngineCancellations(engines, table, grants, clock, metrics);
+        cancellations.start(executors.timer());
         Placer placer = new Placer(self, view, clock, network, service, table, grants, metrics);
         CompletionGateway gateway =
-                new CompletionGateway(self, clock, placer, grants, engines, cancels, events, metrics);
+                new CompletionGateway(self, clock, placer, grants, engines, cancellations, events, metrics);
         ServiceGateway services = closer.register(new ServiceGateway(clock, table, control, metrics));
         OrganisationLimitService limits = new OrganisationLimitService(self, view, network, clock, metrics);
-        limits.register(channels);
-        limits.start(workers.timer());
+        limits.register(handlers);
+        limits.start(executors.timer());
         openCallers(view, service, gateway, services, limits, bodies);
     }
 
@@ -311,8 +311,8 @@
         renewer.renew();
         Thread.sleep(Duration.ofSeconds(settings.callers().keepSeconds()).toMillis());
         admission.stopAdmission();
-        long limit = clock.millis() + settings.callers().maxTimeoutMillis();
-        while (admission.inFlight() > 0 && clock.millis() < limit) {
+        long deadlineMillis = clock.millis() + settings.callers().maxTimeoutMillis();
+        while (admission.inFlight() > 0 && clock.millis() < deadlineMillis) {
             Thread.sleep(STOP_CHECK_MILLIS);
         }
         owner.leave(clock.nanos());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaderHint.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaderHint.java
@@ -10,12 +10,12 @@
 /** Decides whether an answer redirects the caller to another control host. */
 @FunctionalInterface
 interface LeaderHint<R> {
-    LeaderHint<LeaseAnswer> OF_LEASE =
-            answer -> answer instanceof LeaseAnswer.NotLeader not ? Redirect.to(not.leader()) : Redirect.NONE;
-    LeaderHint<TicketAnswer> OF_TICKET =
-            answer -> answer instanceof TicketAnswer.NotLeader not ? Redirect.to(not.leader()) : Redirect.NONE;
-    LeaderHint<ClaimAnswer> OF_CLAIM =
-            answer -> answer instanceof ClaimAnswer.NotLeader not ? Redirect.to(not.leader()) : Redirect.NONE;
+    LeaderHint<LeaseAnswer> OF_LEASE = answer ->
+            answer instanceof LeaseAnswer.NotLeader notLeader ? Redirect.to(notLeader.leader()) : Redirect.NONE;
+    LeaderHint<TicketAnswer> OF_TICKET = answer ->
+            answer instanceof TicketAnswer.NotLeader notLeader ? Redirect.to(notLeader.leader()) : Redirect.NONE;
+    LeaderHint<ClaimAnswer> OF_CLAIM = answer ->
+            answer instanceof ClaimAnswer.NotLeader notLeader ? Redirect.to(notLeader.leader()) : Redirect.NONE;
 
     Redirect redirect(R answer);
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaseRenewer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaseRenewer.java
@@ -46,18 +46,18 @@
 
     LeaseRenewer(
             ControlClient control,
-            LeasedView view,
+            LeasedView leasedView,
             MonotonicClock clock,
-            Supplier<HostRecord> self,
-            Duration beat,
+            Supplier<HostRecord> hostRecord,
+            Duration renewInterval,
             MetricRegistry metrics,
             EventRing events,
             Runnable onReplaced) {
         this.control = control;
-        this.leasedView = view;
+        this.leasedView = leasedView;
         this.clock = clock;
-        this.hostRecord = self;
-        this.renewInterval = beat;
+        this.hostRecord = hostRecord;
+        this.renewInterval = renewInterval;
         this.renewed = metrics.counter("entry.lease.renewed");
         this.missed = metrics.counter("entry.lease.missed");
         this.events = events;
@@ -75,7 +75,7 @@
         if (!renewalInFlight.compareAndSet(false, true)) {
             return CompletableFuture.completedFuture(null);
         }
-        long asked = clock.nanos();
+        long requestedNanos = clock.nanos();
         LeaseRequest request = new LeaseRequest(
                 hostRecord.get(),
                 leasedView.configuration().version(),
@@ -84,13 +84,13 @@
                 .handle((answer, failure) -> {
                     renewalInFlight.set(false);
                     if (failure == null) {
-                        onAnswer(asked, answer);
+                        onAnswer(requestedNanos, answer);
                     }
                     return null;
                 });
     }
 
-    private void onAnswer(long asked, CallResult<LeaseAnswer> result) {
+    private void onAnswer(long requestedNanos, CallResult<LeaseAnswer> result) {
         if (!(result instanceof CallResult.Answered<LeaseAnswer> answered)) {
             missed.inc();
             return;
@@ -105,9 +105,10 @@
             renewed.inc();
             control.updateHosts(granted.controlHosts());
             ConfigDelta config = granted.config();
-            boolean news = config.to().compareTo(leasedView.configuration().version()) > 0;
-            leasedView.onGranted(asked, granted);
-            if (news) {
+            boolean configChanged =
+                    config.to().compareTo(leasedView.configuration().version()) > 0;
+            leasedView.onGranted(requestedNanos, granted);
+            if (configChanged) {
                 recordFollowed(config);
                 // The next renewal acknowledges the change; sending it at once saves the operator up to one renewal
                 // interval.
@@ -126,12 +127,12 @@
     }
 
     private void checkLease() {
-        boolean now = leasedView.mayServe();
-        if (now != wasHeld) {
-            wasHeld = now;
+        boolean held = leasedView.mayServe();
+        if (held != wasHeld) {
+            wasHeld = held;
             HostId host = hostRecord.get().id();
-            events.record(now ? new HostEvent.LeaseGranted(host) : new HostEvent.LeaseLost(host));
-            LOG.infof(now ? "lease granted" : "lease lost: no new work is admitted until it is renewed");
+            events.record(held ? new HostEvent.LeaseGranted(host) : new HostEvent.LeaseLost(host));
+            LOG.infof(held ? "lease granted" : "lease lost: no new work is admitted until it is renewed");
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeasedView.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeasedView.java
@@ -56,13 +56,13 @@
         return lease;
     }
 
-    void onGranted(long askedNanos, LeaseAnswer.Granted granted) {
+    void onGranted(long requestedNanos, LeaseAnswer.Granted granted) {
         configuration = configuration.with(granted.config());
         MemberTable before = members;
         members = before.with(granted.members());
         // The lease is renewed last, so that nothing is admitted under an older configuration than the one that came
         // with the grant.
-        lease.recordGrant(askedNanos, granted.leaseMillis());
+        lease.recordGrant(requestedNanos, granted.leaseMillis());
         if (members != before) {
             onMembers.forEach(Runnable::run);
         }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/component/ProcessComponentTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/component/ProcessComponentTest.java
@@ -17,7 +17,7 @@
     private final ProcessComponent process = create("e1");
 
     @Test
-    void oneOfEachPartInAProcess() {
+    void providesOneInstancePerProcess() {
         assertSame(process.events(), process.events());
         assertSame(process.metrics(), process.metrics());
         assertSame(process.hybridClock(), process.hybridClock());
@@ -25,7 +25,7 @@
     }
 
     @Test
-    void partsAreJoined() {
+    void eventsCarryHostAndAreCountedInMetrics() {
         process.events().record(new RequestEvent.Finished(RequestId.of("r"), 1));
         EventPage page = process.events().page(EventQuery.all());
         assertEquals(HostId.of("e1"), page.host());
--- a/elmline-daemon/src/test/java/org/elmline/daemon/entry/LeaseRenewerTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/entry/LeaseRenewerTest.java
@@ -54,10 +54,10 @@
      * object and answer, a ticket of 1,400 organisations would evict all other events from the ring.
      */
     @Test
-    void aTicketIsFollowedOnce() {
+    void recordsOneFollowedEventPerTicket() {
         ManualClock clock = new ManualClock();
         LeasedView view = new LeasedView(clock);
-        ControlClient control = new ControlClient(new AnsweringNetwork(), clock, timer, List.of(ADDRESS));
+        ControlClient control = new ControlClient(new GrantingNetwork(), clock, timer, List.of(ADDRESS));
         LeaseRenewer renewer = new LeaseRenewer(
                 control,
                 view,
@@ -88,7 +88,7 @@
     }
 
     /** A leader that grants every renewal and sends the same change each time. */
-    private static final class AnsweringNetwork implements PeerNetwork {
+    private static final class GrantingNetwork implements PeerNetwork {
         @Override
         public <Q, R> CompletableFuture<CallResult<R>> call(
                 Address to, Channel<Q, R> channel, Q request, Duration timeout) {
