--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
@@ -21,7 +21,8 @@
 
 /**
  * Records the leader's decisions on tickets and when each ticket is in force. A ticket whose leader is deposed before
- * it is in force gets no in-force event, as the next leader does not know which events were recorded. Thread-safe.
+ * it is in force gets no in-force event, as the events that were recorded are not replicated to the next leader.
+ * Thread-safe.
  */
 final class TicketEventRecorder {
     private static final Logger LOG = Logger.getLogger(TicketEventRecorder.class);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorDataFolder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/CoordinatorDataFolder.java
@@ -23,9 +23,8 @@
 
 /**
  * Opens a control host's data folder. At the first start of a cluster the hosts in the settings are its voters, each
- * under an incarnation that all of them know in advance, so that they may start in any order. Any other empty folder
- * gets a new identity and joins: its predecessor's votes are lost, so voting under the old identity could elect two
- * leaders in one term.
+ * under the same fixed incarnation, so that they may start in any order. Any other empty folder gets a new identity and
+ * joins: its predecessor's votes are lost, so voting under the old identity could elect two leaders in one term.
  */
 final class CoordinatorDataFolder {
     /** Log segments are small, as the disk is. */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
@@ -23,8 +23,8 @@
 
 /**
  * Submits and reads the routing table from any control host, through the leader. A request times out within the second
- * in which an operator expects an answer, and the result says so: another control host may reach the leader.
- * Thread-safe.
+ * in which an operator expects an answer, and its result then shows that no leader answered: another control host may
+ * reach the leader. Thread-safe.
  */
 public final class RoutingService {
     /** An operator waits one second for an answer; the rest of it is for the network. */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaderHint.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaderHint.java
@@ -28,7 +28,7 @@
      * Redirect to another control host.
      *
      * @param required whether the call must be repeated at another control host
-     * @param leader the leader, empty when the control host that answered knows none
+     * @param leader the leader, empty when the answer names none
      */
     record Redirect(boolean required, Optional<Address> leader) {
         static final Redirect NONE = new Redirect(false, Optional.empty());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftChannels.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftChannels.java
@@ -35,8 +35,8 @@
     /**
      * The request was received, but not yet handled; only the leader can add a replica.
      *
-     * @param leader null when the host that answers knows none
-     * @param membership as the host that answers knows it; empty where it is no member itself
+     * @param leader the leader according to the host that answers, null when it has none
+     * @param membership the membership according to the host that answers; empty where it is no member itself
      */
     public record JoinAnswer(ReplicaId leader, Membership membership) {
         public JoinAnswer {
