--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDaemon.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ControlDaemon.java
@@ -43,7 +43,7 @@
 import org.elmline.wire.tcp.TcpPeerServer;
 import org.jboss.logging.Logger;
 
-/** One control host: everything it opens, how it is put together, and its graceful stop. */
+/** One control host: opens its data folder, log, services and ports, connects them and stops them gracefully. */
 public final class ControlDaemon implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(ControlDaemon.class);
     private static final int MAX_BLOCKING_TASKS = 16;
@@ -72,9 +72,9 @@
     }
 
     /**
-     * Opens everything and begins to serve; closes what was opened when any of it fails.
+     * Opens everything and starts to serve; on failure, closes what was opened.
      *
-     * @param onFailure called when the disk failed or an invariant broke; the process must end then
+     * @param onFailure called when the disk failed or an invariant was broken; the process must end then
      */
     public static ControlDaemon start(ControlSettings settings, Runnable onFailure) throws IOException {
         ControlDaemon daemon = new ControlDaemon(settings, onFailure);
@@ -89,24 +89,24 @@
 
     private void open() throws IOException {
         OpenResult.Opened opened = ControlDataFolder.open(settings.dataFolder(), settings.host());
-        ProcessExecutors workers = closer.register(new ProcessExecutors("control", MAX_BLOCKING_TASKS));
-        PeerHandlers channels = new PeerHandlers(workers.handlers());
+        ProcessExecutors executors = closer.register(new ProcessExecutors("control", MAX_BLOCKING_TASKS));
+        PeerHandlers handlers = new PeerHandlers(executors.handlers());
         PeerKey key = new PeerKey(settings.keys().peerKey().value());
         ListenAddress bind = settings.addresses().peers();
         peerServer = closer.register(TcpPeerServer.start(
                 new InetSocketAddress(bind.ip(), bind.port()),
-                channels,
+                handlers,
                 key,
                 PeerLimits.DEFAULT,
-                workers.channelGroup(),
-                workers.timer(),
+                executors.channelGroup(),
+                executors.timer(),
                 process.hybridClock()));
         TcpPeerNetwork network = closer.register(new TcpPeerNetwork(
                 key,
                 PeerLimits.DEFAULT,
-                workers.channelGroup(),
-                workers.timer(),
-                workers.handlers(),
+                executors.channelGroup(),
+                executors.timer(),
+                executors.handlers(),
                 process.hybridClock()));
         ControlStateMachine machine = new ControlStateMachine();
         Map<HostId, Address> peers = new LinkedHashMap<>();
@@ -114,7 +114,7 @@
         driver = RaftDriver.builder()
                 .folder(opened.folder(), opened.restored())
                 .machine(machine)
-                .network(network, channels)
+                .network(network, handlers)
                 .addresses(peers::get, () -> List.copyOf(peers.values()))
                 .clock(clock)
                 .metrics(metrics)
@@ -123,7 +123,7 @@
                 .onFailure(this::onReplicaFailure)
                 .start();
         log = closer.register(new RaftCommandLog(driver, settings.control()));
-        startServices(workers, channels, network, machine);
+        startServices(executors, handlers, network, machine);
         operators = closer.register(startOperatorListener());
         events.record(new HostEvent.Started(settings.host(), incarnation, "control"));
         LOG.infof("control host %s serves peers at %s", settings.host(), peers());
@@ -137,37 +137,37 @@
     }
 
     private void startServices(
-            ProcessExecutors workers, HandlerRegistry channels, PeerNetwork network, ControlStateMachine machine) {
+            ProcessExecutors executors, HandlerRegistry handlers, PeerNetwork network, ControlStateMachine machine) {
         LeaseSettings leases = new LeaseSettings(settings.lease().leaseMillis(), LEASE_EXPIRY_GRACE_MILLIS);
-        LeadershipMonitor watch =
+        LeadershipMonitor leadership =
                 new LeadershipMonitor(settings.host(), events, log, machine, clock, leases, controlLimits());
-        LeaseService leaseService = new LeaseService(log, watch, clock, metrics);
-        TicketEventRecorder ticketEvents = new TicketEventRecorder(events, machine, watch, clock);
-        ticketEvents.start(workers.timer());
-        TicketService tickets = new TicketService(log, machine, watch, clock, ticketEvents);
-        ClaimService claims = new ClaimService(log, watch::commandTimeMillis, metrics);
-        channels.register(ControlChannels.LEASE_RENEW, leaseService::renew);
-        channels.register(ControlChannels.TICKET_SUBMIT, tickets::submit);
-        channels.register(ControlChannels.TICKET_READ, tickets::read);
-        channels.register(ControlChannels.TICKET_LIST, tickets::list);
-        channels.register(ControlChannels.CLAIM_BEGIN, claims::begin);
-        channels.register(ControlChannels.CLAIM_FINISH, claims::finish);
-        watch.start(workers.timer());
+        LeaseService leaseService = new LeaseService(log, leadership, clock, metrics);
+        TicketEventRecorder ticketEvents = new TicketEventRecorder(events, machine, leadership, clock);
+        ticketEvents.start(executors.timer());
+        TicketService tickets = new TicketService(log, machine, leadership, clock, ticketEvents);
+        ClaimService claims = new ClaimService(log, leadership::commandTimeMillis, metrics);
+        handlers.register(ControlChannels.LEASE_RENEW, leaseService::renew);
+        handlers.register(ControlChannels.TICKET_SUBMIT, tickets::submit);
+        handlers.register(ControlChannels.TICKET_READ, tickets::read);
+        handlers.register(ControlChannels.TICKET_LIST, tickets::list);
+        handlers.register(ControlChannels.CLAIM_BEGIN, claims::begin);
+        handlers.register(ControlChannels.CLAIM_FINISH, claims::finish);
+        leadership.start(executors.timer());
         EngineClients engines = closer.register(new EngineClients());
         Duration leaderLease = Duration.ofMillis(settings.raft().electionMillis());
-        new EngineOrderService(watch, log, machine, network, engines, clock, leaderLease, metrics)
-                .start(workers.timer());
+        new EngineOrderService(leadership, log, machine, network, engines, clock, leaderLease, metrics)
+                .start(executors.timer());
     }
 
     private ControlLimits controlLimits() {
-        ControlLimits standard = ControlLimits.DEFAULT;
+        ControlLimits defaults = ControlLimits.DEFAULT;
         return new ControlLimits(
                 settings.retention().tickets(),
-                standard.claims(),
-                standard.claimsPerOrganisation(),
+                defaults.claims(),
+                defaults.claimsPerOrganisation(),
                 settings.retention().claimMillis(),
-                standard.recordedBodyBytes(),
-                standard.endedHosts());
+                defaults.recordedBodyBytes(),
+                defaults.endedHosts());
     }
 
     private HttpListener startOperatorListener() {
@@ -181,27 +181,27 @@
         return HttpListener.start(bind.ip(), bind.port(), HttpLimits.DEFAULT, new OperatorKeyHandler(keys, routes));
     }
 
-    /** How this control host stands, for operators. */
+    /** Returns this control host's status, for operators. */
     public ControlStatus status() {
         return ControlStatus.of(settings.host(), driver.status(), log.leadershipStatus());
     }
 
     private void onReplicaFailure() {
-        LOG.errorf("control host %s can't go on", settings.host());
+        LOG.errorf("control host %s stops: its replica failed", settings.host());
         onFailure.run();
     }
 
-    /** Where other elmline processes connect. */
+    /** Returns the address for other elmline processes. */
     public Address peers() {
         return peerServer.address(settings.addresses().peers().ip());
     }
 
-    /** Where operators connect. */
+    /** Returns the address for operators. */
     public Address operators() {
         return operators.address();
     }
 
-    /** Hands leadership over, then closes. */
+    /** Transfers leadership, then closes. */
     public void stop() {
         events.record(new HostEvent.Stopping(settings.host()));
         log.transferLeadership();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/EngineOrderService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/EngineOrderService.java
@@ -38,14 +38,18 @@
 import org.jboss.logging.Logger;
 
 /**
- * Orders engines while this control host leads: asks each entry what its engines serve, plans, sends inside its own
- * lease, and asks again until the wanted state shows. Runs on one timer thread at a time.
+ * Sends orders to engines while this control host leads. Each round requests the engines' states from every entry,
+ * plans, and sends orders within the leader's lease, until the observed states match the configured ones. Rounds run on
+ * one timer thread at a time; answers arrive on network threads and are handled under this object's lock.
  */
 final class EngineOrderService {
     private static final Logger LOG = Logger.getLogger(EngineOrderService.class);
     private static final long ROUND_INTERVAL_MILLIS = 1_000;
     private static final Duration OBSERVE_TIMEOUT = Duration.ofSeconds(4);
-    /** Parts of a leader's lease: an order must be over well inside it, and it is held back where less than this is left. */
+    /**
+     * The time limit of an order is the leader's lease divided by this, so that it ends well within the lease; an order
+     * is held back when less than that is left of the lease.
+     */
     private static final int ORDER_TIMEOUT_LEASE_DIVISOR = 4;
 
     private final LeadershipMonitor leadership;
@@ -62,12 +66,12 @@
     private FencingNumber plannedFencing;
     private OrderPlanner planner;
 
-    /** One engine's last report, with the leader's clock when it asked. */
+    /** One engine's last report, and the leader's clock in nanoseconds when it requested the report. */
     private record TimedObservation(EngineObservation engine, long requestedNanos) {}
 
-    /** @param leaderLease whole length of a leader's lease */
+    /** @param leaderLease full duration of a leader's lease */
     EngineOrderService(
-            LeadershipMonitor watch,
+            LeadershipMonitor leadership,
             CommandLog log,
             ControlStateMachine machine,
             PeerNetwork network,
@@ -75,7 +79,7 @@
             MonotonicClock clock,
             Duration leaderLease,
             MetricRegistry metrics) {
-        this.leadership = watch;
+        this.leadership = leadership;
         this.log = log;
         this.machine = machine;
         this.network = network;
@@ -99,7 +103,7 @@
         try {
             runRound();
         } catch (RuntimeException e) {
-            LOG.error("a round of engine orders failed; it is tried again", e);
+            LOG.error("a round of engine orders failed; the next round retries", e);
         }
     }
 
@@ -124,13 +128,13 @@
     }
 
     private OrderSettings orderSettings() {
-        OrderSettings standard = OrderSettings.DEFAULT;
+        OrderSettings defaults = OrderSettings.DEFAULT;
         return new OrderSettings(
                 Math.max(1, leaderLease.toMillis() / ORDER_TIMEOUT_LEASE_DIVISOR),
-                standard.repeatMillis(),
-                standard.maxStateAgeMillis(),
-                standard.loadsPerMinute(),
-                standard.loadBurst());
+                defaults.repeatMillis(),
+                defaults.maxStateAgeMillis(),
+                defaults.loadsPerMinute(),
+                defaults.loadBurst());
     }
 
     private long heldOrders(HoldReason reason) {
@@ -141,52 +145,53 @@
         return configuration.objects().stream().anyMatch(each -> each.object() instanceof BackendRole);
     }
 
-    private void requestObservations(FencingNumber number) {
+    private void requestObservations(FencingNumber fencingNumber) {
         List<Member> members = machine.read(state -> List.copyOf(state.members()));
         for (Member each : members) {
-            long asked = clock.nanos();
-            network.call(each.host().peers(), OrderChannels.OBSERVE, new ObserveRequest(number), OBSERVE_TIMEOUT)
+            long requestedNanos = clock.nanos();
+            network.call(each.host().peers(), OrderChannels.OBSERVE, new ObserveRequest(fencingNumber), OBSERVE_TIMEOUT)
                     .thenAccept(result -> {
                         if (result instanceof CallResult.Answered<ObserveAnswer> answered) {
-                            recordObservations(answered.value(), asked);
+                            recordObservations(answered.value(), requestedNanos);
                         }
                     });
         }
     }
 
-    private synchronized void recordObservations(ObserveAnswer answer, long askedNanos) {
+    private synchronized void recordObservations(ObserveAnswer answer, long requestedNanos) {
         for (EngineObservation each : answer.engines()) {
             observations.merge(
                     each.id(),
-                    new TimedObservation(each, askedNanos),
-                    (a, b) -> b.requestedNanos() - a.requestedNanos() >= 0
-                                    && b.engine().state() != null
-                            ? b
-                            : a);
+                    new TimedObservation(each, requestedNanos),
+                    (previous, latest) -> latest.requestedNanos() - previous.requestedNanos() >= 0
+                                    && latest.engine().state() != null
+                            ? latest
+                            : previous);
         }
     }
 
     private synchronized OrderPlan planOrders(Configuration configuration) {
-        List<ObservedEngine> seen = new ArrayList<>();
+        List<ObservedEngine> observed = new ArrayList<>();
         for (TimedObservation each : observations.values()) {
             EngineObservation engine = each.engine();
-            seen.add(new ObservedEngine(
+            observed.add(new ObservedEngine(
                     engine.id(), engine.checksFencing(), engine.leaving(), engine.state(), each.requestedNanos()));
         }
         return planner.plan(
-                configuration, seen, clock.nanos(), log.leadershipStatus().leaseUntilNanos());
+                configuration, observed, clock.nanos(), log.leadershipStatus().leaseUntilNanos());
     }
 
     private void sendOrder(PlannedOrder order) {
         TimedObservation target;
-        OrderPlanner by;
+        OrderPlanner currentPlanner;
         synchronized (this) {
             target = observations.get(order.server());
-            by = planner;
+            currentPlanner = planner;
         }
         Optional<EngineClient> client =
                 engines.client(target.engine().protocol(), target.engine().address());
-        // Read right before sending: a leader frozen since planning must not send what it planned.
+        // The clock is read right before sending: a leader paused since planning must not send orders whose time limit
+        // has passed.
         long limit = order.timeLimitMillis(clock.nanos());
         if (client.isEmpty() || limit <= 0) {
             return;
@@ -194,15 +199,15 @@
         sentOrders.inc();
         client.get().order(order.order(), Duration.ofMillis(limit)).thenAccept(result -> {
             if (result instanceof CallResult.Answered<OrderAnswer> answered) {
-                onAnswer(by, order, answered.value());
+                onAnswer(currentPlanner, order, answered.value());
             }
         });
     }
 
-    private synchronized void onAnswer(OrderPlanner by, PlannedOrder order, OrderAnswer answer) {
+    private synchronized void onAnswer(OrderPlanner usedPlanner, PlannedOrder order, OrderAnswer answer) {
         if (answer == OrderAnswer.STALE_FENCING_NUMBER) {
             staleOrders.inc();
         }
-        by.onAnswer(order.server(), order.order(), answer);
+        usedPlanner.onAnswer(order.server(), order.order(), answer);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
@@ -20,8 +20,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Follows whether this control host leads. Each new term first commits a {@link Command.StartLeadership}; only then,
- * with every earlier leader's commands applied, may this host grant leases and answer for tickets.
+ * Monitors whether this control host leads. Each new term first commits a {@link Command.StartLeadership}; only then
+ * are all commands of earlier leaders applied, and this host may grant leases and answer for tickets. Thread-safe.
  */
 final class LeadershipMonitor {
     private static final Logger LOG = Logger.getLogger(LeadershipMonitor.class);
@@ -40,7 +40,7 @@
     private long lastProposedTerm = -1;
     private long checkCount;
 
-    /** One term of this host as leader. Its keeper is used under the machine's lock only. */
+    /** One term of this host as leader. The lease manager is used under the state machine's lock only. */
     private record LeaderTerm(
             long number, FencingNumber fencingNumber, LeaseManager leases, CommandClock commandClock) {}
 
@@ -50,14 +50,14 @@
             CommandLog log,
             ControlStateMachine machine,
             MonotonicClock clock,
-            LeaseSettings leases,
+            LeaseSettings leaseSettings,
             ControlLimits limits) {
         this.host = host;
         this.events = events;
         this.log = log;
         this.machine = machine;
         this.clock = clock;
-        this.leaseSettings = leases;
+        this.leaseSettings = leaseSettings;
         this.limits = limits;
     }
 
@@ -65,39 +65,39 @@
         timer.scheduleWithFixedDelay(this::checkLeadership, 0, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** The term's fencing number, while this host leads and its leadership is committed. */
+    /** Returns the term's fencing number while this host leads and its leadership is committed. */
     Optional<FencingNumber> fencingNumber() {
         return currentTerm().map(LeaderTerm::fencingNumber);
     }
 
-    /** Milliseconds since 1970 to stamp into a command; see {@link CommandClock}. */
+    /** Returns the time to stamp into a command, in milliseconds since 1970; see {@link CommandClock}. */
     long commandTimeMillis() {
         return currentTerm()
                 .map(each -> each.commandClock().stamp(System.currentTimeMillis(), clock.nanos()))
                 .orElseGet(System::currentTimeMillis);
     }
 
-    /** Uses the lease keeper under the machine's lock; empty when this host doesn't lead. */
+    /** Applies a function to the lease manager under the state machine's lock; empty when this host does not lead. */
     <T> Optional<T> withLeases(Function<LeaseManager, T> use) {
         return currentTerm().map(each -> machine.read(state -> use.apply(each.leases())));
     }
 
     private synchronized Optional<LeaderTerm> currentTerm() {
-        LeadershipStatus standing = log.leadershipStatus();
-        boolean valid = leaderTerm != null && standing.isLeader() && standing.term() == leaderTerm.number();
+        LeadershipStatus status = log.leadershipStatus();
+        boolean valid = leaderTerm != null && status.isLeader() && status.term() == leaderTerm.number();
         return valid ? Optional.of(leaderTerm) : Optional.empty();
     }
 
     private void checkLeadership() {
         try {
-            LeadershipStatus standing = log.leadershipStatus();
-            if (!standing.isLeader()) {
+            LeadershipStatus status = log.leadershipStatus();
+            if (!status.isLeader()) {
                 onLeadershipLost();
                 return;
             }
-            if (markTermProposed(standing.term())) {
-                Command command = new Command.StartLeadership(host, standing.term(), limits);
-                log.propose(command).thenAccept(result -> onLeadershipStarted(standing.term(), result));
+            if (markTermProposed(status.term())) {
+                Command command = new Command.StartLeadership(host, status.term(), limits);
+                log.propose(command).thenAccept(result -> onLeadershipStarted(status.term(), result));
             }
             expireHostsAndClaims();
         } catch (RuntimeException e) {
@@ -105,7 +105,7 @@
         }
     }
 
-    /** True once for each term. */
+    /** Returns true once per term. */
     private synchronized boolean markTermProposed(long number) {
         if (lastProposedTerm == number) {
             return false;
@@ -120,12 +120,12 @@
             clearProposedTerm(number);
             return;
         }
-        LeaseManager keeper = machine.read(state -> new LeaseManager(state, leaseSettings, clock.nanos()));
+        LeaseManager leaseManager = machine.read(state -> new LeaseManager(state, leaseSettings, clock.nanos()));
         CommandClock commandClock =
                 machine.read(state -> new CommandClock(state.timeMillis(), System.currentTimeMillis(), clock.nanos()));
         synchronized (this) {
             if (lastProposedTerm == number) {
-                leaderTerm = new LeaderTerm(number, started.fencing(), keeper, commandClock);
+                leaderTerm = new LeaderTerm(number, started.fencing(), leaseManager, commandClock);
             }
         }
         events.record(new HostEvent.LeaderElected(host, number));
@@ -152,8 +152,8 @@
         if (checkCount % HOST_EXPIRY_INTERVAL_CHECKS != 0) {
             return;
         }
-        List<Command.EndHost> ended =
-                withLeases(keeper -> keeper.endExpired(clock.nanos())).orElse(List.of());
+        List<Command.EndHost> ended = withLeases(leaseManager -> leaseManager.endExpired(clock.nanos()))
+                .orElse(List.of());
         ended.forEach(log::propose);
         if (checkCount % CLAIM_EXPIRY_INTERVAL_CHECKS == 0 && currentTerm().isPresent()) {
             log.propose(new Command.ExpireClaims(commandTimeMillis()));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
@@ -20,8 +20,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * Records what the leader decides about tickets, and when each is in force. A ticket whose leader is deposed before it
- * is in force gets no event of that; the next leader doesn't know what was reported.
+ * Records the leader's decisions on tickets and when each ticket is in force. A ticket whose leader is deposed before
+ * it is in force gets no in-force event, as the events that were recorded are not replicated to the next leader.
+ * Thread-safe.
  */
 final class TicketEventRecorder {
     private static final Logger LOG = Logger.getLogger(TicketEventRecorder.class);
@@ -34,10 +35,11 @@
     private final Set<String> proposedDigests = ConcurrentHashMap.newKeySet();
     private final Map<TicketNumber, TicketOutcome.Accepted> acceptedNotInForce = new ConcurrentHashMap<>();
 
-    TicketEventRecorder(EventRing events, ControlStateMachine machine, LeadershipMonitor watch, MonotonicClock clock) {
+    TicketEventRecorder(
+            EventRing events, ControlStateMachine machine, LeadershipMonitor leadership, MonotonicClock clock) {
         this.events = events;
         this.machine = machine;
-        this.leadership = watch;
+        this.leadership = leadership;
         this.clock = clock;
         machine.onApplied(this::onApplied);
     }
@@ -47,7 +49,9 @@
                 this::recordTicketsInForce, CHECK_INTERVAL_MILLIS, CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** A ticket is about to be proposed here. One that is decided already is a retry, and nothing new happens to it. */
+    /**
+     * To be called before a ticket is proposed here. A ticket that is already decided is a retry and gets no new event.
+     */
     void beforeProposal(Command.ApplyTicket command) {
         boolean decided = machine.read(state -> state.ticket(command.ticket().number(), command.digest()))
                 .isPresent();
@@ -56,12 +60,15 @@
         }
     }
 
-    /** The proposal has ended, one way or another. */
+    /** To be called when the proposal has ended, whatever its outcome. */
     void afterProposal(Command.ApplyTicket command) {
         proposedDigests.remove(command.digest());
     }
 
-    /** Only what was proposed here is recorded: every replica applies every ticket, and again after a restart. */
+    /**
+     * Records only tickets that were proposed here: every replica applies every ticket, and applies it again after a
+     * restart.
+     */
     private void onApplied(Command command, CommandResult result) {
         if (!(command instanceof Command.ApplyTicket apply)
                 || !(result instanceof CommandResult.TicketDecided decided)
@@ -79,26 +86,27 @@
 
     private void recordTicketsInForce() {
         try {
-            Iterator<Map.Entry<TicketNumber, TicketOutcome.Accepted>> each =
+            Iterator<Map.Entry<TicketNumber, TicketOutcome.Accepted>> pending =
                     acceptedNotInForce.entrySet().iterator();
-            while (each.hasNext()) {
-                Map.Entry<TicketNumber, TicketOutcome.Accepted> ticket = each.next();
+            while (pending.hasNext()) {
+                Map.Entry<TicketNumber, TicketOutcome.Accepted> ticket = pending.next();
                 Optional<TicketStatus> status = status(ticket.getKey());
                 if (status.isPresent() && !status.get().inForce()) {
                     continue;
                 }
                 status.ifPresent(known -> events.record(new TicketEvent.InForce(
                         known.number(), ticket.getValue().version())));
-                each.remove();
+                pending.remove();
             }
         } catch (RuntimeException e) {
             LOG.error("check of tickets in force failed", e);
         }
     }
 
-    /** Empty when this host no longer leads. */
+    /** Returns the ticket's status, empty when this host no longer leads. */
     private Optional<TicketStatus> status(TicketNumber number) {
         Optional<TicketRecord> record = machine.read(state -> state.ticket(number));
-        return record.flatMap(found -> leadership.withLeases(keeper -> keeper.status(found, clock.nanos())));
+        return record.flatMap(
+                found -> leadership.withLeases(leaseManager -> leaseManager.status(found, clock.nanos())));
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
@@ -36,25 +36,35 @@
 import org.elmline.storage.OpenResult;
 import org.elmline.storage.SystemFiles;
 
-/** One control host for routed calls: everything it opens, how it is put together, and its graceful stop. */
+/**
+ * One control host for routed calls: opens its data folder, log, registry and ports, connects them and stops them
+ * gracefully.
+ */
 public final class Coordinator implements AutoCloseable {
     private static final Duration ELECTION_TIMEOUT = Duration.ofMillis(600);
     private static final Duration HEARTBEAT_INTERVAL = Duration.ofMillis(100);
 
-    /** A restarted control host is back within this, so only one that stays away is replaced. */
+    /**
+     * Time without contact after which a voter is replaced. A restarted control host is back within this time, so that
+     * only one that stays down is replaced.
+     */
     private static final Duration VOTER_LOST_TIMEOUT = Duration.ofMillis(3_000);
 
-    /** Longest routing document: the operators' own bound of 4 MB, and room for the ticket around it. */
+    /**
+     * Longest log command: a routing document has at most 4 MB, the operators' own limit, and the ticket around it
+     * needs room.
+     */
     private static final int MAX_COMMAND_BYTES = 5 * 1024 * 1024;
 
-    /** Log bytes after which it is compacted: a sixteenth of the smallest disk. */
+    /** Log size in bytes that triggers a compaction: a sixteenth of the smallest disk. */
     private static final long SNAPSHOT_BYTES = 8L * 1024 * 1024;
 
     private static final long STATUS_CHECK_MILLIS = 200;
 
     /**
-     * Time for which a restarted host that remembers a routing table does nothing but answer its peers. Entries that have
-     * lost theirs serve nobody until one of these answers, and the log takes more of a small host than all of them.
+     * Delay before a restarted host that restored a routing table opens its log; until then it only answers its peers.
+     * Entries that lost their routing table serve no callers until a control host answers them, and on a small host
+     * opening the log takes more CPU time than answering all of them.
      */
     private static final long LOG_OPEN_DELAY_MILLIS = 200;
 
@@ -68,7 +78,7 @@
     private final ProcessComponent process;
     private final DecisionLog log;
     private final long epoch = System.currentTimeMillis();
-    private final Map<Address, RegistryPoller> followLoops = new HashMap<>();
+    private final Map<Address, RegistryPoller> pollers = new HashMap<>();
     private volatile RaftDriver driver;
     private PeerEndpoint peers;
     private RegistryService registry;
@@ -86,9 +96,9 @@
     }
 
     /**
-     * Opens everything and begins to serve.
+     * Opens everything and starts to serve.
      *
-     * @param onFailure called when the disk failed or an invariant broke; the process must end then
+     * @param onFailure called when the disk failed or an invariant was broken; the process must end then
      */
     public static Coordinator start(
             NodeSettings settings, CoordinatorProtocol protocol, DecisionLog log, Runnable onFailure)
@@ -103,7 +113,7 @@
         }
     }
 
-    /** Peers are answered from memory first; the log, which decides, takes longer to open. */
+    /** Starts answering peers from the restored state before the log is opened, as opening the log takes longer. */
     private void open() throws IOException, InterruptedException {
         ExecutorService handlers = Executors.newSingleThreadExecutor(task -> {
             Thread thread = new Thread(task, "handlers");
@@ -112,28 +122,30 @@
         });
         closer.register(handlers::shutdownNow);
         peers = closer.register(new PeerEndpoint(settings, "coordinator", handlers, process.hybridClock()));
-        RoutingProvider held = new RoutingProvider(persistedValue("routing", RoutingText.class));
+        RoutingProvider routingProvider = new RoutingProvider(persistedValue("routing", RoutingText.class));
         registry = new RegistryService(
                 epoch,
                 settings.heartbeatMillis(),
                 process.clock(),
                 this::controlHostAddresses,
-                held,
+                routingProvider,
                 persistedValue("servers", PersistedServers.class),
                 process.metrics(),
                 log);
         registry.start(peers.timer());
         peers.handlers().register(RegistryChannels.FOLLOW, registry::follow);
         peers.handlers()
-                .register(RegistryChannels.FETCH_PACKED, query -> CompletableFuture.completedFuture(held.packed()));
-        if (held.hasRestored()) {
+                .register(
+                        RegistryChannels.FETCH_PACKED,
+                        query -> CompletableFuture.completedFuture(routingProvider.packed()));
+        if (routingProvider.hasRestored()) {
             Thread.sleep(LOG_OPEN_DELAY_MILLIS);
         }
         ControlStateMachine machine = new ControlStateMachine();
         openLog(machine);
         RoutingStore store = new RoutingStore(driver, machine);
-        held.attachStore(store);
-        // The applying thread holds the state's lock here, so the polls are answered by another.
+        routingProvider.attachStore(store);
+        // The applying thread holds the state machine's lock here, so the polls are answered on the timer thread.
         machine.onApplied((command, result) -> peers.timer().execute(registry::onRoutingChanged));
         peers.timer().execute(registry::onRoutingChanged);
         serve(store);
@@ -184,13 +196,13 @@
                 .write();
     }
 
-    /** Where the leader is, null when none is known. */
+    /** Peer address of the leader, null when none is known. */
     private Address leaderAddress() {
         ReplicaId leader = driver.status().leader();
         return leader == null ? null : settings.peerAddressOf(leader.host());
     }
 
-    /** Where a fresh replica asks to become a member. */
+    /** Peer addresses to which a new replica sends its join requests. */
     private List<Address> joinAddresses() {
         Set<Address> all = new LinkedHashSet<>(configuredControlHosts);
         RaftDriver running = driver;
@@ -201,7 +213,10 @@
         return List.copyOf(all);
     }
 
-    /** Where the control hosts are, as far as the membership of the log tells. */
+    /**
+     * Peer addresses of the control hosts in the log's membership; those of the settings while the membership is
+     * unknown.
+     */
     private List<Address> controlHostAddresses() {
         List<Address> all = new ArrayList<>();
         RaftDriver running = driver;
@@ -215,9 +230,9 @@
     private void checkStatus() {
         try {
             RaftStatus status = driver.status();
-            String now = status.role() + " " + status.term() + " " + status.leader() + " " + status.membership();
-            if (!now.equals(lastStatus)) {
-                lastStatus = now;
+            String current = status.role() + " " + status.term() + " " + status.leader() + " " + status.membership();
+            if (!current.equals(lastStatus)) {
+                lastStatus = current;
                 log.line("standing")
                         .with("raftRole", status.role())
                         .with("term", status.term())
@@ -226,27 +241,27 @@
                         .with("committed", status.committedIndex())
                         .write();
             }
-            followControlHosts();
+            updatePollers();
         } catch (RuntimeException e) {
-            log.line("watch failed").with("why", e).write();
+            log.line("status check failed").with("why", e).write();
         }
     }
 
-    /** Follows every other control host, and stops to follow those that are none any more. */
-    private synchronized void followControlHosts() {
-        Set<Address> wanted = new LinkedHashSet<>(controlHostAddresses());
-        wanted.remove(settings.peerAddress());
-        followLoops.entrySet().removeIf(each -> {
-            boolean over = !wanted.contains(each.getKey());
-            if (over) {
+    /** Starts polling the registries of control hosts that were added and stops polling those that were removed. */
+    private synchronized void updatePollers() {
+        Set<Address> targets = new LinkedHashSet<>(controlHostAddresses());
+        targets.remove(settings.peerAddress());
+        pollers.entrySet().removeIf(each -> {
+            boolean removed = !targets.contains(each.getKey());
+            if (removed) {
                 each.getValue().close();
                 peers.network().disconnect(each.getKey());
             }
-            return over;
+            return removed;
         });
-        for (Address each : wanted) {
-            if (!followLoops.containsKey(each)) {
-                RegistryPoller loop = new RegistryPoller(
+        for (Address each : targets) {
+            if (!pollers.containsKey(each)) {
+                RegistryPoller poller = new RegistryPoller(
                         peers.network(),
                         each,
                         settings.host(),
@@ -255,18 +270,21 @@
                         () -> PendingPoll.HOLD_MILLIS,
                         registry::merge,
                         peers.timer());
-                followLoops.put(each, loop);
-                loop.start();
+                pollers.put(each, poller);
+                poller.start();
             }
         }
     }
 
-    /** Takes settings that have changed while this process runs; only the control hosts to join by can change so. */
+    /**
+     * Applies settings that changed while this process runs; only the addresses of the control hosts to join can
+     * change.
+     */
     public void reload(NodeSettings next) {
         configuredControlHosts = next.controlPeerAddresses();
     }
 
-    /** Hands leadership over, then closes. */
+    /** Transfers leadership, then closes. */
     public void stop() {
         log.line("stopping").with("leads", driver.isLeader()).write();
         if (driver.isLeader()) {
@@ -279,7 +297,7 @@
 
     @Override
     public void close() {
-        followLoops.values().forEach(RegistryPoller::close);
+        pollers.values().forEach(RegistryPoller::close);
         closer.close();
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingService.java
@@ -22,11 +22,12 @@
 import org.elmline.daemon.log.DecisionLog;
 
 /**
- * Submits and reads the routing table at any control host, by way of the leader. Gives up within a second, in which an
- * operator expects an answer, and then says so: another host may do better.
+ * Submits and reads the routing table from any control host, through the leader. A request times out within the second
+ * in which an operator expects an answer, and its result then shows that no leader answered: another control host may
+ * reach the leader. Thread-safe.
  */
 public final class RoutingService {
-    /** An operator waits a second for an answer; the rest is for the way. */
+    /** An operator waits one second for an answer; the rest of it is for the network. */
     private static final Duration REQUEST_TIMEOUT = Duration.ofMillis(850);
 
     private static final long RETRY_DELAY_MILLIS = 40;
@@ -40,13 +41,13 @@
 
     RoutingService(
             RoutingStore store,
-            Supplier<Address> leader,
+            Supplier<Address> leaderAddress,
             PeerNetwork network,
             ScheduledExecutorService timer,
             MonotonicClock clock,
             DecisionLog log) {
         this.store = store;
-        this.leaderAddress = leader;
+        this.leaderAddress = leaderAddress;
         this.network = network;
         this.timer = timer;
         this.clock = clock;
@@ -59,38 +60,38 @@
         handlers.register(RegistryChannels.FETCH_ROUTING, query -> CompletableFuture.completedFuture(store.current()));
     }
 
-    /** Puts a valid document in force, unless one of its version or a higher one is. */
-    public CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submit) {
-        LeaderRequest<RoutingSubmission, RoutingSubmitResult> attempts = new LeaderRequest<>(
+    /** Puts a valid document in force, unless one with the same or a higher version is. */
+    public CompletableFuture<RoutingSubmitResult> submit(RoutingSubmission submission) {
+        LeaderRequest<RoutingSubmission, RoutingSubmitResult> leaderRequest = new LeaderRequest<>(
                 RegistryChannels.SUBMIT_ROUTING,
-                submit,
+                submission,
                 store::submit,
                 each -> each == RoutingSubmitResult.NOT_LEADER,
                 RoutingSubmitResult.NOT_LEADER,
                 RoutingSubmitResult.UNKNOWN);
-        attempts.attempt();
-        return attempts.completion.whenComplete((outcome, failure) -> log.line("routing submitted")
-                .with("version", submit.version())
+        leaderRequest.attempt();
+        return leaderRequest.completion.whenComplete((outcome, failure) -> log.line("routing submitted")
+                .with("version", submission.version())
                 .with("outcome", outcome)
                 .with("heldVersion", store.currentVersion())
                 .with("leader", leaderAddress.get())
                 .write());
     }
 
-    /** Reads the newest document; unknown where no leader can be asked. */
+    /** Reads the newest document; {@link RoutingText#UNKNOWN} when no leader can be reached. */
     public CompletableFuture<RoutingText> read() {
-        LeaderRequest<RoutingQuery, RoutingText> attempts = new LeaderRequest<>(
+        LeaderRequest<RoutingQuery, RoutingText> leaderRequest = new LeaderRequest<>(
                 RegistryChannels.READ_ROUTING,
                 new RoutingQuery(),
                 query -> store.read(),
                 each -> !each.known(),
                 RoutingText.UNKNOWN,
                 RoutingText.UNKNOWN);
-        attempts.attempt();
-        return attempts.completion;
+        leaderRequest.attempt();
+        return leaderRequest.completion;
     }
 
-    /** Asks the leader, here or elsewhere, again while there is none. */
+    /** Sends a request to the leader, which may be this host, and retries while there is none. */
     private final class LeaderRequest<Q, R> {
         private final CompletableFuture<R> completion = new CompletableFuture<>();
         private final Channel<Q, R> channel;
@@ -103,28 +104,28 @@
         LeaderRequest(
                 Channel<Q, R> channel,
                 Q request,
-                Function<Q, CompletionStage<R>> here,
-                Function<R, Boolean> notLeader,
-                R noLeader,
-                R unknown) {
+                Function<Q, CompletionStage<R>> localHandler,
+                Function<R, Boolean> isNotLeader,
+                R noLeaderResult,
+                R unknownResult) {
             this.channel = channel;
             this.request = request;
-            this.localHandler = here;
-            this.isNotLeader = notLeader;
-            this.noLeaderResult = noLeader;
-            completion.completeOnTimeout(unknown, REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
+            this.localHandler = localHandler;
+            this.isNotLeader = isNotLeader;
+            this.noLeaderResult = noLeaderResult;
+            completion.completeOnTimeout(unknownResult, REQUEST_TIMEOUT.toMillis(), TimeUnit.MILLISECONDS);
         }
 
         void attempt() {
-            Address to = leaderAddress.get();
-            if (to == null) {
+            Address leader = leaderAddress.get();
+            if (leader == null) {
                 retryLater(noLeaderResult);
                 return;
             }
-            Duration left = Duration.ofNanos(Math.max(1_000_000, deadlineNanos - clock.nanos()));
+            Duration remaining = Duration.ofNanos(Math.max(1_000_000, deadlineNanos - clock.nanos()));
             localHandler.apply(request).thenAccept(result -> {
                 if (isNotLeader.apply(result)) {
-                    network.call(to, channel, request, left).thenAccept(this::onAnswer);
+                    network.call(leader, channel, request, remaining).thenAccept(this::onAnswer);
                 } else {
                     completion.complete(result);
                 }
@@ -141,12 +142,13 @@
             } else if (result instanceof CallResult.NotSent<R>) {
                 retryLater(noLeaderResult);
             }
-            // Sent and not answered: the time runs out, as it may have taken effect.
+            // Sent without an answer: the request may have taken effect, so it is left to time out with an unknown
+            // result.
         }
 
-        private void retryLater(R otherwise) {
+        private void retryLater(R fallback) {
             if (deadlineNanos - clock.nanos() < TimeUnit.MILLISECONDS.toNanos(RETRY_DELAY_MILLIS)) {
-                completion.complete(otherwise);
+                completion.complete(fallback);
                 return;
             }
             timer.schedule(this::attempt, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaseRenewer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/entry/LeaseRenewer.java
@@ -25,7 +25,10 @@
 import org.elmline.core.timeline.TicketEvent;
 import org.jboss.logging.Logger;
 
-/** Renews this entry's lease at a steady beat, and at once after a change so that it is acknowledged early. */
+/**
+ * Renews this entry's lease at a fixed interval, and at once after a configuration change, so that the change is
+ * acknowledged early. At most one renewal is in flight.
+ */
 public final class LeaseRenewer {
     private static final Logger LOG = Logger.getLogger(LeaseRenewer.class);
 
@@ -43,18 +46,18 @@
 
     LeaseRenewer(
             ControlClient control,
-            LeasedView view,
+            LeasedView leasedView,
             MonotonicClock clock,
-            Supplier<HostRecord> self,
-            Duration beat,
+            Supplier<HostRecord> hostRecord,
+            Duration renewInterval,
             MetricRegistry metrics,
             EventRing events,
             Runnable onReplaced) {
         this.control = control;
-        this.leasedView = view;
+        this.leasedView = leasedView;
         this.clock = clock;
-        this.hostRecord = self;
-        this.renewInterval = beat;
+        this.hostRecord = hostRecord;
+        this.renewInterval = renewInterval;
         this.renewed = metrics.counter("entry.lease.renewed");
         this.missed = metrics.counter("entry.lease.missed");
         this.events = events;
@@ -67,12 +70,12 @@
                 this::checkLease, renewInterval.toMillis(), renewInterval.toMillis(), TimeUnit.MILLISECONDS);
     }
 
-    /** Asks now, unless an answer is under way. */
+    /** Sends a renewal, unless one is in flight. */
     CompletableFuture<Void> renew() {
         if (!renewalInFlight.compareAndSet(false, true)) {
             return CompletableFuture.completedFuture(null);
         }
-        long asked = clock.nanos();
+        long requestedNanos = clock.nanos();
         LeaseRequest request = new LeaseRequest(
                 hostRecord.get(),
                 leasedView.configuration().version(),
@@ -81,20 +84,20 @@
                 .handle((answer, failure) -> {
                     renewalInFlight.set(false);
                     if (failure == null) {
-                        onAnswer(asked, answer);
+                        onAnswer(requestedNanos, answer);
                     }
                     return null;
                 });
     }
 
-    private void onAnswer(long asked, CallResult<LeaseAnswer> result) {
+    private void onAnswer(long requestedNanos, CallResult<LeaseAnswer> result) {
         if (!(result instanceof CallResult.Answered<LeaseAnswer> answered)) {
             missed.inc();
             return;
         }
         if (answered.value() instanceof LeaseAnswer.Replaced replaced) {
             leasedView.onReplaced();
-            LOG.errorf("another process of this host holds the lease under incarnation %s", replaced.by());
+            LOG.errorf("lease replaced: another process of this host holds it under incarnation %s", replaced.by());
             onReplaced.run();
             return;
         }
@@ -102,17 +105,19 @@
             renewed.inc();
             control.updateHosts(granted.controlHosts());
             ConfigDelta config = granted.config();
-            boolean news = config.to().compareTo(leasedView.configuration().version()) > 0;
-            leasedView.onGranted(asked, granted);
-            if (news) {
+            boolean configChanged =
+                    config.to().compareTo(leasedView.configuration().version()) > 0;
+            leasedView.onGranted(requestedNanos, granted);
+            if (configChanged) {
                 recordFollowed(config);
-                // The next renewal acknowledges the change; asking now spares the operator the rest of the beat.
+                // The next renewal acknowledges the change; sending it at once saves the operator up to one renewal
+                // interval.
                 renew();
             }
         }
     }
 
-    /** One event for each ticket, however many objects it changed. */
+    /** Records one event per ticket, however many objects it changed. */
     private void recordFollowed(ConfigDelta config) {
         Set<TicketEvent> followed = new LinkedHashSet<>();
         for (VersionedObject each : config.changed()) {
@@ -122,12 +127,12 @@
     }
 
     private void checkLease() {
-        boolean now = leasedView.mayServe();
-        if (now != wasHeld) {
-            wasHeld = now;
+        boolean held = leasedView.mayServe();
+        if (held != wasHeld) {
+            wasHeld = held;
             HostId host = hostRecord.get().id();
-            events.record(now ? new HostEvent.LeaseGranted(host) : new HostEvent.LeaseLost(host));
-            LOG.infof(now ? "lease held" : "lease lost: nothing new is admitted until it is held again");
+            events.record(held ? new HostEvent.LeaseGranted(host) : new HostEvent.LeaseLost(host));
+            LOG.infof(held ? "lease granted" : "lease lost: no new work is admitted until it is renewed");
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftLoop.java
@@ -26,15 +26,19 @@
 import org.jboss.logging.Logger;
 
 /**
- * The log's thread: takes inputs in batches, syncs once for all of them, sends, applies. A full disk stops it until
- * there is room, so that this replica promises nothing meanwhile and another can lead.
+ * The log's thread: takes inputs in batches, syncs once per batch, sends messages and applies committed entries. While
+ * the disk is full it handles no input, so that this replica neither votes nor acknowledges entries and another can
+ * lead.
  */
 final class RaftLoop implements Runnable {
     private static final Logger LOG = Logger.getLogger(RaftLoop.class);
     private static final int MAX_BATCH = 1_024;
     private static final long FULL_DISK_RETRY_MILLIS = 100;
 
-    /** Syncs that take less leave time for one more that isn't owed to anybody; a faulty disk is left alone. */
+    /**
+     * Below this duration of the last sync, the committed index is synced too, which correctness does not require; a
+     * slow or faulty disk gets no optional sync.
+     */
     private static final long QUICK_SYNC_NANOS = 20_000_000;
 
     private static final byte[] EMPTY_RESULT = new byte[0];
@@ -63,21 +67,23 @@
     private long nextVoterCheckNanos;
     private long lastSyncNanos;
 
-    RaftLoop(RaftDriver.Builder parts, RaftNode node, BlockingQueue<RaftInput> queue, RaftMessageSender sender) {
-        this.configuration = parts;
+    RaftLoop(
+            RaftDriver.Builder configuration, RaftNode node, BlockingQueue<RaftInput> queue, RaftMessageSender sender) {
+        this.configuration = configuration;
         this.node = node;
-        this.folder = parts.folder;
-        this.machine = parts.machine;
-        this.clock = parts.clock;
+        this.folder = configuration.folder;
+        this.machine = configuration.machine;
+        this.clock = configuration.clock;
         this.queue = queue;
         this.sender = sender;
-        this.tickNanos = parts.settings.heartbeat().toNanos() / 4;
-        MetricRegistry metrics = parts.metrics;
+        this.tickNanos = configuration.settings.heartbeat().toNanos() / 4;
+        MetricRegistry metrics = configuration.metrics;
         this.membershipReporter = new MembershipReporter(
-                node, metrics, 2 * parts.settings.electionTimeout().toNanos());
-        this.joinQueue = new JoinQueue(2 * parts.settings.electionTimeout().toNanos());
+                node, metrics, 2 * configuration.settings.electionTimeout().toNanos());
+        this.joinQueue =
+                new JoinQueue(2 * configuration.settings.electionTimeout().toNanos());
         this.joinRequester = new JoinRequester(
-                parts,
+                configuration,
                 node,
                 sender,
                 membershipReporter,
@@ -123,9 +129,9 @@
         stopping = true;
         status = status.withoutLeadership();
         pendingOperations.onDeposed(Long.MAX_VALUE, null, "the replica stopped");
-        List<RaftInput> left = new ArrayList<>();
-        queue.drainTo(left);
-        left.forEach(each -> reject(each, ProposeRefusal.CLOSED));
+        List<RaftInput> unhandled = new ArrayList<>();
+        queue.drainTo(unhandled);
+        unhandled.forEach(each -> reject(each, ProposeRefusal.CLOSED));
     }
 
     private void runOnce() throws InterruptedException {
@@ -135,9 +141,10 @@
             inputs.add(first);
             queue.drainTo(inputs, MAX_BATCH - 1);
         }
-        // The clock is read after the messages were taken, as the node demands.
+        // RaftNode requires that the clock is read after the messages were received.
         long now = clock.nanos();
-        // Answers that waited while this thread was held up must count before the node judges who is silent.
+        // Messages that were queued while this thread was paused must be handled before the node checks for timeouts;
+        // otherwise live replicas would count as lost.
         handleAll(inputs, now);
         node.tick(now);
         proposeNextJoin(now);
@@ -184,8 +191,8 @@
             node.step(now, received.message());
         } else if (input instanceof RaftInput.ChangeMembership change) {
             ProposeOutcome outcome = node.propose(now, change.change());
-            if (outcome instanceof ProposeOutcome.Appended at) {
-                pendingOperations.addProposal(at.firstIndex(), at.term(), change.done());
+            if (outcome instanceof ProposeOutcome.Appended appended) {
+                pendingOperations.addProposal(appended.firstIndex(), appended.term(), change.done());
             } else {
                 change.done().complete(result(outcome));
             }
@@ -227,9 +234,9 @@
     }
 
     private boolean isReadyToVote(ReplicaId joining) {
-        boolean heard = node.nanosSinceContact(joining)
+        boolean inContact = node.nanosSinceContact(joining)
                 < configuration.settings.electionTimeout().toNanos();
-        return heard && node.isCaughtUp(joining);
+        return inContact && node.isCaughtUp(joining);
     }
 
     private void proposeChange(MembershipChange change, long now) {
@@ -238,26 +245,28 @@
 
     private void read(RaftInput.Read read, long now) {
         ReadOutcome outcome = node.readIndex(now);
-        if (outcome instanceof ReadOutcome.AwaitingQuorum waiting) {
-            pendingOperations.addRead(waiting.number(), node.term(), read.done());
-        } else if (outcome instanceof ReadOutcome.NotLeader not) {
-            read.done().complete(new ReadResult.NotLeader(not.leader()));
+        if (outcome instanceof ReadOutcome.AwaitingQuorum awaiting) {
+            pendingOperations.addRead(awaiting.number(), node.term(), read.done());
+        } else if (outcome instanceof ReadOutcome.NotLeader notLeader) {
+            read.done().complete(new ReadResult.NotLeader(notLeader.leader()));
         } else {
             read.done().complete(new ReadResult.NotReady());
         }
     }
 
-    /** All in one batch, or each on its own when the batch as a whole is too much. */
+    /** Proposes all in one batch, or each on its own when the batch is refused, as it may be too large as a whole. */
     private void propose(List<RaftInput.Propose> proposals, long now) {
         if (proposals.isEmpty()) {
             return;
         }
         ProposeOutcome outcome = node.propose(
                 now, proposals.stream().map(RaftInput.Propose::command).toList());
-        if (outcome instanceof ProposeOutcome.Appended at) {
+        if (outcome instanceof ProposeOutcome.Appended appended) {
             for (int i = 0; i < proposals.size(); i++) {
                 pendingOperations.addProposal(
-                        at.firstIndex() + i, at.term(), proposals.get(i).done());
+                        appended.firstIndex() + i,
+                        appended.term(),
+                        proposals.get(i).done());
             }
         } else if (outcome instanceof ProposeOutcome.Refused && proposals.size() > 1) {
             proposals.forEach(each -> propose(List.of(each), now));
@@ -267,8 +276,8 @@
     }
 
     private static ProposeResult result(ProposeOutcome outcome) {
-        if (outcome instanceof ProposeOutcome.NotLeader not) {
-            return new ProposeResult.NotLeader(not.leader());
+        if (outcome instanceof ProposeOutcome.NotLeader notLeader) {
+            return new ProposeResult.NotLeader(notLeader.leader());
         }
         return new ProposeResult.Refused(((ProposeOutcome.Refused) outcome).reason());
     }
@@ -289,8 +298,8 @@
             recordCommitted(ready.committedEntries());
             ready.confirmedReads().forEach(pendingOperations::onReadConfirmed);
             node.advance(clock.nanos(), ready);
-            // A sync may have waited for room; without a look at the time a leader would be published as such although
-            // another leads meanwhile.
+            // A sync may have waited for free disk space. Without this tick the old status would be published, and this
+            // replica would count as leader although another leads meanwhile.
             node.tick(clock.nanos());
         }
         publish();
@@ -307,22 +316,22 @@
         }
     }
 
-    /** Returns false when the replica was stopped before there was room. */
+    /** Returns false when the replica was stopped before there was free disk space. */
     private boolean sync(Ready ready) throws InterruptedException {
         if (ready.snapshotToInstall() != null && !write(() -> folder.install(ready.snapshotToInstall()))) {
             return false;
         }
-        boolean records = ready.hardState() != null || !ready.entries().isEmpty();
-        long before = clock.nanos();
-        boolean written = !records || write(() -> folder.append(ready.hardState(), ready.entries()));
-        if (records) {
-            lastSyncNanos = clock.nanos() - before;
+        boolean hasRecords = ready.hardState() != null || !ready.entries().isEmpty();
+        long startNanos = clock.nanos();
+        boolean written = !hasRecords || write(() -> folder.append(ready.hardState(), ready.entries()));
+        if (hasRecords) {
+            lastSyncNanos = clock.nanos() - startNanos;
         }
         return written;
     }
 
     private boolean write(Supplier<StoreResult> write) throws InterruptedException {
-        boolean full = false;
+        boolean waiting = false;
         while (!stopping) {
             StoreResult result = write.get();
             if (result instanceof StoreResult.Done) {
@@ -332,9 +341,9 @@
             if (result instanceof StoreResult.Failed failed) {
                 throw new StorageFailure(failed.reason());
             }
-            if (!full) {
-                LOG.warnf("replica %s waits: its disk is full", node.self());
-                full = true;
+            if (!waiting) {
+                LOG.warnf("replica %s waits for free disk space: its disk is full", node.self());
+                waiting = true;
             }
             waitForDiskSpace();
         }
@@ -343,13 +352,13 @@
 
     private void waitForDiskSpace() throws InterruptedException {
         status = status.withoutLeadership();
-        List<RaftInput> waiting = new ArrayList<>();
-        queue.drainTo(waiting);
-        waiting.forEach(each -> reject(each, ProposeRefusal.DISK_FULL));
+        List<RaftInput> unhandled = new ArrayList<>();
+        queue.drainTo(unhandled);
+        unhandled.forEach(each -> reject(each, ProposeRefusal.DISK_FULL));
         Thread.sleep(FULL_DISK_RETRY_MILLIS);
     }
 
-    /** Messages are dropped: what is not answered counts as lost. */
+    /** Completes the input's future; messages are dropped, which counts as loss on the network. */
     private static void reject(RaftInput input, ProposeRefusal why) {
         if (input instanceof RaftInput.Propose propose) {
             propose.done().complete(new ProposeResult.Refused(why));
@@ -377,7 +386,7 @@
         long firstLedTerm = after.leads() ? after.term() : Long.MAX_VALUE;
         pendingOperations.onDeposed(firstLedTerm, after.leader(), "this replica leads no more");
         if (after.role() != before.role() && (after.leads() || before.leads())) {
-            LOG.infof("replica %s is %s in term %d", after.self(), after.role(), after.term());
+            LOG.infof("replica %s became %s in term %d", after.self(), after.role(), after.term());
         }
     }
 
@@ -394,11 +403,11 @@
         if (result instanceof StoreResult.Failed failed) {
             throw new StorageFailure(failed.reason());
         }
-        // With a full disk the log stays as it is, and the next snapshot stands in for this one.
+        // With a full disk the log stays uncompacted, and the next snapshot replaces this one.
         snapshots.inc();
     }
 
-    /** The disk failed; nothing this replica says can be trusted any more. */
+    /** The disk failed, so this replica must stop: it can no longer keep its votes and acknowledged entries. */
     private static final class StorageFailure extends RuntimeException {
         private static final long serialVersionUID = 1L;
 
--- a/elmline-daemon/src/test/java/org/elmline/daemon/raft/RaftDriverTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/raft/RaftDriverTest.java
@@ -38,7 +38,7 @@
             replicas.add(each);
             each.start(data.resolve("first-" + i), i == 0);
         }
-        await("three voters", () -> replicas.stream().allMatch(TestReplica::votes));
+        await("three voters", () -> replicas.stream().allMatch(TestReplica::isVoter));
     }
 
     @AfterEach
@@ -57,7 +57,7 @@
             }
             Thread.sleep(10);
         }
-        throw new AssertionError("never: " + what);
+        throw new AssertionError("condition not met within 30 s: " + what);
     }
 
     private TestReplica leader() throws Exception {
@@ -72,7 +72,9 @@
         return to.driver.propose(ByteBuffer.allocate(Long.BYTES).putLong(number).array());
     }
 
-    /** Proposes until committed commands number so many more than before; returns how many were surely committed. */
+    /**
+     * Proposes until this many commands are known to be committed; a command with an unknown result is proposed again.
+     */
     private void commit(int commands) throws Exception {
         int done = 0;
         while (done < commands) {
@@ -89,15 +91,15 @@
 
     private boolean allAgree() {
         TestReplica first = replicas.get(0);
-        return replicas.stream().allMatch(each -> each.votes() && each.count == first.count && each.sum == first.sum);
+        return replicas.stream().allMatch(each -> each.isVoter() && each.count == first.count && each.sum == first.sum);
     }
 
     /**
-     * The leader's host stops, hundreds of changes pass, it comes back with its old folder; then another host comes
-     * back with an empty one. Each catches up, and the lost replica is replaced by the new one.
+     * Stops the leader's host, commits 500 commands and restarts it with its old folder; then restarts another host
+     * with an empty folder. Both must catch up, and the new replica must replace the lost one.
      */
     @Test
-    void aStoppedAndAnEmptiedHostCatchUp() throws Exception {
+    void restartedAndEmptiedHostsCatchUp() throws Exception {
         commit(50);
         TestReplica stopped = leader();
         int number = replicas.indexOf(stopped);
@@ -109,7 +111,7 @@
         emptied.stop();
         emptied.start(data.resolve("second"), false);
         await("replaced", this::allAgree);
-        // A leader's status is published after its sync, when the replica that it promoted may know already.
+        // The leader publishes its status after its sync, possibly later than the replica that it promoted.
         TestReplica leader = leader();
         await("known to the leader", () -> voters(leader).size() == 3);
         assertEquals(
@@ -122,7 +124,7 @@
     }
 
     @Test
-    void leadershipMovesAndReadsAreConfirmed() throws Exception {
+    void transfersLeadershipAndConfirmsReads() throws Exception {
         commit(10);
         TestReplica old = leader();
         assertTrue(old.driver.transferLeadership().get(30, TimeUnit.SECONDS));
@@ -135,15 +137,15 @@
     }
 
     /**
-     * The leader's disk fills up. What it had not synced is unknown or refused, never answered as committed by it; it
-     * stops to lead, another takes over, and it follows again once there is room.
+     * Fills the leader's disk. Commands that it had not synced must be unknown or refused, never answered as committed
+     * by it; it stops leading, another replica takes over, and it follows again once its disk has room.
      */
     @Test
-    void aLeaderWithAFullDiskGivesWay() throws Exception {
+    void leaderWithFullDiskStopsLeading() throws Exception {
         commit(10);
         TestReplica full = leader();
         full.diskFull = true;
-        CompletableFuture<ProposeResult> caught = propose(full, 1);
+        CompletableFuture<ProposeResult> pending = propose(full, 1);
         await("does not lead", () -> !full.driver.isLeader());
         assertEquals(
                 new ProposeResult.Refused(ProposeRefusal.DISK_FULL),
@@ -152,12 +154,14 @@
         commit(10);
         full.diskFull = false;
         await("follows again", this::allAgree);
-        caught.get(30, TimeUnit.SECONDS);
+        pending.get(30, TimeUnit.SECONDS);
     }
 
-    /** Guards against a lost disk that costs its voter for good, where the settings name no host that leads. */
+    /**
+     * Guards against the permanent loss of a voter whose disk was lost when the settings don't name the leader's host.
+     */
     @Test
-    void aHostThatLostItsDiskIsLetInThoughItKnowsOnlyAFollower() throws Exception {
+    void emptiedHostJoinsThroughFollower() throws Exception {
         TestReplica leader = leader();
         int follower = (replicas.indexOf(leader) + 1) % 3;
         int emptied = (replicas.indexOf(leader) + 2) % 3;
@@ -165,40 +169,44 @@
         TestReplica fresh = new TestReplica(network, emptied, () -> List.of(replicas.get(follower).address));
         replicas.set(emptied, fresh);
         fresh.start(data.resolve("second"), false);
-        await("a voter again", fresh::votes);
+        await("a voter again", fresh::isVoter);
         await(
                 "the lost replica is out",
                 () -> leader.driver.status().membership().voters().size() == 3);
     }
 
-    /** Guards against a lost disk that costs its voter for good, where none of the hosts of the settings is left. */
+    /**
+     * Guards against the permanent loss of a voter whose disk was lost when none of the hosts in the settings exists
+     * any more.
+     */
     @Test
-    void aHostThatLostItsDiskAsksWhoStillWritesToIt() throws Exception {
+    void emptiedHostJoinsThroughSenderOfMessages() throws Exception {
         int emptied = (replicas.indexOf(leader()) + 1) % 3;
         replicas.get(emptied).stop();
         TestReplica fresh = new TestReplica(network, emptied, () -> List.of(new Address("127.0.0.1", 99)));
         replicas.set(emptied, fresh);
         fresh.start(data.resolve("second"), false);
-        await("a voter again", fresh::votes);
+        await("a voter again", fresh::isVoter);
     }
 
-    /** Guards against a replacement that waits for another question before each of its steps. */
+    /** Guards against a replacement that needs a further join request for each of its steps. */
     @Test
-    void oneQuestionIsEnoughToReplaceALostReplica() throws Exception {
+    void replacesLostReplicaAfterOneJoinRequest() throws Exception {
         TestReplica leader = leader();
         int emptied = (replicas.indexOf(leader) + 1) % 3;
         replicas.get(emptied).stop();
         TestReplica fresh = new TestReplica(network, emptied, List::of);
         replicas.set(emptied, fresh);
         fresh.start(data.resolve("second"), false);
-        RaftChannels.Join question = new RaftChannels.Join(fresh.driver.status().self());
-        network.call(leader.address, RaftChannels.JOIN, question, Duration.ofSeconds(1));
-        await("a voter again", fresh::votes);
+        RaftChannels.Join joinRequest =
+                new RaftChannels.Join(fresh.driver.status().self());
+        network.call(leader.address, RaftChannels.JOIN, joinRequest, Duration.ofSeconds(1));
+        await("a voter again", fresh::isVoter);
     }
 
-    /** Guards against a control host that stays lost while nobody is told of it. */
+    /** Guards against a lost control host that is not reported to operators. */
     @Test
-    void theLeaderCountsVotersThatAreMissing() throws Exception {
+    void leaderCountsMissingVoters() throws Exception {
         TestReplica leader = leader();
         assertEquals(0, missingVoters(leader));
         TestReplica stopped = replicas.get((replicas.indexOf(leader) + 1) % 3);
@@ -216,14 +224,17 @@
         return (Integer) leader.metrics.getGauges().get("raft.voters.missing").getValue();
     }
 
-    /** Proposals that come while a sync runs share the next one: a sync each would bound claims by the disk. */
+    /**
+     * Proposals that arrive during a sync share the next one; with one sync per proposal the disk would limit the rate
+     * of claims.
+     */
     @Test
-    void oneSyncServesManyProposals() throws Exception {
+    void sharesSyncsBetweenProposals() throws Exception {
         commit(1);
         TestReplica leader = leader();
         CountDownLatch gate = new CountDownLatch(1);
         long before = leader.metrics.counter("raft.syncs").getCount();
-        leader.gate = gate;
+        leader.syncGate = gate;
         List<CompletableFuture<ProposeResult>> all = new ArrayList<>();
         for (int i = 0; i < 2_000; i++) {
             all.add(propose(leader, i));
