--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/DecisionLog.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/DecisionLog.java
@@ -99,11 +99,11 @@
     }
 
     /** Counts so many more lines of a kind. Returns the lines of the kind in this second, those included. */
-    private int countLinesThisSecond(String event, int more) {
+    private int countLinesThisSecond(String event, int count) {
         LineRate rate = lineRates.computeIfAbsent(event, each -> new LineRate());
         synchronized (rate) {
             rate.resetOnNewSecond(clock.nanos() / NANOS_PER_SECOND);
-            rate.lines += more;
+            rate.lines += count;
             return rate.lines;
         }
     }
@@ -119,7 +119,7 @@
     }
 
     private void writeLines() {
-        long told = 0;
+        long reported = 0;
         StringBuilder batch = new StringBuilder();
         while (!closed || !queue.isEmpty()) {
             try {
@@ -128,9 +128,9 @@
                 for (String next = first; next != null; next = queue.poll()) {
                     batch.append(next);
                 }
-                long now = droppedLines.get() + sampledOutLines.get();
-                if (now != told) {
-                    told = now;
+                long leftOut = droppedLines.get() + sampledOutLines.get();
+                if (leftOut != reported) {
+                    reported = leftOut;
                     batch.append(droppedLinesSummary());
                 }
                 if (batch.length() > 0) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/SampledRequestLog.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/SampledRequestLog.java
@@ -11,9 +11,9 @@
     private final String requestId;
     private final List<LogLine> sampledOutLines = new ArrayList<>();
 
-    /** @param request id by which lines are chosen, null for a request without one */
-    public SampledRequestLog(String request) {
-        this.requestId = request == null ? "" : request;
+    /** @param requestId id by which lines are chosen, null for a request without one */
+    public SampledRequestLog(String requestId) {
+        this.requestId = requestId == null ? "" : requestId;
     }
 
     /** Writes a line on a step that went well, or keeps it in case the request fails. */
--- a/elmline-daemon/src/test/java/org/elmline/daemon/log/DecisionLogTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/log/DecisionLogTest.java
@@ -38,7 +38,7 @@
 
     /** A flood of one kind leaves room for the others, and says how much of it was left out. */
     @Test
-    void aFloodIsBoundedAndCounted() {
+    void limitsLinesOfOneKindAndCountsDroppedOnes() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ManualClock clock = new ManualClock();
         try (DecisionLog log = new DecisionLog("h", "entry", clock, out)) {
@@ -59,7 +59,7 @@
      * refusal is left out.
      */
     @Test
-    void successesMakeRoomForFailures() throws Exception {
+    void samplesSuccessesAndWritesAllFailures() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         try (DecisionLog log = new DecisionLog("h", "entry", new ManualClock(), out)) {
             for (int i = 0; i < 400; i++) {
@@ -82,7 +82,7 @@
      * as one of many. A request that fails is told of whole, with the time of each step.
      */
     @Test
-    void aFailedRequestIsToldOfWhole() throws Exception {
+    void writesAllLinesOfFailedRequest() throws Exception {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
         ManualClock clock = new ManualClock();
         try (DecisionLog log = new DecisionLog("h", "entry", clock, out)) {
@@ -105,13 +105,13 @@
 
     /** An output that nobody reads must not hold up the I/O thread: lines are dropped instead. */
     @Test
-    void aStuckOutputDelaysNobody() throws Exception {
-        CountDownLatch stuck = new CountDownLatch(1);
+    void dropsLinesWhileOutputIsBlocked() throws Exception {
+        CountDownLatch blocked = new CountDownLatch(1);
         CountDownLatch release = new CountDownLatch(1);
         OutputStream out = new OutputStream() {
             @Override
             public void write(int one) {
-                stuck.countDown();
+                blocked.countDown();
                 try {
                     release.await();
                 } catch (InterruptedException e) {
@@ -121,7 +121,7 @@
         };
         try (DecisionLog log = new DecisionLog("h", "entry", new SystemClock(), out)) {
             log.line("first").write();
-            assertTrue(stuck.await(5, TimeUnit.SECONDS));
+            assertTrue(blocked.await(5, TimeUnit.SECONDS));
             for (int i = 0; i < 10_000; i++) {
                 log.line("kind " + i % 200).write();
             }
