--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/RegistryPoller.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/RegistryPoller.java
@@ -57,27 +57,27 @@
     private volatile boolean closed;
 
     /**
-     * @param entry the asking entry's record; gives null on a control host
-     * @param routingKnown newest version of the routing table that is known of
-     * @param hold milliseconds for which a poll without news is to be held
-     * @param answers takes each answer, on the thread on which calls complete
+     * @param entryRecord the asking entry's record; gives null on a control host
+     * @param newestRoutingVersion newest version of the routing table that is known of
+     * @param pollHoldMillis milliseconds for which a poll without news is to be held
+     * @param answerListener takes each answer, on the thread on which calls complete
      */
     public RegistryPoller(
             PeerNetwork network,
-            Address control,
+            Address controlHost,
             HostId host,
-            Supplier<EntryRecord> entry,
-            LongSupplier routingKnown,
-            LongSupplier hold,
-            Consumer<FollowAnswer> answers,
+            Supplier<EntryRecord> entryRecord,
+            LongSupplier newestRoutingVersion,
+            LongSupplier pollHoldMillis,
+            Consumer<FollowAnswer> answerListener,
             ScheduledExecutorService timer) {
         this.network = network;
-        this.controlHost = control;
+        this.controlHost = controlHost;
         this.host = host;
-        this.entryRecord = entry;
-        this.newestRoutingVersion = routingKnown;
-        this.pollHoldMillis = hold;
-        this.answerListener = answers;
+        this.entryRecord = entryRecord;
+        this.newestRoutingVersion = newestRoutingVersion;
+        this.pollHoldMillis = pollHoldMillis;
+        this.answerListener = answerListener;
         this.timer = timer;
     }
 
@@ -144,8 +144,9 @@
     private synchronized long nextBackoffMillis() {
         consecutiveFailures++;
         long base = backoffMillis;
-        boolean eager = newestRoutingVersion.getAsLong() < 0;
-        backoffMillis = Math.min(eager ? MAX_BACKOFF_WITHOUT_ROUTING_MILLIS : MAX_BACKOFF_MILLIS, 2 * backoffMillis);
+        boolean withoutRouting = newestRoutingVersion.getAsLong() < 0;
+        backoffMillis =
+                Math.min(withoutRouting ? MAX_BACKOFF_WITHOUT_ROUTING_MILLIS : MAX_BACKOFF_MILLIS, 2 * backoffMillis);
         return base / 2 + ThreadLocalRandom.current().nextLong(base);
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/SettingsFileWatcher.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/SettingsFileWatcher.java
@@ -39,18 +39,18 @@
 
     /** Looks at the file now. */
     public synchronized void reloadIfChanged() {
-        byte[] now;
+        byte[] content;
         try {
-            now = Files.readAllBytes(file);
+            content = Files.readAllBytes(file);
         } catch (IOException e) {
             log.line("settings not read").with("why", e).write();
             return;
         }
-        if (Arrays.equals(now, lastContent)) {
+        if (Arrays.equals(content, lastContent)) {
             return;
         }
-        lastContent = now;
-        NodeSettings.ParseResult read = NodeSettings.read(now);
+        lastContent = content;
+        NodeSettings.ParseResult read = NodeSettings.read(content);
         if (read instanceof NodeSettings.ParseResult.Valid valid) {
             log.line("settings reloaded")
                     .with("controlHosts", valid.settings().controlHosts())
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowCostMeasurement.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowCostMeasurement.java
@@ -24,13 +24,13 @@
 /** Prints the bytes and the time of one poll of an entry, without the network. Not a test. */
 public final class FollowCostMeasurement {
     private static final int ROUNDS = 400;
-    private static final long SECOND = 1_000_000_000L;
+    private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
     private FollowCostMeasurement() {}
 
     public static void main(String[] args) {
         List<EntryRecord> entries = new ArrayList<>();
-        List<EntryUpdate> one = new ArrayList<>();
+        List<EntryUpdate> singleEntry = new ArrayList<>();
         List<ServerUpdate> servers = new ArrayList<>();
         List<Address> controls = new ArrayList<>();
         for (int i = 0; i < 91; i++) {
@@ -42,11 +42,11 @@
         for (int i = 0; i < 9; i++) {
             controls.add(new Address("10.0.0." + i, 7340));
         }
-        one.add(new EntryUpdate(entry(3), false));
+        singleEntry.add(new EntryUpdate(entry(3), false));
         for (int repeat = 0; repeat < 3; repeat++) {
             print("request", new FollowRequest(HostId.of("10.1.0.1"), entry(1), 1, 2, 3, 4, 1, 900));
             print("nothing new", answer(List.of(), null, List.of(), controls));
-            print("one entry", answer(List.of(), null, one, controls));
+            print("one entry", answer(List.of(), null, singleEntry, controls));
             print("all entries", answer(List.of(), entries, List.of(), controls));
             print("one server", answer(servers.subList(0, 1), null, List.of(), controls));
             print("all servers", answer(servers, null, List.of(), controls));
@@ -92,12 +92,12 @@
         for (int i = 0; i < ROUNDS; i++) {
             decoded.add(((Decoded.Value<?>) Codecs.MESSAGE_PACK.decode(bytes, message.getClass())).value());
         }
-        long taking = System.nanoTime();
-        RegistryView view = new RegistryView(2 * SECOND, 4 * SECOND, SECOND);
+        long applying = System.nanoTime();
+        RegistryView view = new RegistryView(2 * NANOS_PER_SECOND, 4 * NANOS_PER_SECOND, NANOS_PER_SECOND);
         int i = 0;
         for (Object each : decoded) {
             if (each instanceof FollowAnswer answer) {
-                view.apply(new Address("10.0.0." + i++ % 9, 7340), answer, SECOND);
+                view.apply(new Address("10.0.0." + i++ % 9, 7340), answer, NANOS_PER_SECOND);
             }
         }
         long end = System.nanoTime();
@@ -107,7 +107,7 @@
                 what,
                 bytes.length,
                 (decoding - encoding) / 1e3 / ROUNDS,
-                (taking - decoding) / 1e3 / ROUNDS,
-                (end - taking) / 1e3 / ROUNDS);
+                (applying - decoding) / 1e3 / ROUNDS,
+                (end - applying) / 1e3 / ROUNDS);
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowLoopTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowLoopTest.java
@@ -28,8 +28,8 @@
 
     /** Keeps what is to be run and after how long; runs nothing by itself. */
     private static final class RecordingTimer extends ScheduledThreadPoolExecutor {
-        private final List<Long> pauses = new ArrayList<>();
-        private final Deque<Runnable> due = new ArrayDeque<>();
+        private final List<Long> delaysMillis = new ArrayList<>();
+        private final Deque<Runnable> tasks = new ArrayDeque<>();
 
         RecordingTimer() {
             super(1);
@@ -37,13 +37,13 @@
 
         @Override
         public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
-            pauses.add(unit.toMillis(delay));
-            due.add(task);
+            delaysMillis.add(unit.toMillis(delay));
+            tasks.add(task);
             return null;
         }
     }
 
-    private static final class DeadNetwork implements PeerNetwork {
+    private static final class UnreachableNetwork implements PeerNetwork {
         @Override
         public <Q, R> CompletableFuture<CallResult<R>> call(
                 Address to, Channel<Q, R> channel, Q request, Duration timeout) {
@@ -57,9 +57,9 @@
     }
 
     /** The pause before each poll after the first, as it has grown by the last of many that failed. */
-    private long lastPause(long routingVersion) {
-        RegistryPoller loop = new RegistryPoller(
-                new DeadNetwork(),
+    private long lastDelayMillis(long routingVersion) {
+        RegistryPoller poller = new RegistryPoller(
+                new UnreachableNetwork(),
                 new Address("10.0.0.9", 7000),
                 HostId.of("10.0.0.1"),
                 () -> null,
@@ -67,12 +67,12 @@
                 () -> 500,
                 answer -> {},
                 timer);
-        loop.start();
+        poller.start();
         for (int i = 0; i < POLLS; i++) {
-            timer.due.remove().run();
+            timer.tasks.remove().run();
         }
-        loop.close();
-        return timer.pauses.get(timer.pauses.size() - 1);
+        poller.close();
+        return timer.delaysMillis.get(timer.delaysMillis.size() - 1);
     }
 
     /**
@@ -80,15 +80,15 @@
      * first, and each finds the control hosts only when its next poll comes. Without a table it polls more often.
      */
     @Test
-    void anEntryWithoutATableAsksOften() {
-        long pause = lastPause(-1);
-        assertTrue(pause <= 180, pause + " ms");
+    void entryWithoutRoutingTablePollsOften() {
+        long delayMillis = lastDelayMillis(-1);
+        assertTrue(delayMillis <= 180, delayMillis + " ms");
     }
 
     /** A control host that stays away is not kept busy, nor the entries, once those have a table. */
     @Test
-    void anEntryWithATableAsksSeldom() {
-        long pause = lastPause(7);
-        assertTrue(pause >= 200 && pause <= 600, pause + " ms");
+    void entryWithRoutingTablePollsSeldom() {
+        long delayMillis = lastDelayMillis(7);
+        assertTrue(delayMillis >= 200 && delayMillis <= 600, delayMillis + " ms");
     }
 }
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/SettingsWatchTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/SettingsWatchTest.java
@@ -28,27 +28,28 @@
 
     /** An entry would lose control for good: the hosts it was told of are exchanged, and the file says so unsignalled. */
     @Test
-    void aChangedFileIsTakenAndABrokenOneIsNot() throws Exception {
+    void reloadsChangedFileAndIgnoresInvalidOne() throws Exception {
         Path file = folder.resolve("settings.json");
         Files.writeString(file, settings("10.0.0.2:90"));
-        List<NodeSettings> taken = new ArrayList<>();
+        List<NodeSettings> reloaded = new ArrayList<>();
         DecisionLog log = new DecisionLog("n", "entry", new SystemClock(), OutputStream.nullOutputStream());
         try (log;
-                SettingsFileWatcher watch = new SettingsFileWatcher(file, log, taken::add)) {
-            watch.reloadIfChanged();
-            assertEquals(0, taken.size(), "nothing has changed");
+                SettingsFileWatcher watcher = new SettingsFileWatcher(file, log, reloaded::add)) {
+            watcher.reloadIfChanged();
+            assertEquals(0, reloaded.size(), "nothing has changed");
             Files.writeString(file, settings("10.0.0.3:90"));
-            watch.reloadIfChanged();
+            watcher.reloadIfChanged();
             Files.writeString(file, "{");
-            watch.reloadIfChanged();
-            assertEquals(1, taken.size());
+            watcher.reloadIfChanged();
+            assertEquals(1, reloaded.size());
             assertEquals(
-                    "10.0.0.3:7000", taken.get(0).controlPeerAddresses().get(0).toString());
+                    "10.0.0.3:7000",
+                    reloaded.get(0).controlPeerAddresses().get(0).toString());
         }
     }
 
     @Test
-    void allProblemsAreNamedTogether() {
+    void reportsAllProblemsTogether() {
         NodeSettings.ParseResult read =
                 NodeSettings.read("{\"name\":\"n\",\"peerKey\":\"short\",\"peerPort\":1}".getBytes());
         List<String> problems =
