--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/AddressCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/AddressCheck.java
@@ -34,7 +34,11 @@
     }
 
     private static void checkAddress(
-            JsonNode node, String path, boolean listens, Map<String, String> seen, Consumer<SettingsProblem> problems) {
+            JsonNode node,
+            String path,
+            boolean isListenAddress,
+            Map<String, String> seen,
+            Consumer<SettingsProblem> problems) {
         int colon = node.asText().lastIndexOf(':');
         if (!node.isTextual() || colon < 1) {
             return;
@@ -45,7 +49,7 @@
                     new SettingsProblem(path, node.asText() + " is out of range: octets go to 255, ports to 65535"));
             return;
         }
-        if (port == 0 && listens) {
+        if (port == 0 && isListenAddress) {
             return;
         }
         if (port == 0) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/AtMostCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/AtMostCheck.java
@@ -10,10 +10,10 @@
     @Override
     public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
         JsonNode given = settings.at(value);
-        JsonNode most = settings.at(maximum);
-        if (given.isNumber() && most.isNumber() && given.asLong() > most.asLong()) {
+        JsonNode limit = settings.at(maximum);
+        if (given.isNumber() && limit.isNumber() && given.asLong() > limit.asLong()) {
             problems.accept(new SettingsProblem(
-                    value, given.asLong() + " must not be more than " + maximum + ", which is " + most.asLong()));
+                    value, given.asLong() + " must not be more than " + maximum + ", which is " + limit.asLong()));
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/JsonErrorText.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/JsonErrorText.java
@@ -8,14 +8,16 @@
 final class JsonErrorText {
     private JsonErrorText() {}
 
-    static String describe(JsonProcessingException problem) {
-        JsonLocation at = problem.getLocation();
-        String message = problem.getOriginalMessage();
-        return at == null ? message : message + " (line " + at.getLineNr() + ", column " + at.getColumnNr() + ")";
+    static String describe(JsonProcessingException error) {
+        JsonLocation location = error.getLocation();
+        String message = error.getOriginalMessage();
+        return location == null
+                ? message
+                : message + " (line " + location.getLineNr() + ", column " + location.getColumnNr() + ")";
     }
 
-    static String path(JsonProcessingException problem) {
-        if (!(problem instanceof JsonMappingException mapping)) {
+    static String path(JsonProcessingException error) {
+        if (!(error instanceof JsonMappingException mapping)) {
             return "";
         }
         StringBuilder path = new StringBuilder();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyFileResolver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyFileResolver.java
@@ -18,9 +18,9 @@
     private final Path folder;
     private final KeyFileMode keyFileMode;
 
-    KeyFileResolver(Path folder, KeyFileMode keyFiles) {
+    KeyFileResolver(Path folder, KeyFileMode keyFileMode) {
         this.folder = folder;
-        this.keyFileMode = keyFiles;
+        this.keyFileMode = keyFileMode;
     }
 
     void resolve(ObjectNode settings, Consumer<SettingsProblem> problems) {
@@ -33,10 +33,10 @@
         resolveList(keys.get("backendKeys"), "/keys/backendKeys", problems);
     }
 
-    private void resolveField(ObjectNode owner, String field, String path, Consumer<SettingsProblem> problems) {
-        JsonNode key = owner.get(field);
+    private void resolveField(ObjectNode parent, String field, String path, Consumer<SettingsProblem> problems) {
+        JsonNode key = parent.get(field);
         if (isFileReference(key)) {
-            owner.set(field, readKeyFile(key, path, problems));
+            parent.set(field, readKeyFile(key, path, problems));
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/PlacementPolicyCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/PlacementPolicyCheck.java
@@ -12,11 +12,11 @@
     @Override
     public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
         JsonNode policy = settings.at("/placement/policy");
-        List<String> known = PlacementPolicies.names();
-        if (policy.isTextual() && !known.contains(policy.asText())) {
+        List<String> registered = PlacementPolicies.names();
+        if (policy.isTextual() && !registered.contains(policy.asText())) {
             problems.accept(new SettingsProblem(
                     "/placement/policy",
-                    "no policy " + policy.asText() + " is registered; there are " + String.join(", ", known)));
+                    "no policy " + policy.asText() + " is registered; there are " + String.join(", ", registered)));
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ProcessRole.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ProcessRole.java
@@ -14,9 +14,9 @@
     private final String settingValue;
     private final Class<? extends Settings> settingsType;
 
-    ProcessRole(String word, Class<? extends Settings> type) {
-        this.settingValue = word;
-        this.settingsType = type;
+    ProcessRole(String settingValue, Class<? extends Settings> settingsType) {
+        this.settingValue = settingValue;
+        this.settingsType = settingsType;
     }
 
     /** The value of the field {@code role}, and the name of the role's schema. */
@@ -29,9 +29,9 @@
         return settingsType;
     }
 
-    static Optional<ProcessRole> of(String word) {
+    static Optional<ProcessRole> of(String settingValue) {
         for (ProcessRole role : values()) {
-            if (role.settingValue.equals(word)) {
+            if (role.settingValue.equals(settingValue)) {
                 return Optional.of(role);
             }
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsDefaults.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsDefaults.java
@@ -32,13 +32,13 @@
         node.properties().removeIf(field -> field.getValue().isNull());
     }
 
-    private static void merge(ObjectNode onto, ObjectNode given) {
+    private static void merge(ObjectNode target, ObjectNode given) {
         for (Map.Entry<String, JsonNode> field : given.properties()) {
-            JsonNode under = onto.get(field.getKey());
-            if (under instanceof ObjectNode group && field.getValue() instanceof ObjectNode givenGroup) {
+            JsonNode current = target.get(field.getKey());
+            if (current instanceof ObjectNode group && field.getValue() instanceof ObjectNode givenGroup) {
                 merge(group, givenGroup);
             } else {
-                onto.set(field.getKey(), field.getValue().deepCopy());
+                target.set(field.getKey(), field.getValue().deepCopy());
             }
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReader.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReader.java
@@ -28,8 +28,8 @@
     private final CrossFieldChecks crossFieldChecks = new CrossFieldChecks();
     private final KeyFileMode keyFileMode;
 
-    public SettingsReader(KeyFileMode keyFiles) {
-        this.keyFileMode = keyFiles;
+    public SettingsReader(KeyFileMode keyFileMode) {
+        this.keyFileMode = keyFileMode;
     }
 
     /** Reads a file; paths in it are relative to its folder. */
@@ -95,10 +95,10 @@
     }
 
     private static String roleNames() {
-        List<String> words = new ArrayList<>();
+        List<String> names = new ArrayList<>();
         for (ProcessRole role : ProcessRole.values()) {
-            words.add(role.settingValue());
+            names.add(role.settingValue());
         }
-        return String.join(", ", words);
+        return String.join(", ", names);
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReference.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReference.java
@@ -38,17 +38,17 @@
         schema.path("required").forEach(each -> required.add(each.asText()));
         for (Map.Entry<String, JsonNode> property : schema.path("properties").properties()) {
             JsonNode target = resolve(property.getValue());
-            String below = path + "/" + property.getKey();
+            String childPath = path + "/" + property.getKey();
             if (isObject(target)) {
-                rows.addAll(collectRows(target, below));
+                rows.addAll(collectRows(target, childPath));
                 continue;
             }
             String meaning = property.getValue().path("description").asText();
             String described = meaning.isEmpty() ? target.path("description").asText() : meaning;
-            rows.add(new Row(below, describeValues(target), required.contains(property.getKey()), described));
+            rows.add(new Row(childPath, describeValues(target), required.contains(property.getKey()), described));
             JsonNode items = resolve(target.path("items"));
             if (isObject(items)) {
-                rows.addAll(collectRows(items, below + "/*"));
+                rows.addAll(collectRows(items, childPath + "/*"));
             }
         }
         return rows;
@@ -68,9 +68,9 @@
             return "`" + schema.path("const").asText() + "`";
         }
         if (schema.has("enum")) {
-            List<String> words = new ArrayList<>();
-            schema.path("enum").forEach(each -> words.add("`" + each.asText() + "`"));
-            return String.join(", ", words);
+            List<String> values = new ArrayList<>();
+            schema.path("enum").forEach(each -> values.add("`" + each.asText() + "`"));
+            return String.join(", ", values);
         }
         if (schema.has("minimum")) {
             return schema.path("type").asText() + ", " + schema.path("minimum").asText() + " to "
@@ -85,8 +85,8 @@
         String toMarkdown(JsonNode defaults) {
             JsonNode value = defaults.at(path);
             String text = value.isArray() ? value.toString() : value.asText();
-            String otherwise = required ? "required" : value.isMissingNode() ? "" : "`" + text + "`";
-            return "| `" + path + "` | " + values + " | " + otherwise + " | " + meaning + " |\n";
+            String defaultText = required ? "required" : value.isMissingNode() ? "" : "`" + text + "`";
+            return "| `" + path + "` | " + values + " | " + defaultText + " | " + meaning + " |\n";
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/UnknownKeyHint.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/UnknownKeyHint.java
@@ -61,9 +61,11 @@
 
     private static String withoutUnit(String key) {
         for (String unit : UNITS) {
-            int stem = key.length() - unit.length();
-            if (stem > 0 && key.regionMatches(true, stem, unit, 0, unit.length()) && startsWord(key, stem)) {
-                return key.substring(0, stem);
+            int stemLength = key.length() - unit.length();
+            if (stemLength > 0
+                    && key.regionMatches(true, stemLength, unit, 0, unit.length())
+                    && startsWord(key, stemLength)) {
+                return key.substring(0, stemLength);
             }
         }
         return key;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/settings/SettingsProblemsTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/settings/SettingsProblemsTest.java
@@ -208,7 +208,7 @@
     }
 
     @Test
-    void rightSettingsAreRead() throws JsonProcessingException {
+    void readsValidSettings() throws JsonProcessingException {
         EntrySettings entry = assertInstanceOf(EntrySettings.class, valid(ENTRY));
         assertEquals(EntryLeaseSettings.DEFAULT, entry.lease());
         assertEquals(3, entry.control().size());
@@ -220,7 +220,7 @@
     }
 
     @Test
-    void keysAreHiddenInText() throws JsonProcessingException {
+    void textFormHidesKeys() throws JsonProcessingException {
         assertTrue(!valid(ENTRY).toString().contains("0123456789"));
     }
 
--- a/elmline-daemon/src/test/java/org/elmline/daemon/settings/SettingsReferenceTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/settings/SettingsReferenceTest.java
@@ -11,20 +11,20 @@
 
 class SettingsReferenceTest {
     @Test
-    void thePageIsWhatTheSchemaSays() throws IOException {
+    void pageMatchesSchemaAndDefaults() throws IOException {
         String page = Files.readString(Path.of("..", "docs", "SETTINGS.md"));
         assertEquals(new SettingsReference().markdown(), page, "renew it: ./elmline settings reference");
     }
 
     @Test
-    void everySettingSaysWhatItMeans() {
-        String silent = new SettingsReference()
+    void everySettingHasDescription() {
+        String undescribed = new SettingsReference()
                 .markdown()
                 .lines()
                 .filter(line -> line.endsWith("|  |"))
                 .toList()
                 .toString();
-        assertEquals("[]", silent);
+        assertEquals("[]", undescribed);
         assertTrue(new SettingsReference()
                 .markdown()
                 .contains("| `/lease/leaseMillis` | integer, 100 to 60000 | `3000` |"));
