--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/DecisionLog.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/DecisionLog.java
@@ -13,21 +13,22 @@
 import org.elmline.core.common.MonotonicClock;
 
 /**
- * Writes decisions as JSON lines without ever holding up who decides: lines wait in a bounded queue for one writer
- * thread, and what does not fit, or comes more often than its kind may, is dropped and counted. Of many successes only
- * those of some requests are written. The counts are logged. Safe for use by many threads.
+ * Writes decisions as JSON lines without blocking the deciding thread: lines wait in a bounded queue for one writer
+ * thread, and lines that don't fit in the queue or exceed the rate limit of their kind are dropped and counted. When
+ * there are many successes, only those of a sample of the requests are written. The counts are logged. Safe for use by
+ * many threads.
  */
 public final class DecisionLog implements AutoCloseable {
-    /** Lines that may wait for a slow output. */
+    /** Lines that may wait while the output is slow. */
     private static final int MAX_QUEUED_LINES = 4_096;
 
-    /** Lines of one kind a second; failures come in bursts, and past this they repeat each other. */
+    /** Lines of one kind per second; failures come in bursts, in which further lines add no information. */
     private static final int MAX_LINES_PER_SECOND = 500;
 
-    /** Lines on successes of one kind a second, from which on only some requests' are written. */
+    /** Lines of one kind per second from which on successes are logged for a sample of the requests only. */
     private static final int SAMPLING_THRESHOLD_LINES_PER_SECOND = 50;
 
-    /** Of this many requests one is written once successes are sampled. */
+    /** One in this many requests is logged while successes are sampled. */
     private static final int SAMPLING_INTERVAL_REQUESTS = 10;
 
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
@@ -56,8 +57,9 @@
     }
 
     /**
-     * @param host name of this host, on every line
-     * @param out where lines go; closed by its owner
+     * @param host name of this host, written on every line
+     * @param role role of this process, written on every line
+     * @param out receives the lines; the caller closes it
      */
     public DecisionLog(String host, String role, MonotonicClock clock, OutputStream out) {
         this.clock = clock;
@@ -68,7 +70,7 @@
         writer.start();
     }
 
-    /** Begins a line of a kind; nothing is written before {@link LogLine#write()}. */
+    /** Starts a line for an event; nothing is written before {@link LogLine#write()}. */
     public LogLine line(String event) {
         StringBuilder text = new StringBuilder(192);
         text.append("{\"at\":").append(System.currentTimeMillis());
@@ -83,7 +85,7 @@
         }
     }
 
-    /** Writes a line on a success unless it is one of too many. Returns whether it was taken. */
+    /** Writes the line of a success unless it is sampled out. Returns whether it was accepted. */
     boolean submitSampled(String event, String text, String request) {
         if (countLinesThisSecond(event, 0) >= SAMPLING_THRESHOLD_LINES_PER_SECOND && !isSampled(request)) {
             sampledOutLines.incrementAndGet();
@@ -93,12 +95,14 @@
         return true;
     }
 
-    /** The same for all lines of a request, so that of those that are written the whole story is. */
+    /** Depends on the request id alone, so that a request is logged with all its lines or with none. */
     private static boolean isSampled(String request) {
         return Math.floorMod(request.hashCode(), SAMPLING_INTERVAL_REQUESTS) == 0;
     }
 
-    /** Counts so many more lines of a kind. Returns the lines of the kind in this second, those included. */
+    /**
+     * Adds to the number of lines of a kind. Returns the number of its lines in the current second, including these.
+     */
     private int countLinesThisSecond(String event, int count) {
         LineRate rate = lineRates.computeIfAbsent(event, each -> new LineRate());
         synchronized (rate) {
@@ -108,12 +112,14 @@
         }
     }
 
-    /** Lines that were dropped so far. */
+    /**
+     * Number of lines dropped so far by the rate limit or a full queue; a failed write of several lines counts as one.
+     */
     public long droppedLines() {
         return droppedLines.get();
     }
 
-    /** Lines on successes that were left out so far as there were many. */
+    /** Number of lines on successes left out so far by sampling. */
     public long sampledOutLines() {
         return sampledOutLines.get();
     }
@@ -140,7 +146,7 @@
             } catch (InterruptedException e) {
                 return;
             } catch (IOException e) {
-                // Nobody reads the log any more; deciding goes on, and the count tells of it.
+                // The output is closed or broken; the process goes on without its log, and the failed write is counted.
                 droppedLines.incrementAndGet();
             }
         }
@@ -151,7 +157,7 @@
                 + ",\"successesLeftOut\":" + sampledOutLines.get() + "}\n";
     }
 
-    /** Writes what waits, for a short while. */
+    /** Writes the queued lines, for up to 300 ms. */
     @Override
     public void close() {
         closed = true;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/LibraryLogHandler.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/LibraryLogHandler.java
@@ -5,15 +5,18 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Writes what libraries log as lines of the decision log, so that a process has one form of log and one bound. */
+/**
+ * Writes log records of libraries as lines of the decision log, so that a process has one log format and one rate
+ * limit.
+ */
 public final class LibraryLogHandler extends Handler {
     private static final String CONFIG_CLASS_PROPERTY = "java.util.logging.config.class";
 
     private final DecisionLog log;
 
     /**
-     * Stands in for the runtime's own configuration of its logging, whose formatter loads the formats of all languages, for
-     * handlers that are taken out at once.
+     * Replaces the runtime's own logging configuration, whose formatter would load the formats of all locales for
+     * handlers that are removed at once.
      */
     public static final class NoConfiguration {}
 
@@ -21,7 +24,7 @@
         this.log = log;
     }
 
-    /** Replaces the runtime's own handlers; libraries' lines below warnings are left out. */
+    /** Replaces the runtime's handlers; records of libraries below level warning are left out. */
     public static void install(DecisionLog log) {
         System.setProperty(CONFIG_CLASS_PROPERTY, NoConfiguration.class.getName());
         Logger root = Logger.getLogger("");
@@ -45,11 +48,11 @@
 
     @Override
     public void flush() {
-        // The log's own writer writes.
+        // The log's writer thread flushes.
     }
 
     @Override
     public void close() {
-        // The log is closed by its owner.
+        // The owner of the log closes it.
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/LogLine.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/LogLine.java
@@ -1,6 +1,6 @@
 package org.elmline.daemon.log;
 
-/** One log line while it is put together. */
+/** Builder of one log line. Not safe for concurrent use. */
 public final class LogLine {
     private static final char FIRST_PRINTABLE_CHAR = 0x20;
 
@@ -14,7 +14,7 @@
         this.text = text;
     }
 
-    /** Adds a field; a null value is left out. */
+    /** Adds a string field; a null value is left out. */
     public LogLine with(String field, Object value) {
         if (value == null) {
             return this;
@@ -52,13 +52,16 @@
         }
     }
 
-    /** Hands the line to the log's writer. */
+    /** Queues the line for the log's writer thread; it may be dropped, see {@link DecisionLog}. */
     public void write() {
         text.append("}\n");
         log.submit(event, text.toString());
     }
 
-    /** Hands a line on a success of a request to the log's writer, which may leave it out. Returns whether it was taken. */
+    /**
+     * Queues the line of a request's success for the log's writer thread, unless it is sampled out. Returns whether it
+     * was accepted.
+     */
     boolean writeSampled(String request) {
         return log.submitSampled(event, text + "}\n", request);
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/package-info.java
@@ -1,2 +1,2 @@
-/** Structured log lines of decisions: what was decided on which inputs, one JSON object a line. */
+/** Structured log of decisions: one JSON object per line with the decision and its inputs. */
 package org.elmline.daemon.log;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/log/DecisionLogTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/log/DecisionLogTest.java
@@ -16,7 +16,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Log lines: whole JSON, bounded in rate and number, and never in the way of who decides. */
+/** Log lines are complete JSON, limited in rate and number, and never block the deciding thread. */
 class DecisionLogTest {
     @Test
     void aLineIsOneJsonObject() throws Exception {
@@ -36,7 +36,7 @@
         assertEquals(null, line.get("left"));
     }
 
-    /** A flood of one kind leaves room for the others, and says how much of it was left out. */
+    /** A flood of lines of one kind leaves room for other kinds, and the number of dropped lines is logged. */
     @Test
     void limitsLinesOfOneKindAndCountsDroppedOnes() {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -50,13 +50,13 @@
         }
         String text = out.toString();
         assertTrue(text.contains("\"event\":\"started\""));
-        assertTrue(text.contains("\"event\":\"lines dropped\",\"total\":900"), "told");
+        assertTrue(text.contains("\"event\":\"lines dropped\",\"total\":900"), "count of left-out lines is logged");
     }
 
     /**
-     * A caller complains of a refusal and its line is missing: in a busy second lines on calls that went well used up what
-     * may be written. Those are thinned out by request, so that each request is told of whole or not at all, and no
-     * refusal is left out.
+     * Guards against missing lines on rejections: in a busy second, lines on successful calls used up the rate limit.
+     * Successes are sampled by request, so that each request is logged with all its lines or none, and no rejection is
+     * left out.
      */
     @Test
     void samplesSuccessesAndWritesAllFailures() throws Exception {
@@ -74,12 +74,13 @@
         String text = out.toString();
         assertEquals(400, count(text, "\"event\":\"refused\""));
         assertEquals(count(text, "\"event\":\"placed\""), count(text, "\"event\":\"streamed\""));
-        assertTrue(text.contains("\"successesLeftOut\":"), "told");
+        assertTrue(text.contains("\"successesLeftOut\":"), "count of left-out lines is logged");
     }
 
     /**
-     * A stream breaks off in a busy second and nobody can tell on which server it ran: the line on its place was left out
-     * as one of many. A request that fails is told of whole, with the time of each step.
+     * Guards against failures without their context: a stream breaks off in a busy second and its server is unknown,
+     * because the line on its placement was sampled out. A failed request is logged in full, with the time of each
+     * step.
      */
     @Test
     void writesAllLinesOfFailedRequest() throws Exception {
@@ -96,14 +97,16 @@
         }
         String text = out.toString();
         int placed = text.indexOf("\"server\":\"s7\"");
-        assertTrue(placed >= 0 && placed < text.indexOf("stream broken off"), "placed before it broke off");
+        assertTrue(
+                placed >= 0 && placed < text.indexOf("stream broken off"),
+                "the line on the placement precedes the failure");
     }
 
     private static int count(String text, String part) {
         return text.split(Pattern.quote(part), -1).length - 1;
     }
 
-    /** An output that nobody reads must not hold up the I/O thread: lines are dropped instead. */
+    /** A blocked output must not block the I/O thread: lines are dropped instead. */
     @Test
     void dropsLinesWhileOutputIsBlocked() throws Exception {
         CountDownLatch blocked = new CountDownLatch(1);
