--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/HttpPorts.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/HttpPorts.java
@@ -15,12 +15,14 @@
 import org.xnio.XnioWorker;
 
 /**
- * The HTTP ports of one process, served by one thread. The hosts have one core: more threads would only take turns, and
- * with one the state of all calls needs no locks.
+ * The HTTP ports of one process, served by one thread. Hosts have one core, on which more threads would only alternate,
+ * and with a single thread the state of calls needs no locks.
  */
 public final class HttpPorts implements AutoCloseable {
-    /** Time beyond the callers' own limit for which an idle connection stays open: who closes first must be the caller,
-     * or a request that crosses the close is lost. */
+    /**
+     * Time for which an idle connection stays open beyond the limit that callers apply. The caller must close first: a
+     * request that is sent while the server closes the connection is lost.
+     */
     private static final int IDLE_GRACE_MILLIS = 5_000;
 
     private static final int ACCEPT_BACKLOG_CONNECTIONS = 1_024;
@@ -32,7 +34,7 @@
     private final XnioWorker worker;
     private Undertow server;
 
-    /** Starts the threads and binds nothing yet. */
+    /** Starts the threads; binds no port yet. */
     public HttpPorts() throws IOException {
         worker = Xnio.getInstance()
                 .createWorker(OptionMap.builder()
@@ -59,7 +61,7 @@
                 .setServerOption(UndertowOptions.REQUEST_PARSE_TIMEOUT, limits.headerTimeoutMillis());
     }
 
-    /** Adds a port with its handler; before {@link #start()} only. */
+    /** Adds a port with its handler. Must be called before {@link #start()}. */
     public HttpPorts addPort(Address address, HttpHandler handler) {
         builder.addListener(new Undertow.ListenerBuilder()
                 .setType(Undertow.ListenerType.HTTP)
@@ -76,17 +78,17 @@
         return this;
     }
 
-    /** Threads of the server; its one I/O thread runs all handlers. */
+    /** The server's threads; a single I/O thread runs all handlers. */
     public XnioWorker worker() {
         return worker;
     }
 
-    /** Buffers that the ports use, to be shared with what works on the same thread. */
+    /** Buffer pool of the ports, shared with components that run on the same thread. */
     public ByteBufferPool buffers() {
         return buffers;
     }
 
-    /** Puts limits in force for new connections; a caller's open ones keep theirs. */
+    /** Applies limits to new connections; open connections keep theirs. */
     public void applyLimits(CallerLimits limits) {
         OptionMap options = OptionMap.builder()
                 .set(UndertowOptions.DECODE_URL, false)
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/NodeSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/NodeSettings.java
@@ -14,22 +14,23 @@
 import org.elmline.wire.codec.Decoded;
 
 /**
- * Settings of one gateway or coordinator process, JSON.
+ * Settings of one gateway or coordinator process, read from JSON.
  *
- * @param name name of the host, for people
- * @param ip address of the host; processes know each other by it
- * @param callers where a gateway answers callers; null on a coordinator
- * @param ready where a gateway tells whether it is ready; null on a coordinator
- * @param operators where a coordinator answers operators and backend servers; null on a gateway
- * @param directory where a gateway tells callers which entries to use; null where it doesn't, and on a coordinator
- * @param peerPort port, the same on all hosts, at which elmline processes talk to each other
+ * @param name name of the host, for log lines
+ * @param ip address of the host, by which other processes identify it
+ * @param callers address on which a gateway serves callers; null on a coordinator
+ * @param ready address on which a gateway reports whether it is ready; null on a coordinator
+ * @param operators address on which a coordinator serves operators and backend servers; null on a gateway
+ * @param directory address on which a gateway answers which entries callers should use; null on a gateway without a
+ *     directory and on a coordinator
+ * @param peerPort port on which elmline processes communicate, the same on all hosts
  * @param metricsPort port of the metrics; 0 for none
- * @param controlHosts operators' addresses of some control hosts; the others are learned from them
+ * @param controlHosts operators' addresses of some control hosts, which report the others
  * @param firstStart whether the deployment starts for the first time, with empty disks
- * @param dataFolder a coordinator's files
- * @param drainSeconds time that a stop leaves to finish what is in flight
- * @param heartbeatMillis pause between two heartbeats of a backend server
- * @param directoryKeepSeconds how long callers may keep a directory answer
+ * @param dataFolder folder of a coordinator's files
+ * @param drainSeconds time that a stopping process has to finish calls in flight
+ * @param heartbeatMillis time between two heartbeats of a backend server
+ * @param directoryKeepSeconds time for which callers may cache a directory answer
  */
 public record NodeSettings(
         String name,
@@ -66,10 +67,10 @@
 
     /** Outcome of reading a settings file. */
     public sealed interface ParseResult {
-        /** The file holds complete settings. */
+        /** The settings are complete. */
         record Valid(NodeSettings settings) implements ParseResult {}
 
-        /** It doesn't; all problems found. */
+        /** The settings are malformed or incomplete; lists all problems found. */
         record Invalid(List<String> problems) implements ParseResult {}
     }
 
@@ -116,27 +117,29 @@
         }
     }
 
-    /** Milliseconds that a stop leaves to finish what is in flight. */
+    /** Milliseconds that a stopping process has to finish calls in flight. */
     public long drainMillis() {
         return (long) (drainSeconds * MILLIS_PER_SECOND);
     }
 
-    /** The id under which other processes know this host. */
+    /** The id by which other processes identify this host. */
     public HostId host() {
         return HostId.of(ip);
     }
 
-    /** Where other elmline processes reach this host. */
+    /** Address at which other elmline processes reach this host. */
     public Address peerAddress() {
         return peerAddressOf(host());
     }
 
-    /** Where elmline processes reach a host: hosts are known by their address, and the port is the same on all. */
+    /**
+     * Address at which elmline processes reach a host: its id is its IP address, and the port is the same on all hosts.
+     */
     public Address peerAddressOf(HostId host) {
         return new Address(host.value(), peerPort);
     }
 
-    /** Where elmline processes reach the control hosts that the settings name. */
+    /** Addresses at which elmline processes reach the control hosts named in the settings. */
     public List<Address> controlPeerAddresses() {
         return controlHosts.stream()
                 .map(each -> new Address(each.ip(), peerPort))
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/PeerEndpoint.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/PeerEndpoint.java
@@ -15,7 +15,7 @@
 import org.elmline.wire.tcp.TcpPeerNetwork;
 import org.elmline.wire.tcp.TcpPeerServer;
 
-/** The part of a process that talks to other elmline processes. */
+/** The server and client side of a process's communication with other elmline processes. */
 public final class PeerEndpoint implements AutoCloseable {
     private final Closer closer = new Closer();
     private final ProcessExecutors workers;
@@ -23,9 +23,11 @@
     private final TcpPeerNetwork network;
 
     /**
-     * Opens the peers' port.
+     * Opens the peer port.
      *
-     * @param executor runs the handlers, and the completions of calls
+     * @param role name of the process's role, used in the names of its threads
+     * @param executor runs the handlers and the completions of calls
+     * @throws IOException if the port cannot be bound
      */
     public PeerEndpoint(NodeSettings settings, String role, Executor executor, HybridClock clock) throws IOException {
         workers = closer.register(new ProcessExecutors(role, 1));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/ProcessSignals.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/ProcessSignals.java
@@ -4,14 +4,14 @@
 
 import org.elmline.daemon.log.DecisionLog;
 
-/** The signals of a process that runs until it is told to stop. */
+/** Handles the signals of a process: TERM and INT stop it, HUP reloads its settings. */
 public final class ProcessSignals {
     private final CountDownLatch stopSignal = new CountDownLatch(1);
 
     /**
-     * Takes the signals over.
+     * Installs the handlers in place of the runtime's.
      *
-     * @param onReload run when the settings file may have changed
+     * @param onReload run on HUP, when the settings file may have changed
      */
     public ProcessSignals(DecisionLog log, Runnable onReload) {
         onSignal("TERM", () -> {
@@ -19,19 +19,19 @@
             stopSignal.countDown();
         });
         onSignal("INT", stopSignal::countDown);
-        // Without a handler the runtime ends on this one, which only says that the settings may have changed.
+        // Without a handler HUP would end the process, although it only announces that the settings may have changed.
         onSignal("HUP", () -> {
             log.line("signal").with("name", "HUP").write();
             onReload.run();
         });
     }
 
-    /** The runtime has no other interface to signals than this one, of its module for such cases. */
+    /** Uses sun.misc.Signal of module jdk.unsupported, as the runtime has no supported interface to signals. */
     private static void onSignal(String name, Runnable action) {
         sun.misc.Signal.handle(new sun.misc.Signal(name), signal -> action.run());
     }
 
-    /** Waits for the signal to stop. */
+    /** Blocks until a signal to stop arrives. */
     public void awaitStop() throws InterruptedException {
         stopSignal.await();
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/RegistryPoller.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/RegistryPoller.java
@@ -19,16 +19,18 @@
 import org.elmline.core.registry.RegistryChannels;
 
 /**
- * Polls one control host for news, again as soon as it has answered. The next poll tells how much of the news has
- * arrived, so that the control host knows when a change has reached everybody.
+ * Polls one control host for registry updates and polls again as soon as it has answered. Each poll reports up to which
+ * update the previous ones have arrived, so that the control host can determine when a change has reached all entries.
+ * Safe for use by several threads.
  */
 public final class RegistryPoller implements AutoCloseable {
-    /** Time beyond the hold: twice as long as a running host takes for an answer at worst. */
+    /** Time allowed for an answer beyond the hold time: twice the longest time that a running host takes. */
     private static final long ANSWER_MARGIN_MILLIS = 600;
 
     /**
-     * For the first poll after one that failed. A control host that has just started takes its time for first answers
-     * to everybody; given up sooner, each entry would open its connection anew and keep the host busy with handshakes.
+     * Timeout of polls that follow a failed one. A control host that has just started takes long for its first answers
+     * to all entries; with a shorter timeout each entry would open its connection again and load the host with
+     * handshakes.
      */
     private static final Duration TIMEOUT_AFTER_FAILURE = Duration.ofMillis(2_500);
 
@@ -36,8 +38,8 @@
     private static final long MAX_BACKOFF_MILLIS = 400;
 
     /**
-     * The same for an entry that has no routing table and so can serve nobody. After a loss of all power entries are up
-     * before the first control host, which they should find at once.
+     * Longest backoff of an entry without a routing table, which cannot serve any call. After a power loss entries
+     * start before the first control host and should connect to it as soon as it is up.
      */
     private static final long MAX_BACKOFF_WITHOUT_ROUTING_MILLIS = 120;
 
@@ -57,10 +59,11 @@
     private volatile boolean closed;
 
     /**
-     * @param entryRecord the asking entry's record; gives null on a control host
-     * @param newestRoutingVersion newest version of the routing table that is known of
-     * @param pollHoldMillis milliseconds for which a poll without news is to be held
-     * @param answerListener takes each answer, on the thread on which calls complete
+     * @param entryRecord supplies this entry's own record, null on a control host
+     * @param newestRoutingVersion supplies the newest known version of the routing table, negative if none is known
+     * @param pollHoldMillis supplies the time in milliseconds for which the control host holds a poll while it has no
+     *     updates
+     * @param answerListener receives each answer, on the thread that completes calls
      */
     public RegistryPoller(
             PeerNetwork network,
@@ -81,17 +84,17 @@
         this.timer = timer;
     }
 
-    /** The control host that is followed. */
+    /** The polled control host. */
     public Address controlHost() {
         return controlHost;
     }
 
-    /** Polls that failed since the last answer. */
+    /** Number of polls that failed since the last answer. */
     public synchronized int consecutiveFailures() {
         return consecutiveFailures;
     }
 
-    /** Begins to poll. */
+    /** Starts polling. */
     public void start() {
         poll();
     }
@@ -140,7 +143,7 @@
         poll();
     }
 
-    /** A growing pause with a random part, so that all entries do not come back to a restarted host at once. */
+    /** Exponential backoff with jitter, so that not all entries poll a restarted host at the same moment. */
     private synchronized long nextBackoffMillis() {
         consecutiveFailures++;
         long base = backoffMillis;
@@ -154,7 +157,7 @@
         try {
             timer.schedule(this::poll, millis, TimeUnit.MILLISECONDS);
         } catch (RejectedExecutionException e) {
-            // The process is stopping, and nobody needs the news.
+            // The timer was shut down because the process is stopping; no more updates are needed.
             closed = true;
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/RetrySettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/RetrySettings.java
@@ -5,18 +5,18 @@
 import org.elmline.core.dispatch.RetryLimit;
 
 /**
- * How many calls may be sent to a second backend server, over all entries together.
+ * Limit on calls that are sent to a second backend server, over all entries together.
  *
- * @param ratio repetitions for each first send
- * @param slack repetitions a window beyond that
- * @param windowSeconds length of the window
+ * @param ratio allowed retries per first attempt
+ * @param slack allowed retries per window in addition
+ * @param windowSeconds length of the window in seconds
  */
 public record RetrySettings(double ratio, int slack, int windowSeconds) {
     public static final RetrySettings DEFAULT = new RetrySettings(0.1, 20, 10);
 
     /**
-     * Part of the slack that one dispatcher gives out: while the entries disagree for a moment on who dispatches, two may
-     * give out theirs.
+     * Share of the slack that one dispatcher grants: while entries briefly disagree on which of them dispatches, two
+     * dispatchers may each grant theirs, which together stays below the limit.
      */
     private static final double DISPATCHER_SLACK_SHARE = 0.4;
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/SettingsFileWatcher.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/SettingsFileWatcher.java
@@ -11,9 +11,12 @@
 
 import org.elmline.daemon.log.DecisionLog;
 
-/** Reads the settings file again when a signal says so, and now and then without one; tells when it has changed. */
+/**
+ * Reads the settings file again on request, such as after a signal, and periodically; notifies a listener when valid
+ * settings have changed. Safe for use by many threads.
+ */
 public final class SettingsFileWatcher implements AutoCloseable {
-    /** Pause between two looks: a change without a signal is in force within about this. */
+    /** Time between two checks of the file, and so about the longest delay of a change that no signal announces. */
     private static final long POLL_INTERVAL_MILLIS = 2_000;
 
     private final Path file;
@@ -22,7 +25,10 @@
     private final ScheduledExecutorService timer;
     private byte[] lastContent;
 
-    /** @param onChange gets valid settings that differ from the last ones */
+    /**
+     * @param onChange receives valid settings if the file's content has changed
+     * @throws IOException if the file cannot be read
+     */
     public SettingsFileWatcher(Path file, DecisionLog log, Consumer<NodeSettings> onChange) throws IOException {
         this.file = file;
         this.log = log;
@@ -37,7 +43,7 @@
                 this::reloadIfChanged, POLL_INTERVAL_MILLIS, POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    /** Looks at the file now. */
+    /** Reads the file content and notifies the listener if its content has changed and is valid. */
     public synchronized void reloadIfChanged() {
         byte[] content;
         try {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/package-info.java
@@ -1,2 +1,5 @@
-/** What the gateway and the coordinator share: their settings, their threads and how they start and stop. */
+/**
+ * Components shared by the gateway and the coordinator: settings, ports, peer communication, and handling of start,
+ * reload and stop.
+ */
 package org.elmline.daemon.node;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowCostMeasurement.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowCostMeasurement.java
@@ -21,7 +21,10 @@
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
-/** Prints the bytes and the time of one poll of an entry, without the network. Not a test. */
+/**
+ * Prints the size and the processing time of one registry poll of an entry, without the network. Not a test: run its
+ * main method.
+ */
 public final class FollowCostMeasurement {
     private static final int ROUNDS = 400;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowLoopTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowLoopTest.java
@@ -20,13 +20,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** How soon a control host that does not answer is asked again. */
+/** Backoff between polls of a control host that does not answer. */
 class FollowLoopTest {
     private static final int POLLS = 12;
 
     private final RecordingTimer timer = new RecordingTimer();
 
-    /** Keeps what is to be run and after how long; runs nothing by itself. */
+    /** Records tasks and their delays; runs nothing by itself. */
     private static final class RecordingTimer extends ScheduledThreadPoolExecutor {
         private final List<Long> delaysMillis = new ArrayList<>();
         private final Deque<Runnable> tasks = new ArrayDeque<>();
@@ -56,7 +56,7 @@
         timer.shutdownNow();
     }
 
-    /** The pause before each poll after the first, as it has grown by the last of many that failed. */
+    /** The delay before the last of many failed polls, when the backoff has reached its maximum. */
     private long lastDelayMillis(long routingVersion) {
         RegistryPoller poller = new RegistryPoller(
                 new UnreachableNetwork(),
@@ -76,8 +76,9 @@
     }
 
     /**
-     * Callers are turned away for some tenths of a second more than they need to be: all power was lost, the entries are up
-     * first, and each finds the control hosts only when its next poll comes. Without a table it polls more often.
+     * Guards against a slow start after a power loss: entries are up first and find the control hosts only at their
+     * next poll, so that calls are rejected some tenths of a second longer than needed. Without a routing table an
+     * entry polls more often.
      */
     @Test
     void entryWithoutRoutingTablePollsOften() {
@@ -85,7 +86,10 @@
         assertTrue(delayMillis <= 180, delayMillis + " ms");
     }
 
-    /** A control host that stays away is not kept busy, nor the entries, once those have a table. */
+    /**
+     * Once an entry has a routing table, polls of an unreachable control host must not load the control host or the
+     * entry.
+     */
     @Test
     void entryWithRoutingTablePollsSeldom() {
         long delayMillis = lastDelayMillis(7);
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/SettingsWatchTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/SettingsWatchTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Settings of a node: what is refused, and what a changed file does to a running process. */
+/** Settings of a node: which problems are reported, and how a running process reloads a changed file. */
 class SettingsWatchTest {
     @TempDir
     private Path folder;
@@ -26,7 +26,10 @@
                 + "\"controlHosts\":[\"" + controlHost + "\"]}";
     }
 
-    /** An entry would lose control for good: the hosts it was told of are exchanged, and the file says so unsignalled. */
+    /**
+     * Guards against an entry that permanently loses its control hosts: all hosts in its settings are replaced, and the
+     * file changes without a signal. Invalid content is ignored.
+     */
     @Test
     void reloadsChangedFileAndIgnoresInvalidOne() throws Exception {
         Path file = folder.resolve("settings.json");
@@ -36,7 +39,7 @@
         try (log;
                 SettingsFileWatcher watcher = new SettingsFileWatcher(file, log, reloaded::add)) {
             watcher.reloadIfChanged();
-            assertEquals(0, reloaded.size(), "nothing has changed");
+            assertEquals(0, reloaded.size(), "reloaded an unchanged file");
             Files.writeString(file, settings("10.0.0.3:90"));
             watcher.reloadIfChanged();
             Files.writeString(file, "{");
