--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/AddressCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/AddressCheck.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Each address is used once, and its numbers are in range. */
+/** Checks that each address is used once and that its octets and ports are in range. */
 final class AddressCheck implements CrossFieldCheck {
     private static final int MAX_PORT = 65_535;
     private static final int MAX_OCTET = 255;
@@ -74,7 +74,7 @@
 
     private static boolean octetsInRange(String ip) {
         if (!DOTTED_QUAD.matcher(ip).matches()) {
-            return true; // the schema tells what is wrong with any other form
+            return true; // the schema reports any other form
         }
         for (String octet : ip.split("\\.", -1)) {
             if (parseNumber(octet) > MAX_OCTET) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/AtMostCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/AtMostCheck.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** One value must not be greater than its bound. */
+/** Checks that one value is not greater than another. */
 record AtMostCheck(String value, String maximum) implements CrossFieldCheck {
     @Override
     public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/BackendSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/BackendSettings.java
@@ -1,10 +1,11 @@
 package org.elmline.daemon.settings;
 
 /**
- * How backend servers stay known.
+ * Announcements of backend servers.
  *
- * @param announceMillis how often a backend server is asked to announce itself, in milliseconds
- * @param leaseMillis how long after an announcement it still gets work, in milliseconds, on the monotonic clock
+ * @param announceMillis interval in milliseconds at which a backend server is requested to announce itself
+ * @param leaseMillis time in milliseconds after an announcement, on the monotonic clock, for which the backend server
+ *     still receives work
  */
 public record BackendSettings(long announceMillis, long leaseMillis) {
     public static final BackendSettings DEFAULT = new BackendSettings(1_000, 3_000);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlAddresses.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlAddresses.java
@@ -1,7 +1,7 @@
 package org.elmline.daemon.settings;
 
 /**
- * Where a control host listens.
+ * Addresses on which a control host listens.
  *
  * @param operators HTTP for operators: state, events and metrics
  * @param peers TCP for elmline's own processes
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlHostsCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlHostsCheck.java
@@ -10,8 +10,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * The control hosts are an odd number of different hosts, and the loss of any one failure domain leaves a quorum. A
- * single control host is allowed: it is for one machine and promises nothing when it is lost.
+ * Checks that the control hosts are an odd number of different hosts and that a quorum remains after the loss of any
+ * one failure domain. A single control host is allowed, for deployments on one machine; it tolerates no loss.
  */
 final class ControlHostsCheck implements CrossFieldCheck {
     private static final String PATH = "/control";
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlKeys.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlKeys.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * The keys a control host needs.
+ * The keys of a control host.
  *
  * @param peerKey shared by elmline's own processes, which authenticate each other with it
- * @param operatorKeys each opens the operators' port
+ * @param operatorKeys each gives access to the operators' port
  */
 public record ControlKeys(Secret peerKey, List<Secret> operatorKeys) {
     public ControlKeys {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ControlSettings.java
@@ -8,10 +8,10 @@
 import org.elmline.core.common.Region;
 
 /**
- * Settings of a control host, which holds a replica of the accepted tickets, leases and claims on its disk.
+ * Settings of a control host, which stores a replica of the accepted tickets, leases and claims on disk.
  *
- * @param dataFolder the one folder that holds all its files; never shared by two processes
- * @param control the initial control hosts, this one included
+ * @param dataFolder folder of all its files; never shared by two processes
+ * @param control the initial control hosts, including this one
  */
 public record ControlSettings(
         HostId host,
@@ -40,7 +40,7 @@
         return new Builder();
     }
 
-    /** A builder that starts from these settings. */
+    /** A builder initialised with these settings. */
     public Builder toBuilder() {
         Builder builder = new Builder();
         builder.host = host;
@@ -58,7 +58,7 @@
         return builder;
     }
 
-    /** Gathers the settings. */
+    /** Builder of {@link ControlSettings}; omitted settings keep their defaults. */
     public static final class Builder extends HostSettingsBuilder<Builder> {
         private Path dataFolder;
         private ControlAddresses addresses;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/CrossFieldCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/CrossFieldCheck.java
@@ -5,8 +5,9 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * One rule over several settings that a schema can't state. Works on the completed JSON, and passes over fields that are
- * missing or of a wrong type, so that its problems come together with the schema's.
+ * A rule over several settings that a schema can't express. Works on JSON that has been completed with defaults, and
+ * skips fields that are missing or of the wrong type, so that its problems can be reported together with those of the
+ * schema.
  */
 @FunctionalInterface
 interface CrossFieldCheck {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/CrossFieldChecks.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/CrossFieldChecks.java
@@ -5,7 +5,7 @@
 
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Tries every rule over several settings. */
+/** Applies every rule over several settings. */
 final class CrossFieldChecks implements CrossFieldCheck {
     private static final List<CrossFieldCheck> ALL = List.of(
             new LessThanCheck("/lease/renewMillis", "/lease/leaseMillis", "or each lease ends before its renewal"),
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/DistinctKeysCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/DistinctKeysCheck.java
@@ -7,7 +7,10 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** No key opens two doors: a backend server that could pass as an operator could change the configuration. */
+/**
+ * Checks that no key gives access in two roles: a backend server whose key is also an operator key could change the
+ * configuration.
+ */
 final class DistinctKeysCheck implements CrossFieldCheck {
     @Override
     public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntryAddresses.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntryAddresses.java
@@ -1,9 +1,9 @@
 package org.elmline.daemon.settings;
 
 /**
- * Where an entry listens, one address for each kind of client.
+ * Addresses on which an entry listens, one for each kind of client.
  *
- * @param callers HTTP for callers and for backend servers that announce themselves
+ * @param callers HTTP for callers, and for backend servers that announce themselves
  * @param operators HTTP for operators
  * @param peers TCP for elmline's own processes
  */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntryKeys.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntryKeys.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * The keys an entry needs. Keys of organisations are not here: tickets bring their hashes.
+ * The keys of an entry. Keys of organisations are not among them: their hashes arrive with tickets.
  *
  * @param peerKey shared by elmline's own processes, which authenticate each other with it
- * @param operatorKeys each opens the operators' port
- * @param backendKeys each lets a backend server announce itself
+ * @param operatorKeys each gives access to the operators' port
+ * @param backendKeys each allows a backend server to announce itself
  */
 public record EntryKeys(Secret peerKey, List<Secret> operatorKeys, List<Secret> backendKeys) {
     public EntryKeys {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntryLeaseSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntryLeaseSettings.java
@@ -1,10 +1,10 @@
 package org.elmline.daemon.settings;
 
 /**
- * The lease under which an entry serves.
+ * The lease that an entry needs to serve.
  *
- * @param leaseMillis how long a lease runs from the moment the entry asked, in milliseconds
- * @param renewMillis how often an entry renews it, in milliseconds; well under {@code leaseMillis}
+ * @param leaseMillis duration of a lease in milliseconds, from the moment at which the entry sent its request
+ * @param renewMillis interval in milliseconds at which an entry renews its lease; well below {@code leaseMillis}
  */
 public record EntryLeaseSettings(long leaseMillis, long renewMillis) {
     public static final EntryLeaseSettings DEFAULT = new EntryLeaseSettings(3_000, 1_000);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntrySettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/EntrySettings.java
@@ -7,9 +7,9 @@
 import org.elmline.core.common.Region;
 
 /**
- * Settings of an entry, which serves callers and keeps nothing on disk.
+ * Settings of an entry, which serves callers and stores nothing on disk.
  *
- * @param control the initial control hosts, where this entry asks for its lease first
+ * @param control the initial control hosts, from which this entry first requests its lease
  */
 public record EntrySettings(
         HostId host,
@@ -39,7 +39,7 @@
         return new Builder();
     }
 
-    /** Gathers the settings. */
+    /** Builder of {@link EntrySettings}; omitted settings keep their defaults. */
     public static final class Builder extends HostSettingsBuilder<Builder> {
         private EntryAddresses addresses;
         private EntryKeys keys;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/HostSettingsBuilder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/HostSettingsBuilder.java
@@ -5,9 +5,9 @@
 import org.elmline.core.common.HostId;
 
 /**
- * Gathers what the settings of entries and control hosts have in common; what is not given keeps its default.
+ * Builder of the settings that entries and control hosts have in common; omitted settings keep their defaults.
  *
- * @param <B> the builder itself, which each method returns
+ * @param <B> type of the builder itself, which each method returns
  */
 abstract class HostSettingsBuilder<B extends HostSettingsBuilder<B>> extends SettingsBuilder<B> {
     HostId host;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/JsonErrorText.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/JsonErrorText.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonMappingException;
 
-/** Puts Jackson's exceptions into words. */
+/** Describes Jackson's exceptions for users: message, position in the text and path. */
 final class JsonErrorText {
     private JsonErrorText() {}
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyFileMode.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyFileMode.java
@@ -1,9 +1,9 @@
 package org.elmline.daemon.settings;
 
-/** Whether a check opens the key files that settings refer to. */
+/** Whether key files that the settings refer to are read. */
 public enum KeyFileMode {
-    /** Each key file must be readable; a process that starts needs this. */
+    /** Each key file must be readable, as for the start of a process. */
     READ,
-    /** Key files may be missing; for checking settings on another machine than the one they are for. */
+    /** Key files are not opened and may be missing, as for checking settings on a machine other than their own. */
     SKIP
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyFileResolver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyFileResolver.java
@@ -10,7 +10,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.node.TextNode;
 
-/** Puts the text of a key file in place of each {@code {"file": path}}. */
+/**
+ * Replaces each {@code {"file": path}} by the text of that key file. Paths are relative to the folder of the settings
+ * file.
+ */
 final class KeyFileResolver {
     private static final String FILE_FIELD = "file";
     private static final int MIN_KEY_CHARS = 16;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/LessThanCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/LessThanCheck.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** One time must be shorter than another; says what would happen otherwise. */
+/** Checks that one time is shorter than another; the problem states the consequence otherwise. */
 record LessThanCheck(String smaller, String larger, String consequence) implements CrossFieldCheck {
     @Override
     public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ListenAddress.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ListenAddress.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 import org.elmline.core.common.Address;
 
-/** Where a process listens, written {@code IP:port}; port 0 takes any free port, which is for tests. */
+/** Address on which a process listens, written {@code IP:port}. Port 0 selects any free port and is for tests. */
 public record ListenAddress(String ip, int port) {
     private static final int MAX_PORT = 65_535;
     private static final String LOOPBACK = "127.0.0.1";
@@ -33,7 +33,7 @@
         return new ListenAddress(text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
     }
 
-    /** The address others connect to, once the port is known. */
+    /** The address that others connect to, once the bound port is known. */
     public Address toAddress(int boundPort) {
         return new Address(ip, boundPort);
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/OwnControlHostCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/OwnControlHostCheck.java
@@ -7,8 +7,8 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * A control host that stands in the list of initial control hosts stands there as it is: same address, same failure
- * domain. One that is not in the list joins later, as a replacement.
+ * Checks that a control host in the list of initial control hosts has the same address and failure domain there as in
+ * its own settings. A control host that is not in the list joins later, as a replacement.
  */
 final class OwnControlHostCheck implements CrossFieldCheck {
     @Override
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/PlacementPolicyCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/PlacementPolicyCheck.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.elmline.core.placement.PlacementPolicies;
 
-/** The placement policy named is one that is registered in this program. */
+/** Checks that the placement policy in the settings is registered in this program. */
 final class PlacementPolicyCheck implements CrossFieldCheck {
     @Override
     public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ProcessRole.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ProcessRole.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** What a process does; its settings file names it in the field {@code role}. */
+/** Role of a process, given in its settings file in the field {@code role}. */
 public enum ProcessRole {
     ENTRY("entry", EntrySettings.class),
     CONTROL("control", ControlSettings.class),
@@ -19,7 +19,7 @@
         this.settingsType = settingsType;
     }
 
-    /** The value of the field {@code role}, and the name of the role's schema. */
+    /** Value of the field {@code role}, and name of the role's schema. */
     @JsonValue
     public String settingValue() {
         return settingValue;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/Secret.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/Secret.java
@@ -5,7 +5,7 @@
 
 /** A key. Its text form hides the value, so that settings can be logged. */
 public record Secret(@JsonValue String value) {
-    /** Stands for a key file that was not read, see {@link KeyFileMode#SKIP}. */
+    /** Placeholder for a key file that was not read, see {@link KeyFileMode#SKIP}. */
     static final String NOT_READ = "(key file not read)";
 
     public Secret {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsBuilder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsBuilder.java
@@ -4,9 +4,9 @@
 import org.elmline.core.common.Region;
 
 /**
- * Gathers what the settings of every process have in common; what is not given keeps its default.
+ * Builder of the settings that all processes have in common; omitted settings keep their defaults.
  *
- * @param <B> the builder itself, which each method returns
+ * @param <B> type of the builder itself, which each method returns
  */
 abstract class SettingsBuilder<B extends SettingsBuilder<B>> {
     Region region;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsDefaults.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsDefaults.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Completes what a settings file leaves out, from the builders' defaults, so that each default stands in one place. */
+/** Completes the settings of a file with the defaults of the builders, so that each default is defined in one place. */
 final class SettingsDefaults {
     private SettingsDefaults() {}
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReader.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReader.java
@@ -16,7 +16,10 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Reads the settings of one process and names all problems at once. Opens nothing but the file and its key files. */
+/**
+ * Reads the settings of one process and reports all problems together. Opens no files but the settings file and its key
+ * files.
+ */
 public final class SettingsReader {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION)
@@ -32,7 +35,7 @@
         this.keyFileMode = keyFileMode;
     }
 
-    /** Reads a file; paths in it are relative to its folder. */
+    /** Reads a settings file; paths in it are relative to its folder. */
     public SettingsResult read(Path file) {
         try {
             return read(Files.readString(file), file.toAbsolutePath().getParent());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReference.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsReference.java
@@ -9,14 +9,17 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** Writes the reference of all settings, in Markdown, from the schema and the defaults, so that it can't be out of date. */
+/**
+ * Generates the reference of all settings in Markdown from the schema and the defaults, so that it can't become
+ * outdated.
+ */
 public final class SettingsReference {
     private static final String DEFINITIONS = "#/$defs/";
 
     private final ObjectMapper mapper = new ObjectMapper();
     private final JsonNode definitions = new SettingsSchema(mapper).document().path("$defs");
 
-    /** The whole reference, one table for each role. */
+    /** The complete reference, with one table for each role. */
     public String markdown() {
         StringBuilder text = new StringBuilder("# Settings\n\nWritten by `elmline settings reference`.\n");
         for (ProcessRole role : ProcessRole.values()) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsResult.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsResult.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** What reading settings gave. */
+/** Result of reading settings. */
 public sealed interface SettingsResult {
-    /** Settings that a process may start with. */
+    /** Valid settings, with which a process may start. */
     record Valid(Settings settings) implements SettingsResult {}
 
     /**
-     * Settings that no process starts with.
+     * Invalid settings, with which no process starts.
      *
-     * @param problems everything that is wrong, in the order of their paths
+     * @param problems all problems, in the order of their paths
      */
     record Invalid(List<SettingsProblem> problems) implements SettingsResult {
         public Invalid {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsSchema.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsSchema.java
@@ -19,7 +19,7 @@
 import com.networknt.schema.SpecificationVersion;
 import com.networknt.schema.path.NodePath;
 
-/** The JSON Schema of the settings, and the words for what it finds. */
+/** The JSON Schema (draft 2020-12) of the settings; converts validation errors to settings problems. */
 final class SettingsSchema {
     private static final String RESOURCE = "settings.schema.json";
     private static final String ID = "https://elmline.org/" + RESOURCE;
@@ -80,7 +80,7 @@
         return keys;
     }
 
-    /** The schema object that holds the keyword an error is about. */
+    /** The schema object that contains the keyword of a validation error. */
     private JsonNode owningSchema(Error error) {
         NodePath keyword = error.getSchemaLocation().getFragment();
         return document.at(pointer(keyword.getParent()));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinEngineSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinEngineSettings.java
@@ -11,10 +11,10 @@
 /**
  * Settings of a stand-in for a model engine.
  *
- * @param entries callers' addresses of entries, where it announces itself first
- * @param kvTokens memory for the KV cache, in tokens
- * @param prefillTokensPerSecond prompt tokens read in a second by an idle engine
- * @param checksFencing whether it refuses an order under an old fencing number
+ * @param entries addresses for callers of entries, to which it announces itself first
+ * @param kvTokens size of the KV cache in tokens
+ * @param prefillTokensPerSecond prompt tokens that an idle engine prefills per second
+ * @param checksFencing whether it rejects an order with an old fencing number
  */
 public record StandinEngineSettings(
         BackendServerId id,
@@ -45,7 +45,7 @@
         return new Builder();
     }
 
-    /** Gathers the settings. */
+    /** Builder of {@link StandinEngineSettings}; omitted settings keep their defaults. */
     public static final class Builder extends StandinSettingsBuilder<Builder> {
         private ModelName model;
         private String version = "1";
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinServiceSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinServiceSettings.java
@@ -11,7 +11,7 @@
 /**
  * Settings of a stand-in for a plain service.
  *
- * @param entries callers' addresses of entries, where it announces itself first
+ * @param entries addresses for callers of entries, to which it announces itself first
  */
 public record StandinServiceSettings(
         BackendServerId id,
@@ -36,7 +36,7 @@
         return new Builder();
     }
 
-    /** Gathers the settings. */
+    /** Builder of {@link StandinServiceSettings}; omitted settings keep their defaults. */
     public static final class Builder extends StandinSettingsBuilder<Builder> {
         private ServiceName service;
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinSettingsBuilder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinSettingsBuilder.java
@@ -6,9 +6,9 @@
 import org.elmline.core.common.BackendServerId;
 
 /**
- * Gathers what the settings of stand-ins for backend servers have in common; what is not given keeps its default.
+ * Builder of the settings that stand-ins for backend servers have in common; omitted settings keep their defaults.
  *
- * @param <B> the builder itself, which each method returns
+ * @param <B> type of the builder itself, which each method returns
  */
 abstract class StandinSettingsBuilder<B extends StandinSettingsBuilder<B>> extends SettingsBuilder<B> {
     BackendServerId id;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/UnknownKeyHint.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/UnknownKeyHint.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Says what an unknown key should have been: the same quantity in its right unit, or the nearest known key. */
+/** Suggests a replacement for an unknown key: the same quantity in its proper unit, or the nearest known key. */
 final class UnknownKeyHint {
     private static final int MAX_EDIT_DISTANCE = 2;
     private static final List<String> UNITS = List.of(
@@ -80,7 +80,7 @@
         return unit.equals("Millis") ? "milliseconds" : unit;
     }
 
-    /** Levenshtein distance: single letters added, dropped or replaced. */
+    /** Levenshtein distance: number of single characters to insert, delete or replace. */
     private static int editDistance(String a, String b) {
         int[] previous = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/package-info.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Settings of each process: one JSON file, checked against a JSON Schema and against impossible combinations before
- * anything opens. Every problem is named by its path at once, with what would be right.
+ * Settings of each process: one JSON file, checked against a JSON Schema and for inconsistent combinations before any
+ * port or file is opened. All problems are reported at once, each with its path and what would be valid.
  */
 package org.elmline.daemon.settings;
--- a/elmline-daemon/src/test/java/org/elmline/daemon/settings/SettingsProblemsTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/settings/SettingsProblemsTest.java
@@ -19,7 +19,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** A table of wrong settings: each case changes right settings and states every problem that must be named. */
+/** Table of invalid settings: each case changes valid settings and states every problem that must be reported. */
 class SettingsProblemsTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
     private static final Path FOLDER = Path.of("/etc/elmline");
@@ -255,7 +255,7 @@
         return MAPPER.readTree(quoted.replace('\'', '"'));
     }
 
-    /** Right settings, the changes that make them wrong, and every problem expected, in the order of paths. */
+    /** Valid settings, the changes that make them invalid, and every expected problem in the order of paths. */
     private static final class Case {
         private final String name;
         private final JsonNode settings;
