--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/AddressCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/AddressCheck.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Each address is used once, and its numbers are in range. */
+/** Checks that each address is used once and that its octets and ports are in range. */
 final class AddressCheck implements CrossFieldCheck {
     private static final int MAX_PORT = 65_535;
     private static final int MAX_OCTET = 255;
@@ -34,7 +34,11 @@
     }
 
     private static void checkAddress(
-            JsonNode node, String path, boolean listens, Map<String, String> seen, Consumer<SettingsProblem> problems) {
+            JsonNode node,
+            String path,
+            boolean isListenAddress,
+            Map<String, String> seen,
+            Consumer<SettingsProblem> problems) {
         int colon = node.asText().lastIndexOf(':');
         if (!node.isTextual() || colon < 1) {
             return;
@@ -45,7 +49,7 @@
                     new SettingsProblem(path, node.asText() + " is out of range: octets go to 255, ports to 65535"));
             return;
         }
-        if (port == 0 && listens) {
+        if (port == 0 && isListenAddress) {
             return;
         }
         if (port == 0) {
@@ -70,7 +74,7 @@
 
     private static boolean octetsInRange(String ip) {
         if (!DOTTED_QUAD.matcher(ip).matches()) {
-            return true; // the schema tells what is wrong with any other form
+            return true; // the schema reports any other form
         }
         for (String octet : ip.split("\\.", -1)) {
             if (parseNumber(octet) > MAX_OCTET) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/JsonErrorText.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/JsonErrorText.java
@@ -4,18 +4,20 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.JsonMappingException;
 
-/** Puts Jackson's exceptions into words. */
+/** Describes Jackson's exceptions for users: message, position in the text and path. */
 final class JsonErrorText {
     private JsonErrorText() {}
 
-    static String describe(JsonProcessingException problem) {
-        JsonLocation at = problem.getLocation();
-        String message = problem.getOriginalMessage();
-        return at == null ? message : message + " (line " + at.getLineNr() + ", column " + at.getColumnNr() + ")";
+    static String describe(JsonProcessingException error) {
+        JsonLocation location = error.getLocation();
+        String message = error.getOriginalMessage();
+        return location == null
+                ? message
+                : message + " (line " + location.getLineNr() + ", column " + location.getColumnNr() + ")";
     }
 
-    static String path(JsonProcessingException problem) {
-        if (!(problem instanceof JsonMappingException mapping)) {
+    static String path(JsonProcessingException error) {
+        if (!(error instanceof JsonMappingException mapping)) {
             return "";
         }
         StringBuilder path = new StringBuilder();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyFileResolver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/KeyFileResolver.java
@@ -10,7 +10,10 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import com.fasterxml.jackson.databind.node.TextNode;
 
-/** Puts the text of a key file in place of each {@code {"file": path}}. */
+/**
+ * Replaces each {@code {"file": path}} by the text of that key file. Paths are relative to the folder of the settings
+ * file.
+ */
 final class KeyFileResolver {
     private static final String FILE_FIELD = "file";
     private static final int MIN_KEY_CHARS = 16;
@@ -18,9 +21,9 @@
     private final Path folder;
     private final KeyFileMode keyFileMode;
 
-    KeyFileResolver(Path folder, KeyFileMode keyFiles) {
+    KeyFileResolver(Path folder, KeyFileMode keyFileMode) {
         this.folder = folder;
-        this.keyFileMode = keyFiles;
+        this.keyFileMode = keyFileMode;
     }
 
     void resolve(ObjectNode settings, Consumer<SettingsProblem> problems) {
@@ -33,10 +36,10 @@
         resolveList(keys.get("backendKeys"), "/keys/backendKeys", problems);
     }
 
-    private void resolveField(ObjectNode owner, String field, String path, Consumer<SettingsProblem> problems) {
-        JsonNode key = owner.get(field);
+    private void resolveField(ObjectNode parent, String field, String path, Consumer<SettingsProblem> problems) {
+        JsonNode key = parent.get(field);
         if (isFileReference(key)) {
-            owner.set(field, readKeyFile(key, path, problems));
+            parent.set(field, readKeyFile(key, path, problems));
         }
     }
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/PlacementPolicyCheck.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/PlacementPolicyCheck.java
@@ -7,16 +7,16 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 import org.elmline.core.placement.PlacementPolicies;
 
-/** The placement policy named is one that is registered in this program. */
+/** Checks that the placement policy in the settings is registered in this program. */
 final class PlacementPolicyCheck implements CrossFieldCheck {
     @Override
     public void check(ObjectNode settings, Consumer<SettingsProblem> problems) {
         JsonNode policy = settings.at("/placement/policy");
-        List<String> known = PlacementPolicies.names();
-        if (policy.isTextual() && !known.contains(policy.asText())) {
+        List<String> registered = PlacementPolicies.names();
+        if (policy.isTextual() && !registered.contains(policy.asText())) {
             problems.accept(new SettingsProblem(
                     "/placement/policy",
-                    "no policy " + policy.asText() + " is registered; there are " + String.join(", ", known)));
+                    "no policy " + policy.asText() + " is registered; there are " + String.join(", ", registered)));
         }
     }
 }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/ProcessRole.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/ProcessRole.java
@@ -4,7 +4,7 @@
 
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** What a process does; its settings file names it in the field {@code role}. */
+/** Role of a process, given in its settings file in the field {@code role}. */
 public enum ProcessRole {
     ENTRY("entry", EntrySettings.class),
     CONTROL("control", ControlSettings.class),
@@ -14,12 +14,12 @@
     private final String settingValue;
     private final Class<? extends Settings> settingsType;
 
-    ProcessRole(String word, Class<? extends Settings> type) {
-        this.settingValue = word;
-        this.settingsType = type;
+    ProcessRole(String settingValue, Class<? extends Settings> settingsType) {
+        this.settingValue = settingValue;
+        this.settingsType = settingsType;
     }
 
-    /** The value of the field {@code role}, and the name of the role's schema. */
+    /** Value of the field {@code role}, and name of the role's schema. */
     @JsonValue
     public String settingValue() {
         return settingValue;
@@ -29,9 +29,9 @@
         return settingsType;
     }
 
-    static Optional<ProcessRole> of(String word) {
+    static Optional<ProcessRole> of(String settingValue) {
         for (ProcessRole role : values()) {
-            if (role.settingValue.equals(word)) {
+            if (role.settingValue.equals(settingValue)) {
                 return Optional.of(role);
             }
         }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsDefaults.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/SettingsDefaults.java
@@ -6,7 +6,7 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** Completes what a settings file leaves out, from the builders' defaults, so that each default stands in one place. */
+/** Completes the settings of a file with the defaults of the builders, so that each default is defined in one place. */
 final class SettingsDefaults {
     private SettingsDefaults() {}
 
@@ -32,13 +32,13 @@
         node.properties().removeIf(field -> field.getValue().isNull());
     }
 
-    private static void merge(ObjectNode onto, ObjectNode given) {
+    private static void merge(ObjectNode target, ObjectNode given) {
         for (Map.Entry<String, JsonNode> field : given.properties()) {
-            JsonNode under = onto.get(field.getKey());
-            if (under instanceof ObjectNode group && field.getValue() instanceof ObjectNode givenGroup) {
+            JsonNode current = target.get(field.getKey());
+            if (current instanceof ObjectNode group && field.getValue() instanceof ObjectNode givenGroup) {
                 merge(group, givenGroup);
             } else {
-                onto.set(field.getKey(), field.getValue().deepCopy());
+                target.set(field.getKey(), field.getValue().deepCopy());
             }
         }
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/UnknownKeyHint.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/UnknownKeyHint.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Says what an unknown key should have been: the same quantity in its right unit, or the nearest known key. */
+/** Suggests a replacement for an unknown key: the same quantity in its proper unit, or the nearest known key. */
 final class UnknownKeyHint {
     private static final int MAX_EDIT_DISTANCE = 2;
     private static final List<String> UNITS = List.of(
@@ -61,9 +61,11 @@
 
     private static String withoutUnit(String key) {
         for (String unit : UNITS) {
-            int stem = key.length() - unit.length();
-            if (stem > 0 && key.regionMatches(true, stem, unit, 0, unit.length()) && startsWord(key, stem)) {
-                return key.substring(0, stem);
+            int stemLength = key.length() - unit.length();
+            if (stemLength > 0
+                    && key.regionMatches(true, stemLength, unit, 0, unit.length())
+                    && startsWord(key, stemLength)) {
+                return key.substring(0, stemLength);
             }
         }
         return key;
@@ -78,7 +80,7 @@
         return unit.equals("Millis") ? "milliseconds" : unit;
     }
 
-    /** Levenshtein distance: single letters added, dropped or replaced. */
+    /** Levenshtein distance: number of single characters to insert, delete or replace. */
     private static int editDistance(String a, String b) {
         int[] previous = new int[b.length() + 1];
         for (int j = 0; j <= b.length(); j++) {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowLoopTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowLoopTest.java
@@ -20,16 +20,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** How soon a control host that does not answer is asked again. */
+/** Backoff between polls of a control host that does not answer. */
 class FollowLoopTest {
     private static final int POLLS = 12;
 
     private final RecordingTimer timer = new RecordingTimer();
 
-    /** Keeps what is to be run and after how long; runs nothing by itself. */
+    /** Records tasks and their delays; runs nothing by itself. */
     private static final class RecordingTimer extends ScheduledThreadPoolExecutor {
-        private final List<Long> pauses = new ArrayList<>();
-        private final Deque<Runnable> due = new ArrayDeque<>();
+        private final List<Long> delaysMillis = new ArrayList<>();
+        private final Deque<Runnable> tasks = new ArrayDeque<>();
 
         RecordingTimer() {
             super(1);
@@ -37,13 +37,13 @@
 
         @Override
         public ScheduledFuture<?> schedule(Runnable task, long delay, TimeUnit unit) {
-            pauses.add(unit.toMillis(delay));
-            due.add(task);
+            delaysMillis.add(unit.toMillis(delay));
+            tasks.add(task);
             return null;
         }
     }
 
-    private static final class DeadNetwork implements PeerNetwork {
+    private static final class UnreachableNetwork implements PeerNetwork {
         @Override
         public <Q, R> CompletableFuture<CallResult<R>> call(
                 Address to, Channel<Q, R> channel, Q request, Duration timeout) {
@@ -56,10 +56,10 @@
         timer.shutdownNow();
     }
 
-    /** The pause before each poll after the first, as it has grown by the last of many that failed. */
-    private long lastPause(long routingVersion) {
-        RegistryPoller loop = new RegistryPoller(
-                new DeadNetwork(),
+    /** The delay before the last of many failed polls, when the backoff has reached its maximum. */
+    private long lastDelayMillis(long routingVersion) {
+        RegistryPoller poller = new RegistryPoller(
+                new UnreachableNetwork(),
                 new Address("10.0.0.9", 7000),
                 HostId.of("10.0.0.1"),
                 () -> null,
@@ -67,28 +67,32 @@
                 () -> 500,
                 answer -> {},
                 timer);
-        loop.start();
+        poller.start();
         for (int i = 0; i < POLLS; i++) {
-            timer.due.remove().run();
+            timer.tasks.remove().run();
         }
-        loop.close();
-        return timer.pauses.get(timer.pauses.size() - 1);
+        poller.close();
+        return timer.delaysMillis.get(timer.delaysMillis.size() - 1);
     }
 
     /**
-     * Callers are turned away for some tenths of a second more than they need to be: all power was lost, the entries are up
-     * first, and each finds the control hosts only when its next poll comes. Without a table it polls more often.
+     * Guards against a slow start after a power loss: entries are up first and find the control hosts only at their
+     * next poll, so that calls are rejected some tenths of a second longer than needed. Without a routing table an
+     * entry polls more often.
      */
     @Test
-    void anEntryWithoutATableAsksOften() {
-        long pause = lastPause(-1);
-        assertTrue(pause <= 180, pause + " ms");
+    void entryWithoutRoutingTablePollsOften() {
+        long delayMillis = lastDelayMillis(-1);
+        assertTrue(delayMillis <= 180, delayMillis + " ms");
     }
 
-    /** A control host that stays away is not kept busy, nor the entries, once those have a table. */
+    /**
+     * Once an entry has a routing table, polls of an unreachable control host must not load the control host or the
+     * entry.
+     */
     @Test
-    void anEntryWithATableAsksSeldom() {
-        long pause = lastPause(7);
-        assertTrue(pause >= 200 && pause <= 600, pause + " ms");
+    void entryWithRoutingTablePollsSeldom() {
+        long delayMillis = lastDelayMillis(7);
+        assertTrue(delayMillis >= 200 && delayMillis <= 600, delayMillis + " ms");
     }
 }
