--- a/elmline-core/src/test/java/org/elmline/core/admission/DeadlinesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/admission/TimingWheelTest.java
@@ -12,7 +12,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class DeadlinesTest {
+class TimingWheelTest {
     private static final long TICK = 10;
 
     /**
--- a/elmline-core/src/test/java/org/elmline/core/backend/ServerChangesTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/backend/ServerChangeDetectorTest.java
@@ -14,7 +14,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-class ServerChangesTest {
+class ServerChangeDetectorTest {
     /** A snapshot lists servers as name, incarnation and {@code !} if leaving. Events: + joined, ! leaving, - lost. */
     @ParameterizedTest
     @CsvSource(
--- a/elmline-core/src/test/java/org/elmline/core/raft/JoinPlanTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/JoinPlannerTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Replacement of lost voters by hosts that join. */
-class JoinPlanTest {
+class JoinPlannerTest {
     private static final ReplicaId A = replica("a", 0);
     private static final ReplicaId B = replica("b", 0);
     private static final ReplicaId C = replica("c", 0);
--- a/elmline-core/src/test/java/org/elmline/core/registry/OpenPollTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/PendingPollTest.java
@@ -13,7 +13,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class OpenPollTest {
+class PendingPollTest {
     private static final long MILLI = 1_000_000L;
     private static final long EPOCH = 7;
 
--- a/elmline-core/src/test/java/org/elmline/core/registry/FleetViewTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/RegistryViewTest.java
@@ -13,7 +13,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Tests an entry's view when control hosts disagree, restart or stop answering. */
-class FleetViewTest {
+class RegistryViewTest {
     private static final long SECOND = 1_000_000_000L;
     private static final Address A = Address.parse("10.0.0.1:7000");
     private static final Address B = Address.parse("10.0.0.2:7000");
--- a/elmline-daemon/src/test/java/org/elmline/daemon/backend/PoliciesTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/backend/PlacementFactoryTest.java
@@ -8,7 +8,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class PoliciesTest {
+class PlacementFactoryTest {
     @Test
     void createsPolicyAndWeightsOfSettings() {
         for (String name : PlacementPolicies.names()) {
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowLoopTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/RegistryPollerTest.java
@@ -21,7 +21,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Backoff between polls of a control host that does not answer. */
-class FollowLoopTest {
+class RegistryPollerTest {
     private static final int POLLS = 12;
 
     private final RecordingTimer timer = new RecordingTimer();
--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/SettingsWatchTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/SettingsFileWatcherTest.java
@@ -16,7 +16,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Settings of a node: which problems are reported, and how a running process reloads a changed file. */
-class SettingsWatchTest {
+class SettingsFileWatcherTest {
     @TempDir
     private Path folder;
 
--- a/elmline-storage/src/test/java/org/elmline/storage/CheckedFileTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/ChecksummedFileTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertArrayEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class CheckedFileTest {
+class ChecksummedFileTest {
     @TempDir
     private Path folder;
 
--- a/elmline-storage/src/test/java/org/elmline/storage/CommittedFileTest.java
+++ b/elmline-storage/src/test/java/org/elmline/storage/CommittedIndexFileTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Tests which state a restarted control host may serve before a leader is elected. */
-class CommittedFileTest {
+class CommittedIndexFileTest {
     @TempDir
     private Path folder;
 
