--- a/elmline-standin/src/main/java/org/elmline/standin/Announcer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/Announcer.java
@@ -19,8 +19,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Announces a backend server to elmline again and again, from one thread. Goes to the addresses that the last answer
- * named, and when none of them answers, to those it was started with.
+ * Announces a backend server to elmline periodically, from one thread. Each round tries the addresses that the last
+ * answer named, then the seed addresses, until one of them accepts. Thread-safe.
  */
 public final class Announcer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(Announcer.class);
@@ -60,14 +60,15 @@
     }
 
     /**
-     * Announces now in place of at the next interval, and waits until that was tried or the time is over. A backend
-     * server that left without waiting could be gone before anybody heard that it leaves.
+     * Announces at once instead of at the next interval, and waits until the attempt has ended or the limit has passed.
+     * A backend server that left without waiting could exit before any entry host received the announcement that it
+     * leaves.
      */
     public synchronized void announceNow(Duration limit) throws InterruptedException {
         if (seedAddresses.isEmpty()) {
             return;
         }
-        // A round in progress may carry the state from before this call, so the one after it is waited for.
+        // A round in progress may carry the state from before this call, so wait for the round after it.
         long target = startedRounds + 1;
         long deadline = System.nanoTime() + limit.toNanos();
         announceRequested = true;
@@ -77,7 +78,7 @@
         }
     }
 
-    /** Stops at once, without a farewell: what a killed backend server does. */
+    /** Stops at once without announcing that the backend server leaves, as a killed one does. */
     @Override
     public void close() {
         closed = true;
--- a/elmline-standin/src/main/java/org/elmline/standin/AnswerText.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/AnswerText.java
@@ -7,9 +7,10 @@
 import org.elmline.core.engine.FinishReason;
 
 /**
- * The answer that every stand-in engine gives to a prompt: a function of model, adapter and prompt alone, so that a
- * test knows the exact text and a continuation on another engine goes on with the same pieces. The hash can be taken
- * segment by segment, as the KV of a prompt that is larger than one engine is.
+ * Deterministic answer of every stand-in engine. The pieces depend on model, adapter and prompt alone, their number
+ * also on the maximum of output tokens, so that a test can compute the exact text and a continuation on another engine
+ * generates the same pieces. The hash can be computed segment by segment, like the KV of a prompt that is larger than
+ * one engine. Immutable.
  */
 public final class AnswerText {
     private static final int LETTERS = 26;
@@ -29,12 +30,12 @@
         return ofState(extend(initialState(model, adapter), prompt), maxOutputTokens);
     }
 
-    /** State before any prompt text. */
+    /** Hash state before any prompt text. */
     public static long initialState(ModelName model, String adapter) {
         return extend(extend(1, model.value()) * HASH_MULTIPLIER, adapter == null ? "" : adapter) * HASH_MULTIPLIER;
     }
 
-    /** State after one more segment of the prompt; independent of where the prompt was cut. */
+    /** Hash state after one more segment of the prompt; independent of where the prompt was split. */
     public static long extend(long state, String segment) {
         long next = state;
         for (int i = 0; i < segment.length(); i++) {
@@ -50,7 +51,7 @@
         return new AnswerText(hash, Math.min(natural, Math.max(1, maxOutputTokens)), reason);
     }
 
-    /** Number of pieces, from 1 to the longest answer asked for. */
+    /** Number of pieces, from 1 to the requested maximum of output tokens. */
     public int pieceCount() {
         return pieceCount;
     }
@@ -84,6 +85,7 @@
         return String.join("", pieces());
     }
 
+    /** Finaliser of SplitMix64 (Steele, Lea and Flood 2014). */
     private static long mix(long value) {
         long bits = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
         bits = (bits ^ (bits >>> 27)) * 0x94d049bb133111ebL;
--- a/elmline-standin/src/main/java/org/elmline/standin/StandinHttpResponses.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/StandinHttpResponses.java
@@ -8,7 +8,7 @@
 import org.elmline.wire.engine.EngineJson;
 import org.elmline.wire.engine.Problem;
 
-/** Answers of the stand-ins' HTTP servers, all JSON. */
+/** Sends JSON responses of the stand-ins' HTTP servers. */
 public final class StandinHttpResponses {
     private StandinHttpResponses() {}
 
@@ -26,7 +26,7 @@
         send(exchange, status, new Problem(why));
     }
 
-    /** A query parameter, or null. */
+    /** The first value of a query parameter, or null if it is missing. */
     public static String queryParameter(HttpServerExchange exchange, String name) {
         Deque<String> values = exchange.getQueryParameters().get(name);
         return values == null ? null : values.peekFirst();
--- a/elmline-standin/src/main/java/org/elmline/standin/StandinHttpServer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/StandinHttpServer.java
@@ -7,7 +7,7 @@
 import io.undertow.server.HttpHandler;
 import org.elmline.core.common.Address;
 
-/** An HTTP server on loopback, as every stand-in opens it. */
+/** HTTP server on the loopback address, as used by all stand-ins. Accepts request bodies of up to 64 MiB. */
 public final class StandinHttpServer implements AutoCloseable {
     private static final String LOOPBACK = "127.0.0.1";
     private static final int IO_THREADS = 2;
@@ -17,7 +17,7 @@
     private final Undertow server;
     private final Address address;
 
-    /** Opens at once; port 0 takes any free one. */
+    /** Starts to listen; port 0 selects a free port. */
     public StandinHttpServer(int port, HttpHandler handler) {
         server = Undertow.builder()
                 .addHttpListener(port, LOOPBACK)
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/CacheEventLog.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/CacheEventLog.java
@@ -10,7 +10,10 @@
 
 import org.elmline.core.engine.CacheEvents;
 
-/** Prefix-cache events as engines publish them: late, a share of them never. A lost event still uses up its number. */
+/**
+ * Prefix-cache events as real engines publish them: after a delay, and with a share of events lost. A lost event still
+ * uses up its sequence number, so that a reader can detect the gap. Keeps the latest 50,000 events. Not thread-safe.
+ */
 public final class CacheEventLog {
     private static final int MAX_EVENTS = 50_000;
     private static final int MAX_EVENTS_PER_ANSWER = 5_000;
@@ -40,7 +43,9 @@
         }
     }
 
-    /** Events published by now with a number above {@code sequence}, at most 5,000. */
+    /**
+     * Events published by {@code nowNanos} with a sequence number above {@code sequence}, oldest first, at most 5,000.
+     */
     public CacheEvents after(long sequence, long nowNanos) {
         List<CacheEvents.Event> newestFirst = new ArrayList<>();
         Iterator<TimedEvent> fromNewest = events.descendingIterator();
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/DelayedLoad.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/DelayedLoad.java
@@ -2,7 +2,7 @@
 
 import org.elmline.core.engine.EngineLoad;
 
-/** Reports the load of one or two intervals ago. */
+/** Delays load reports: each report is the load sampled one to two intervals earlier. Not thread-safe. */
 public final class DelayedLoad {
     private static final EngineLoad NONE = new EngineLoad(0, 0, 0);
 
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/Engine.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/Engine.java
@@ -25,8 +25,8 @@
 import org.elmline.wire.engine.ExportedKv;
 
 /**
- * The engine model in real time with its streams, exports and orders. One thread drives the model's steps. Lock order:
- * this engine, then one of its streams.
+ * Runs the engine model in real time, with its streams, exports and orders. One thread drives the model's steps.
+ * Thread-safe; lock order: this engine, then one of its streams.
  */
 final class Engine implements AutoCloseable, StepListener {
     private static final long MAX_WAIT_MILLIS = 50;
@@ -45,7 +45,11 @@
     private long lastId;
     private boolean closed;
 
-    /** The clock tells the engine's own time: real time multiplied by the time scale. */
+    /**
+     * Starts the engine.
+     *
+     * @param clock engine time in nanoseconds: real time multiplied by the time scale
+     */
     Engine(EngineSettings settings, EngineFaults faults, LongSupplier clock) {
         this.settings = settings;
         this.faults = faults;
@@ -60,10 +64,12 @@
         thread.start();
     }
 
-    /** Why a start was refused before it ran, or the stream. */
+    /** The started stream, or the reason why the start was refused before it ran; the other one is null. */
     record StartResult(EngineStream stream, StartRefusal refusal) {}
 
-    /** Refusals that tell the caller that nothing ran, but for {@code DUPLICATE}, whose first try may have. */
+    /**
+     * Refusals that mean to the caller that nothing ran, except {@code DUPLICATE}, whose first attempt may have run.
+     */
     enum StartRefusal {
         WRONG_MODEL(409),
         NOT_READY(503),
@@ -105,7 +111,9 @@
         return Optional.ofNullable(streams.get(attempt));
     }
 
-    /** The end reached a reader: memory is freed, while the text can still be read again for the retention. */
+    /**
+     * Frees the memory of a stream whose end was written to a reader; its text can be read again during the retention.
+     */
     synchronized void onDelivered(EngineStream stream) {
         model.release(stream.id());
     }
@@ -146,7 +154,7 @@
         return model.usedKvTokens();
     }
 
-    /** Begins to compute a segment for export; its stream finishes when the export is ready. */
+    /** Starts to compute a segment for export; its stream finishes when the export is ready. */
     synchronized StartResult startExport(EngineRequest segment) {
         StartRefusal refused = refusal(segment);
         if (refused != null || kvSegments.containsKey(segment.attempt().value())) {
@@ -191,7 +199,7 @@
         return kv.imported() || stream != null && stream.isFinished();
     }
 
-    /** Takes in what another engine exported; true also when it is here already. */
+    /** Imports KV that another engine exported; true also when it is already present. */
     synchronized boolean importKv(ExportedKv exported) {
         KvExport export = exported.export();
         if (kvSegments.containsKey(export.id())) {
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineFaults.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineFaults.java
@@ -1,6 +1,6 @@
 package org.elmline.standin.engine;
 
-/** Faults of one stand-in engine that a test or an operator of stand-ins may set while it runs. */
+/** Faults of one stand-in engine that may be set while it runs. Thread-safe. */
 public final class EngineFaults {
     private volatile PieceFault pieces = PieceFault.NONE;
     private volatile double slowdown = 1;
@@ -20,7 +20,7 @@
         return slowdown;
     }
 
-    /** Makes every later step this many times as long. */
+    /** Multiplies the duration of every later step by this factor. */
     public void slowdown(double factor) {
         slowdown = factor;
     }
@@ -29,7 +29,7 @@
         return reportsNoLoad;
     }
 
-    /** Reports an idle engine, whatever it does. */
+    /** Whether to report the load of an idle engine, whatever the actual load. */
     public void reportsNoLoad(boolean value) {
         reportsNoLoad = value;
     }
@@ -38,7 +38,9 @@
         return frozen;
     }
 
-    /** Stops writing to streams, heartbeats too, while connections stay open: a frozen engine. */
+    /**
+     * Whether to stop writing to streams, heartbeats included, while connections stay open, as a frozen engine does.
+     */
     public void frozen(boolean value) {
         frozen = value;
     }
@@ -47,12 +49,12 @@
         return readerDropCount;
     }
 
-    /** Breaks every connection that reads a stream now; the streams themselves live on. */
+    /** Closes every connection that is reading a stream; the streams themselves continue. */
     public synchronized void dropReaders() {
         readerDropCount++;
     }
 
-    /** Settings of faults as a stand-in process takes them over HTTP; null leaves one as it is. */
+    /** Fault settings as a stand-in process accepts them over HTTP; null leaves a setting unchanged. */
     public record Settings(PieceFault pieces, Double slowdown, Boolean reportsNoLoad, Boolean silent, Boolean drop) {}
 
     public void apply(Settings settings) {
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineRoutes.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineRoutes.java
@@ -23,8 +23,8 @@
 import org.xnio.IoUtils;
 
 /**
- * The engine's HTTP interface. Only what waits (streams, exports, imports) takes a worker thread; the rest is answered
- * on the I/O thread, so that a cancel gets through while every worker writes a stream.
+ * The engine's HTTP interface. Requests that wait (streams, exports, imports) take a worker thread; the others are
+ * answered on the I/O thread, so that a cancellation is handled even while every worker writes a stream.
  */
 final class EngineRoutes {
     private static final String NDJSON = "application/x-ndjson";
@@ -60,7 +60,7 @@
                 .put("/standin/faults", withJsonBody(EngineFaults.Settings.class, this::setFaults));
     }
 
-    /** Handles a request whose JSON body has been read whole. */
+    /** Handles a request whose JSON body has been read completely. */
     private interface BodyHandler<T> {
         void handle(HttpServerExchange exchange, T body);
     }
@@ -94,7 +94,7 @@
         exchange.dispatch((HttpHandler) dispatched -> writeStream(dispatched, stream, stream.firstIndex()));
     }
 
-    /** A segment to export generates nothing, so it needs no output size. */
+    /** Whether all required fields are set. A segment to export generates nothing, so it needs no output size. */
     private static boolean isComplete(EngineRequest request, int leastOutput) {
         return request.attempt() != null
                 && request.host() != null
@@ -125,7 +125,7 @@
         exchange.startBlocking();
         OutputStream out = exchange.getOutputStream();
         try {
-            // The headers go out at once: the reader learns that the attempt was accepted before its first token.
+            // Sends the headers at once, to notify the reader before the first token that the attempt was accepted.
             out.flush();
             new StreamWriter(engine, faults, out).write(stream, offset);
         } catch (IOException e) {
@@ -171,7 +171,10 @@
         exchange.dispatch((HttpHandler) dispatched -> writeExport(dispatched, started.stream()));
     }
 
-    /** Heartbeats are spaces here: JSON allows them before the value. */
+    /**
+     * Writes the export when it is ready. Until then it writes spaces as heartbeats, which JSON allows before the
+     * value.
+     */
     private void writeExport(HttpServerExchange exchange, EngineStream stream) {
         exchange.getResponseHeaders().put(Headers.CONTENT_TYPE, "application/json");
         exchange.startBlocking();
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineServer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineServer.java
@@ -21,8 +21,9 @@
 import org.jboss.logging.Logger;
 
 /**
- * A model engine for tests, demonstrations and load: answers over HTTP what {@link org.elmline.standin.AnswerText}
- * says, in the time that the engine model gives. {@link #close()} stops it as a crash does; {@link #leave} gracefully.
+ * Stand-in model engine for tests, demonstrations and load tests: serves the answers of {@link
+ * org.elmline.standin.AnswerText} over HTTP at the speed of the engine model. {@link #close()} stops it as a crash
+ * does, {@link #leave} gracefully. Thread-safe.
  */
 public final class EngineServer implements AutoCloseable {
     private static final Logger LOG = Logger.getLogger(EngineServer.class);
@@ -67,17 +68,17 @@
         return faults;
     }
 
-    /** Streams that hold memory, read straight from the engine. */
+    /** Number of streams that hold memory, without the delay of load reports. */
     public int openStreams() {
         return engine.openStreams();
     }
 
-    /** KV tokens in use, prefix cache that could be evicted not counted. */
+    /** KV tokens in use, not counting evictable blocks of the prefix cache. */
     public long usedKvTokens() {
         return engine.usedKvTokens();
     }
 
-    /** What it announces now. */
+    /** The announcement for the present state. */
     public Announcement announcement() {
         EngineState state = engine.state();
         long prefillTokensPerSecond = (long) (settings.profile().prefillTokensPerSecond() * settings.timeScale());
@@ -100,12 +101,15 @@
                 leaving || !state.ready());
     }
 
-    /** What it serves now. */
+    /** What the engine is ordered to serve, and whether it is ready. */
     public EngineState state() {
         return engine.state();
     }
 
-    /** Announces that it is leaving, waits for open streams up to the limit, and closes; true when none was cut. */
+    /**
+     * Announces that it is leaving, waits for open streams up to the limit, and closes; true when no stream was cut
+     * off.
+     */
     public boolean leave(Duration limit) throws InterruptedException {
         leaving = true;
         announcer.announceNow(LEAVE_ANNOUNCE_TIMEOUT);
@@ -201,7 +205,7 @@
             return this;
         }
 
-        /** How many times as fast as real time the engine runs. */
+        /** Speed of the engine's time relative to real time, above 0. */
         public Builder timeScale(double value) {
             timeScale = value;
             return this;
@@ -235,13 +239,13 @@
             return this;
         }
 
-        /** Memory that an imported segment takes here, as a share of its tokens. */
+        /** Memory that an imported segment takes on this engine, as a share of its tokens. */
         public Builder importedShare(double value) {
             importedShare = value;
             return this;
         }
 
-        /** Whether orders under an old fencing number are refused. */
+        /** Whether orders with a stale fencing number are rejected. */
         public Builder checksFencing(boolean value) {
             checksFencing = value;
             return this;
@@ -252,7 +256,7 @@
             return this;
         }
 
-        /** 0 takes any free port. */
+        /** 0 selects a free port. */
         public Builder port(int value) {
             port = value;
             return this;
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineSettings.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineSettings.java
@@ -11,13 +11,13 @@
 import org.elmline.standin.model.EngineProfile;
 
 /**
- * Everything one stand-in engine is started with. Times are in the engine's own time, which runs {@code timeScale}
- * times as fast as real time.
+ * Settings of one stand-in engine. Times are in the engine's own time, which runs {@code timeScale} times as fast as
+ * real time.
  *
- * @param retentionNanos how long a finished stream is kept for a reader that has not had its end
- * @param cacheEventLossRate share of cache events never published, 0 to 1
+ * @param retentionNanos how long a finished stream is kept for a reader that has not received its end
+ * @param cacheEventLossRate share of cache events that are never published, 0 to 1
  * @param importedShare memory that an imported segment takes, as a share of its tokens; the rest is read from the
- *     exporter, so that a prompt of more than one engine's memory can be answered
+ *     exporter, so that a prompt larger than one engine's memory can be answered
  */
 record EngineSettings(
         BackendServerId id,
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineStream.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineStream.java
@@ -5,7 +5,9 @@
 import org.elmline.core.common.Incarnation;
 import org.elmline.standin.AnswerText;
 
-/** One attempt that the engine computes. Readers come and go; the attempt lives on until finished or cancelled. */
+/**
+ * One attempt that the engine computes. It continues without readers until it is finished or cancelled. Thread-safe.
+ */
 final class EngineStream {
     private final long id;
     private final AttemptId attempt;
@@ -47,7 +49,7 @@
         return answer;
     }
 
-    /** Pieces before this one were delivered by an earlier attempt. */
+    /** Index of this attempt's first piece; the pieces before it were delivered by an earlier attempt. */
     int firstIndex() {
         return firstIndex;
     }
@@ -84,7 +86,7 @@
         return cancelled;
     }
 
-    /** Waits until there is more than {@code pieces} to read, the stream ended, or the time is over. */
+    /** Waits until more than {@code pieces} pieces are available, the stream has ended, or the time has passed. */
     synchronized void awaitMore(int pieces, long millis) throws InterruptedException {
         if (availablePieces <= pieces && finishedNanos == Long.MAX_VALUE && !cancelled) {
             wait(millis);
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/KvSegment.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/KvSegment.java
@@ -3,12 +3,12 @@
 import org.elmline.core.engine.KvExport;
 
 /**
- * An exported or imported segment.
+ * An exported or imported KV segment.
  *
- * @param id the engine model's number for the memory
+ * @param id id of the memory in the engine model
  * @param export as listed; its tokens are those held in this engine
- * @param contextTokens tokens of prompt that the segment stands for
- * @param textState state of the answer text's hash after the segment
+ * @param contextTokens prompt tokens that the segment covers
+ * @param textState hash state of the answer text after the segment
  * @param imported whether another engine computed it
  */
 record KvSegment(long id, KvExport export, long contextTokens, long textState, boolean imported) {}
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/OrderedState.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/OrderedState.java
@@ -5,7 +5,11 @@
 import org.elmline.core.engine.EngineState;
 import org.elmline.core.engine.OrderAnswer;
 
-/** What an engine was ordered to serve. Weights take a while to load; an engine may check fencing numbers or ignore. */
+/**
+ * Model, version, adapters and role that an engine was ordered to serve. After an order that changes weights the engine
+ * is not ready until they are loaded. Orders with a stale fencing number are rejected only by engines that check
+ * fencing numbers. Not thread-safe.
+ */
 final class OrderedState {
     private final boolean checksFencing;
     private final long weightLoadNanos;
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/PieceFault.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/PieceFault.java
@@ -1,14 +1,14 @@
 package org.elmline.standin.engine;
 
-/** What a stand-in engine does wrong with the pieces of its streams. */
+/** Fault in the pieces that a stand-in engine writes to its streams. */
 public enum PieceFault {
     NONE,
-    /** Every piece comes twice. */
+    /** Every piece is written twice. */
     DOUBLED,
-    /** Every fifth piece is left out. */
+    /** Every fifth piece is omitted. */
     MISSING,
-    /** Each pair of pieces comes in the wrong order. */
+    /** Each pair of pieces is written in reverse order. */
     REORDERED,
-    /** Pieces of another attempt come in between. */
+    /** Pieces of another attempt are written in between. */
     CROSSED
 }
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/StreamWriter.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/StreamWriter.java
@@ -9,8 +9,8 @@
 import org.elmline.wire.engine.EngineJson;
 
 /**
- * Writes one stream to one reader, an event a line. An empty line every second tells the reader that the engine lives
- * while nothing is generated.
+ * Writes one stream to one reader, one event per line. Every second without output it writes an empty line as
+ * heartbeat.
  */
 final class StreamWriter {
     private static final long HEARTBEAT_MILLIS = 1_000;
@@ -30,7 +30,7 @@
         initialReaderDropCount = faults.readerDropCount();
     }
 
-    /** Returns once the stream's end was written; throws when the connection is broken, by either side. */
+    /** Returns after the end of the stream was written; throws when either side has closed the connection. */
     void write(EngineStream stream, int offset) throws IOException, InterruptedException {
         int next = offset;
         int count = stream.answer().pieceCount();
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/package-info.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/package-info.java
@@ -1,2 +1,2 @@
-/** A model engine as a process: the engine model in real time behind HTTP, with settable faults. */
+/** Stand-in model engine: the engine model in real time behind HTTP, with configurable faults. */
 package org.elmline.standin.engine;
--- a/elmline-standin/src/main/java/org/elmline/standin/model/EngineModel.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/EngineModel.java
@@ -8,11 +8,12 @@
 import java.util.TreeSet;
 
 /**
- * One engine, step by step. Each step decodes one token of every running sequence and fills the rest of its token
- * budget with chunks of prefill, most urgent first; its time follows from what it computed. Not thread-safe.
+ * Time and memory of one engine, computed step by step. Each step decodes one token of every running sequence and fills
+ * the rest of its token budget with chunks of prefill, most urgent first; its duration follows from the tokens
+ * computed. All times are nanoseconds on the caller's clock. Not thread-safe.
  */
 public final class EngineModel {
-    /** What {@link #nextStepEndNanos()} answers when there is nothing to compute. */
+    /** Value of {@link #nextStepEndNanos()} when there is nothing to compute. */
     public static final long IDLE = Long.MAX_VALUE;
 
     private final EngineProfile profile;
@@ -40,12 +41,12 @@
         prefilling = new TreeSet<>(order);
     }
 
-    /** Makes every later step this many times as long; 1 is the profile's own speed. */
+    /** Multiplies the duration of every later step by this factor; 1 is the profile's own speed. */
     public void slowdown(double factor) {
         slowdown = factor;
     }
 
-    /** Accepts a sequence, or false when it could never fit or its id is in use. */
+    /** Accepts a sequence; false when it can never fit into KV memory or its id is in use. */
     public boolean submit(SequenceRequest request, long nowNanos) {
         long most = (long) request.promptTokens() + request.outputTokens();
         if (most > profile.capacityKvTokens() || sequences.containsKey(request.id())) {
@@ -59,7 +60,7 @@
         return true;
     }
 
-    /** Frees all that a sequence holds, in whatever stage; false when the engine holds nothing under this id. */
+    /** Frees everything that a sequence holds, in any stage; false when no sequence has this id. */
     public boolean release(long id) {
         Sequence sequence = sequences.remove(id);
         if (sequence == null) {
@@ -75,8 +76,9 @@
     }
 
     /**
-     * Starts a step when none runs and somebody waits. Needed after each release: finished sequences may hold all
-     * memory, so that no step runs; without this the waiting ones would stay until the next submission.
+     * Starts a step when none is running and sequences are waiting. Needed after each release: finished sequences may
+     * hold all memory, so that no step can run; without this call the waiting sequences would stall until the next
+     * submission.
      */
     private void startStepIfIdle() {
         if (stepEndNanos == IDLE && !waiting.isEmpty()) {
@@ -101,7 +103,7 @@
         return true;
     }
 
-    /** Holds memory for imported KV; false when there is no room or the id is in use. */
+    /** Reserves memory for imported KV; false when there is not enough memory or the id is in use. */
     public boolean reserveExternal(long id, long tokens, long nowNanos) {
         if (externalKvTokens.containsKey(id) || !memory.allocate(tokens, nowNanos)) {
             return false;
@@ -120,7 +122,7 @@
         return true;
     }
 
-    /** When the step in progress ends; {@link #IDLE} without one. */
+    /** Time at which the step in progress ends; {@link #IDLE} without one. */
     public long nextStepEndNanos() {
         return stepEndNanos;
     }
@@ -165,7 +167,7 @@
         return preemptions;
     }
 
-    /** Prompt tokens that the prefix cache spared, of {@link #promptTokens()}. */
+    /** Prompt tokens found in the prefix cache and therefore not computed, out of {@link #promptTokens()}. */
     public long cachedPromptTokens() {
         return cachedPromptTokens;
     }
@@ -201,7 +203,7 @@
         return profile.decodeNanos(decodingInStep.size(), kvTokens);
     }
 
-    /** Takes one token of memory for each running sequence; without room the least urgent one is preempted. */
+    /** Allocates one token of memory for each running sequence; when memory is full, preempts the least urgent one. */
     private void growDecodingSequences(long nowNanos) {
         List<Sequence> running = new ArrayList<>(decoding);
         for (Sequence each : running) {
@@ -302,7 +304,7 @@
         return least;
     }
 
-    /** Frees the victim's memory; it is computed again later from its prompt and its answer so far. */
+    /** Frees the victim's memory; its prompt and its answer so far are computed again later. */
     private void preempt(Sequence victim) {
         preemptions++;
         prefilling.remove(victim);
@@ -346,7 +348,9 @@
         decoding.add(sequence);
     }
 
-    /** Shares each block once it is whole, so that a preempted read finds most of its work in the cache again. */
+    /**
+     * Shares each block once it is complete, so that a preempted prompt finds most of its blocks in the prefix cache.
+     */
     private void shareWholeBlocks(Sequence sequence, long nowNanos) {
         long[] blocks = sequence.request.blockHashes();
         int computed = Math.min(sequence.prefilledTokens, sequence.request.promptTokens());
--- a/elmline-standin/src/main/java/org/elmline/standin/model/EngineProfile.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/EngineProfile.java
@@ -1,6 +1,8 @@
 package org.elmline.standin.model;
 
-/** Size and speed of one engine. Defaults stand for one accelerator with a model of some 8 billion parameters. */
+/**
+ * Size and speed of one engine; immutable. Defaults model one accelerator with a model of about 8 billion parameters.
+ */
 public final class EngineProfile {
     private final long capacityKvTokens;
     private final int blockTokens;
@@ -39,32 +41,34 @@
         return blockTokens;
     }
 
-    /** Most tokens, prefilled and decoded together, that one step computes. */
+    /** Maximum number of tokens, prefilled and decoded together, that one step computes. */
     public int stepTokens() {
         return stepTokens;
     }
 
-    /** Most sequences that hold memory and run at one time. */
+    /** Maximum number of sequences that hold memory and run at the same time. */
     public int maxSequences() {
         return maxSequences;
     }
 
-    /** Waiting for this long raises a sequence by one level of priority. */
+    /** Waiting time that raises a sequence by one priority level. */
     public long ageingNanos() {
         return ageingNanos;
     }
 
-    /** Prompt tokens an idle engine reads a second when prompts are short. */
+    /** Prompt tokens per second that an idle engine prefills when prompts are short. */
     public long prefillTokensPerSecond() {
         return Math.round(1e9 / (prefillNanosPerToken + stepNanos / stepTokens));
     }
 
-    /** Time of a step's fixed part. */
+    /** Fixed part of a step's time. */
     double stepNanos() {
         return stepNanos;
     }
 
-    /** Time to prefill {@code tokens} after {@code context} tokens; grows with the context that each must attend to. */
+    /**
+     * Time to prefill {@code tokens} after {@code context} tokens; grows with the context that each token attends to.
+     */
     double prefillNanos(int tokens, long context) {
         double meanContext = context + tokens / 2.0;
         return tokens * prefillNanosPerToken * (1 + meanContext / attentionDoublingTokens);
@@ -74,12 +78,12 @@
         return sequences * decodeNanosPerSequence + kvTokens * decodeNanosPerKvToken;
     }
 
-    /** A sequence's part of one decoding step, when {@code batch} sequences share it. */
+    /** A sequence's share of the time of a decoding step with {@code batch} sequences. */
     public double decodeNanosPerToken(long kvTokens, int batch) {
         return decodeNanos(1, kvTokens) + stepNanos / batch;
     }
 
-    /** Time that the prefill of a whole prompt takes when it has the engine to itself. */
+    /** Time to prefill a whole prompt on an otherwise idle engine. */
     public double wholePrefillNanos(int promptTokens, int cachedTokens) {
         int tokens = Math.max(1, promptTokens - cachedTokens);
         int steps = (tokens + stepTokens - 1) / stepTokens;
@@ -145,7 +149,8 @@
 
         public EngineProfile build() {
             if (capacityKvTokens < 1 || blockTokens < 1 || stepTokens < 1 || maxSequences < 1 || ageingNanos < 1) {
-                throw new IllegalArgumentException("an engine's sizes must be at least 1");
+                throw new IllegalArgumentException(
+                        "capacityKvTokens, blockTokens, stepTokens, maxSequences and ageingNanos must be at least 1");
             }
             return new EngineProfile(this);
         }
--- a/elmline-standin/src/main/java/org/elmline/standin/model/KvMemory.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/KvMemory.java
@@ -7,8 +7,9 @@
 import java.util.Set;
 
 /**
- * KV memory of one engine, counted in tokens, with a prefix cache in what no sequence holds. Blocks are shared by
- * reference count; unreferenced ones stay until their room is needed, the longest unused first.
+ * KV memory of one engine, counted in tokens. Memory that no sequence holds serves as prefix cache: blocks are shared
+ * by reference count, and unreferenced blocks are evicted when their memory is needed, least recently used first. Not
+ * thread-safe.
  */
 final class KvMemory {
     private final long capacity;
@@ -24,7 +25,7 @@
         this.listener = listener;
     }
 
-    /** Tokens that can't be evicted. */
+    /** Tokens in use, which can't be evicted. */
     long usedTokens() {
         return privateTokens + (long) (referenceCounts.size() - unreferenced.size()) * blockTokens;
     }
@@ -37,7 +38,7 @@
         return referenceCounts.size();
     }
 
-    /** Leading blocks that are in memory now. */
+    /** Number of leading blocks that are in memory. */
     int leadingHits(long[] blocks) {
         int hits = 0;
         while (hits < blocks.length && referenceCounts.containsKey(blocks[hits])) {
@@ -51,7 +52,10 @@
         referenceCounts.merge(block, 1, Integer::sum);
     }
 
-    /** Takes private tokens, evicting unreferenced blocks for them; false and unchanged when there is no room. */
+    /**
+     * Allocates private tokens, evicting unreferenced blocks as needed; false and unchanged when there is not enough
+     * memory.
+     */
     boolean allocate(long tokens, long nowNanos) {
         if (tokens > freeTokens()) {
             return false;
@@ -64,11 +68,11 @@
     void free(long tokens) {
         privateTokens -= tokens;
         if (privateTokens < 0) {
-            throw new IllegalStateException("more KV tokens given back than taken");
+            throw new IllegalStateException("more KV tokens freed than allocated: private tokens at " + privateTokens);
         }
     }
 
-    /** Turns one block's worth of private tokens into a shared block. */
+    /** Converts the private tokens of one block into a shared block. */
     void share(long block, long nowNanos) {
         free(blockTokens);
         if (!referenceCounts.containsKey(block)) {
@@ -80,7 +84,7 @@
     void release(long block) {
         int left = referenceCounts.merge(block, -1, Integer::sum);
         if (left < 0) {
-            throw new IllegalStateException("block released more often than retained");
+            throw new IllegalStateException("block " + block + " released more often than retained");
         }
         if (left == 0) {
             unreferenced.add(block);
--- a/elmline-standin/src/main/java/org/elmline/standin/model/Sequence.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/Sequence.java
@@ -1,8 +1,8 @@
 package org.elmline.standin.model;
 
-/** What the engine knows of one sequence. */
+/** State of one sequence in the engine model. Not thread-safe. */
 final class Sequence {
-    /** Stages in the order in which a sequence passes them; a preempted one goes back to WAITING. */
+    /** Stages in the order in which a sequence passes through them; a preempted sequence returns to WAITING. */
     enum Stage {
         WAITING,
         PREFILLING,
@@ -31,7 +31,10 @@
         prefillTargetTokens = request.promptTokens();
     }
 
-    /** Smaller is sooner. Ageing makes the order one of fixed keys: a level of priority is worth a fixed wait. */
+    /**
+     * Sequences with smaller keys run first. One priority level counts as much as {@code ageingNanos} of waiting; as
+     * all sequences age at the same rate, keys stay constant while they wait.
+     */
     long schedulingKey(long ageingNanos) {
         return arrivedNanos + priority * ageingNanos;
     }
--- a/elmline-standin/src/main/java/org/elmline/standin/model/StepListener.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/StepListener.java
@@ -1,6 +1,6 @@
 package org.elmline.standin.model;
 
-/** Hears what the engine's steps bring, in order of time. */
+/** Receives the results of the engine model's steps in order of time, on the thread that advances the model. */
 public interface StepListener {
     /** Answer token number {@code index} of this sequence was generated. */
     void onToken(long id, int index, long atNanos);
--- a/elmline-standin/src/main/java/org/elmline/standin/service/RunCounts.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/service/RunCounts.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Counts how often each call that changes something ran, by idempotency key, path and body. */
+/** Counts the runs of each state-changing call, by idempotency key, path and body. Thread-safe. */
 public final class RunCounts {
-    /** One call and how often it ran. */
+    /** One call and the number of its runs. */
     public record Run(String idempotencyKey, String path, String body, int count) {}
 
     private record Call(String idempotencyKey, String path, String body) implements Comparable<Call> {
@@ -23,7 +23,7 @@
 
     private final Map<Call, Integer> counts = new TreeMap<>();
 
-    /** How often it has run, this time included. */
+    /** Records one run and returns the number of runs so far, this one included. */
     public synchronized int recordRun(String idempotencyKey, String path, String body) {
         return counts.merge(new Call(idempotencyKey, path, body), 1, Integer::sum);
     }
--- a/elmline-standin/src/main/java/org/elmline/standin/service/ServiceFaults.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/service/ServiceFaults.java
@@ -1,13 +1,13 @@
 package org.elmline.standin.service;
 
-/** Faults of one stand-in service that may be set while it runs. */
+/** Faults of one stand-in service that may be set while it runs. Thread-safe. */
 public final class ServiceFaults {
-    /** What happens to a call that changes something. */
+    /** Fault of state-changing calls. */
     public enum Mode {
         NONE,
-        /** Runs the call, then breaks the connection in place of answering. */
+        /** Runs the call, then closes the connection instead of answering. */
         DROP_ANSWER,
-        /** Refuses with status 503 and {@code Elmline-Ran: no}, before anything ran. */
+        /** Refuses with status 503 and {@code Elmline-Ran: no} before anything runs. */
         FAIL_BEFORE_RUNNING
     }
 
@@ -26,12 +26,12 @@
         return delayMillis;
     }
 
-    /** Time that each call takes, reads included. */
+    /** Delay added to each call in milliseconds, reads included. */
     public void delayMillis(long value) {
         delayMillis = value;
     }
 
-    /** Settings as a stand-in process takes them over HTTP; null leaves one as it is. */
+    /** Fault settings as a stand-in process accepts them over HTTP; null leaves a setting unchanged. */
     public record Settings(Mode mode, Long delayMillis) {}
 
     public void apply(Settings settings) {
--- a/elmline-standin/src/main/java/org/elmline/standin/service/ServiceServer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/service/ServiceServer.java
@@ -29,9 +29,9 @@
 import org.xnio.IoUtils;
 
 /**
- * A booking service that never deduplicates by itself: {@code GET /seats/{id}} and {@code GET /schedule} are
- * idempotent, {@code POST /seats/{id}/hold} and {@code POST /fees} aren't, and {@code GET /runs} tells how often each
- * of those ran. {@link #close()} stops it as a crash does; {@link #leave} gracefully.
+ * Stand-in booking service without deduplication: {@code GET /seats/{id}} and {@code GET /schedule} are idempotent,
+ * {@code POST /seats/{id}/hold} and {@code POST /fees} aren't, and {@code GET /runs} returns how often each of the
+ * latter ran. {@link #close()} stops it as a crash does, {@link #leave} gracefully. Thread-safe.
  */
 public final class ServiceServer implements AutoCloseable {
     private static final HttpString IDEMPOTENCY_KEY = new HttpString("Idempotency-Key");
@@ -71,7 +71,7 @@
         return faults;
     }
 
-    /** How often each call that changes something ran. */
+    /** Counts of the runs of each state-changing call. */
     public RunCounts runs() {
         return runs;
     }
@@ -96,7 +96,10 @@
                 leaving);
     }
 
-    /** Announces that it is leaving, waits for calls in flight up to the limit, and closes; true when none was cut. */
+    /**
+     * Announces that it is leaving, waits for calls in flight up to the limit, and closes; true when no call was cut
+     * off.
+     */
     public boolean leave(Duration limit) throws InterruptedException {
         leaving = true;
         announcer.announceNow(LEAVE_ANNOUNCE_TIMEOUT);
@@ -129,7 +132,7 @@
 
     private record Runs(List<RunCounts.Run> runs) {}
 
-    /** The seats on offer, always the same. */
+    /** The available seats, always the same. */
     private record Schedule(List<String> seats) {
         static Schedule today() {
             return new Schedule(List.of("a1", "a2", "b1", "b2"));
@@ -221,7 +224,7 @@
             return this;
         }
 
-        /** 0 takes any free port. */
+        /** 0 selects a free port. */
         public Builder port(int value) {
             port = value;
             return this;
--- a/elmline-standin/src/main/java/org/elmline/standin/service/package-info.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/service/package-info.java
@@ -1,2 +1,2 @@
-/** A plain booking service whose calls are counted, with settable faults. */
+/** Stand-in booking service that counts its calls, with configurable faults. */
 package org.elmline.standin.service;
--- a/elmline-standin/src/test/java/org/elmline/standin/model/EngineModelTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/model/EngineModelTest.java
@@ -18,7 +18,7 @@
 class EngineModelTest {
     private static final long SECOND = 1_000_000_000L;
 
-    /** Keeps when each sequence's first token came, and checks that tokens come in order. */
+    /** Records the time of each sequence's first token, and checks that tokens arrive in order. */
     private static final class Log implements StepListener {
         final Map<Long, Long> firstToken = new HashMap<>();
         final Map<Long, Integer> tokens = new HashMap<>();
@@ -92,7 +92,7 @@
         expected.forEach((id, tokens) -> assertEquals(tokens, log.tokens.get(id)));
     }
 
-    /** Prompts of three families that share a prefix within the family. */
+    /** Block hashes of prompts from three families that share a prefix within the family. */
     private static long[] sharedBlocks(Random random) {
         long[] family = blocks(random.nextInt(3), 18);
         long[] own = blocks(random.nextLong(), 18);
@@ -101,7 +101,10 @@
         return own;
     }
 
-    /** A guide's question arrives behind a long read: without priority it waits for all of it, with priority not. */
+    /**
+     * A short prompt arrives behind a long one: at equal priority it waits for the whole prefill, with higher priority
+     * it doesn't.
+     */
     @Test
     void priorityLetsAShortPromptOvertakeALongRead() {
         long behind = shortTimeToFirstToken(0);
@@ -119,7 +122,10 @@
         return log.firstToken.get(2L) - SECOND;
     }
 
-    /** Urgent prompts never cease, and more come than the engine can do: ageing still lets the long read through. */
+    /**
+     * Urgent prompts arrive continuously and exceed the engine's capacity: ageing must still let the long prompt
+     * finish.
+     */
     @Test
     void ageingFinishesALongReadAmidEndlessUrgentWork() {
         EngineProfile profile = EngineProfile.builder().ageingNanos(10 * SECOND).build();
@@ -166,7 +172,7 @@
         assertEquals(62 * 512, engine.cachedPromptTokens());
     }
 
-    /** Long prompts cost more than in proportion: attention grows with what came before. */
+    /** Prefill time grows faster than the prompt length, since attention grows with the context. */
     @Test
     void prefillGrowsFasterThanLength() {
         EngineProfile profile = EngineProfile.builder().build();
@@ -178,7 +184,7 @@
         EngineModel engine = engine(10_000);
         assertFalse(engine.submit(request(1, 9_999, 2, 0), 0));
         assertTrue(engine.submit(request(2, 9_998, 2, 0), 0));
-        assertFalse(engine.submit(request(2, 10, 2, 0), 0), "an id in use");
+        assertFalse(engine.submit(request(2, 10, 2, 0), 0), "id in use");
         assertTrue(engine.release(2));
         assertTrue(engine.reserveExternal(3, 10_000, 0));
         assertFalse(engine.reserveExternal(4, 1, 0));
--- a/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
@@ -42,7 +42,7 @@
         }
     }
 
-    /** The family's hold runs, and its answer is lost: the caller can't tell, and the count says that it ran. */
+    /** The call runs and its answer is lost: the caller can't detect whether it ran, but the run must be counted. */
     @Test
     void aDroppedAnswerHasRun() throws IOException {
         try (ServiceServer service = ServiceServer.builder().id("booking-1").start()) {
@@ -63,7 +63,10 @@
         }
     }
 
-    /** One entry is down and one serves: the service finds the one, goes where it says, and says when it leaves. */
+    /**
+     * One seed address is unreachable and one answers: the service must announce itself to the latter, also that it
+     * leaves.
+     */
     @Test
     void announcesToWhoeverAnswersAndSaysWhenItLeaves() throws Exception {
         BlockingQueue<Announcement> heard = new LinkedBlockingQueue<>();
