--- a/elmline-bench/src/main/java/org/elmline/bench/policy/DecisionCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/DecisionCost.java
@@ -20,8 +20,9 @@
 import org.elmline.standin.model.EngineProfile;
 
 /**
- * Time and allocation of one placement decision by number of replicas: a plain loop after a warm-up, the median of
- * several rounds. Replicas are the bench's own, with a dozen prefills under way on each.
+ * Measures time and allocation of one placement decision by number of replicas, in a plain loop. The time is the median
+ * of several rounds, so that slow first rounds don't count; the allocation is that of the last round. Every replica has
+ * a dozen prefills in progress.
  */
 public final class DecisionCost {
     private static final int ROUNDS = 9;
@@ -30,6 +31,7 @@
     private static final int BATCH_SIZE = 16;
 
     private final EngineProfile profile = EngineProfile.builder().build();
+    /** Number of decisions that chose a replica; it is read at the end, so that the compiler keeps the measured calls. */
     private int sink;
 
     /** Measures every policy and prints one Markdown table. */
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/DelayedCacheView.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/DelayedCacheView.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 
 /**
- * What an owner believes of one engine's prefix cache: events come half a second late, and after a lost one all that was
- * known is forgotten.
+ * An owner's view of one engine's prefix cache. Events take effect half a second late; a lost event clears the view,
+ * since later events can't restore what it is missing. Not thread-safe.
  */
 final class DelayedCacheView {
     private static final long DELAY_NANOS = 500_000_000L;
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Fault.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Fault.java
@@ -1,15 +1,15 @@
 package org.elmline.bench.policy;
 
-/** What goes wrong in the middle third of a run. */
+/** Fault injected in the middle third of a run. */
 public enum Fault {
     NONE("none"),
-    /** Every second engine dies and comes back empty. */
+    /** Every second engine fails and restarts with empty memory. */
     HALF_FAIL("half the engines die"),
-    /** One of three failure domains dies and comes back empty. */
+    /** One of three failure domains fails and restarts with empty memory. */
     DOMAIN_FAILS("a failure domain dies"),
-    /** One engine runs at a tenth of its speed, to the end of the run, and reports no load. */
+    /** One engine runs at a tenth of its speed, until the end of the run, and reports no load. */
     SLOW_ENGINE("one engine at a tenth"),
-    /** Cache events claim that every engine holds what any of them stored. */
+    /** Cache events report a block stored by one engine as stored by every engine; evictions aren't reported. */
     FALSE_CACHE_EVENTS("cache events lie");
 
     private static final int DOMAINS = 3;
@@ -20,7 +20,7 @@
         this.title = title;
     }
 
-    /** Words for tables. */
+    /** Name in printed tables. */
     public String title() {
         return title;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Job.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Job.java
@@ -9,12 +9,12 @@
 import org.elmline.core.common.BackendServerId;
 import org.elmline.core.common.LengthClass;
 
-/** One request on its way through the fleet. */
+/** State of one simulated request. Not thread-safe. */
 final class Job {
     /**
-     * Where one segment of the prompt is placed; prompts that fit one engine have one segment.
+     * Placement of one segment of the prompt; a prompt that fits one engine has one segment.
      *
-     * @param sequence the engine model's number for it, unique in a run
+     * @param sequence id of the sequence in the engine model, unique in a run
      * @param contextTokens tokens of the prompt before this segment
      */
     record PlacedSegment(
@@ -50,7 +50,7 @@
         return arrival.atNanos() + arrival.limitNanos();
     }
 
-    /** Tokens to prefill: the prompt, and after a loss the answer so far. */
+    /** Tokens to prefill: the prompt, and after the loss of an engine the answer so far. */
     int promptTokens() {
         return arrival.promptTokens() + deliveredTokens;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/MarkdownTables.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/MarkdownTables.java
@@ -7,7 +7,10 @@
 import org.elmline.bench.workload.PromptMix;
 import org.elmline.core.common.LengthClass;
 
-/** The measurement as Markdown: one table for each fleet, load and fault, and a judgement of the aim at 80 % load. */
+/**
+ * Renders a measurement as Markdown: one table for each fleet, load and fault, and one that compares the results at 80
+ * % load with the target.
+ */
 final class MarkdownTables {
     private static final double TARGET_LOAD = 0.8;
     private static final String TABLE_HEADER =
@@ -75,7 +78,10 @@
                 result.firstTokenSeconds(lengthClass, 99));
     }
 
-    /** The aim: short p95 slowed down at most 1.2 times, long p95 at most 1.3 times that of the best blind baseline. */
+    /**
+     * Target: short p95 slowed down by a factor of at most 1.2, long p95 at most 1.3 times that of the best
+     * length-blind baseline.
+     */
     private String targetTable() {
         StringBuilder text = new StringBuilder(String.format("%n### The aim at 80 %% load, without faults%n%n"));
         text.append("| fleet | variant | short p95 slowdown | best blind baseline's | long p95 against best blind |"
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
@@ -44,9 +44,9 @@
 import org.elmline.standin.engine.CacheEventLog;
 
 /**
- * The daemons' own owner, with its admission, ledger and groups, over all engines of the fleet. Engines announce
- * themselves every second; the owner learns of a dead one by calls that fail, or when its lease ends. A refused request
- * isn't tried again.
+ * Schedules with the owner of the daemons, with its admission, ledger and groups, over all engines of the fleet.
+ * Engines announce themselves every second; the owner detects a failed engine by failed calls or by the expiry of its
+ * lease. A refused request is not retried.
  */
 final class OwnerScheduler implements Scheduler {
     private static final ModelName MODEL = ModelName.of("elm");
@@ -196,7 +196,10 @@
         cacheEvents[engine].add(hash, stored, atNanos);
     }
 
-    /** As the owner counts it: grants that are open, whatever was released here. */
+    /**
+     * Number of unreleased segments plus the owner's open grants, not a number of tokens: 0 only when neither the
+     * scheduler nor the owner holds a reservation.
+     */
     @Override
     public long reservedTokens() {
         return kvTokensBySequence.size() + owner.counts().openGrants();
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyBench.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyBench.java
@@ -17,8 +17,8 @@
 import org.elmline.standin.model.EngineProfile;
 
 /**
- * Measures every placement variant on the same requests: both fleets, every load, every fault. Deterministic: same
- * options, same figures, on any machine.
+ * Measures every placement variant on the same requests, for both fleets, every load and every fault. Deterministic:
+ * the same options give the same figures on any machine.
  */
 public final class PolicyBench {
     private final EngineProfile profile = EngineProfile.builder().build();
@@ -120,7 +120,7 @@
         try {
             return future.get();
         } catch (ExecutionException e) {
-            throw new IllegalStateException("a run failed", e.getCause());
+            throw new IllegalStateException("simulation run failed", e.getCause());
         }
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
@@ -21,9 +21,9 @@
 import org.elmline.core.placement.WaitPredictor;
 
 /**
- * A placement policy alone, over exact accounts of all engines: no admission, no refusals, a dead engine known at once.
- * What finds no room waits, in order of arrival with ten seconds for each length class. A prompt larger than one engine
- * is cut evenly over the fewest engines, placed all or none.
+ * Schedules with a placement policy alone, on the exact state of all engines: no admission, no refusals, failed engines
+ * are detected at once. Requests without room wait, ordered by arrival time plus ten seconds per length class. A prompt
+ * larger than one engine is split evenly over the fewest engines; all of its segments are placed or none.
  */
 final class PolicyScheduler implements Scheduler {
     private static final ModelName MODEL = ModelName.of("elm");
@@ -129,8 +129,9 @@
     }
 
     /**
-     * Whether a prompt over 128k tokens must take its turn: once one has waited for long, later smaller ones may no longer
-     * pass it, or a group of engines would never find its room.
+     * Whether a prompt over 128k tokens must queue: once another one has waited for a minute, later smaller ones may no
+     * longer overtake it. Otherwise they could keep engines occupied, and a group of engines would never have enough
+     * free memory at the same time.
      */
     private boolean mustWaitForHuge(Job job, long now) {
         if (job.arrival.lengthClass() != LengthClass.HUGE) {
@@ -203,7 +204,7 @@
                     context);
             double cost = predictor.costTokens(demand.promptTokens(), replica.cachedTokens(demand))
                     * (1 + context / scenario.settings().attentionDoublingTokens());
-            // A segment starts after the one before it.
+            // A segment starts after the one before it has been prefilled.
             previousSeconds += predictor.secondsToFirstToken(demand, replica);
             prefills.put(
                     placed.sequence(),
@@ -232,7 +233,7 @@
                 return i;
             }
         }
-        throw new IllegalStateException("a policy chose a replica that it was not given");
+        throw new IllegalStateException("the policy chose a replica that was not offered: " + replica.id());
     }
 
     private List<Demand> demands(Job job, long now) {
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/ResultRow.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/ResultRow.java
@@ -4,9 +4,10 @@
 import org.elmline.core.common.LengthClass;
 
 /**
- * One line of a table.
+ * One row of a results table.
  *
- * @param isolatedShortSeconds least p95 time to first token over all variants, for the same short requests alone
+ * @param isolatedShortSeconds lowest p95 time to first token over all variants for the same short requests alone, in
+ *     seconds
  */
 record ResultRow(
         PromptMix mix, double load, Fault fault, Variant variant, RunResult result, double isolatedShortSeconds) {
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
@@ -8,8 +8,8 @@
 import org.elmline.core.common.LengthClass;
 
 /**
- * What one run brought. A request without a first token counts with its whole limit, so that what is given up can't make
- * the percentiles look better.
+ * Results of one run. A request without a first token counts with its full time limit, so that abandoned requests can't
+ * improve the percentiles. Not thread-safe.
  */
 public final class RunResult {
     private static final long HIGHEST_MICROS = 1_000_000_000L;
@@ -92,7 +92,7 @@
         return firstToken.get(lengthClass).getValueAtPercentile(percentile) / 1e6;
     }
 
-    /** Milliseconds between tokens, the mean of each whole answer, at a percentile. */
+    /** Inter-token latency in milliseconds at a percentile; each answer counts with its mean. */
     public double interTokenMillis(double percentile) {
         return interTokenLatency.getValueAtPercentile(percentile) / 1e3;
     }
@@ -105,7 +105,7 @@
         return sum;
     }
 
-    /** Share of requests whose whole answer came within their limit. */
+    /** Share of requests whose complete answer arrived within their time limit. */
     public double inLimitFraction() {
         long whole = 0;
         for (long[] each : inLimitCounts.values()) {
@@ -119,17 +119,20 @@
         return counts[1] == 0 ? 1 : (double) counts[0] / counts[1];
     }
 
-    /** Share of requests that were refused at once, to be tried again later by their callers. */
+    /** Share of requests that were refused at once, for their callers to retry later. */
     public double refusedFraction() {
         return requests() == 0 ? 0 : (double) refusedRequests / requests();
     }
 
-    /** Share of prompt tokens that a prefix cache spared. */
+    /** Share of prompt tokens found in a prefix cache. */
     public double prefixHits() {
         return promptTokens == 0 ? 0 : (double) cachedTokens / promptTokens;
     }
 
-    /** Jain's index of the share of tokens served in time, over organisations: 1 when all fare alike. */
+    /**
+     * Jain's fairness index (Jain, Chiu and Hawe 1984) of the shares of tokens served in time, over organisations: 1
+     * when all shares are equal.
+     */
     public double jainIndex() {
         double sum = 0;
         double squares = 0;
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Scenario.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Scenario.java
@@ -8,9 +8,9 @@
 import org.elmline.standin.model.EngineProfile;
 
 /**
- * Everything that one run depends on, but for the policy.
+ * Inputs of one run, except the policy.
  *
- * @param seconds length of the arrivals, of which the first tenth isn't counted
+ * @param seconds duration of the arrivals; requests that arrive in the first tenth are not counted
  * @param settings weights, and the priorities under which engines serve each class
  */
 public record Scenario(
@@ -21,7 +21,7 @@
         Fault fault,
         PlacementSettings settings,
         long seed) {
-    /** The same run with short requests alone. */
+    /** The same run with only its short requests. */
     public Scenario shortOnly() {
         List<Arrival> only = arrivals.stream()
                 .filter(each -> each.lengthClass() == LengthClass.SHORT)
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Scheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Scheduler.java
@@ -3,32 +3,32 @@
 import java.util.List;
 
 /**
- * Decides on which engines the jobs of a run are computed, and keeps account of it. The run tells what happens on the
- * engines; times are those of its clock.
+ * Decides on which engines the jobs of a run are computed, and tracks their reservations. The simulation reports the
+ * events of the engines; times are nanoseconds of its clock. Not thread-safe.
  */
 interface Scheduler {
-    /** A job's place, one for each segment of its prompt; no place when it is refused for good. */
+    /** Placement of a job, one for each segment of its prompt; empty when the job is refused for good. */
     record Decision(Job job, List<Job.PlacedSegment> segments) {}
 
-    /** Takes in a job that has no place, whether it is new or was lost with an engine. */
+    /** Accepts a job without a placement: a new one, or one that has lost an engine. */
     void submit(Job job, long now);
 
-    /** What became known since the last call; to be called after every event. */
+    /** Decisions made since the last call; must be called after every event. */
     List<Decision> takeDecisions(long now);
 
     /** Called ten times a second. */
     void tick(long now);
 
-    /** A job that waits for a place has come to its limit. */
+    /** Removes a job that has reached its time limit while waiting for a placement. */
     void cancel(Job job, long now);
 
-    /** A segment's turn to be prefilled has come. */
+    /** Called when a segment is about to be submitted to its engine. */
     void prefillStarted(Job.PlacedSegment placed, long now);
 
-    /** The prefill is done; further calls for the same place do nothing. */
+    /** Called when the prefill of a segment is complete; further calls for the same segment do nothing. */
     void prefillFinished(Job.PlacedSegment placed, long now);
 
-    /** The engine holds nothing for this place any more, or is gone with it. */
+    /** Called when the engine has freed the memory of a segment, or was lost with it. */
     void released(Job.PlacedSegment placed, boolean engineLost, long now);
 
     void engineStarted(int engine, long now);
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/SimulatedReplica.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/SimulatedReplica.java
@@ -7,7 +7,7 @@
 import org.elmline.core.placement.Replica;
 import org.elmline.standin.model.EngineProfile;
 
-/** An owner's exact account of one engine, as far as placement reads it. */
+/** Exact state of one engine, as read by placement policies. Not thread-safe. */
 final class SimulatedReplica implements Replica {
     private final BackendServerId id;
     private final EngineProfile profile;
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
@@ -16,8 +16,9 @@
 import org.elmline.standin.model.StepListener;
 
 /**
- * One run of a workload through one desk and a fleet of engine models, on a manual clock. Same arguments, same result.
- * Segments of a prompt that is larger than one engine are prefilled in turn, each engine holding its own.
+ * One run of a workload through one scheduler and a fleet of engine models, on a manual clock. The same arguments give
+ * the same result. Segments of a prompt that is larger than one engine are prefilled in turn, each on its own engine,
+ * which holds its KV.
  */
 final class Simulation {
     private static final long FAILURE_DETECTION_NANOS = 1_000_000_000L;
@@ -36,7 +37,7 @@
     private long retiredCachedTokens;
     private long retiredPromptTokens;
 
-    /** Something to do at a set time; the number keeps those of one time in their order. */
+    /** Action at a set time; the number keeps actions of the same time in the order in which they were scheduled. */
     private record Timer(long atNanos, long number, Runnable action) {}
 
     Simulation(Scenario scenario, Scheduler desk) {
@@ -79,15 +80,20 @@
         return result;
     }
 
-    /** A reservation or sequence left over would be memory lost for good. */
+    /**
+     * Guards against leaks: memory of a reservation or sequence that is left after all requests ended would never be
+     * freed.
+     */
     private void checkNothingReserved() {
         for (EngineModel each : engines) {
             if (each.openSequences() != 0 || each.usedKvTokens() != 0) {
-                throw new IllegalStateException("an engine holds memory after all requests ended");
+                throw new IllegalStateException("an engine holds " + each.openSequences() + " sequences and "
+                        + each.usedKvTokens() + " KV tokens after all requests ended");
             }
         }
         if (scheduler.reservedTokens() != 0) {
-            throw new IllegalStateException("reserved after all requests ended: " + scheduler.reservedTokens());
+            throw new IllegalStateException(
+                    "the scheduler holds reservations after all requests ended: " + scheduler.reservedTokens());
         }
     }
 
@@ -162,7 +168,8 @@
                 scenario.settings().priority(placed.lengthClass()),
                 blocks);
         if (!engines[placed.engine()].submit(request, now)) {
-            throw new IllegalStateException("an engine refused what was reserved on it");
+            throw new IllegalStateException(
+                    "engine " + placed.engine() + " refused a sequence although memory was reserved for it");
         }
     }
 
@@ -207,7 +214,7 @@
         result.recordEnd(job);
     }
 
-    /** Frees all that a job holds; {@code lost} is the engine that died with it, or -1. */
+    /** Frees everything that a job holds; {@code lost} is the engine that failed with it, or -1. */
     private void releaseSegments(Job job, int lost) {
         for (Job.PlacedSegment each : job.segments) {
             jobsBySequence.remove(each.sequence());
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Variant.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Variant.java
@@ -8,16 +8,16 @@
 import org.elmline.core.placement.PlacementSettings;
 
 /**
- * One way to serve a workload.
+ * One configuration that serves a workload.
  *
  * @param title its name in tables
  * @param policy name of the placement policy
- * @param isLengthBlind whether nothing in it looks at a prompt's length
+ * @param isLengthBlind whether it ignores the lengths of prompts
  * @param usesOwner whether the daemons' owner runs, with admission, ledger and groups, or the policy alone
  */
 public record Variant(
         String title, String policy, PlacementSettings settings, boolean isLengthBlind, boolean usesOwner) {
-    /** A policy alone. */
+    /** A policy without the owner. */
     public Variant(String title, String policy, PlacementSettings settings, boolean isLengthBlind) {
         this(title, policy, settings, isLengthBlind, false);
     }
@@ -25,7 +25,10 @@
     private static final List<String> LENGTH_BLIND_POLICIES =
             List.of("round-robin", "random", "least-requests", "power-of-two");
 
-    /** All that a measurement compares: blind placement without and with class priorities in the engines, then the rest. */
+    /**
+     * All variants that a measurement compares: length-blind placement without and with class priorities in the
+     * engines, then the others.
+     */
     public static List<Variant> all() {
         List<Variant> all = new ArrayList<>();
         for (String each : LENGTH_BLIND_POLICIES) {
@@ -42,7 +45,7 @@
         return all;
     }
 
-    /** Blind placement, and engines that serve in order of arrival. */
+    /** Length-blind placement with engines that serve in order of arrival. */
     public static Variant blind(String policy) {
         return new Variant(policy, policy, noPriorities(0.95), true);
     }
@@ -52,7 +55,7 @@
         return new Variant(policy + " + class priorities", policy, PlacementSettings.defaults(), false);
     }
 
-    /** What elmline does by default. */
+    /** The default configuration of elmline. */
     public static Variant defaultVariant() {
         return prioritised(PlacementPolicies.DEFAULT);
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/package-info.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/package-info.java
@@ -1,2 +1,2 @@
-/** Placement policies against the engine model on a manual clock: the same policy classes as the daemons use. */
+/** Runs placement policies against the engine model on a manual clock, with the policy classes that the daemons use. */
 package org.elmline.bench.policy;
--- a/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Regression bounds on small deterministic runs: same figures on any machine, so the bounds are tight. */
+/** Regression bounds on small deterministic runs. The figures are the same on any machine, so the bounds are tight. */
 class PolicyBenchTest {
     private static final double SECONDS = 150;
     private static final EngineProfile PROFILE = EngineProfile.builder().build();
@@ -50,7 +50,7 @@
         assertEquals(one.prefixHits(), two.prefixHits());
     }
 
-    /** The aim: short questions keep their time to first token while long reads share the fleet. */
+    /** Target: short prompts keep their time to first token while long prompts share the fleet. */
     @Test
     void shortRequestsAreSlowedDownByLessThanAFifth() {
         for (PromptMix mix : PromptMix.values()) {
@@ -75,7 +75,10 @@
         }
     }
 
-    /** Every request ends by its limit and every reservation is given back: FleetRun checks it at the end of each run. */
+    /**
+     * Every request must end by its time limit and every reservation must be released: {@link Simulation} checks both
+     * at the end of each run.
+     */
     @Test
     void everyPolicyEndsEveryRequest() {
         for (String name : PlacementPolicies.names()) {
@@ -87,7 +90,7 @@
         }
     }
 
-    /** The daemons' owner in place of a policy alone: its admission and ledger must keep the same promises. */
+    /** The daemons' owner, with its admission and ledger, must keep short prompts as fast as a policy alone does. */
     @Test
     void theOwnerKeepsShortWorkFast() {
         for (PromptMix mix : PromptMix.values()) {
