--- a/elmline-bench/src/main/java/org/elmline/bench/control/ApplyCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/ApplyCostExperiment.java
@@ -9,14 +9,14 @@
 import org.elmline.core.control.ControlState;
 import org.elmline.wire.codec.Codecs;
 
-/** Times commands as a control host spends on them: decoding the log entry and applying it. */
+/** Measures the time that a control host spends on commands: decoding the log entry and applying it. */
 public final class ApplyCostExperiment {
     private static final int TICKETS = 200;
     private static final int CLAIMS = 2_000;
 
     private final ControlSamples samples = new ControlSamples();
 
-    /** Microseconds for one ticket on a state of this many objects. */
+    /** Microseconds per ticket on a state of this many objects. */
     public Spread ticketMicros(int objects) {
         byte[] snapshot = Codecs.MESSAGE_PACK.encode(samples.stateOf(objects).snapshot());
         return Spread.of(() -> {
@@ -29,7 +29,7 @@
         });
     }
 
-    /** Microseconds for one claim begun and finished, in commands of this many claims. */
+    /** Microseconds per claim begun and finished, in commands of this many claims. */
     public Spread claimMicros(int batch) {
         return Spread.of(() -> {
             List<byte[]> log = new ArrayList<>();
@@ -45,7 +45,7 @@
         });
     }
 
-    /** Bytes in the log for one claim begun and finished, in commands of this many claims. */
+    /** Log bytes per claim begun and finished, in commands of this many claims. */
     public double claimLogBytes(int batch) {
         List<ClaimBegin> begins = samples.claimBegins(batch);
         List<ClaimFinish> finishes =
@@ -55,7 +55,7 @@
         return (double) bytes / batch;
     }
 
-    /** Bytes in the log for a ticket on one backend role. */
+    /** Log bytes of a ticket on one backend role. */
     public int ticketLogBytes() {
         return Codecs.MESSAGE_PACK.encode(samples.objectTicket(1, ControlSamples.ROLE_OBJECT_INDEX)).length;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/control/ControlSamples.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/ControlSamples.java
@@ -29,13 +29,13 @@
 import org.elmline.core.control.RecordedAnswer;
 import org.elmline.core.control.Ticket;
 
-/** Control states and commands of the sizes that the experiments need. Names are as long as real ones. */
+/** Control states and commands of the sizes that the experiments need, with names as long as real ones. */
 final class ControlSamples {
     static final long WALL_MILLIS = 1_800_000_000_000L;
     static final ModelName MODEL = ModelName.of("elm-desk");
     private static final int ORGANISATIONS_PER_THOUSAND = 200;
     private static final int THOUSAND = 1_000;
-    /** Place of an object that is a role. */
+    /** Index of an object that is a backend role. */
     static final int ROLE_OBJECT_INDEX = THOUSAND - 1;
 
     private static final int FIRST_PORT = 10_000;
@@ -52,7 +52,7 @@
         return state;
     }
 
-    /** A ticket on the object of this place: one in five an organisation, the others roles of replicas. */
+    /** A ticket on the object with this index: one in five is an organisation, the others are backend roles. */
     Command.ApplyTicket objectTicket(long number, int place) {
         if (place % THOUSAND < ORGANISATIONS_PER_THOUSAND) {
             String id = "organisation-" + place;
@@ -89,7 +89,7 @@
         return begins;
     }
 
-    /** A finish with the answer of a seat hold, about 160 bytes with its headers. */
+    /** Finish of a claim whose recorded answer is a seat hold of about 160 bytes with its headers. */
     static ClaimFinish claimFinish(ClaimBegin begin) {
         byte[] body = "{\"hold\":\"3f1c9a\",\"seats\":2,\"tour\":\"northern-highland-7\",\"expires\":\"12:30\"}"
                 .getBytes(StandardCharsets.UTF_8);
--- a/elmline-bench/src/main/java/org/elmline/bench/control/Decoding.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/Decoding.java
@@ -5,7 +5,7 @@
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
-/** Reads back what an experiment wrote itself. */
+/** Decodes bytes that an experiment has encoded. */
 final class Decoding {
     private Decoding() {}
 
@@ -13,7 +13,8 @@
         if (Codecs.MESSAGE_PACK.decode(bytes, type) instanceof Decoded.Value<T> value) {
             return value.value();
         }
-        throw new IllegalStateException("a " + type.getSimpleName() + " can't be read back");
+        throw new IllegalStateException(
+                "a " + type.getSimpleName() + " can't be decoded from the bytes of an experiment");
     }
 
     static ControlState restore(byte[] snapshot) {
--- a/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCost.java
@@ -3,12 +3,12 @@
 /**
  * Bytes and processor time of lease renewals.
  *
- * @param entries entry hosts
+ * @param entries number of entry hosts
  * @param requestBytes bytes of a renewal
  * @param idleBytes bytes of an answer when nothing changed
- * @param objectBytes bytes of an answer that brings one changed backend role
- * @param memberBytes bytes of an answer that brings one changed host
- * @param joinBytes bytes of an answer that brings all hosts and all objects
+ * @param objectBytes bytes of an answer with one changed backend role
+ * @param memberBytes bytes of an answer with one changed host
+ * @param joinBytes bytes of an answer with all hosts and all objects
  * @param renewMicros microseconds that the leader spends on an idle renewal, decoding and encoding included
  */
 public record LeaseCost(
--- a/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
@@ -14,7 +14,9 @@
 import org.elmline.core.control.LeaseSettings;
 import org.elmline.wire.codec.Codecs;
 
-/** Renews leases of many entries against one keeper, with the messages as they are on the wire, unframed. */
+/**
+ * Renews leases of many entry hosts with one lease manager; messages are encoded as on the wire, but without frames.
+ */
 public final class LeaseCostExperiment {
     private static final int RENEWALS = 10_000;
     private static final long LEADER_UNTIL_NANOS = Long.MAX_VALUE / 2;
@@ -64,7 +66,7 @@
             bytes += answerBytes(keeper, Decoding.require(requests[i % entries], LeaseRequest.class));
         }
         if (bytes == 0) {
-            throw new IllegalStateException("no renewal was answered");
+            throw new IllegalStateException("no bytes in the answers to " + RENEWALS + " renewals");
         }
         return (System.nanoTime() - begin) / 1e3;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/control/Spread.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/Spread.java
@@ -3,12 +3,15 @@
 import java.util.Arrays;
 import java.util.function.DoubleSupplier;
 
-/** The median of several rounds, with the lowest and the highest. */
+/** Median, lowest and highest value of several rounds. */
 public record Spread(double median, double lowest, double highest) {
     private static final int ROUNDS = 9;
     private static final int WARM_UP_ROUNDS = 3;
 
-    /** Measures after a warm-up, with one collection before each round so that none pays for an earlier one. */
+    /**
+     * Measures after a warm-up, with one garbage collection before each round, so that no round pays for the garbage of
+     * an earlier one.
+     */
     static Spread of(DoubleSupplier round) {
         for (int i = 0; i < WARM_UP_ROUNDS; i++) {
             round.getAsDouble();
--- a/elmline-bench/src/main/java/org/elmline/bench/control/StateCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/StateCostExperiment.java
@@ -8,7 +8,7 @@
 import org.elmline.core.control.ControlState;
 import org.elmline.wire.codec.Codecs;
 
-/** Memory of the state, and time and bytes of its snapshots. */
+/** Measures heap size of the control state, and time and size of its snapshots. */
 public final class StateCostExperiment {
     private static final int COPIES = 5;
     private static final int COLLECTIONS = 2;
@@ -25,7 +25,7 @@
         return heapBytes(withClaims(claims));
     }
 
-    /** Microseconds to take and encode a snapshot of this many objects. */
+    /** Microseconds to create and encode a snapshot of this many objects. */
     public Spread snapshotMicros(int objects) {
         ControlState state = samples.stateOf(objects);
         return Spread.of(() -> {
--- a/elmline-bench/src/main/java/org/elmline/bench/control/package-info.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/package-info.java
@@ -1,2 +1,2 @@
-/** What the control state costs: processor time, bytes and memory, measured in one process. */
+/** Cost of the control state: processor time, bytes and memory, measured in one process. */
 package org.elmline.bench.control;
--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoad.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoad.java
@@ -20,9 +20,9 @@
 import org.elmline.wire.engine.EngineJson;
 
 /**
- * Sends completions at set times, whether earlier ones have answered or not, and counts each latency from the time the
- * request was meant to start. A tool that waits for answers before it sends on leaves out just those moments in which
- * the system was slow (Tene, "How NOT to Measure Latency").
+ * Open-loop load: sends completions at scheduled times, whether or not earlier ones have been answered, and measures
+ * each latency from the intended start of the request. A load tool that waits for answers before it sends more omits
+ * exactly the periods in which the system was slow (coordinated omission; Tene, "How NOT to Measure Latency").
  */
 public final class HttpLoad {
     private static final MediaType JSON = MediaType.get("application/json");
@@ -30,7 +30,7 @@
     private static final String EVENT_PREFIX = "data:";
     private static final String LAST_EVENT = "[DONE]";
 
-    /** Body of a completion in the OpenAI API's form. */
+    /** Body of a completion request in the format of the OpenAI API. */
     private record Completion(String model, String prompt, @JsonProperty("max_tokens") int maxTokens, boolean stream) {}
 
     /** Runs the load to its end and prints a summary. */
@@ -68,7 +68,7 @@
             TimeUnit.NANOSECONDS.sleep(intended - System.nanoTime());
             client.newCall(request(options, i)).enqueue(new AnswerReader(intended, result, open));
         }
-        // The queue in the client is bounded by the plan; each call ends by its own timeout once started.
+        // The client's queue is bounded by the planned requests, and each started call ends by its own timeout.
         long rounds = 1 + planned / options.maxInFlight();
         open.await(options.timeout().toNanos() * rounds, TimeUnit.NANOSECONDS);
     }
@@ -85,14 +85,14 @@
                 .build();
     }
 
-    /** Unlike from its first characters on, so that no prefix cache helps. */
+    /** Text that differs from its first characters on, so that no request hits a prefix cache. */
     private static String prompt(int tokens, int number) {
         String text = "request " + number + " asks for seats. ";
         int characters = tokens * PromptBlocks.CHARACTERS_PER_TOKEN;
         return text.repeat(1 + characters / text.length()).substring(0, characters);
     }
 
-    /** Reads one answer's events. */
+    /** Reads the events of one answer. */
     private static final class AnswerReader implements Callback {
         private final long intendedNanos;
         private final HttpLoadResult result;
--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadOptions.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadOptions.java
@@ -6,14 +6,14 @@
 import org.elmline.core.common.Address;
 
 /**
- * One run of open-loop load.
+ * Options of one run of open-loop load.
  *
- * @param targets callers' addresses to spread over, loopback only
- * @param requestsPerSecond requests intended a second
- * @param maxRequests most requests sent in all
- * @param maxInFlight most requests open at one time; later ones wait, and the wait counts
- * @param promptTokens lengths of prompts, used in turn
- * @param timeout longest time one request may take
+ * @param targets addresses for API callers, used in turn; loopback only
+ * @param requestsPerSecond intended requests per second
+ * @param maxRequests maximum number of requests sent in total
+ * @param maxInFlight maximum number of requests in flight; later ones wait, and the wait counts towards their latency
+ * @param promptTokens prompt lengths in tokens, used in turn
+ * @param timeout maximum duration of one request
  */
 public record HttpLoadOptions(
         List<Address> targets,
--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadResult.java
@@ -6,7 +6,7 @@
 
 import org.HdrHistogram.Histogram;
 
-/** What a run of load brought; times count from when each request was intended to start. */
+/** Latencies and outcomes of one load run; times count from the intended start of each request. Thread-safe. */
 public final class HttpLoadResult {
     private static final long HIGHEST_MICROS = 3_600_000_000L;
 
@@ -23,7 +23,9 @@
         outcomes.merge(outcome, 1, Integer::sum);
     }
 
-    /** Requests by outcome: {@code done}, {@code cut} for an answer without its end, a status, or an exception's name. */
+    /**
+     * Requests by outcome: {@code done}, {@code cut} for an answer without its end, a status, or an exception's name.
+     */
     public synchronized Map<String, Integer> outcomes() {
         return new TreeMap<>(outcomes);
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/http/PassThroughProxy.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/PassThroughProxy.java
@@ -30,8 +30,8 @@
 import org.elmline.wire.codec.Codecs;
 
 /**
- * The baseline of an entry: passes streamed completions on to one engine and does nothing else. No key, limit, lease,
- * placement, retry or check of pieces.
+ * Baseline for measurements of an entry host: forwards streamed completions to one engine, without authentication,
+ * limits, lease, placement, retries or checks of the pieces.
  */
 public final class PassThroughProxy implements AutoCloseable {
     private static final ObjectMapper MAPPER = Codecs.jsonMapper();
--- a/elmline-bench/src/main/java/org/elmline/bench/http/package-info.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/package-info.java
@@ -1,2 +1,2 @@
-/** Open-loop load over HTTP. */
+/** Open-loop load over HTTP, and a pass-through proxy as baseline. */
 package org.elmline.bench.http;
--- a/elmline-bench/src/main/java/org/elmline/bench/package-info.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Load tool and policy experiments. */
+/** Load tool and policy experiments: the parts behind {@code elmline bench}. */
 package org.elmline.bench;
--- a/elmline-bench/src/main/java/org/elmline/bench/route/BenchCluster.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/BenchCluster.java
@@ -14,7 +14,7 @@
 import org.elmline.core.common.Region;
 import org.elmline.core.control.HostRecord;
 
-/** Hosts and engines spread evenly over failure domains. */
+/** Records of hosts and engines, spread evenly over failure domains. */
 final class BenchCluster {
     static final ModelName MODEL = ModelName.of("elm-small");
     private static final long CAPACITY_KV_TOKENS = 4_000_000;
--- a/elmline-bench/src/main/java/org/elmline/bench/route/HeapCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/HeapCost.java
@@ -18,7 +18,10 @@
 import org.elmline.core.ledger.LedgerSettings;
 import org.elmline.core.route.Grant;
 
-/** Heap for each engine, grant and organisation: what many more of them add after a collection; all are kept. */
+/**
+ * Measures heap bytes per engine, grant and organisation: the growth of the used heap after garbage collection when
+ * many of them are added. Objects of earlier rounds stay reachable, since collecting them would hide the growth.
+ */
 final class HeapCost {
     private static final int ROUNDS = 5;
     private static final int COLLECTIONS = 3;
@@ -27,7 +30,7 @@
 
     private HeapCost() {}
 
-    /** Bytes for each of {@code count} things that {@code build} makes together. */
+    /** Heap bytes per object when {@code build} creates {@code count} objects together. */
     static Samples bytesEach(int count, IntFunction<Object> build) {
         double[] values = new double[ROUNDS];
         List<Object> kept = new ArrayList<>();
@@ -62,7 +65,7 @@
         return ledger;
     }
 
-    /** On one engine, so that the grants weigh alone. */
+    /** All on one engine, so that the heap grows by the grants alone. */
     static Object grants(int count) {
         Ledger ledger = (Ledger) engines(1);
         for (int i = 0; i < count; i++) {
--- a/elmline-bench/src/main/java/org/elmline/bench/route/PlaceCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/PlaceCost.java
@@ -23,7 +23,9 @@
 import org.elmline.core.route.Release;
 import org.elmline.core.route.ReleaseCause;
 
-/** Time and allocation of {@link Owner#place} with the default policy, for prompts of 1,000 to 8,000 tokens. */
+/**
+ * Measures time and allocation of {@link Owner#place} with the default policy, for prompts of 1,000 to 8,000 tokens.
+ */
 final class PlaceCost {
     private static final int ROUNDS = 11;
     private static final int BATCH_SIZE = 16;
@@ -51,7 +53,10 @@
         }
     }
 
-    /** Nanoseconds and bytes for each place() of each round, after warming up. */
+    /**
+     * Nanoseconds (first) and allocated bytes (second) per call of {@code place()}, one value for each round after the
+     * warm-up.
+     */
     List<Samples> measure() {
         double[] nanosEach = new double[ROUNDS];
         double[] bytesEach = new double[ROUNDS];
--- a/elmline-bench/src/main/java/org/elmline/bench/route/RouteMeasurement.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/RouteMeasurement.java
@@ -14,7 +14,7 @@
 import org.elmline.core.route.Ownership;
 import org.elmline.wire.codec.Codecs;
 
-/** Prints the figures of docs/measurements/route.md; that page names the command. */
+/** Prints the figures of docs/measurements/route.md; that page gives the command. */
 public final class RouteMeasurement {
     private static final int ROUNDS = 7;
     private static final int HOSTS = 370;
--- a/elmline-bench/src/main/java/org/elmline/bench/route/Samples.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/Samples.java
@@ -3,7 +3,7 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** Repeated measurements of one thing: median and spread. */
+/** Repeated measurements of one quantity, with median and range. */
 record Samples(double[] values) {
     Samples {
         values = values.clone();
--- a/elmline-bench/src/main/java/org/elmline/bench/route/package-info.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/package-info.java
@@ -1,2 +1,2 @@
-/** What an owner's and a gateway's decisions cost in time, memory and bytes on the wire. */
+/** Cost of an owner's and a gateway's decisions in time, memory and bytes on the wire. */
 package org.elmline.bench.route;
--- a/elmline-bench/src/main/java/org/elmline/bench/timeline/ClockOrderExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/timeline/ClockOrderExperiment.java
@@ -10,8 +10,8 @@
 import org.elmline.core.timeline.HybridTime;
 
 /**
- * Counts, over simulated hosts with skewed and drifting clocks, how often an effect would be shown before its cause:
- * once ordered by wall clocks, once by hybrid logical time. The same setup gives the same counts.
+ * Counts, over simulated hosts with skewed and drifting clocks, how often the receipt of a message is ordered before
+ * its sending: by wall clocks and by hybrid logical time. The same setup gives the same counts.
  */
 public final class ClockOrderExperiment {
     private static final long START_MICROS = 1_800_000_000_000_000L;
@@ -79,7 +79,7 @@
         maxAheadMillis = Math.max(maxAheadMillis, received.millis() - to.wallMicros() / MICROS_PER_MILLI);
     }
 
-    /** A host's clocks: the wall clock is off by a constant and drifts. */
+    /** The clocks of one host; its wall clock has a constant skew and a constant drift. */
     private final class Host {
         private final double skewMicros = (2 * random.nextDouble() - 1) * setup.skewMillis() * MICROS_PER_MILLI;
         private final double drift = (2 * random.nextDouble() - 1) * MAX_DRIFT;
--- a/elmline-bench/src/main/java/org/elmline/bench/timeline/ClockOrderResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/timeline/ClockOrderResult.java
@@ -1,11 +1,11 @@
 package org.elmline.bench.timeline;
 
 /**
- * How often an order shows a message's arrival before its sending.
+ * Number of messages whose receipt was ordered before their sending.
  *
- * @param wallInversions by wall clocks of a microsecond
- * @param hybridInversions by hybrid logical time
- * @param maxAheadMillis furthest that a hybrid time was ahead of its host's wall clock, in milliseconds
+ * @param wallInversions inversions when ordered by wall clocks with microsecond resolution
+ * @param hybridInversions inversions when ordered by hybrid logical time
+ * @param maxAheadMillis largest lead of a hybrid time over its host's wall clock, in milliseconds
  */
 public record ClockOrderResult(
         ClockOrderSetup setup, int messages, int wallInversions, int hybridInversions, long maxAheadMillis) {
--- a/elmline-bench/src/main/java/org/elmline/bench/timeline/StampCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/timeline/StampCostExperiment.java
@@ -15,7 +15,10 @@
 import org.elmline.core.timeline.RequestEvent;
 import org.elmline.core.timeline.WallClock;
 
-/** Times one operation over many calls, as the median of several rounds after a warm-up. */
+/**
+ * Measures clock reads, stamps, merges and records of events, each over many calls; the result is the median of several
+ * rounds after a warm-up.
+ */
 public final class StampCostExperiment {
     private static final int ROUNDS = 9;
     private static final int WARM_UP_ROUNDS = 3;
@@ -58,7 +61,7 @@
         return nanos[ROUNDS / 2];
     }
 
-    /** Nanoseconds per call as each thread sees it. */
+    /** Mean nanoseconds per call as measured within each thread. */
     private double round(Operation operation) throws InterruptedException {
         CountDownLatch start = new CountDownLatch(1);
         List<Worker> workers = new ArrayList<>();
--- a/elmline-bench/src/main/java/org/elmline/bench/timeline/StampCostResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/timeline/StampCostResult.java
@@ -1,13 +1,13 @@
 package org.elmline.bench.timeline;
 
 /**
- * What stamping costs.
+ * Cost of stamping events with hybrid time.
  *
- * @param threads threads that stamp at once
+ * @param threads threads that stamp concurrently
  * @param wallNanos nanoseconds to read the wall clock
- * @param stampNanos nanoseconds for a hybrid time
- * @param mergeNanos nanoseconds to take over a remote time
- * @param recordNanos nanoseconds to record an event in the ring, its stamp included
+ * @param stampNanos nanoseconds to create a hybrid time
+ * @param mergeNanos nanoseconds to merge a remote time
+ * @param recordNanos nanoseconds to record an event in the ring, including its stamp
  */
 public record StampCostResult(
         int threads, double wallNanos, double stampNanos, double mergeNanos, double recordNanos) {}
--- a/elmline-bench/src/main/java/org/elmline/bench/timeline/package-info.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/timeline/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of the time line: which clock orders events, and what it costs. */
+/** Measurements of the time line: how well each clock orders events, and the cost of stamps. */
 package org.elmline.bench.timeline;
--- a/elmline-bench/src/main/java/org/elmline/bench/workload/Arrival.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/workload/Arrival.java
@@ -7,7 +7,7 @@
 /**
  * One request of a workload.
  *
- * @param atNanos when it comes, from the start of the run
+ * @param atNanos arrival time in nanoseconds from the start of the run
  * @param organisation index of the organisation that sends it
  * @param blockHashes chained hash of each leading block of its prompt
  */
@@ -16,7 +16,7 @@
         return LengthClass.of(promptTokens);
     }
 
-    /** Longest time from arrival to the last token, by length. */
+    /** Time limit from arrival to the last token in nanoseconds, by length class. */
     public long limitNanos() {
         long seconds =
                 switch (lengthClass()) {
--- a/elmline-bench/src/main/java/org/elmline/bench/workload/PromptMix.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/workload/PromptMix.java
@@ -1,13 +1,13 @@
 package org.elmline.bench.workload;
 
-/** Prompt lengths of the two member bodies: shares of requests in four bands, log-uniform inside each. */
+/** Prompt lengths in the fleets of the two users: shares of requests in four length bands, log-uniform within each. */
 public enum PromptMix {
-    /** Mostly guides' questions, some office work, whole season rosters. */
+    /** Mostly questions of guides, some office work, and rosters of whole seasons. */
     SNOWPAW(20, 0.80, 0.13, 0.05),
-    /** Coach answers, module logs, whole course archives. */
+    /** Answers of coaches, logs of modules, and archives of whole courses. */
     ZRNO(15, 0.62, 0.26, 0.10);
 
-    /** One prompt in fifty is over 100k tokens, in both bodies. */
+    /** Share of prompts with over 100k tokens: one in fifty, in both mixes. */
     public static final double OVER_100K_SHARE = 0.02;
 
     private final int engines;
@@ -22,12 +22,12 @@
         this.longShare = longShare;
     }
 
-    /** Replicas of the body's model today. */
+    /** Number of engines in the user's fleet. */
     public int engines() {
         return engines;
     }
 
-    /** Prompt tokens for two draws from 0 to 1. */
+    /** Prompt length in tokens for two draws from 0 to 1. */
     int promptTokens(double band, double within) {
         if (band < shortShare) {
             return logUniform(1_000, 4_000, within);
--- a/elmline-bench/src/main/java/org/elmline/bench/workload/Workload.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/workload/Workload.java
@@ -7,11 +7,11 @@
 import org.elmline.standin.model.EngineProfile;
 
 /**
- * Draws a run's requests: Poisson arrivals with bursts, organisations of very unlike size (Zipf), prefixes shared within
- * an organisation. The same arguments give the same requests.
+ * Draws the requests of a run: Poisson arrivals with bursts, organisations of very different size (Zipf distribution),
+ * prefixes shared within an organisation. The same arguments give the same requests.
  */
 public final class Workload {
-    /** Organisations that share the fleet. */
+    /** Number of organisations that share the fleet. */
     public static final int ORGANISATIONS = 10;
 
     private static final double NANOS_PER_SECOND = 1e9;
@@ -36,7 +36,8 @@
     /**
      * Requests of one run.
      *
-     * @param load offered work over what the engines can do, 1 for just as much, prefix hits not counted
+     * @param load offered load relative to the capacity of the engines, 1 for full capacity; prefix-cache hits not
+     *     counted
      */
     public List<Arrival> generate(double load, double seconds, long seed) {
         double perSecond = load * mix.engines() / meanCostSeconds(seed);
@@ -45,7 +46,7 @@
         List<Arrival> arrivals = new ArrayList<>();
         double now = 0;
         while (true) {
-            // Candidates come at the burst's rate; outside bursts most are thinned out (Lewis and Shedler 1979).
+            // Thinning (Lewis and Shedler 1979): candidates arrive at the burst rate, most are dropped outside bursts.
             now += -Math.log(1 - random.nextDouble()) / (quiet * BURST_FACTOR);
             if (now >= seconds) {
                 return arrivals;
@@ -67,7 +68,7 @@
         return nanos / COST_SAMPLES / NANOS_PER_SECOND;
     }
 
-    /** Engine time of one request: its prefill alone, and its part of the steps that decode it. */
+    /** Engine time of one request: its prefill on an idle engine, and its share of the steps that decode it. */
     double costNanos(int promptTokens, int outputTokens) {
         double decode = profile.decodeNanosPerToken(promptTokens, MEAN_DECODE_BATCH);
         return profile.wholePrefillNanos(promptTokens, 0) + outputTokens * decode;
@@ -85,7 +86,7 @@
         return new Arrival(atNanos, organisation, prompt, output, drawBlockHashes(prompt, organisation, random));
     }
 
-    /** Zipf: organisation k sends in proportion to 1/(k+1). */
+    /** Zipf distribution: organisation k sends requests in proportion to 1/(k+1). */
     private static int drawOrganisation(double draw) {
         double total = 0;
         for (int k = 0; k < ORGANISATIONS; k++) {
@@ -114,7 +115,10 @@
         return blocks;
     }
 
-    /** A system prompt before short questions; a manual or roster of up to 64k tokens before long ones. */
+    /**
+     * Length of the shared prefix in blocks: a system prompt for short prompts; a manual or roster of up to 64k tokens
+     * for long ones.
+     */
     private static int drawSharedBlocks(int prompt, SplittableRandom random) {
         double draw = random.nextDouble();
         if (prompt <= 32_000) {
@@ -123,6 +127,7 @@
         return draw < LONG_SHARED_PREFIX_PROBABILITY ? Math.min(prompt, 64_000) / BLOCK_TOKENS : 0;
     }
 
+    /** Finaliser of SplitMix64 (Steele, Lea and Flood 2014). */
     private static long mix(long value) {
         long bits = (value ^ (value >>> 30)) * 0xbf58476d1ce4e5b9L;
         bits = (bits ^ (bits >>> 27)) * 0x94d049bb133111ebL;
--- a/elmline-bench/src/main/java/org/elmline/bench/workload/package-info.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/workload/package-info.java
@@ -1,2 +1,2 @@
-/** Requests as the users' members send them, drawn with fixed seeds. */
+/** Requests like those of the users' organisations, drawn with fixed seeds. */
 package org.elmline.bench.workload;
--- a/elmline-bench/src/test/java/org/elmline/bench/http/HttpLoadTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/http/HttpLoadTest.java
@@ -31,8 +31,8 @@
     }
 
     /**
-     * The server takes 40 ms a request and only one is sent at a time, while 10 ms apart are intended. A tool that counts
-     * from sending would report 40 ms throughout; the waits that callers would have had grow to over a second.
+     * The server takes 40 ms per request and only one is in flight, while one every 10 ms is intended. Latency measured
+     * from sending would be 40 ms throughout; measured from the intended start it grows to over a second.
      */
     @Test
     void countsFromTheIntendedStart() throws Exception {
