--- a/elmline-standin/src/main/java/org/elmline/standin/Announcer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/Announcer.java
@@ -44,8 +44,8 @@
     private volatile boolean closed;
     private boolean lastRoundSucceeded;
 
-    public Announcer(List<Address> seeds, String backendKey, Supplier<Announcement> announcement) {
-        this.seedAddresses = List.copyOf(seeds);
+    public Announcer(List<Address> seedAddresses, String backendKey, Supplier<Announcement> announcement) {
+        this.seedAddresses = List.copyOf(seedAddresses);
         this.backendKey = backendKey;
         this.announcement = announcement;
         nextAddresses = this.seedAddresses;
@@ -159,10 +159,10 @@
         }
     }
 
-    private void recordOutcome(boolean now, Address address) {
-        if (now != lastRoundSucceeded) {
-            LOG.infof("announcing to %s %s", address, now ? "succeeds" : "fails");
+    private void recordOutcome(boolean succeeded, Address address) {
+        if (succeeded != lastRoundSucceeded) {
+            LOG.infof("announcing to %s %s", address, succeeded ? "succeeds" : "fails");
         }
-        lastRoundSucceeded = now;
+        lastRoundSucceeded = succeeded;
     }
 }
--- a/elmline-standin/src/main/java/org/elmline/standin/AnswerText.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/AnswerText.java
@@ -46,9 +46,9 @@
 
     public static AnswerText ofState(long state, int maxOutputTokens) {
         long hash = mix(state);
-        int natural = 1 + (int) Math.floorMod(mix(hash + 1), 2L * Math.max(1, maxOutputTokens));
-        FinishReason reason = natural > maxOutputTokens ? FinishReason.LENGTH : FinishReason.STOP;
-        return new AnswerText(hash, Math.min(natural, Math.max(1, maxOutputTokens)), reason);
+        int unlimitedCount = 1 + (int) Math.floorMod(mix(hash + 1), 2L * Math.max(1, maxOutputTokens));
+        FinishReason reason = unlimitedCount > maxOutputTokens ? FinishReason.LENGTH : FinishReason.STOP;
+        return new AnswerText(hash, Math.min(unlimitedCount, Math.max(1, maxOutputTokens)), reason);
     }
 
     /** Number of pieces, from 1 to the requested maximum of output tokens. */
--- a/elmline-standin/src/main/java/org/elmline/standin/StandinHttpServer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/StandinHttpServer.java
@@ -27,9 +27,9 @@
                 .setHandler(handler)
                 .build();
         server.start();
-        InetSocketAddress bound =
+        InetSocketAddress boundAddress =
                 (InetSocketAddress) server.getListenerInfo().get(0).getAddress();
-        address = new Address(LOOPBACK, bound.getPort());
+        address = new Address(LOOPBACK, boundAddress.getPort());
     }
 
     public Address address() {
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/CacheEventLog.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/CacheEventLog.java
@@ -26,9 +26,9 @@
 
     private record TimedEvent(CacheEvents.Event event, long atNanos) {}
 
-    public CacheEventLog(long delayNanos, double lostShare, long seed) {
+    public CacheEventLog(long delayNanos, double lossRate, long seed) {
         this.delayNanos = delayNanos;
-        this.lossRate = lostShare;
+        this.lossRate = lossRate;
         random = new SplittableRandom(seed);
     }
 
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/Engine.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/Engine.java
@@ -147,7 +147,7 @@
 
     /** Streams that are not finished, or whose end no reader has received. */
     synchronized int openStreams() {
-        return model.openSequences() - ownExportCount();
+        return model.openSequences() - computedExportCount();
     }
 
     synchronized long usedKvTokens() {
@@ -210,8 +210,8 @@
         if (!model.reserveExternal(id, tokens, now())) {
             return false;
         }
-        KvExport here = new KvExport(export.id(), export.attempt(), export.host(), export.incarnation(), tokens);
-        kvSegments.put(export.id(), new KvSegment(id, here, export.tokens(), exported.textState(), true));
+        KvExport imported = new KvExport(export.id(), export.attempt(), export.host(), export.incarnation(), tokens);
+        kvSegments.put(export.id(), new KvSegment(id, imported, export.tokens(), exported.textState(), true));
         return true;
     }
 
@@ -244,8 +244,8 @@
 
     synchronized EngineLoad load() {
         EngineLoad actual = new EngineLoad(openStreams(), model.usedKvTokens(), model.prefillBacklogTokens());
-        EngineLoad lagging = delayedLoad.report(actual, now());
-        return faults.reportsNoLoad() ? new EngineLoad(0, 0, 0) : lagging;
+        EngineLoad delayed = delayedLoad.report(actual, now());
+        return faults.reportsNoLoad() ? new EngineLoad(0, 0, 0) : delayed;
     }
 
     synchronized CacheEvents cacheEventsAfter(long sequence) {
@@ -282,7 +282,7 @@
         return clock.getAsLong();
     }
 
-    private int ownExportCount() {
+    private int computedExportCount() {
         int own = 0;
         for (KvSegment each : kvSegments.values()) {
             own += each.imported() ? 0 : 1;
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineRoutes.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineRoutes.java
@@ -33,10 +33,10 @@
     private final EngineFaults faults;
     private final OkHttpClient importClient;
 
-    EngineRoutes(Engine engine, EngineFaults faults, OkHttpClient otherEngines) {
+    EngineRoutes(Engine engine, EngineFaults faults, OkHttpClient importClient) {
         this.engine = engine;
         this.faults = faults;
-        this.importClient = otherEngines;
+        this.importClient = importClient;
     }
 
     HttpHandler handler() {
@@ -48,8 +48,8 @@
                 .put(EnginePaths.PRIORITY, this::changePriority)
                 .post(EnginePaths.EXPORTS, withJsonBody(EngineRequest.class, this::export))
                 .get(EnginePaths.EXPORTS, exchange -> StandinHttpResponses.send(exchange, engine.exports()))
-                .get(EnginePaths.EXPORT, this::exported)
-                .delete(EnginePaths.EXPORT, this::free)
+                .get(EnginePaths.EXPORT, this::sendExport)
+                .delete(EnginePaths.EXPORT, this::freeExport)
                 .post(EnginePaths.IMPORT, withJsonBody(ImportRequest.class, this::importKv))
                 .post(
                         EnginePaths.ORDERS,
@@ -95,14 +95,14 @@
     }
 
     /** Whether all required fields are set. A segment to export generates nothing, so it needs no output size. */
-    private static boolean isComplete(EngineRequest request, int leastOutput) {
+    private static boolean isComplete(EngineRequest request, int minOutputTokens) {
         return request.attempt() != null
                 && request.host() != null
                 && request.incarnation() != null
                 && request.model() != null
                 && request.prompt() != null
                 && request.promptTokens() > 0
-                && request.maxOutputTokens() >= leastOutput;
+                && request.maxOutputTokens() >= minOutputTokens;
     }
 
     private void resume(HttpServerExchange exchange) {
@@ -198,7 +198,7 @@
         }
     }
 
-    private void exported(HttpServerExchange exchange) {
+    private void sendExport(HttpServerExchange exchange) {
         Optional<ExportedKv> exported =
                 engine.findExport(String.valueOf(StandinHttpResponses.queryParameter(exchange, EnginePaths.ID)));
         if (exported.isEmpty()) {
@@ -208,7 +208,7 @@
         StandinHttpResponses.send(exchange, exported.get());
     }
 
-    private void free(HttpServerExchange exchange) {
+    private void freeExport(HttpServerExchange exchange) {
         engine.freeExport(String.valueOf(StandinHttpResponses.queryParameter(exchange, EnginePaths.ID)));
         StandinHttpResponses.send(exchange, true);
     }
--- a/elmline-standin/src/main/java/org/elmline/standin/model/EngineModel.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/EngineModel.java
@@ -48,8 +48,8 @@
 
     /** Accepts a sequence; false when it can never fit into KV memory or its id is in use. */
     public boolean submit(SequenceRequest request, long nowNanos) {
-        long most = (long) request.promptTokens() + request.outputTokens();
-        if (most > profile.capacityKvTokens() || sequences.containsKey(request.id())) {
+        long maxTokens = (long) request.promptTokens() + request.outputTokens();
+        if (maxTokens > profile.capacityKvTokens() || sequences.containsKey(request.id())) {
             return false;
         }
         Sequence sequence = new Sequence(request, nowNanos);
@@ -294,14 +294,14 @@
     }
 
     private Sequence lowestPriorityRunning() {
-        Sequence least = prefilling.isEmpty() ? null : prefilling.last();
+        Sequence leastUrgent = prefilling.isEmpty() ? null : prefilling.last();
         for (Sequence each : decoding) {
-            if (least == null
-                    || each.schedulingKey(profile.ageingNanos()) > least.schedulingKey(profile.ageingNanos())) {
-                least = each;
+            if (leastUrgent == null
+                    || each.schedulingKey(profile.ageingNanos()) > leastUrgent.schedulingKey(profile.ageingNanos())) {
+                leastUrgent = each;
             }
         }
-        return least;
+        return leastUrgent;
     }
 
     /** Frees the victim's memory; its prompt and its answer so far are computed again later. */
@@ -329,7 +329,7 @@
                 continue;
             }
             each.prefilledTokens += chunk.tokens();
-            shareWholeBlocks(each, nowNanos);
+            shareCompleteBlocks(each, nowNanos);
             if (each.remainingPrefillTokens() == 0) {
                 completePrefill(each);
                 generate(each, nowNanos, listener, finished);
@@ -351,7 +351,7 @@
     /**
      * Shares each block once it is complete, so that a preempted prompt finds most of its blocks in the prefix cache.
      */
-    private void shareWholeBlocks(Sequence sequence, long nowNanos) {
+    private void shareCompleteBlocks(Sequence sequence, long nowNanos) {
         long[] blocks = sequence.request.blockHashes();
         int computed = Math.min(sequence.prefilledTokens, sequence.request.promptTokens());
         int whole = Math.min(blocks.length, computed / profile.blockTokens());
--- a/elmline-standin/src/main/java/org/elmline/standin/model/KvMemory.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/model/KvMemory.java
@@ -82,11 +82,11 @@
     }
 
     void release(long block) {
-        int left = referenceCounts.merge(block, -1, Integer::sum);
-        if (left < 0) {
+        int remaining = referenceCounts.merge(block, -1, Integer::sum);
+        if (remaining < 0) {
             throw new IllegalStateException("block " + block + " released more often than retained");
         }
-        if (left == 0) {
+        if (remaining == 0) {
             unreferenced.add(block);
         }
     }
--- a/elmline-standin/src/test/java/org/elmline/standin/engine/CacheEventLogTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/engine/CacheEventLogTest.java
@@ -11,7 +11,7 @@
 
 class CacheEventLogTest {
     @Test
-    void eventsComeLate() {
+    void publishesEventsAfterDelay() {
         CacheEventLog log = new CacheEventLog(100, 0, 1);
         log.add(42, true, 1_000);
         assertEquals(List.of(), log.after(0, 1_099).events());
@@ -20,7 +20,7 @@
     }
 
     @Test
-    void aLostEventLeavesAGap() {
+    void lostEventUsesUpItsSequenceNumber() {
         CacheEventLog log = new CacheEventLog(0, 0.5, 1);
         for (int i = 0; i < 1_000; i++) {
             log.add(i, true, i);
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void loadIsThatOfAnEarlierInterval() {
+    void delayedLoadReportsEarlierInterval() {
         DelayedLoad load = new DelayedLoad(100);
         EngineLoad busy = new EngineLoad(3, 2, 1);
         assertEquals(0, load.report(busy, 0).streams());
--- a/elmline-standin/src/test/java/org/elmline/standin/model/EngineModelTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/model/EngineModelTest.java
@@ -19,22 +19,22 @@
     private static final long SECOND = 1_000_000_000L;
 
     /** Records the time of each sequence's first token, and checks that tokens arrive in order. */
-    private static final class Log implements StepListener {
-        final Map<Long, Long> firstToken = new HashMap<>();
-        final Map<Long, Integer> tokens = new HashMap<>();
-        final List<Long> onFinished = new ArrayList<>();
+    private static final class StepRecorder implements StepListener {
+        final Map<Long, Long> firstTokenNanos = new HashMap<>();
+        final Map<Long, Integer> tokenCounts = new HashMap<>();
+        final List<Long> finishedIds = new ArrayList<>();
 
         @Override
         public void onToken(long id, int index, long atNanos) {
-            assertEquals(tokens.getOrDefault(id, 0), index);
-            tokens.put(id, index + 1);
-            firstToken.putIfAbsent(id, atNanos);
+            assertEquals(tokenCounts.getOrDefault(id, 0), index);
+            tokenCounts.put(id, index + 1);
+            firstTokenNanos.putIfAbsent(id, atNanos);
         }
 
         @Override
         public void onFinished(long id, long atNanos) {
-            assertFalse(onFinished.contains(id));
-            onFinished.add(id);
+            assertFalse(finishedIds.contains(id));
+            finishedIds.add(id);
         }
     }
 
@@ -60,7 +60,7 @@
     void memoryStaysInBoundsAndEverySequenceCompletes(@ForAll @IntRange(max = 1_000_000) int seed) {
         Random random = new Random(seed);
         EngineModel engine = engine(20_000);
-        Log log = new Log();
+        StepRecorder recorder = new StepRecorder();
         Map<Long, Integer> expected = new HashMap<>();
         long now = 0;
         for (long id = 0; id < 40; id++) {
@@ -70,26 +70,26 @@
             expected.put(id, request.outputTokens());
             if (random.nextInt(6) == 0) {
                 long cancelled = random.nextInt((int) id + 1);
-                if (!log.onFinished.contains(cancelled)) {
+                if (!recorder.finishedIds.contains(cancelled)) {
                     expected.remove(cancelled);
                 }
                 engine.release(cancelled);
             }
             engine.changePriority(random.nextInt((int) id + 1), random.nextInt(4));
             now += random.nextInt(300_000_000);
-            engine.advance(now, log);
+            engine.advance(now, recorder);
             assertTrue(engine.usedKvTokens() <= 20_000);
-            log.onFinished.forEach(engine::release);
+            recorder.finishedIds.forEach(engine::release);
         }
         for (int i = 0; i < 10_000 && engine.openSequences() > 0; i++) {
             now += SECOND;
-            engine.advance(now, log);
-            log.onFinished.forEach(engine::release);
+            engine.advance(now, recorder);
+            recorder.finishedIds.forEach(engine::release);
         }
         assertEquals(0, engine.openSequences());
         assertEquals(0, engine.usedKvTokens());
         assertEquals(EngineModel.IDLE, engine.nextStepEndNanos());
-        expected.forEach((id, tokens) -> assertEquals(tokens, log.tokens.get(id)));
+        expected.forEach((id, tokens) -> assertEquals(tokens, recorder.tokenCounts.get(id)));
     }
 
     /** Block hashes of prompts from three families that share a prefix within the family. */
@@ -106,20 +106,20 @@
      * it doesn't.
      */
     @Test
-    void priorityLetsAShortPromptOvertakeALongRead() {
-        long behind = shortTimeToFirstToken(0);
-        long ahead = shortTimeToFirstToken(3);
+    void shortPromptOvertakesLongPromptOfLowerPriority() {
+        long behind = shortPromptFirstTokenNanos(0);
+        long ahead = shortPromptFirstTokenNanos(3);
         assertTrue(behind > 20 * ahead, behind + " against " + ahead);
     }
 
-    private static long shortTimeToFirstToken(int longPriority) {
+    private static long shortPromptFirstTokenNanos(int longPriority) {
         EngineModel engine = engine(450_000);
-        Log log = new Log();
+        StepRecorder recorder = new StepRecorder();
         engine.submit(request(1, 300_000, 10, longPriority), 0);
-        engine.advance(SECOND, log);
+        engine.advance(SECOND, recorder);
         engine.submit(request(2, 1_000, 10, 0), SECOND);
-        engine.advance(100 * SECOND, log);
-        return log.firstToken.get(2L) - SECOND;
+        engine.advance(100 * SECOND, recorder);
+        return recorder.firstTokenNanos.get(2L) - SECOND;
     }
 
     /**
@@ -127,47 +127,47 @@
      * finish.
      */
     @Test
-    void ageingFinishesALongReadAmidEndlessUrgentWork() {
+    void ageingFinishesLongPromptUnderContinuousUrgentLoad() {
         EngineProfile profile = EngineProfile.builder().ageingNanos(10 * SECOND).build();
         EngineModel engine = new EngineModel(profile, (b, s, t) -> {});
-        Log log = new Log();
+        StepRecorder recorder = new StepRecorder();
         engine.submit(request(1, 100_000, 10, 3), 0);
         long now = 0;
-        for (long id = 2; id < 12_000 && !log.onFinished.contains(1L); id++) {
+        for (long id = 2; id < 12_000 && !recorder.finishedIds.contains(1L); id++) {
             now += 20_000_000;
             engine.submit(request(id, 1_000, 1, 0), now);
-            engine.advance(now, log);
-            log.onFinished.forEach(engine::release);
+            engine.advance(now, recorder);
+            recorder.finishedIds.forEach(engine::release);
         }
-        assertTrue(log.onFinished.contains(1L));
+        assertTrue(recorder.finishedIds.contains(1L));
     }
 
     @Test
-    void aTenthOfTheSpeedTakesTenTimesAsLong() {
+    void slowdownByTenTakesTenTimesAsLong() {
         EngineModel engine = engine(450_000);
         EngineModel slow = engine(450_000);
         slow.slowdown(10);
-        Log log = new Log();
-        Log slowLog = new Log();
+        StepRecorder recorder = new StepRecorder();
+        StepRecorder slowRecorder = new StepRecorder();
         engine.submit(request(1, 8_000, 5, 0), 0);
         slow.submit(request(1, 8_000, 5, 0), 0);
-        engine.advance(100 * SECOND, log);
-        slow.advance(100 * SECOND, slowLog);
-        assertEquals(10.0, (double) slowLog.firstToken.get(1L) / log.firstToken.get(1L), 0.01);
+        engine.advance(100 * SECOND, recorder);
+        slow.advance(100 * SECOND, slowRecorder);
+        assertEquals(10.0, (double) slowRecorder.firstTokenNanos.get(1L) / recorder.firstTokenNanos.get(1L), 0.01);
     }
 
     @Test
-    void aCachedPrefixSparesItsPrefill() {
+    void cachedPrefixIsNotPrefilledAgain() {
         EngineModel engine = engine(450_000);
-        Log log = new Log();
+        StepRecorder recorder = new StepRecorder();
         long[] blocks = blocks(9, 62);
         engine.submit(new SequenceRequest(1, 32_000, 0, 1, 0, blocks), 0);
-        engine.advance(10 * SECOND, log);
+        engine.advance(10 * SECOND, recorder);
         engine.release(1);
         engine.submit(new SequenceRequest(2, 32_000, 0, 1, 0, blocks), 10 * SECOND);
-        engine.advance(20 * SECOND, log);
-        long first = log.firstToken.get(1L);
-        long second = log.firstToken.get(2L) - 10 * SECOND;
+        engine.advance(20 * SECOND, recorder);
+        long first = recorder.firstTokenNanos.get(1L);
+        long second = recorder.firstTokenNanos.get(2L) - 10 * SECOND;
         assertTrue(first > 20 * second, first + " against " + second);
         assertEquals(62 * 512, engine.cachedPromptTokens());
     }
@@ -180,7 +180,7 @@
     }
 
     @Test
-    void whatCanNeverFitIsRefused() {
+    void rejectsWhatExceedsMemoryAndDuplicateIds() {
         EngineModel engine = engine(10_000);
         assertFalse(engine.submit(request(1, 9_999, 2, 0), 0));
         assertTrue(engine.submit(request(2, 9_998, 2, 0), 0));
--- a/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
@@ -44,7 +44,7 @@
 
     /** The call runs and its answer is lost: the caller can't detect whether it ran, but the run must be counted. */
     @Test
-    void aDroppedAnswerHasRun() throws IOException {
+    void callWithDroppedAnswerIsCountedAsRun() throws IOException {
         try (ServiceServer service = ServiceServer.builder().id("booking-1").start()) {
             service.faults().mode(ServiceFaults.Mode.DROP_ANSWER);
             assertThrows(IOException.class, () -> hold(service, "k2"));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aRefusalBeforeRunningSaysSo() throws IOException {
+    void refusalBeforeRunningReportsThatNothingRan() throws IOException {
         try (ServiceServer service = ServiceServer.builder().id("booking-1").start()) {
             service.faults().mode(ServiceFaults.Mode.FAIL_BEFORE_RUNNING);
             Response response = hold(service, "k3");
@@ -68,13 +68,13 @@
      * leaves.
      */
     @Test
-    void announcesToWhoeverAnswersAndSaysWhenItLeaves() throws Exception {
-        BlockingQueue<Announcement> heard = new LinkedBlockingQueue<>();
+    void announcesToReachableAddressAndAnnouncesLeaving() throws Exception {
+        BlockingQueue<Announcement> receivedAnnouncements = new LinkedBlockingQueue<>();
         try (StandinHttpServer entry = new StandinHttpServer(
                         0, exchange -> exchange.getRequestReceiver().receiveFullBytes((e, bytes) -> {
                             assertEquals("Bearer secret", e.getRequestHeaders().getFirst("Authorization"));
                             try {
-                                heard.add(EngineJson.read(bytes, Announcement.class));
+                                receivedAnnouncements.add(EngineJson.read(bytes, Announcement.class));
                             } catch (IOException bad) {
                                 throw new AssertionError(bad);
                             }
@@ -86,12 +86,12 @@
                         .announceTo(entry.address())
                         .backendKey("secret")
                         .start()) {
-            Announcement first = heard.poll(30, TimeUnit.SECONDS);
+            Announcement first = receivedAnnouncements.poll(30, TimeUnit.SECONDS);
             assertNotNull(first);
             assertEquals(service.address(), first.address());
             assertTrue(service.leave(Duration.ofSeconds(1)));
             boolean left = false;
-            for (Announcement each : heard) {
+            for (Announcement each : receivedAnnouncements) {
                 left |= each.leaving();
             }
             assertTrue(left);
