--- a/elmline-bench/src/main/java/org/elmline/bench/control/ControlSamples.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/ControlSamples.java
@@ -53,14 +53,14 @@
     }
 
     /** A ticket on the object with this index: one in five is an organisation, the others are backend roles. */
-    Command.ApplyTicket objectTicket(long number, int place) {
-        if (place % THOUSAND < ORGANISATIONS_PER_THOUSAND) {
-            String id = "organisation-" + place;
+    Command.ApplyTicket objectTicket(long number, int index) {
+        if (index % THOUSAND < ORGANISATIONS_PER_THOUSAND) {
+            String id = "organisation-" + index;
             String keyHash = hexadecimal() + hexadecimal() + hexadecimal() + hexadecimal();
             return ticket(
                     number, new Organisation(OrganisationId.of(id), 10, 1, List.of(keyHash), 64, 1_000_000, false));
         }
-        BackendServerId server = BackendServerId.of("th-north/chiangmai-a/engine-" + place);
+        BackendServerId server = BackendServerId.of("th-north/chiangmai-a/engine-" + index);
         return ticket(number, new BackendRole(server, MODEL, "2026-11", List.of("roster"), "", true));
     }
 
--- a/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
@@ -37,25 +37,25 @@
         for (int i = 0; i < entries; i++) {
             state.apply(state.index() + 1, new Command.JoinHost(samples.host(i)));
         }
-        LeaseManager keeper = new LeaseManager(state, LeaseSettings.DEFAULT, 0);
+        LeaseManager leaseManager = new LeaseManager(state, LeaseSettings.DEFAULT, 0);
         ConfigVersion version = state.configuration().version();
         long members = state.membersVersion();
         LeaseRequest idle = new LeaseRequest(samples.host(entries - 1), version, members);
         LeaseRequest joining = new LeaseRequest(samples.host(entries - 1), ConfigVersion.of(0), 0);
         int requestBytes = Codecs.MESSAGE_PACK.encode(idle).length;
-        int idleBytes = answerBytes(keeper, idle);
-        int joinBytes = answerBytes(keeper, joining);
-        Spread micros = Spread.of(() -> renewalMicros(keeper, entries, version, members) / RENEWALS);
+        int idleBytes = answerBytes(leaseManager, idle);
+        int joinBytes = answerBytes(leaseManager, joining);
+        Spread micros = Spread.of(() -> renewalMicros(leaseManager, entries, version, members) / RENEWALS);
         state.apply(state.index() + 1, samples.objectTicket(objects + 1L, ControlSamples.ROLE_OBJECT_INDEX));
-        int objectBytes = answerBytes(keeper, idle);
+        int objectBytes = answerBytes(leaseManager, idle);
         state.apply(state.index() + 1, new Command.JoinHost(samples.host(0)));
         LeaseRequest behind =
                 new LeaseRequest(idle.host(), state.configuration().version(), members);
         return new LeaseCost(
-                entries, requestBytes, idleBytes, objectBytes, answerBytes(keeper, behind), joinBytes, micros);
+                entries, requestBytes, idleBytes, objectBytes, answerBytes(leaseManager, behind), joinBytes, micros);
     }
 
-    private double renewalMicros(LeaseManager keeper, int entries, ConfigVersion version, long members) {
+    private double renewalMicros(LeaseManager leaseManager, int entries, ConfigVersion version, long members) {
         byte[][] requests = new byte[entries][];
         for (int i = 0; i < entries; i++) {
             requests[i] = Codecs.MESSAGE_PACK.encode(new LeaseRequest(samples.host(i), version, members));
@@ -63,7 +63,7 @@
         long begin = System.nanoTime();
         long bytes = 0;
         for (int i = 0; i < RENEWALS; i++) {
-            bytes += answerBytes(keeper, Decoding.require(requests[i % entries], LeaseRequest.class));
+            bytes += answerBytes(leaseManager, Decoding.require(requests[i % entries], LeaseRequest.class));
         }
         if (bytes == 0) {
             throw new IllegalStateException("no bytes in the answers to " + RENEWALS + " renewals");
@@ -71,8 +71,8 @@
         return (System.nanoTime() - begin) / 1e3;
     }
 
-    private int answerBytes(LeaseManager keeper, LeaseRequest request) {
-        LeaseDecision decision = keeper.renew(request, 0, LEADER_UNTIL_NANOS, controlHosts);
+    private int answerBytes(LeaseManager leaseManager, LeaseRequest request) {
+        LeaseDecision decision = leaseManager.renew(request, 0, LEADER_UNTIL_NANOS, controlHosts);
         LeaseAnswer answer = ((LeaseDecision.Answer) decision).answer();
         return Codecs.MESSAGE_PACK.encode((LeaseAnswer.Granted) answer).length;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoad.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoad.java
@@ -61,16 +61,16 @@
         int planned = (int) Math.min(
                 options.maxRequests(),
                 options.requestsPerSecond() * options.duration().toNanos() / 1e9);
-        CountDownLatch open = new CountDownLatch(planned);
+        CountDownLatch openRequests = new CountDownLatch(planned);
         long start = System.nanoTime();
         for (int i = 0; i < planned; i++) {
-            long intended = start + (long) (i * (NANOS_PER_SECOND / options.requestsPerSecond()));
-            TimeUnit.NANOSECONDS.sleep(intended - System.nanoTime());
-            client.newCall(request(options, i)).enqueue(new AnswerReader(intended, result, open));
+            long intendedNanos = start + (long) (i * (NANOS_PER_SECOND / options.requestsPerSecond()));
+            TimeUnit.NANOSECONDS.sleep(intendedNanos - System.nanoTime());
+            client.newCall(request(options, i)).enqueue(new AnswerReader(intendedNanos, result, openRequests));
         }
         // The client's queue is bounded by the planned requests, and each started call ends by its own timeout.
         long rounds = 1 + planned / options.maxInFlight();
-        open.await(options.timeout().toNanos() * rounds, TimeUnit.NANOSECONDS);
+        openRequests.await(options.timeout().toNanos() * rounds, TimeUnit.NANOSECONDS);
     }
 
     private static Request request(HttpLoadOptions options, int number) {
@@ -98,10 +98,10 @@
         private final HttpLoadResult result;
         private final CountDownLatch openRequests;
 
-        AnswerReader(long intendedNanos, HttpLoadResult result, CountDownLatch open) {
+        AnswerReader(long intendedNanos, HttpLoadResult result, CountDownLatch openRequests) {
             this.intendedNanos = intendedNanos;
             this.result = result;
-            this.openRequests = open;
+            this.openRequests = openRequests;
         }
 
         @Override
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/MarkdownTables.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/MarkdownTables.java
@@ -97,9 +97,9 @@
                             mix.name().toLowerCase(Locale.ROOT),
                             each.variant().title(),
                             each.shortSlowdown(),
-                            bestBlind(table, LengthClass.SHORT) / each.isolatedShortSeconds(),
-                            p95(each, LengthClass.LONG) / bestBlind(table, LengthClass.LONG),
-                            p95(each, LengthClass.HUGE) / bestBlind(table, LengthClass.HUGE),
+                            bestLengthBlindP95(table, LengthClass.SHORT) / each.isolatedShortSeconds(),
+                            firstTokenP95(each, LengthClass.LONG) / bestLengthBlindP95(table, LengthClass.LONG),
+                            firstTokenP95(each, LengthClass.HUGE) / bestLengthBlindP95(table, LengthClass.HUGE),
                             each.result().inLimitFraction() * 100,
                             each.result().interTokenMillis(95)));
                 }
@@ -118,17 +118,17 @@
         return table;
     }
 
-    private static double bestBlind(List<ResultRow> table, LengthClass lengthClass) {
+    private static double bestLengthBlindP95(List<ResultRow> table, LengthClass lengthClass) {
         double best = Double.POSITIVE_INFINITY;
         for (ResultRow each : table) {
             if (each.variant().isLengthBlind()) {
-                best = Math.min(best, p95(each, lengthClass));
+                best = Math.min(best, firstTokenP95(each, lengthClass));
             }
         }
         return best;
     }
 
-    private static double p95(ResultRow row, LengthClass lengthClass) {
+    private static double firstTokenP95(ResultRow row, LengthClass lengthClass) {
         return row.result().firstTokenSeconds(lengthClass, 95);
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
@@ -218,7 +218,7 @@
     }
 
     private void tryPlaceGroup(Job job, long now) {
-        PlaceRequest whole = waitingGroups.get(job);
+        PlaceRequest groupRequest = waitingGroups.get(job);
         ownerTable.accept(owner.summary(now), now);
         Optional<GroupPlan> plan = GroupPlan.of(
                 job.promptTokens(),
@@ -230,22 +230,22 @@
             return;
         }
         PlaceRequest attempt = new PlaceRequest(
-                AttemptId.of(whole.attempt().value() + "-" + ticks),
+                AttemptId.of(groupRequest.attempt().value() + "-" + ticks),
                 HOST,
                 FIRST_INCARNATION,
-                whole.organisation(),
-                whole.demand());
+                groupRequest.organisation(),
+                groupRequest.demand());
         GroupReservation reservation = new GroupReservation(attempt, plan.get());
-        for (Optional<GroupReservation.OwnerCall> ask = reservation.nextCall();
-                ask.isPresent();
-                ask = reservation.nextCall()) {
-            Optional<OwnerPlaceAnswer> answer = owner.place(ask.get().request(), now);
+        for (Optional<GroupReservation.OwnerCall> call = reservation.nextCall();
+                call.isPresent();
+                call = reservation.nextCall()) {
+            Optional<OwnerPlaceAnswer> answer = owner.place(call.get().request(), now);
             answer.ifPresentOrElse(reservation::onAnswer, reservation::onNoAnswer);
         }
         if (!reservation.isComplete()) {
-            List<Release> back = new ArrayList<>();
-            reservation.releases().forEach(each -> back.add(new Release(each.attempt(), ReleaseCause.NOT_STARTED)));
-            report(List.of(), List.of(), back, now);
+            List<Release> releases = new ArrayList<>();
+            reservation.releases().forEach(each -> releases.add(new Release(each.attempt(), ReleaseCause.NOT_STARTED)));
+            report(List.of(), List.of(), releases, now);
             return;
         }
         waitingGroups.remove(job);
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyBench.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyBench.java
@@ -34,21 +34,21 @@
     }
 
     List<ResultRow> measure(PolicyOptions options) throws InterruptedException {
-        List<Point> points = new ArrayList<>();
+        List<MeasurementPoint> points = new ArrayList<>();
         for (PromptMix mix : options.mixes()) {
             for (double load : options.loads()) {
-                points.add(new Point(mix, load, Fault.NONE));
+                points.add(new MeasurementPoint(mix, load, Fault.NONE));
             }
             for (Fault fault : Fault.values()) {
                 if (fault != Fault.NONE && options.faultLoad() > 0) {
-                    points.add(new Point(mix, options.faultLoad(), fault));
+                    points.add(new MeasurementPoint(mix, options.faultLoad(), fault));
                 }
             }
         }
         ExecutorService pool = Executors.newFixedThreadPool(options.threads());
         try {
             List<ResultRow> rows = new ArrayList<>();
-            for (Point each : points) {
+            for (MeasurementPoint each : points) {
                 rows.addAll(rows(each, options, pool));
             }
             return rows;
@@ -57,29 +57,31 @@
         }
     }
 
-    private record Point(PromptMix mix, double load, Fault fault) {
-        Point withoutFaults() {
-            return new Point(mix, load, Fault.NONE);
+    private record MeasurementPoint(PromptMix mix, double load, Fault fault) {
+        MeasurementPoint withoutFaults() {
+            return new MeasurementPoint(mix, load, Fault.NONE);
         }
     }
 
-    private List<ResultRow> rows(Point point, PolicyOptions options, ExecutorService pool) throws InterruptedException {
+    private List<ResultRow> rows(MeasurementPoint point, PolicyOptions options, ExecutorService pool)
+            throws InterruptedException {
         List<List<Arrival>> arrivals = new ArrayList<>();
         for (long seed : options.seeds()) {
             arrivals.add(new Workload(point.mix(), profile).generate(point.load(), options.seconds(), seed));
         }
         List<Variant> variants = Variant.all();
         List<Callable<RunResult>> shared = new ArrayList<>();
-        List<Callable<RunResult>> alone = new ArrayList<>();
+        List<Callable<RunResult>> shortOnlyRuns = new ArrayList<>();
         for (Variant each : variants) {
             shared.add(() -> result(point, options, arrivals, each, false));
-            alone.add(() -> result(point.withoutFaults(), options, arrivals, each, true));
+            shortOnlyRuns.add(() -> result(point.withoutFaults(), options, arrivals, each, true));
         }
         List<Future<RunResult>> sharedResults = pool.invokeAll(shared);
-        List<Future<RunResult>> aloneResults = pool.invokeAll(alone);
-        double shortAlone = Double.POSITIVE_INFINITY;
-        for (Future<RunResult> each : aloneResults) {
-            shortAlone = Math.min(shortAlone, resultOf(each).firstTokenSeconds(LengthClass.SHORT, 95));
+        List<Future<RunResult>> shortOnlyResults = pool.invokeAll(shortOnlyRuns);
+        double isolatedShortSeconds = Double.POSITIVE_INFINITY;
+        for (Future<RunResult> each : shortOnlyResults) {
+            isolatedShortSeconds =
+                    Math.min(isolatedShortSeconds, resultOf(each).firstTokenSeconds(LengthClass.SHORT, 95));
         }
         List<ResultRow> rows = new ArrayList<>();
         for (int i = 0; i < variants.size(); i++) {
@@ -89,14 +91,18 @@
                     point.fault(),
                     variants.get(i),
                     resultOf(sharedResults.get(i)),
-                    shortAlone));
+                    isolatedShortSeconds));
         }
         return rows;
     }
 
     private RunResult result(
-            Point point, PolicyOptions options, List<List<Arrival>> arrivals, Variant variant, boolean shortOnly) {
-        RunResult sum = null;
+            MeasurementPoint point,
+            PolicyOptions options,
+            List<List<Arrival>> arrivals,
+            Variant variant,
+            boolean shortOnly) {
+        RunResult merged = null;
         for (int i = 0; i < arrivals.size(); i++) {
             Scenario scenario = new Scenario(
                     point.mix().engines(),
@@ -106,14 +112,14 @@
                     point.fault(),
                     variant.settings(),
                     options.seeds().get(i));
-            RunResult one = variant.run(shortOnly ? scenario.shortOnly() : scenario);
-            if (sum == null) {
-                sum = one;
+            RunResult result = variant.run(shortOnly ? scenario.shortOnly() : scenario);
+            if (merged == null) {
+                merged = result;
             } else {
-                sum.merge(one);
+                merged.merge(result);
             }
         }
-        return sum;
+        return merged;
     }
 
     private static RunResult resultOf(Future<RunResult> future) throws InterruptedException {
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
@@ -175,9 +175,9 @@
         List<Integer> chosen = new ArrayList<>();
         Set<BackendServerId> taken = new HashSet<>();
         for (Demand each : demands) {
-            List<Replica> left =
+            List<Replica> remainingReplicas =
                     usable.stream().filter(r -> !taken.contains(r.id())).toList();
-            Optional<Replica> replica = policy.choose(each, left, random);
+            Optional<Replica> replica = policy.choose(each, remainingReplicas, random);
             if (replica.isEmpty()) {
                 return false;
             }
@@ -238,13 +238,13 @@
 
     private List<Demand> demands(Job job, long now) {
         int prompt = job.promptTokens();
-        int largest = (int) scenario.profile().capacityKvTokens() - SEGMENT_HEADROOM_TOKENS;
-        int count = (prompt + largest - 1) / largest;
+        int maxSegmentTokens = (int) scenario.profile().capacityKvTokens() - SEGMENT_HEADROOM_TOKENS;
+        int count = (prompt + maxSegmentTokens - 1) / maxSegmentTokens;
         List<Demand> demands = new ArrayList<>(count);
-        int left = prompt;
+        int remainingTokens = prompt;
         for (int i = 0; i < count; i++) {
-            int tokens = left / (count - i);
-            left -= tokens;
+            int tokens = remainingTokens / (count - i);
+            remainingTokens -= tokens;
             demands.add(new Demand(
                     MODEL,
                     "",
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
@@ -27,8 +27,8 @@
     private long cachedTokens;
     private long promptTokens;
 
-    RunResult(long countedFromNanos) {
-        this.measureFromNanos = countedFromNanos;
+    RunResult(long measureFromNanos) {
+        this.measureFromNanos = measureFromNanos;
         for (LengthClass each : LengthClass.values()) {
             firstToken.put(each, new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS));
             inLimitCounts.put(each, new long[2]);
@@ -52,14 +52,14 @@
         long waited = job.firstTokenNanos < 0 ? job.arrival.limitNanos() : job.firstTokenNanos - job.arrival.atNanos();
         firstToken.get(lengthClass).recordValue(Math.min(HIGHEST_MICROS, waited / NANOS_PER_MICRO));
         refusedRequests += job.isRefused ? 1 : 0;
-        boolean whole = job.endNanos >= 0;
-        inLimitCounts.get(lengthClass)[0] += whole ? 1 : 0;
+        boolean complete = job.endNanos >= 0;
+        inLimitCounts.get(lengthClass)[0] += complete ? 1 : 0;
         inLimitCounts.get(lengthClass)[1]++;
         int organisation = job.arrival.organisation();
         long tokens = (long) job.arrival.promptTokens() + job.arrival.outputTokens();
         offeredTokens[organisation] += tokens;
-        servedTokens[organisation] += whole ? tokens : 0;
-        if (whole && job.arrival.outputTokens() > 1) {
+        servedTokens[organisation] += complete ? tokens : 0;
+        if (complete && job.arrival.outputTokens() > 1) {
             long each = (job.endNanos - job.firstTokenNanos) / (job.arrival.outputTokens() - 1);
             interTokenLatency.recordValue(Math.min(HIGHEST_MICROS, each / NANOS_PER_MICRO));
         }
@@ -107,11 +107,11 @@
 
     /** Share of requests whose complete answer arrived within their time limit. */
     public double inLimitFraction() {
-        long whole = 0;
+        long complete = 0;
         for (long[] each : inLimitCounts.values()) {
-            whole += each[0];
+            complete += each[0];
         }
-        return requests() == 0 ? 1 : (double) whole / requests();
+        return requests() == 0 ? 1 : (double) complete / requests();
     }
 
     public double inLimitFraction(LengthClass lengthClass) {
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
@@ -40,9 +40,9 @@
     /** Action at a set time; the number keeps actions of the same time in the order in which they were scheduled. */
     private record Timer(long atNanos, long number, Runnable action) {}
 
-    Simulation(Scenario scenario, Scheduler desk) {
+    Simulation(Scenario scenario, Scheduler scheduler) {
         this.scenario = scenario;
-        this.scheduler = desk;
+        this.scheduler = scheduler;
         engines = new EngineModel[scenario.engines()];
         alive = new boolean[scenario.engines()];
         for (int i = 0; i < engines.length; i++) {
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Variant.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Variant.java
@@ -32,7 +32,7 @@
     public static List<Variant> all() {
         List<Variant> all = new ArrayList<>();
         for (String each : LENGTH_BLIND_POLICIES) {
-            all.add(blind(each));
+            all.add(lengthBlind(each));
         }
         for (String each : List.of("round-robin", "least-requests", "power-of-two", "fixed-split", "shortest-wait")) {
             all.add(prioritised(each));
@@ -46,7 +46,7 @@
     }
 
     /** Length-blind placement with engines that serve in order of arrival. */
-    public static Variant blind(String policy) {
+    public static Variant lengthBlind(String policy) {
         return new Variant(policy, policy, noPriorities(0.95), true);
     }
 
--- a/elmline-bench/src/main/java/org/elmline/bench/route/PlaceCost.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/PlaceCost.java
@@ -39,7 +39,7 @@
     private int attempts;
     private long totalNanos;
     private long totalBytes;
-    private int refused;
+    private int notPlaced;
 
     PlaceCost(int engines) {
         PlacementPolicy policy = PlacementPolicies.named(PlacementPolicies.DEFAULT, PlacementSettings.defaults())
@@ -74,8 +74,8 @@
         return List.of(new Samples(nanosEach), new Samples(bytesEach));
     }
 
-    int refused() {
-        return refused;
+    int notPlaced() {
+        return notPlaced;
     }
 
     private void runBatch() {
@@ -93,7 +93,7 @@
         }
         totalNanos += System.nanoTime() - start;
         totalBytes += THREADS.getCurrentThreadAllocatedBytes() - allocated;
-        refused += requests.size() - placed.size();
+        notPlaced += requests.size() - placed.size();
         now += 1_000_000;
         finish(placed);
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/route/RouteMeasurement.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/RouteMeasurement.java
@@ -30,7 +30,7 @@
             PlaceCost cost = new PlaceCost(engines);
             List<Samples> samples = cost.measure();
             System.out.println("place, " + engines + " engines: ns " + samples.get(0) + ", bytes " + samples.get(1)
-                    + ", not placed at once " + cost.refused());
+                    + ", not placed at once " + cost.notPlaced());
         }
         printSummaries();
         System.out.println("heap bytes an owned engine: " + HeapCost.bytesEach(5_000, HeapCost::engines));
@@ -110,7 +110,7 @@
                 + Math.round(new Samples(first).median() * SERVERS / NANOS_PER_MILLI) + " ms");
         System.out.println("  for a server, with loads: ns " + new Samples(bounded) + "; all servers "
                 + Math.round(new Samples(bounded).median() * SERVERS / NANOS_PER_MILLI) + " ms");
-        int most = loads.values().stream().mapToInt(List::size).max().orElse(0);
-        System.out.println("  most servers of one owner: " + most + ", mean " + SERVERS / HOSTS);
+        int maxServers = loads.values().stream().mapToInt(List::size).max().orElse(0);
+        System.out.println("  most servers of one owner: " + maxServers + ", mean " + SERVERS / HOSTS);
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/workload/Workload.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/workload/Workload.java
@@ -40,14 +40,14 @@
      *     counted
      */
     public List<Arrival> generate(double load, double seconds, long seed) {
-        double perSecond = load * mix.engines() / meanCostSeconds(seed);
-        double quiet = perSecond / (1 + (BURST_FACTOR - 1) * BURST_SECONDS / BURST_PERIOD_SECONDS);
+        double requestsPerSecond = load * mix.engines() / meanCostSeconds(seed);
+        double baseRate = requestsPerSecond / (1 + (BURST_FACTOR - 1) * BURST_SECONDS / BURST_PERIOD_SECONDS);
         SplittableRandom random = new SplittableRandom(seed);
         List<Arrival> arrivals = new ArrayList<>();
         double now = 0;
         while (true) {
             // Thinning (Lewis and Shedler 1979): candidates arrive at the burst rate, most are dropped outside bursts.
-            now += -Math.log(1 - random.nextDouble()) / (quiet * BURST_FACTOR);
+            now += -Math.log(1 - random.nextDouble()) / (baseRate * BURST_FACTOR);
             if (now >= seconds) {
                 return arrivals;
             }
@@ -75,8 +75,8 @@
     }
 
     private static int drawOutputTokens(int promptTokens, SplittableRandom random) {
-        int most = promptTokens > 32_000 ? 512 : 256;
-        return 16 + random.nextInt(most - 16);
+        int maxTokens = promptTokens > 32_000 ? 512 : 256;
+        return 16 + random.nextInt(maxTokens - 16);
     }
 
     private Arrival drawArrival(long atNanos, SplittableRandom random) {
@@ -92,10 +92,10 @@
         for (int k = 0; k < ORGANISATIONS; k++) {
             total += 1.0 / (k + 1);
         }
-        double left = draw * total;
+        double remaining = draw * total;
         for (int k = 0; k < ORGANISATIONS; k++) {
-            left -= 1.0 / (k + 1);
-            if (left < 0) {
+            remaining -= 1.0 / (k + 1);
+            if (remaining < 0) {
                 return k;
             }
         }
--- a/elmline-bench/src/test/java/org/elmline/bench/http/HttpLoadTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/http/HttpLoadTest.java
@@ -35,7 +35,7 @@
      * from sending would be 40 ms throughout; measured from the intended start it grows to over a second.
      */
     @Test
-    void countsFromTheIntendedStart() throws Exception {
+    void measuresLatencyFromIntendedStart() throws Exception {
         HttpHandler slow = exchange -> exchange.dispatch((HttpHandler) e -> {
             Thread.sleep(40);
             e.getResponseSender().send("data: {}\n\ndata: [DONE]\n\n", StandardCharsets.UTF_8);
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void countsOutcomesApart() throws Exception {
+    void countsRequestsByOutcome() throws Exception {
         HttpHandler refusing = exchange -> exchange.setStatusCode(503).endExchange();
         try (StandinHttpServer server = new StandinHttpServer(0, refusing)) {
             HttpLoadResult result =
@@ -60,7 +60,7 @@
     }
 
     @Test
-    void goesToLoopbackOnly() {
+    void rejectsTargetsOutsideLoopback() {
         assertThrows(IllegalArgumentException.class, () -> options(new Address("192.0.2.1", 80), 1));
     }
 }
--- a/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
@@ -40,14 +40,14 @@
     }
 
     @Test
-    void sameOptionsSameFigures() {
-        RunResult one = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
-        RunResult two = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
+    void sameOptionsGiveSameFigures() {
+        RunResult first = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
+        RunResult second = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
         for (LengthClass each : LengthClass.values()) {
-            assertEquals(one.firstTokenSeconds(each, 99), two.firstTokenSeconds(each, 99));
+            assertEquals(first.firstTokenSeconds(each, 99), second.firstTokenSeconds(each, 99));
         }
-        assertEquals(one.jainIndex(), two.jainIndex());
-        assertEquals(one.prefixHits(), two.prefixHits());
+        assertEquals(first.jainIndex(), second.jainIndex());
+        assertEquals(first.prefixHits(), second.prefixHits());
     }
 
     /** Target: short prompts keep their time to first token while long prompts share the fleet. */
@@ -55,20 +55,20 @@
     void shortRequestsAreSlowedDownByLessThanAFifth() {
         for (PromptMix mix : PromptMix.values()) {
             Scenario shared = scenario(mix, 0.8, Fault.NONE, Variant.defaultVariant());
-            double alone = shortP95(Variant.defaultVariant().run(shared.shortOnly()));
+            double isolatedP95 = shortP95(Variant.defaultVariant().run(shared.shortOnly()));
             RunResult result = Variant.defaultVariant().run(shared);
-            double slowdown = shortP95(result) / alone;
+            double slowdown = shortP95(result) / isolatedP95;
             assertTrue(slowdown <= 1.2, mix + ": " + slowdown);
             assertTrue(result.inLimitFraction() >= 0.999, mix + ": " + result.inLimitFraction());
             for (String blind : List.of("round-robin", "random", "least-requests", "power-of-two")) {
-                double other = shortP95(run(mix, 0.8, Fault.NONE, Variant.blind(blind)));
+                double other = shortP95(run(mix, 0.8, Fault.NONE, Variant.lengthBlind(blind)));
                 assertTrue(other > 3 * shortP95(result), mix + ", " + blind + ": " + other);
             }
         }
     }
 
     @Test
-    void shortWorkIsServedThroughOverloadAndFaults() {
+    void shortRequestsAreServedUnderOverloadAndFaults() {
         for (Fault each : Fault.values()) {
             RunResult result = run(PromptMix.SNOWPAW, 1.2, each, Variant.defaultVariant());
             assertTrue(result.inLimitFraction(LengthClass.SHORT) >= 0.99, each + ": " + result.inLimitFraction());
@@ -92,7 +92,7 @@
 
     /** The daemons' owner, with its admission and ledger, must keep short prompts as fast as a policy alone does. */
     @Test
-    void theOwnerKeepsShortWorkFast() {
+    void ownerKeepsShortRequestsFast() {
         for (PromptMix mix : PromptMix.values()) {
             Variant owner = Variant.owner(PlacementPolicies.DEFAULT);
             Scenario shared = scenario(mix, 0.8, Fault.NONE, owner);
--- a/elmline-bench/src/test/java/org/elmline/bench/timeline/ClockOrderExperimentTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/timeline/ClockOrderExperimentTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void theSameSetupGivesTheSameCounts() {
+    void sameSetupGivesSameCounts() {
         assertEquals(run(2), run(2));
     }
 
--- a/elmline-bench/src/test/java/org/elmline/bench/workload/WorkloadTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/workload/WorkloadTest.java
@@ -12,13 +12,13 @@
     private static final EngineProfile PROFILE = EngineProfile.builder().build();
 
     @Test
-    void sameSeedSameRequests() {
+    void sameSeedGivesSameRequests() {
         Workload workload = new Workload(PromptMix.SNOWPAW, PROFILE);
         assertEquals(workload.generate(0.8, 30, 1), workload.generate(0.8, 30, 1));
     }
 
     @Test
-    void oneInFiftyIsOver100kAndLengthsStayInTheBrief() {
+    void oneInFiftyIsOver100kTokensAndLengthsStayInRange() {
         for (PromptMix mix : PromptMix.values()) {
             List<Arrival> arrivals = new Workload(mix, PROFILE).generate(0.8, 2_000, 3);
             long over =
@@ -29,7 +29,7 @@
     }
 
     @Test
-    void offeredWorkIsTheLoadAskedFor() {
+    void offeredLoadMatchesRequestedLoad() {
         Workload workload = new Workload(PromptMix.ZRNO, PROFILE);
         double nanos = 0;
         for (Arrival each : workload.generate(0.8, 4_000, 7)) {
@@ -39,7 +39,7 @@
     }
 
     @Test
-    void organisationsAreOfUnlikeSize() {
+    void organisationsDifferInSize() {
         List<Arrival> arrivals = new Workload(PromptMix.SNOWPAW, PROFILE).generate(0.8, 1_000, 3);
         long largest = arrivals.stream().filter(a -> a.organisation() == 0).count();
         long smallest = arrivals.stream().filter(a -> a.organisation() == 9).count();
