--- a/elmline-bench/src/main/java/org/elmline/bench/policy/MarkdownTables.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/MarkdownTables.java
@@ -8,8 +8,8 @@
 import org.elmline.core.common.LengthClass;
 
 /**
- * Renders a measurement as Markdown: one table for each fleet, load and fault, and one that compares the results at 80
- * % load with the target.
+ * Renders a measurement as Markdown: one table for each fleet, load and fault, and a comparison with the target at 80 %
+ * load.
  */
 final class MarkdownTables {
     private static final double TARGET_LOAD = 0.8;
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
@@ -196,12 +196,9 @@
         cacheEvents[engine].add(hash, stored, atNanos);
     }
 
-    /**
-     * Number of unreleased segments plus the owner's open grants, not a number of tokens: 0 only when neither the
-     * scheduler nor the owner holds a reservation.
-     */
+    /** Number of unreleased segments plus the number of the owner's open grants. */
     @Override
-    public long reservedTokens() {
+    public long reservedAmount() {
         return kvTokensBySequence.size() + owner.counts().openGrants();
     }
 
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public long reservedTokens() {
+    public long reservedAmount() {
         long sum = 0;
         for (SimulatedReplica each : replicas) {
             sum += each.reservedKvTokens();
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Scheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Scheduler.java
@@ -37,6 +37,6 @@
 
     void cacheChanged(int engine, long hash, boolean stored, long atNanos);
 
-    /** KV tokens reserved over all engines. */
-    long reservedTokens();
+    /** Amount reserved over all engines in a unit of the implementation; 0 only when nothing is reserved. */
+    long reservedAmount();
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
@@ -91,9 +91,9 @@
                         + each.usedKvTokens() + " KV tokens after all requests ended");
             }
         }
-        if (scheduler.reservedTokens() != 0) {
+        if (scheduler.reservedAmount() != 0) {
             throw new IllegalStateException(
-                    "the scheduler holds reservations after all requests ended: " + scheduler.reservedTokens());
+                    "the scheduler holds reservations after all requests ended: " + scheduler.reservedAmount());
         }
     }
 
--- a/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
@@ -90,7 +90,10 @@
         }
     }
 
-    /** The daemons' owner, with its admission and ledger, must keep short prompts as fast as a policy alone does. */
+    /**
+     * The daemons' owner, with its admission and ledger, in place of a policy alone: the slowdown of short prompts must
+     * stay within the same bound.
+     */
     @Test
     void ownerKeepsShortRequestsFast() {
         for (PromptMix mix : PromptMix.values()) {
