--- a/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
@@ -196,7 +196,10 @@
         cacheEvents[engine].add(hash, stored, atNanos);
     }
 
-    /** Number of unreleased segments plus the number of the owner's open grants. */
+    /**
+     * Number of unreleased segments plus the number of the owner's open grants, so that a grant that only the owner
+     * still holds is detected.
+     */
     @Override
     public long reservedAmount() {
         return kvTokensBySequence.size() + owner.counts().openGrants();
--- a/elmline-standin/src/main/java/org/elmline/standin/engine/EngineServer.java
+++ b/elmline-standin/src/main/java/org/elmline/standin/engine/EngineServer.java
@@ -78,7 +78,7 @@
         return engine.usedKvTokens();
     }
 
-    /** The announcement for the present state. */
+    /** The announcement for the current state. */
     public Announcement announcement() {
         EngineState state = engine.state();
         long prefillTokensPerSecond = (long) (settings.profile().prefillTokensPerSecond() * settings.timeScale());
