--- a/elmline-bench/src/main/java/org/elmline/bench/control/ApplyCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/ApplyCostExperiment.java
@@ -63,7 +63,7 @@
     private static double replayMicros(ControlState state, List<byte[]> log) {
         long begin = System.nanoTime();
         for (byte[] each : log) {
-            state.apply(state.index() + 1, Decoding.require(each, Command.class));
+            state.apply(state.index() + 1, Decoding.decode(each, Command.class));
         }
         return (System.nanoTime() - begin) / 1e3;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/control/Decoding.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/Decoding.java
@@ -9,7 +9,7 @@
 final class Decoding {
     private Decoding() {}
 
-    static <T> T require(byte[] bytes, Class<T> type) {
+    static <T> T decode(byte[] bytes, Class<T> type) {
         if (Codecs.MESSAGE_PACK.decode(bytes, type) instanceof Decoded.Value<T> value) {
             return value.value();
         }
@@ -18,6 +18,6 @@
     }
 
     static ControlState restore(byte[] snapshot) {
-        return ControlState.restore(require(snapshot, ControlSnapshot.class));
+        return ControlState.restore(decode(snapshot, ControlSnapshot.class));
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/control/LeaseCostExperiment.java
@@ -63,7 +63,7 @@
         long begin = System.nanoTime();
         long bytes = 0;
         for (int i = 0; i < RENEWALS; i++) {
-            bytes += answerBytes(leaseManager, Decoding.require(requests[i % entries], LeaseRequest.class));
+            bytes += answerBytes(leaseManager, Decoding.decode(requests[i % entries], LeaseRequest.class));
         }
         if (bytes == 0) {
             throw new IllegalStateException("no bytes in the answers to " + RENEWALS + " renewals");
--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoad.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoad.java
@@ -128,7 +128,7 @@
                     return "done";
                 }
                 if (first) {
-                    result.firstToken(System.nanoTime() - intendedNanos);
+                    result.recordFirstToken(System.nanoTime() - intendedNanos);
                     first = false;
                 }
             }
--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadResult.java
@@ -14,7 +14,7 @@
     private final Histogram totalLatency = new Histogram(HIGHEST_MICROS, 3);
     private final Map<String, Integer> outcomes = new TreeMap<>();
 
-    synchronized void firstToken(long nanos) {
+    synchronized void recordFirstToken(long nanos) {
         firstToken.recordValue(Math.min(HIGHEST_MICROS, nanos / 1_000));
     }
 
@@ -34,10 +34,12 @@
         return totalLatency.getTotalCount();
     }
 
+    /** Milliseconds to the first token at a percentile from 0 to 100. */
     public synchronized double firstTokenMillis(double percentile) {
         return firstToken.getValueAtPercentile(percentile) / 1e3;
     }
 
+    /** Milliseconds to the end of the answer at a percentile from 0 to 100. */
     public synchronized double totalMillis(double percentile) {
         return totalLatency.getValueAtPercentile(percentile) / 1e3;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
@@ -64,7 +64,7 @@
     private final OwnerTable ownerTable;
     private final CacheEventLog[] cacheEvents;
     private final long[] incarnations;
-    private final boolean[] alive;
+    private final boolean[] running;
     private final Map<AttemptId, Job> pendingJobs = new HashMap<>();
     private final Map<Long, AttemptId> attemptsBySequence = new HashMap<>();
     private final Map<Long, Long> kvTokensBySequence = new HashMap<>();
@@ -89,7 +89,7 @@
         ownerTable.members(List.of(host));
         cacheEvents = new CacheEventLog[scenario.engines()];
         incarnations = new long[scenario.engines()];
-        alive = new boolean[scenario.engines()];
+        running = new boolean[scenario.engines()];
     }
 
     @Override
@@ -127,11 +127,11 @@
 
     @Override
     public void tick(long now) {
-        for (int i = 0; i < alive.length; i++) {
-            if (alive[i] && ticks % TICKS_PER_ANNOUNCEMENT == 0) {
+        for (int i = 0; i < running.length; i++) {
+            if (running[i] && ticks % TICKS_PER_ANNOUNCEMENT == 0) {
                 owner.announce(announcement(i), now);
             }
-            if (alive[i]) {
+            if (running[i]) {
                 BackendServerId id = id(i);
                 owner.applyCacheEvents(id, cacheEvents[i].after(owner.lastCacheSequence(id), now));
             }
@@ -180,7 +180,7 @@
     @Override
     public void engineStarted(int engine, long now) {
         incarnations[engine]++;
-        alive[engine] = true;
+        running[engine] = true;
         cacheEvents[engine] =
                 new CacheEventLog(CACHE_DELAY_NANOS, CACHE_EVENT_LOSS_PROBABILITY, scenario.seed() + engine);
         owner.announce(announcement(engine), now);
@@ -188,7 +188,7 @@
 
     @Override
     public void engineStopped(int engine, long now) {
-        alive[engine] = false;
+        running[engine] = false;
     }
 
     @Override
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
@@ -37,7 +37,7 @@
     private final WaitPredictor predictor;
     private final Random random;
     private final SimulatedReplica[] replicas;
-    private final boolean[] alive;
+    private final boolean[] running;
     private final Map<Long, PrefillBacklog.Prefill> prefills = new HashMap<>();
     private final TreeSet<Job> waiting = new TreeSet<>(Comparator.<Job>comparingLong(
                     j -> j.arrival.atNanos() + j.arrival.lengthClass().ordinal() * QUEUE_DELAY_PER_CLASS_NANOS)
@@ -52,7 +52,7 @@
         predictor = new WaitPredictor(scenario.settings());
         random = new Random(scenario.seed());
         replicas = new SimulatedReplica[scenario.engines()];
-        alive = new boolean[scenario.engines()];
+        running = new boolean[scenario.engines()];
     }
 
     @Override
@@ -105,13 +105,13 @@
     @Override
     public void engineStarted(int engine, long now) {
         replicas[engine] = new SimulatedReplica(engine, scenario.profile(), scenario.seed(), now);
-        alive[engine] = true;
+        running[engine] = true;
         released = true;
     }
 
     @Override
     public void engineStopped(int engine, long now) {
-        alive[engine] = false;
+        running[engine] = false;
     }
 
     @Override
@@ -219,7 +219,7 @@
     private List<Replica> usable(long now) {
         List<Replica> usable = new ArrayList<>(replicas.length);
         for (int i = 0; i < replicas.length; i++) {
-            if (alive[i]) {
+            if (running[i]) {
                 replicas[i].advanceTo(now);
                 usable.add(replicas[i]);
             }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
@@ -65,7 +65,7 @@
         }
     }
 
-    void prefixHits(long cached, long prompt) {
+    void recordPrefixHits(long cached, long prompt) {
         cachedTokens = cached;
         promptTokens = prompt;
     }
@@ -87,12 +87,12 @@
         promptTokens += other.promptTokens;
     }
 
-    /** Seconds to the first token at a percentile, for one class. */
+    /** Seconds to the first token at a percentile from 0 to 100, for one length class. */
     public double firstTokenSeconds(LengthClass lengthClass, double percentile) {
         return firstToken.get(lengthClass).getValueAtPercentile(percentile) / 1e6;
     }
 
-    /** Inter-token latency in milliseconds at a percentile; each answer counts with its mean. */
+    /** Inter-token latency in milliseconds at a percentile from 0 to 100; each answer counts with its mean. */
     public double interTokenMillis(double percentile) {
         return interTokenLatency.getValueAtPercentile(percentile) / 1e3;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
@@ -27,7 +27,7 @@
     private final Scenario scenario;
     private final Scheduler scheduler;
     private final EngineModel[] engines;
-    private final boolean[] alive;
+    private final boolean[] running;
     private final Map<Long, Job> jobsBySequence = new HashMap<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingLong(Timer::atNanos).thenComparingLong(Timer::number));
@@ -44,7 +44,7 @@
         this.scenario = scenario;
         this.scheduler = scheduler;
         engines = new EngineModel[scenario.engines()];
-        alive = new boolean[scenario.engines()];
+        running = new boolean[scenario.engines()];
         for (int i = 0; i < engines.length; i++) {
             startEngine(i);
         }
@@ -75,7 +75,7 @@
         for (int i = 0; i < engines.length; i++) {
             retireCounters(i);
         }
-        result.prefixHits(retiredCachedTokens, retiredPromptTokens);
+        result.recordPrefixHits(retiredCachedTokens, retiredPromptTokens);
         checkNothingReserved();
         return result;
     }
@@ -143,7 +143,7 @@
         job.placements++;
         job.segments.forEach(each -> jobsBySequence.put(each.sequence(), job));
         for (Job.PlacedSegment each : job.segments) {
-            if (!alive[each.engine()]) {
+            if (!running[each.engine()]) {
                 releaseSegments(job, -1);
                 job.failedServers.add(BackendServerId.of("engine-" + each.engine()));
                 scheduler.submit(job, now);
@@ -219,7 +219,7 @@
         for (Job.PlacedSegment each : job.segments) {
             jobsBySequence.remove(each.sequence());
             engines[each.engine()].release(each.sequence());
-            scheduler.released(each, each.engine() == lost || !alive[each.engine()], now);
+            scheduler.released(each, each.engine() == lost || !running[each.engine()], now);
         }
         job.segments = List.of();
     }
@@ -255,7 +255,7 @@
         }
         retireCounters(engine);
         engines[engine] = newModel(engine);
-        alive[engine] = false;
+        running[engine] = false;
     }
 
     private void resubmit(Job job) {
@@ -271,7 +271,7 @@
 
     private void startEngine(int engine) {
         engines[engine] = newModel(engine);
-        alive[engine] = true;
+        running[engine] = true;
         scheduler.engineStarted(engine, now);
     }
 
