--- a/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/http/HttpLoadResult.java
@@ -6,7 +6,7 @@
 
 import org.HdrHistogram.Histogram;
 
-/** What a run of load brought; times count from when each request was intended to start. */
+/** Latencies and outcomes of one load run; times count from the intended start of each request. Thread-safe. */
 public final class HttpLoadResult {
     private static final long HIGHEST_MICROS = 3_600_000_000L;
 
@@ -14,7 +14,7 @@
     private final Histogram totalLatency = new Histogram(HIGHEST_MICROS, 3);
     private final Map<String, Integer> outcomes = new TreeMap<>();
 
-    synchronized void firstToken(long nanos) {
+    synchronized void recordFirstToken(long nanos) {
         firstToken.recordValue(Math.min(HIGHEST_MICROS, nanos / 1_000));
     }
 
@@ -23,7 +23,9 @@
         outcomes.merge(outcome, 1, Integer::sum);
     }
 
-    /** Requests by outcome: {@code done}, {@code cut} for an answer without its end, a status, or an exception's name. */
+    /**
+     * Requests by outcome: {@code done}, {@code cut} for an answer without its end, a status, or an exception's name.
+     */
     public synchronized Map<String, Integer> outcomes() {
         return new TreeMap<>(outcomes);
     }
@@ -32,10 +34,12 @@
         return totalLatency.getTotalCount();
     }
 
+    /** Milliseconds to the first token at a percentile from 0 to 100. */
     public synchronized double firstTokenMillis(double percentile) {
         return firstToken.getValueAtPercentile(percentile) / 1e3;
     }
 
+    /** Milliseconds to the end of the answer at a percentile from 0 to 100. */
     public synchronized double totalMillis(double percentile) {
         return totalLatency.getValueAtPercentile(percentile) / 1e3;
     }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/MarkdownTables.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/MarkdownTables.java
@@ -7,7 +7,10 @@
 import org.elmline.bench.workload.PromptMix;
 import org.elmline.core.common.LengthClass;
 
-/** The measurement as Markdown: one table for each fleet, load and fault, and a judgement of the aim at 80 % load. */
+/**
+ * Renders a measurement as Markdown: one table for each fleet, load and fault, and a comparison with the target at 80 %
+ * load.
+ */
 final class MarkdownTables {
     private static final double TARGET_LOAD = 0.8;
     private static final String TABLE_HEADER =
@@ -75,7 +78,10 @@
                 result.firstTokenSeconds(lengthClass, 99));
     }
 
-    /** The aim: short p95 slowed down at most 1.2 times, long p95 at most 1.3 times that of the best blind baseline. */
+    /**
+     * Target: short p95 slowed down by a factor of at most 1.2, long p95 at most 1.3 times that of the best
+     * length-blind baseline.
+     */
     private String targetTable() {
         StringBuilder text = new StringBuilder(String.format("%n### The aim at 80 %% load, without faults%n%n"));
         text.append("| fleet | variant | short p95 slowdown | best blind baseline's | long p95 against best blind |"
@@ -91,9 +97,9 @@
                             mix.name().toLowerCase(Locale.ROOT),
                             each.variant().title(),
                             each.shortSlowdown(),
-                            bestBlind(table, LengthClass.SHORT) / each.isolatedShortSeconds(),
-                            p95(each, LengthClass.LONG) / bestBlind(table, LengthClass.LONG),
-                            p95(each, LengthClass.HUGE) / bestBlind(table, LengthClass.HUGE),
+                            bestLengthBlindP95(table, LengthClass.SHORT) / each.isolatedShortSeconds(),
+                            firstTokenP95(each, LengthClass.LONG) / bestLengthBlindP95(table, LengthClass.LONG),
+                            firstTokenP95(each, LengthClass.HUGE) / bestLengthBlindP95(table, LengthClass.HUGE),
                             each.result().inLimitFraction() * 100,
                             each.result().interTokenMillis(95)));
                 }
@@ -112,17 +118,17 @@
         return table;
     }
 
-    private static double bestBlind(List<ResultRow> table, LengthClass lengthClass) {
+    private static double bestLengthBlindP95(List<ResultRow> table, LengthClass lengthClass) {
         double best = Double.POSITIVE_INFINITY;
         for (ResultRow each : table) {
             if (each.variant().isLengthBlind()) {
-                best = Math.min(best, p95(each, lengthClass));
+                best = Math.min(best, firstTokenP95(each, lengthClass));
             }
         }
         return best;
     }
 
-    private static double p95(ResultRow row, LengthClass lengthClass) {
+    private static double firstTokenP95(ResultRow row, LengthClass lengthClass) {
         return row.result().firstTokenSeconds(lengthClass, 95);
     }
 }
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/OwnerScheduler.java
@@ -44,9 +44,9 @@
 import org.elmline.standin.engine.CacheEventLog;
 
 /**
- * The daemons' own owner, with its admission, ledger and groups, over all engines of the fleet. Engines announce
- * themselves every second; the owner learns of a dead one by calls that fail, or when its lease ends. A refused request
- * isn't tried again.
+ * Schedules with the owner of the daemons, with its admission, ledger and groups, over all engines of the fleet.
+ * Engines announce themselves every second; the owner detects a failed engine by failed calls or by the expiry of its
+ * lease. A refused request is not retried.
  */
 final class OwnerScheduler implements Scheduler {
     private static final ModelName MODEL = ModelName.of("elm");
@@ -64,7 +64,7 @@
     private final OwnerTable ownerTable;
     private final CacheEventLog[] cacheEvents;
     private final long[] incarnations;
-    private final boolean[] alive;
+    private final boolean[] running;
     private final Map<AttemptId, Job> pendingJobs = new HashMap<>();
     private final Map<Long, AttemptId> attemptsBySequence = new HashMap<>();
     private final Map<Long, Long> kvTokensBySequence = new HashMap<>();
@@ -89,7 +89,7 @@
         ownerTable.members(List.of(host));
         cacheEvents = new CacheEventLog[scenario.engines()];
         incarnations = new long[scenario.engines()];
-        alive = new boolean[scenario.engines()];
+        running = new boolean[scenario.engines()];
     }
 
     @Override
@@ -127,11 +127,11 @@
 
     @Override
     public void tick(long now) {
-        for (int i = 0; i < alive.length; i++) {
-            if (alive[i] && ticks % TICKS_PER_ANNOUNCEMENT == 0) {
+        for (int i = 0; i < running.length; i++) {
+            if (running[i] && ticks % TICKS_PER_ANNOUNCEMENT == 0) {
                 owner.announce(announcement(i), now);
             }
-            if (alive[i]) {
+            if (running[i]) {
                 BackendServerId id = id(i);
                 owner.applyCacheEvents(id, cacheEvents[i].after(owner.lastCacheSequence(id), now));
             }
@@ -180,7 +180,7 @@
     @Override
     public void engineStarted(int engine, long now) {
         incarnations[engine]++;
-        alive[engine] = true;
+        running[engine] = true;
         cacheEvents[engine] =
                 new CacheEventLog(CACHE_DELAY_NANOS, CACHE_EVENT_LOSS_PROBABILITY, scenario.seed() + engine);
         owner.announce(announcement(engine), now);
@@ -188,7 +188,7 @@
 
     @Override
     public void engineStopped(int engine, long now) {
-        alive[engine] = false;
+        running[engine] = false;
     }
 
     @Override
@@ -196,9 +196,12 @@
         cacheEvents[engine].add(hash, stored, atNanos);
     }
 
-    /** As the owner counts it: grants that are open, whatever was released here. */
+    /**
+     * Number of unreleased segments plus the number of the owner's open grants, so that a grant that only the owner
+     * still holds is detected.
+     */
     @Override
-    public long reservedTokens() {
+    public long reservedAmount() {
         return kvTokensBySequence.size() + owner.counts().openGrants();
     }
 
@@ -215,7 +218,7 @@
     }
 
     private void tryPlaceGroup(Job job, long now) {
-        PlaceRequest whole = waitingGroups.get(job);
+        PlaceRequest groupRequest = waitingGroups.get(job);
         ownerTable.accept(owner.summary(now), now);
         Optional<GroupPlan> plan = GroupPlan.of(
                 job.promptTokens(),
@@ -227,22 +230,22 @@
             return;
         }
         PlaceRequest attempt = new PlaceRequest(
-                AttemptId.of(whole.attempt().value() + "-" + ticks),
+                AttemptId.of(groupRequest.attempt().value() + "-" + ticks),
                 HOST,
                 FIRST_INCARNATION,
-                whole.organisation(),
-                whole.demand());
+                groupRequest.organisation(),
+                groupRequest.demand());
         GroupReservation reservation = new GroupReservation(attempt, plan.get());
-        for (Optional<GroupReservation.OwnerCall> ask = reservation.nextCall();
-                ask.isPresent();
-                ask = reservation.nextCall()) {
-            Optional<OwnerPlaceAnswer> answer = owner.place(ask.get().request(), now);
+        for (Optional<GroupReservation.OwnerCall> call = reservation.nextCall();
+                call.isPresent();
+                call = reservation.nextCall()) {
+            Optional<OwnerPlaceAnswer> answer = owner.place(call.get().request(), now);
             answer.ifPresentOrElse(reservation::onAnswer, reservation::onNoAnswer);
         }
         if (!reservation.isComplete()) {
-            List<Release> back = new ArrayList<>();
-            reservation.releases().forEach(each -> back.add(new Release(each.attempt(), ReleaseCause.NOT_STARTED)));
-            report(List.of(), List.of(), back, now);
+            List<Release> releases = new ArrayList<>();
+            reservation.releases().forEach(each -> releases.add(new Release(each.attempt(), ReleaseCause.NOT_STARTED)));
+            report(List.of(), List.of(), releases, now);
             return;
         }
         waitingGroups.remove(job);
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/PolicyScheduler.java
@@ -21,9 +21,9 @@
 import org.elmline.core.placement.WaitPredictor;
 
 /**
- * A placement policy alone, over exact accounts of all engines: no admission, no refusals, a dead engine known at once.
- * What finds no room waits, in order of arrival with ten seconds for each length class. A prompt larger than one engine
- * is cut evenly over the fewest engines, placed all or none.
+ * Schedules with a placement policy alone, on the exact state of all engines: no admission, no refusals, failed engines
+ * are detected at once. Requests without room wait, ordered by arrival time plus ten seconds per length class. A prompt
+ * larger than one engine is split evenly over the fewest engines; all of its segments are placed or none.
  */
 final class PolicyScheduler implements Scheduler {
     private static final ModelName MODEL = ModelName.of("elm");
@@ -37,7 +37,7 @@
     private final WaitPredictor predictor;
     private final Random random;
     private final SimulatedReplica[] replicas;
-    private final boolean[] alive;
+    private final boolean[] running;
     private final Map<Long, PrefillBacklog.Prefill> prefills = new HashMap<>();
     private final TreeSet<Job> waiting = new TreeSet<>(Comparator.<Job>comparingLong(
                     j -> j.arrival.atNanos() + j.arrival.lengthClass().ordinal() * QUEUE_DELAY_PER_CLASS_NANOS)
@@ -52,7 +52,7 @@
         predictor = new WaitPredictor(scenario.settings());
         random = new Random(scenario.seed());
         replicas = new SimulatedReplica[scenario.engines()];
-        alive = new boolean[scenario.engines()];
+        running = new boolean[scenario.engines()];
     }
 
     @Override
@@ -105,13 +105,13 @@
     @Override
     public void engineStarted(int engine, long now) {
         replicas[engine] = new SimulatedReplica(engine, scenario.profile(), scenario.seed(), now);
-        alive[engine] = true;
+        running[engine] = true;
         released = true;
     }
 
     @Override
     public void engineStopped(int engine, long now) {
-        alive[engine] = false;
+        running[engine] = false;
     }
 
     @Override
@@ -120,7 +120,7 @@
     }
 
     @Override
-    public long reservedTokens() {
+    public long reservedAmount() {
         long sum = 0;
         for (SimulatedReplica each : replicas) {
             sum += each.reservedKvTokens();
@@ -129,8 +129,9 @@
     }
 
     /**
-     * Whether a prompt over 128k tokens must take its turn: once one has waited for long, later smaller ones may no longer
-     * pass it, or a group of engines would never find its room.
+     * Whether a prompt over 128k tokens must queue: once another one has waited for a minute, later smaller ones may no
+     * longer overtake it. Otherwise they could keep engines occupied, and a group of engines would never have enough
+     * free memory at the same time.
      */
     private boolean mustWaitForHuge(Job job, long now) {
         if (job.arrival.lengthClass() != LengthClass.HUGE) {
@@ -174,9 +175,9 @@
         List<Integer> chosen = new ArrayList<>();
         Set<BackendServerId> taken = new HashSet<>();
         for (Demand each : demands) {
-            List<Replica> left =
+            List<Replica> remainingReplicas =
                     usable.stream().filter(r -> !taken.contains(r.id())).toList();
-            Optional<Replica> replica = policy.choose(each, left, random);
+            Optional<Replica> replica = policy.choose(each, remainingReplicas, random);
             if (replica.isEmpty()) {
                 return false;
             }
@@ -203,7 +204,7 @@
                     context);
             double cost = predictor.costTokens(demand.promptTokens(), replica.cachedTokens(demand))
                     * (1 + context / scenario.settings().attentionDoublingTokens());
-            // A segment starts after the one before it.
+            // A segment starts after the one before it has been prefilled.
             previousSeconds += predictor.secondsToFirstToken(demand, replica);
             prefills.put(
                     placed.sequence(),
@@ -218,7 +219,7 @@
     private List<Replica> usable(long now) {
         List<Replica> usable = new ArrayList<>(replicas.length);
         for (int i = 0; i < replicas.length; i++) {
-            if (alive[i]) {
+            if (running[i]) {
                 replicas[i].advanceTo(now);
                 usable.add(replicas[i]);
             }
@@ -232,18 +233,18 @@
                 return i;
             }
         }
-        throw new IllegalStateException("a policy chose a replica that it was not given");
+        throw new IllegalStateException("the policy chose a replica that was not offered: " + replica.id());
     }
 
     private List<Demand> demands(Job job, long now) {
         int prompt = job.promptTokens();
-        int largest = (int) scenario.profile().capacityKvTokens() - SEGMENT_HEADROOM_TOKENS;
-        int count = (prompt + largest - 1) / largest;
+        int maxSegmentTokens = (int) scenario.profile().capacityKvTokens() - SEGMENT_HEADROOM_TOKENS;
+        int count = (prompt + maxSegmentTokens - 1) / maxSegmentTokens;
         List<Demand> demands = new ArrayList<>(count);
-        int left = prompt;
+        int remainingTokens = prompt;
         for (int i = 0; i < count; i++) {
-            int tokens = left / (count - i);
-            left -= tokens;
+            int tokens = remainingTokens / (count - i);
+            remainingTokens -= tokens;
             demands.add(new Demand(
                     MODEL,
                     "",
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/RunResult.java
@@ -8,8 +8,8 @@
 import org.elmline.core.common.LengthClass;
 
 /**
- * What one run brought. A request without a first token counts with its whole limit, so that what is given up can't make
- * the percentiles look better.
+ * Results of one run. A request without a first token counts with its full time limit, so that abandoned requests can't
+ * improve the percentiles. Not thread-safe.
  */
 public final class RunResult {
     private static final long HIGHEST_MICROS = 1_000_000_000L;
@@ -27,8 +27,8 @@
     private long cachedTokens;
     private long promptTokens;
 
-    RunResult(long countedFromNanos) {
-        this.measureFromNanos = countedFromNanos;
+    RunResult(long measureFromNanos) {
+        this.measureFromNanos = measureFromNanos;
         for (LengthClass each : LengthClass.values()) {
             firstToken.put(each, new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS));
             inLimitCounts.put(each, new long[2]);
@@ -52,20 +52,20 @@
         long waited = job.firstTokenNanos < 0 ? job.arrival.limitNanos() : job.firstTokenNanos - job.arrival.atNanos();
         firstToken.get(lengthClass).recordValue(Math.min(HIGHEST_MICROS, waited / NANOS_PER_MICRO));
         refusedRequests += job.isRefused ? 1 : 0;
-        boolean whole = job.endNanos >= 0;
-        inLimitCounts.get(lengthClass)[0] += whole ? 1 : 0;
+        boolean complete = job.endNanos >= 0;
+        inLimitCounts.get(lengthClass)[0] += complete ? 1 : 0;
         inLimitCounts.get(lengthClass)[1]++;
         int organisation = job.arrival.organisation();
         long tokens = (long) job.arrival.promptTokens() + job.arrival.outputTokens();
         offeredTokens[organisation] += tokens;
-        servedTokens[organisation] += whole ? tokens : 0;
-        if (whole && job.arrival.outputTokens() > 1) {
+        servedTokens[organisation] += complete ? tokens : 0;
+        if (complete && job.arrival.outputTokens() > 1) {
             long each = (job.endNanos - job.firstTokenNanos) / (job.arrival.outputTokens() - 1);
             interTokenLatency.recordValue(Math.min(HIGHEST_MICROS, each / NANOS_PER_MICRO));
         }
     }
 
-    void prefixHits(long cached, long prompt) {
+    void recordPrefixHits(long cached, long prompt) {
         cachedTokens = cached;
         promptTokens = prompt;
     }
@@ -87,12 +87,12 @@
         promptTokens += other.promptTokens;
     }
 
-    /** Seconds to the first token at a percentile, for one class. */
+    /** Seconds to the first token at a percentile from 0 to 100, for one length class. */
     public double firstTokenSeconds(LengthClass lengthClass, double percentile) {
         return firstToken.get(lengthClass).getValueAtPercentile(percentile) / 1e6;
     }
 
-    /** Milliseconds between tokens, the mean of each whole answer, at a percentile. */
+    /** Inter-token latency in milliseconds at a percentile from 0 to 100; each answer counts with its mean. */
     public double interTokenMillis(double percentile) {
         return interTokenLatency.getValueAtPercentile(percentile) / 1e3;
     }
@@ -105,13 +105,13 @@
         return sum;
     }
 
-    /** Share of requests whose whole answer came within their limit. */
+    /** Share of requests whose complete answer arrived within their time limit. */
     public double inLimitFraction() {
-        long whole = 0;
+        long complete = 0;
         for (long[] each : inLimitCounts.values()) {
-            whole += each[0];
+            complete += each[0];
         }
-        return requests() == 0 ? 1 : (double) whole / requests();
+        return requests() == 0 ? 1 : (double) complete / requests();
     }
 
     public double inLimitFraction(LengthClass lengthClass) {
@@ -119,17 +119,20 @@
         return counts[1] == 0 ? 1 : (double) counts[0] / counts[1];
     }
 
-    /** Share of requests that were refused at once, to be tried again later by their callers. */
+    /** Share of requests that were refused at once, for their callers to retry later. */
     public double refusedFraction() {
         return requests() == 0 ? 0 : (double) refusedRequests / requests();
     }
 
-    /** Share of prompt tokens that a prefix cache spared. */
+    /** Share of prompt tokens found in a prefix cache. */
     public double prefixHits() {
         return promptTokens == 0 ? 0 : (double) cachedTokens / promptTokens;
     }
 
-    /** Jain's index of the share of tokens served in time, over organisations: 1 when all fare alike. */
+    /**
+     * Jain's fairness index (Jain, Chiu and Hawe 1984) of the shares of tokens served in time, over organisations: 1
+     * when all shares are equal.
+     */
     public double jainIndex() {
         double sum = 0;
         double squares = 0;
--- a/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/policy/Simulation.java
@@ -16,8 +16,9 @@
 import org.elmline.standin.model.StepListener;
 
 /**
- * One run of a workload through one desk and a fleet of engine models, on a manual clock. Same arguments, same result.
- * Segments of a prompt that is larger than one engine are prefilled in turn, each engine holding its own.
+ * One run of a workload through one scheduler and a fleet of engine models, on a manual clock. The same arguments give
+ * the same result. Segments of a prompt that is larger than one engine are prefilled in turn, each on its own engine,
+ * which holds its KV.
  */
 final class Simulation {
     private static final long FAILURE_DETECTION_NANOS = 1_000_000_000L;
@@ -26,7 +27,7 @@
     private final Scenario scenario;
     private final Scheduler scheduler;
     private final EngineModel[] engines;
-    private final boolean[] alive;
+    private final boolean[] running;
     private final Map<Long, Job> jobsBySequence = new HashMap<>();
     private final PriorityQueue<Timer> timers =
             new PriorityQueue<>(Comparator.comparingLong(Timer::atNanos).thenComparingLong(Timer::number));
@@ -36,14 +37,14 @@
     private long retiredCachedTokens;
     private long retiredPromptTokens;
 
-    /** Something to do at a set time; the number keeps those of one time in their order. */
+    /** Action at a set time; the number keeps actions of the same time in the order in which they were scheduled. */
     private record Timer(long atNanos, long number, Runnable action) {}
 
-    Simulation(Scenario scenario, Scheduler desk) {
+    Simulation(Scenario scenario, Scheduler scheduler) {
         this.scenario = scenario;
-        this.scheduler = desk;
+        this.scheduler = scheduler;
         engines = new EngineModel[scenario.engines()];
-        alive = new boolean[scenario.engines()];
+        running = new boolean[scenario.engines()];
         for (int i = 0; i < engines.length; i++) {
             startEngine(i);
         }
@@ -74,20 +75,25 @@
         for (int i = 0; i < engines.length; i++) {
             retireCounters(i);
         }
-        result.prefixHits(retiredCachedTokens, retiredPromptTokens);
+        result.recordPrefixHits(retiredCachedTokens, retiredPromptTokens);
         checkNothingReserved();
         return result;
     }
 
-    /** A reservation or sequence left over would be memory lost for good. */
+    /**
+     * Guards against leaks: memory of a reservation or sequence that is left after all requests ended would never be
+     * freed.
+     */
     private void checkNothingReserved() {
         for (EngineModel each : engines) {
             if (each.openSequences() != 0 || each.usedKvTokens() != 0) {
-                throw new IllegalStateException("an engine holds memory after all requests ended");
+                throw new IllegalStateException("an engine holds " + each.openSequences() + " sequences and "
+                        + each.usedKvTokens() + " KV tokens after all requests ended");
             }
         }
-        if (scheduler.reservedTokens() != 0) {
-            throw new IllegalStateException("reserved after all requests ended: " + scheduler.reservedTokens());
+        if (scheduler.reservedAmount() != 0) {
+            throw new IllegalStateException(
+                    "the scheduler holds reservations after all requests ended: " + scheduler.reservedAmount());
         }
     }
 
@@ -137,7 +143,7 @@
         job.placements++;
         job.segments.forEach(each -> jobsBySequence.put(each.sequence(), job));
         for (Job.PlacedSegment each : job.segments) {
-            if (!alive[each.engine()]) {
+            if (!running[each.engine()]) {
                 releaseSegments(job, -1);
                 job.failedServers.add(BackendServerId.of("engine-" + each.engine()));
                 scheduler.submit(job, now);
@@ -162,7 +168,8 @@
                 scenario.settings().priority(placed.lengthClass()),
                 blocks);
         if (!engines[placed.engine()].submit(request, now)) {
-            throw new IllegalStateException("an engine refused what was reserved on it");
+            throw new IllegalStateException(
+                    "engine " + placed.engine() + " refused a sequence although memory was reserved for it");
         }
     }
 
@@ -207,12 +214,12 @@
         result.recordEnd(job);
     }
 
-    /** Frees all that a job holds; {@code lost} is the engine that died with it, or -1. */
+    /** Frees everything that a job holds; {@code lost} is the engine that failed with it, or -1. */
     private void releaseSegments(Job job, int lost) {
         for (Job.PlacedSegment each : job.segments) {
             jobsBySequence.remove(each.sequence());
             engines[each.engine()].release(each.sequence());
-            scheduler.released(each, each.engine() == lost || !alive[each.engine()], now);
+            scheduler.released(each, each.engine() == lost || !running[each.engine()], now);
         }
         job.segments = List.of();
     }
@@ -248,7 +255,7 @@
         }
         retireCounters(engine);
         engines[engine] = newModel(engine);
-        alive[engine] = false;
+        running[engine] = false;
     }
 
     private void resubmit(Job job) {
@@ -264,7 +271,7 @@
 
     private void startEngine(int engine) {
         engines[engine] = newModel(engine);
-        alive[engine] = true;
+        running[engine] = true;
         scheduler.engineStarted(engine, now);
     }
 
--- a/elmline-bench/src/main/java/org/elmline/bench/route/RouteMeasurement.java
+++ b/elmline-bench/src/main/java/org/elmline/bench/route/RouteMeasurement.java
@@ -14,7 +14,7 @@
 import org.elmline.core.route.Ownership;
 import org.elmline.wire.codec.Codecs;
 
-/** Prints the figures of docs/measurements/route.md; that page names the command. */
+/** Prints the figures of docs/measurements/route.md; that page gives the command. */
 public final class RouteMeasurement {
     private static final int ROUNDS = 7;
     private static final int HOSTS = 370;
@@ -30,7 +30,7 @@
             PlaceCost cost = new PlaceCost(engines);
             List<Samples> samples = cost.measure();
             System.out.println("place, " + engines + " engines: ns " + samples.get(0) + ", bytes " + samples.get(1)
-                    + ", not placed at once " + cost.refused());
+                    + ", not placed at once " + cost.notPlaced());
         }
         printSummaries();
         System.out.println("heap bytes an owned engine: " + HeapCost.bytesEach(5_000, HeapCost::engines));
@@ -110,7 +110,7 @@
                 + Math.round(new Samples(first).median() * SERVERS / NANOS_PER_MILLI) + " ms");
         System.out.println("  for a server, with loads: ns " + new Samples(bounded) + "; all servers "
                 + Math.round(new Samples(bounded).median() * SERVERS / NANOS_PER_MILLI) + " ms");
-        int most = loads.values().stream().mapToInt(List::size).max().orElse(0);
-        System.out.println("  most servers of one owner: " + most + ", mean " + SERVERS / HOSTS);
+        int maxServers = loads.values().stream().mapToInt(List::size).max().orElse(0);
+        System.out.println("  most servers of one owner: " + maxServers + ", mean " + SERVERS / HOSTS);
     }
 }
--- a/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
+++ b/elmline-bench/src/test/java/org/elmline/bench/policy/PolicyBenchTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Regression bounds on small deterministic runs: same figures on any machine, so the bounds are tight. */
+/** Regression bounds on small deterministic runs. The figures are the same on any machine, so the bounds are tight. */
 class PolicyBenchTest {
     private static final double SECONDS = 150;
     private static final EngineProfile PROFILE = EngineProfile.builder().build();
@@ -40,42 +40,45 @@
     }
 
     @Test
-    void sameOptionsSameFigures() {
-        RunResult one = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
-        RunResult two = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
+    void sameOptionsGiveSameFigures() {
+        RunResult first = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
+        RunResult second = run(PromptMix.ZRNO, 0.8, Fault.HALF_FAIL, Variant.defaultVariant());
         for (LengthClass each : LengthClass.values()) {
-            assertEquals(one.firstTokenSeconds(each, 99), two.firstTokenSeconds(each, 99));
+            assertEquals(first.firstTokenSeconds(each, 99), second.firstTokenSeconds(each, 99));
         }
-        assertEquals(one.jainIndex(), two.jainIndex());
-        assertEquals(one.prefixHits(), two.prefixHits());
+        assertEquals(first.jainIndex(), second.jainIndex());
+        assertEquals(first.prefixHits(), second.prefixHits());
     }
 
-    /** The aim: short questions keep their time to first token while long reads share the fleet. */
+    /** Target: short prompts keep their time to first token while long prompts share the fleet. */
     @Test
     void shortRequestsAreSlowedDownByLessThanAFifth() {
         for (PromptMix mix : PromptMix.values()) {
             Scenario shared = scenario(mix, 0.8, Fault.NONE, Variant.defaultVariant());
-            double alone = shortP95(Variant.defaultVariant().run(shared.shortOnly()));
+            double isolatedP95 = shortP95(Variant.defaultVariant().run(shared.shortOnly()));
             RunResult result = Variant.defaultVariant().run(shared);
-            double slowdown = shortP95(result) / alone;
+            double slowdown = shortP95(result) / isolatedP95;
             assertTrue(slowdown <= 1.2, mix + ": " + slowdown);
             assertTrue(result.inLimitFraction() >= 0.999, mix + ": " + result.inLimitFraction());
             for (String blind : List.of("round-robin", "random", "least-requests", "power-of-two")) {
-                double other = shortP95(run(mix, 0.8, Fault.NONE, Variant.blind(blind)));
+                double other = shortP95(run(mix, 0.8, Fault.NONE, Variant.lengthBlind(blind)));
                 assertTrue(other > 3 * shortP95(result), mix + ", " + blind + ": " + other);
             }
         }
     }
 
     @Test
-    void shortWorkIsServedThroughOverloadAndFaults() {
+    void shortRequestsAreServedUnderOverloadAndFaults() {
         for (Fault each : Fault.values()) {
             RunResult result = run(PromptMix.SNOWPAW, 1.2, each, Variant.defaultVariant());
             assertTrue(result.inLimitFraction(LengthClass.SHORT) >= 0.99, each + ": " + result.inLimitFraction());
         }
     }
 
-    /** Every request ends by its limit and every reservation is given back: FleetRun checks it at the end of each run. */
+    /**
+     * Every request must end by its time limit and every reservation must be released: {@link Simulation} checks both
+     * at the end of each run.
+     */
     @Test
     void everyPolicyEndsEveryRequest() {
         for (String name : PlacementPolicies.names()) {
@@ -87,9 +90,12 @@
         }
     }
 
-    /** The daemons' owner in place of a policy alone: its admission and ledger must keep the same promises. */
+    /**
+     * The daemons' owner, with its admission and ledger, in place of a policy alone: the slowdown of short prompts must
+     * stay within the same bound.
+     */
     @Test
-    void theOwnerKeepsShortWorkFast() {
+    void ownerKeepsShortRequestsFast() {
         for (PromptMix mix : PromptMix.values()) {
             Variant owner = Variant.owner(PlacementPolicies.DEFAULT);
             Scenario shared = scenario(mix, 0.8, Fault.NONE, owner);
--- a/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
+++ b/elmline-standin/src/test/java/org/elmline/standin/service/ServiceServerTest.java
@@ -42,9 +42,9 @@
         }
     }
 
-    /** The family's hold runs, and its answer is lost: the caller can't tell, and the count says that it ran. */
+    /** The call runs and its answer is lost: the caller can't detect whether it ran, but the run must be counted. */
     @Test
-    void aDroppedAnswerHasRun() throws IOException {
+    void callWithDroppedAnswerIsCountedAsRun() throws IOException {
         try (ServiceServer service = ServiceServer.builder().id("booking-1").start()) {
             service.faults().mode(ServiceFaults.Mode.DROP_ANSWER);
             assertThrows(IOException.class, () -> hold(service, "k2"));
@@ -53,7 +53,7 @@
     }
 
     @Test
-    void aRefusalBeforeRunningSaysSo() throws IOException {
+    void refusalBeforeRunningReportsThatNothingRan() throws IOException {
         try (ServiceServer service = ServiceServer.builder().id("booking-1").start()) {
             service.faults().mode(ServiceFaults.Mode.FAIL_BEFORE_RUNNING);
             Response response = hold(service, "k3");
@@ -63,15 +63,18 @@
         }
     }
 
-    /** One entry is down and one serves: the service finds the one, goes where it says, and says when it leaves. */
+    /**
+     * One seed address is unreachable and one answers: the service must announce itself to the latter, also that it
+     * leaves.
+     */
     @Test
-    void announcesToWhoeverAnswersAndSaysWhenItLeaves() throws Exception {
-        BlockingQueue<Announcement> heard = new LinkedBlockingQueue<>();
+    void announcesToReachableAddressAndAnnouncesLeaving() throws Exception {
+        BlockingQueue<Announcement> receivedAnnouncements = new LinkedBlockingQueue<>();
         try (StandinHttpServer entry = new StandinHttpServer(
                         0, exchange -> exchange.getRequestReceiver().receiveFullBytes((e, bytes) -> {
                             assertEquals("Bearer secret", e.getRequestHeaders().getFirst("Authorization"));
                             try {
-                                heard.add(EngineJson.read(bytes, Announcement.class));
+                                receivedAnnouncements.add(EngineJson.read(bytes, Announcement.class));
                             } catch (IOException bad) {
                                 throw new AssertionError(bad);
                             }
@@ -83,12 +86,12 @@
                         .announceTo(entry.address())
                         .backendKey("secret")
                         .start()) {
-            Announcement first = heard.poll(30, TimeUnit.SECONDS);
+            Announcement first = receivedAnnouncements.poll(30, TimeUnit.SECONDS);
             assertNotNull(first);
             assertEquals(service.address(), first.address());
             assertTrue(service.leave(Duration.ofSeconds(1)));
             boolean left = false;
-            for (Announcement each : heard) {
+            for (Announcement each : receivedAnnouncements) {
                 left |= each.leaving();
             }
             assertTrue(left);
