--- a/elmline-wire/src/main/java/org/elmline/wire/codec/Codec.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/Codec.java
@@ -1,9 +1,10 @@
 package org.elmline.wire.codec;
 
-/** One way to write typed values as bytes and read them back. */
+/** Encodes typed values as bytes and decodes them. Safe for use by many threads. */
 public interface Codec {
+    /** Encodes a value; throws {@link IllegalStateException} for a type that the format can't represent. */
     byte[] encode(Object value);
 
-    /** Reads a value of the given type. */
+    /** Decodes a value of the given type; bytes that hold no such value give {@link Decoded.Malformed}. */
     <T> Decoded<T> decode(byte[] bytes, Class<T> type);
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/Codecs.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/Codecs.java
@@ -11,28 +11,31 @@
 import com.fasterxml.jackson.databind.module.SimpleModule;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** The codecs elmline uses. Each is safe for use by many threads. */
+/** The codecs of elmline. Each is safe for use by many threads. */
 public final class Codecs {
-    /** Longest single string read, in characters: a prompt of a million tokens with room to spare. */
+    /** Longest single string accepted, in characters; a prompt of a million tokens fits with room to spare. */
     public static final int MAX_STRING_CHARS = 64 * 1024 * 1024;
 
     /**
-     * Between elmline processes. Unknown fields are passed over, so that two releases can run side by side during a
-     * rolling upgrade.
+     * For messages between elmline processes. Unknown fields are ignored, so that two releases can run side by side
+     * during a rolling upgrade.
      */
     public static final Codec MESSAGE_PACK = new ShapeCodec(
             withReadLimits(messagePackFactory()), false, () -> lenient(new ObjectMapper(messagePackFactory())));
 
-    /** For what people write (settings, tickets): an unknown field is an error, since it is most likely a typing slip. */
+    /**
+     * For documents that people write (settings, tickets). An unknown field is an error, since it is most likely a
+     * typing mistake.
+     */
     public static final Codec STRICT_JSON =
             new ShapeCodec(withReadLimits(new JsonFactory()), true, Codecs::strictMapper);
 
-    /** For JSON that other programs send: unknown fields are passed over. */
+    /** For JSON that other programs send: unknown fields are ignored. */
     public static final Codec JSON = new ShapeCodec(withReadLimits(new JsonFactory()), false, Codecs::jsonMapper);
 
     private Codecs() {}
 
-    /** A mapper for trees and OpenAI bodies, set up like {@link #JSON}. */
+    /** Creates a mapper for trees and bodies of the OpenAI API, configured like {@link #JSON}. */
     public static ObjectMapper jsonMapper() {
         return lenient(JsonMapper.builder().build());
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/JacksonCodec.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/JacksonCodec.java
@@ -5,7 +5,10 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 import com.fasterxml.jackson.databind.ObjectMapper;
 
-/** Jackson's data binding, which covers every type and words what is wrong with malformed bytes. */
+/**
+ * Encodes and decodes with Jackson's data binding, which supports every type and describes the error in malformed
+ * bytes.
+ */
 final class JacksonCodec implements Codec {
     private final ObjectMapper mapper;
 
@@ -18,7 +21,7 @@
         try {
             return mapper.writeValueAsBytes(value);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("a message type that can't be written: " + value.getClass(), e);
+            throw new IllegalStateException("cannot encode message type " + value.getClass(), e);
         }
     }
 
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/JacksonErrors.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/JacksonErrors.java
@@ -4,7 +4,7 @@
 import com.fasterxml.jackson.databind.JsonMappingException;
 import com.fasterxml.jackson.databind.exc.UnrecognizedPropertyException;
 
-/** Words Jackson's exceptions for whoever sent the bytes: the place and the fault, without class names. */
+/** Formats Jackson's exceptions for the sender of the bytes: the path and the error, without class names. */
 final class JacksonErrors {
     private static final int MAX_LENGTH = 300;
 
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/JsonTreeReader.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/JsonTreeReader.java
@@ -13,11 +13,14 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Reads documents whose fields vary as trees. Jackson's mapper would do, but making one loads the formats of all languages
- * for dates that these documents don't have, which a process that has just started waits for.
+ * Reads JSON documents with varying fields as trees. Jackson's {@code ObjectMapper} can do the same, but creating one
+ * loads the date formats of all languages, which these documents don't need and which delays the start of a process.
+ * Safe for use by many threads.
  */
 public final class JsonTreeReader {
-    /** Deeper documents are none of ours; without a bound one could use up a thread's stack. */
+    /**
+     * Valid documents are less deep. The bound keeps a document from overflowing the stack of the thread that reads it.
+     */
     private static final int MAX_DEPTH = 64;
 
     private static final JsonNodeFactory NODES = JsonNodeFactory.instance;
@@ -31,17 +34,17 @@
                 .build());
     }
 
-    /** A reader that takes the last of two fields of one name. */
+    /** Creates a reader that keeps the last of several fields with the same name. */
     public static JsonTreeReader lenient() {
         return new JsonTreeReader(new JsonFactory());
     }
 
-    /** A reader to which two fields of one name are an error. */
+    /** Creates a reader that rejects a document with two fields of the same name in one object. */
     public static JsonTreeReader strict() {
         return new JsonTreeReader(new JsonFactory().enable(JsonParser.Feature.STRICT_DUPLICATE_DETECTION));
     }
 
-    /** Reads a document; throws when it is no JSON, or something follows it. */
+    /** Reads one document. Throws {@link IOException} when the bytes are not JSON or go on after the document. */
     public JsonNode read(byte[] document) throws IOException {
         try (JsonParser from = factory.createParser(document)) {
             from.nextToken();
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/OptionalBooleanDeserializer.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/OptionalBooleanDeserializer.java
@@ -8,8 +8,8 @@
 import com.fasterxml.jackson.databind.deser.std.StdDeserializer;
 
 /**
- * Reads a {@code boolean} that may be left out, which means false: a ticket need not say of each object that it is not
- * removed. A number that is left out stays an error, since a limit of 0 means something.
+ * Reads a {@code boolean} that may be absent, which means false: a ticket need not state for each object that it is not
+ * removed. An absent number stays an error, since a limit of 0 has a meaning of its own.
  */
 final class OptionalBooleanDeserializer extends StdDeserializer<Boolean> {
     private static final long serialVersionUID = 1L;
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/SealedTypeIntrospector.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/SealedTypeIntrospector.java
@@ -8,7 +8,10 @@
 import com.fasterxml.jackson.databind.introspect.JacksonAnnotationIntrospector;
 import com.fasterxml.jackson.databind.jsontype.NamedType;
 
-/** Lets Jackson find the cases of a sealed interface by their {@link JsonTypeName}, so that none is listed twice. */
+/**
+ * Finds the permitted subclasses of a sealed interface and their {@link JsonTypeName} for Jackson, so that no
+ * annotation has to list them a second time.
+ */
 final class SealedTypeIntrospector extends JacksonAnnotationIntrospector {
     private static final long serialVersionUID = 1L;
 
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/ShapeCodec.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/ShapeCodec.java
@@ -16,8 +16,9 @@
 import org.elmline.wire.shape.UnsupportedTypeException;
 
 /**
- * Reads and writes records by their shapes. Data binding is asked for the types that shapes don't cover, and to word what
- * is wrong with bytes that don't fit; a process that meets neither never loads it, and so is up sooner.
+ * Encodes and decodes records by their shapes. Jackson's data binding is the fallback for types that shapes don't
+ * support, and describes the error in bytes that don't match. It is created on first use: a process that needs neither
+ * never loads its classes and starts sooner.
  */
 final class ShapeCodec implements Codec {
     private final JsonFactory factory;
@@ -28,8 +29,8 @@
     private volatile Codec jacksonCodec;
 
     /**
-     * @param strict whether unknown fields, numbers that are left out and bytes after the value are errors
-     * @param mapper makes data binding's mapper for the same format
+     * @param strict whether unknown fields, absent numbers and bytes after the value are errors
+     * @param mapper creates the mapper of data binding for the same format
      */
     ShapeCodec(JsonFactory factory, boolean strict, Supplier<ObjectMapper> mapper) {
         this.factory = factory;
@@ -51,7 +52,7 @@
             shapesByType.put(value.getClass(), Optional.empty());
             return jacksonCodec().encode(value);
         } catch (IOException e) {
-            throw new IllegalStateException("a message type that can't be written: " + value.getClass(), e);
+            throw new IllegalStateException("cannot encode message type " + value.getClass(), e);
         }
         return bytes.toByteArray();
     }
@@ -69,7 +70,7 @@
                 return new Decoded.Value<>(value);
             }
         } catch (IOException | RuntimeException e) {
-            // Data binding finds the fault again, and tells its place.
+            // Data binding decodes the bytes again and reports the position of the error.
         }
         return jacksonCodec().decode(bytes, type);
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/package-info.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/package-info.java
@@ -1,2 +1,2 @@
-/** Turns typed messages into bytes: MessagePack between elmline processes, JSON towards everyone else. */
+/** Encodes typed messages as bytes: MessagePack between elmline processes, JSON for all other programs. */
 package org.elmline.wire.codec;
--- a/elmline-wire/src/main/java/org/elmline/wire/engine/EngineJson.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/engine/EngineJson.java
@@ -10,7 +10,10 @@
 import com.fasterxml.jackson.databind.json.JsonMapper;
 import org.elmline.core.engine.StreamEvent;
 
-/** Reads and writes the JSON of the engine's interface. Unknown fields are ignored, so a newer end may add some. */
+/**
+ * Reads and writes the JSON of the engine's interface. Unknown fields are ignored, so that a newer release at the other
+ * end may add some.
+ */
 public final class EngineJson {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
             .disable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES)
@@ -27,7 +30,7 @@
         }
     }
 
-    /** One event as JSON; goes through the interface so that the event's type name is written. */
+    /** Encodes one event; writes it as {@link StreamEvent}, so that the event's type name is included. */
     public static byte[] writeEvent(StreamEvent event) {
         try {
             return MAPPER.writerFor(StreamEvent.class).writeValueAsBytes(event);
--- a/elmline-wire/src/main/java/org/elmline/wire/engine/ExportedKv.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/engine/ExportedKv.java
@@ -3,8 +3,8 @@
 import org.elmline.core.engine.KvExport;
 
 /**
- * What a stand-in hands to another that imports.
+ * Export that one stand-in engine sends to another one that imports it.
  *
- * @param textState state of the answer text's hash after the exported segment, standing for the KV itself
+ * @param textState state of the answer text's hash after the exported segment, in place of the KV cache contents
  */
 public record ExportedKv(KvExport export, long textState) {}
--- a/elmline-wire/src/main/java/org/elmline/wire/engine/ImportRequest.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/engine/ImportRequest.java
@@ -3,5 +3,5 @@
 import org.elmline.core.common.Address;
 import org.elmline.core.engine.KvExport;
 
-/** Asks an engine to copy an export from the engine that holds it. */
+/** Requests that an engine copy an export from the engine that holds it. */
 public record ImportRequest(KvExport export, Address from) {}
--- a/elmline-wire/src/main/java/org/elmline/wire/engine/Problem.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/engine/Problem.java
@@ -1,4 +1,4 @@
 package org.elmline.wire.engine;
 
-/** Body of an answer that is not the result asked for. */
+/** Body of an error answer. */
 public record Problem(String why) {}
--- a/elmline-wire/src/main/java/org/elmline/wire/engine/package-info.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/engine/package-info.java
@@ -1,2 +1,2 @@
-/** The words and JSON shapes of the stand-in engines' HTTP interface, shared by both of its ends. */
+/** Paths and JSON bodies of the stand-in engines' HTTP interface, shared by its client and server. */
 package org.elmline.wire.engine;
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/EnumShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/EnumShape.java
@@ -8,7 +8,7 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 
-/** Constants of an enum by their names on the wire. */
+/** Writes constants of an enum by their names on the wire. */
 final class EnumShape implements Shape {
     private final Map<String, Object> byName = new HashMap<>();
     private final String[] names;
@@ -29,7 +29,7 @@
             JsonProperty named = type.getField(constant.name()).getAnnotation(JsonProperty.class);
             return named == null ? constant.name() : named.value();
         } catch (NoSuchFieldException e) {
-            throw new IllegalStateException("an enum without its own constant", e);
+            throw new IllegalStateException("enum type has no field for one of its constants", e);
         }
     }
 
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/ListShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/ListShape.java
@@ -33,7 +33,7 @@
     @Override
     public Object read(JsonParser from) throws IOException {
         if (from.currentToken() != JsonToken.START_ARRAY) {
-            throw new MismatchException(from.currentToken() + " where a list is due");
+            throw new MismatchException(from.currentToken() + " found where a list was expected");
         }
         List<Object> list = new ArrayList<>();
         while (from.nextToken() != JsonToken.END_ARRAY) {
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/MismatchException.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/MismatchException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The tokens read are no value of the type asked for. */
+/** Thrown when tokens don't form a value of the expected type. */
 public final class MismatchException extends IOException {
     private static final long serialVersionUID = 1L;
 
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/PrimitiveShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/PrimitiveShape.java
@@ -5,12 +5,12 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 
-/** A number or truth value that can't be null. */
+/** A number or boolean that can't be null. */
 final class PrimitiveShape implements Shape {
     private final ScalarShape scalar;
     private final Object absentValue;
 
-    /** @param absent what it is when left out; null where it must not be */
+    /** @param absent the value of an absent field; null where an absent field is an error */
     PrimitiveShape(ScalarShape scalar, Object absent) {
         this.scalar = scalar;
         this.absentValue = absent;
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/RecordShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/RecordShape.java
@@ -11,7 +11,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 
-/** Records as objects with a field for each component that is not null. */
+/** Writes a record as an object with one field for each component that is not null. */
 final class RecordShape implements Shape {
     private final Constructor<?> constructor;
     private final Method[] accessors;
@@ -38,7 +38,7 @@
         write(to, value, null, null);
     }
 
-    /** Writes the record with one more field before its own, unless that has no name. */
+    /** Writes the record, preceded by a text field unless {@code firstName} is null. */
     void write(JsonGenerator to, Object value, String firstName, String firstText) throws IOException {
         Object[] components = components(value);
         int count = firstName == null ? 0 : 1;
@@ -65,7 +65,7 @@
                 components[i] = accessors[i].invoke(value);
             }
         } catch (IllegalAccessException | InvocationTargetException e) {
-            throw new IllegalStateException("a record that can't be read: " + value.getClass(), e);
+            throw new IllegalStateException("cannot read the components of record " + value.getClass(), e);
         }
         return components;
     }
@@ -73,12 +73,12 @@
     @Override
     public Object read(JsonParser from) throws IOException {
         if (from.currentToken() != JsonToken.START_OBJECT) {
-            throw new MismatchException(from.currentToken() + " where a record is due");
+            throw new MismatchException(from.currentToken() + " found where a record was expected");
         }
         return readFields(from);
     }
 
-    /** Reads the fields that are left of an object; the parser stands before the first of them. */
+    /** Reads the remaining fields of an object. The parser is positioned before the first of them. */
     Object readFields(JsonParser from) throws IOException {
         Object[] components = new Object[names.length];
         while (from.nextToken() != JsonToken.END_OBJECT) {
@@ -105,7 +105,7 @@
         } catch (InvocationTargetException e) {
             throw new MismatchException(String.valueOf(e.getCause()));
         } catch (ReflectiveOperationException e) {
-            throw new IllegalStateException("a record that can't be made: " + constructor, e);
+            throw new IllegalStateException("cannot invoke the constructor of a record: " + constructor, e);
         }
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/ScalarShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/ScalarShape.java
@@ -7,7 +7,7 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 
-/** Single values. */
+/** Shapes of single values: texts, numbers, booleans, bytes and paths. */
 enum ScalarShape implements Shape {
     TEXT {
         @Override
@@ -106,7 +106,7 @@
 
     private static void expect(JsonParser from, JsonToken token) throws MismatchException {
         if (from.currentToken() != token) {
-            throw new MismatchException(from.currentToken() + " where " + token + " is due");
+            throw new MismatchException(from.currentToken() + " found where " + token + " was expected");
         }
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/SealedTypeShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/SealedTypeShape.java
@@ -9,7 +9,10 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 
-/** The records of a sealed type, told apart by the name in their first field. Only cases that occur are looked into. */
+/**
+ * Writes the records of a sealed type with their type name in the first field. The shape of each record type is created
+ * when it first occurs.
+ */
 final class SealedTypeShape implements Shape {
     private final String field;
     private final Shapes shapes;
@@ -17,7 +20,7 @@
     private final Map<String, Class<?>> types = new HashMap<>();
     private final Map<Class<?>, RecordShape> shapesByType = new ConcurrentHashMap<>();
 
-    /** @param field the first field, which holds the name */
+    /** @param field name of the first field, which holds the type name */
     SealedTypeShape(String field, Shapes shapes) {
         this.field = field;
         this.shapes = shapes;
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/Shape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/Shape.java
@@ -11,13 +11,13 @@
     void write(JsonGenerator to, Object value) throws IOException;
 
     /**
-     * Reads a value that is not null. The parser stands on its first token, and on its last one afterwards.
+     * Reads a value that is not null. The parser is positioned on the value's first token, and afterwards on its last.
      *
-     * @throws MismatchException when the tokens are no such value
+     * @throws MismatchException when the tokens don't form a value of the type
      */
     Object read(JsonParser from) throws IOException;
 
-    /** What stands for a component that is left out or null. */
+    /** The value of a component that is absent or null. */
     default Object absentValue() throws MismatchException {
         return null;
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/Shapes.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/Shapes.java
@@ -16,7 +16,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** The shapes of all types asked for, each made once. Names and cases follow the same annotations as data binding. */
+/**
+ * Creates shapes and caches them by type. Names and subtypes follow the same annotations as in data binding. Safe for
+ * use by many threads.
+ */
 public final class Shapes {
     private static final Map<Class<?>, ScalarShape> SCALARS = Map.ofEntries(
             Map.entry(String.class, ScalarShape.TEXT),
@@ -30,7 +33,7 @@
     private final Map<Type, Shape> shapesByType = new ConcurrentHashMap<>();
     private final boolean strict;
 
-    /** @param strict whether unknown fields and numbers that are left out are errors */
+    /** @param strict whether unknown fields and absent numbers are errors */
     public Shapes(boolean strict) {
         this.strict = strict;
     }
@@ -38,7 +41,7 @@
     /**
      * The shape of a type.
      *
-     * @throws UnsupportedTypeException when the type, or one that it is made of, is not covered
+     * @throws UnsupportedTypeException when the type, or one that it is made of, is not supported
      */
     public Shape of(Type type) {
         Shape known = shapesByType.get(type);
@@ -120,7 +123,7 @@
         return method;
     }
 
-    /** The sealed type whose cases are named on the wire and of which the record is one; null without one. */
+    /** The sealed interface with named subtypes that the record implements; null when there is none. */
     private static Class<?> sealedTypeOf(Class<?> type) {
         for (Class<?> each : type.getInterfaces()) {
             Class<?> found = each.isAnnotationPresent(JsonTypeInfo.class) ? each : sealedTypeOf(each);
@@ -174,7 +177,7 @@
             canonical.setAccessible(true);
             return canonical;
         } catch (NoSuchMethodException e) {
-            throw new IllegalStateException("a record without its constructor: " + type, e);
+            throw new IllegalStateException("record has no canonical constructor: " + type, e);
         }
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/UnsupportedTypeException.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/UnsupportedTypeException.java
@@ -2,7 +2,7 @@
 
 import java.lang.reflect.Type;
 
-/** A type that shapes don't cover; data binding does. */
+/** Thrown for a type that shapes don't support; data binding does. */
 public final class UnsupportedTypeException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/ValueShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/ValueShape.java
@@ -14,8 +14,8 @@
     private final Shape inner;
 
     /**
-     * @param value gives what is written
-     * @param factory static, makes the value of it
+     * @param value accessor of the text or number that is written
+     * @param factory static method that creates an instance from it
      */
     ValueShape(Method value, Method factory, Shape inner) {
         this.value = value;
@@ -28,7 +28,7 @@
         try {
             inner.write(to, value.invoke(of));
         } catch (IllegalAccessException | InvocationTargetException e) {
-            throw new IllegalStateException("a value that can't tell itself: " + value, e);
+            throw new IllegalStateException("cannot invoke the accessor of a value: " + value, e);
         }
     }
 
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/package-info.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Reads and writes records by their components over Jackson's token streams. Does what Jackson's data binding does for the
- * messages between processes with a fraction of its classes, which a process that has just started would have to load.
+ * Encodes and decodes records by their components over Jackson's token streams. For the messages between processes it
+ * does what Jackson's data binding does with a fraction of the classes, all of which a process would have to load at
+ * its start.
  */
 package org.elmline.wire.shape;
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/Connection.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/Connection.java
@@ -13,7 +13,7 @@
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
-/** One authenticated connection. Calls flow from the side that opened it; answers flow back in any order. */
+/** One authenticated connection. The side that opened it sends calls; the answers return in any order. */
 final class Connection {
     private final FrameChannel frames;
     private final Handshake handshake;
@@ -45,12 +45,13 @@
     }
 
     void start() {
-        // The hello is queued before anything is read: a proof must never overtake it.
+        // The hello is queued before the first read, since the peer's hello triggers the proof, which must not precede
+        // it.
         frames.send(handshake.hello());
         frames.start();
     }
 
-    /** Completes with true once both sides are proven, with false when the connection ends before. */
+    /** Completes with true once both sides are authenticated, with false when the connection ends before that. */
     CompletableFuture<Boolean> ready() {
         return ready;
     }
@@ -83,10 +84,10 @@
         return new PendingCall(result, () -> callsInFlight.remove(number));
     }
 
-    /** A call on its way; {@code forget} drops its place so that a late answer is ignored. */
+    /** A call in flight; {@code discard} removes it from the connection, so that a late answer is ignored. */
     record PendingCall(CompletableFuture<CallResult<byte[]>> result, Runnable discard) {}
 
-    /** When the last frame came, by {@link System#nanoTime()}. */
+    /** Time at which the last frame was received, by {@link System#nanoTime()}. */
     long receivedAtNanos() {
         return receivedAtNanos;
     }
@@ -158,7 +159,8 @@
         boolean sent =
                 frames.send(Codecs.MESSAGE_PACK.encode(new Envelope(call.call(), kind, why, hybridClock.now(), body)));
         if (!sent) {
-            // A peer that doesn't read its answers would otherwise wait for one that never comes.
+            // The close ends the peer's call. Without it, a peer that doesn't read its answers would wait for one that
+            // is never sent.
             close("answer could not be queued");
         }
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/FrameChannel.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/FrameChannel.java
@@ -12,12 +12,12 @@
  * Frames over one TCP connection: four bytes of length, big-endian, then that many bytes. Never blocks the caller.
  *
  * <p>Both directions are bounded: a frame longer than the limit closes the connection before it is read into memory,
- * and a peer that does not read lets the queue fill up, after which {@link #send} refuses.
+ * and when a peer does not read, the write queue fills up and {@link #send} returns false.
  */
 final class FrameChannel {
     private static final int HEADER_BYTES = Integer.BYTES;
 
-    /** Room for a few messages of the usual size; one that is larger gets its own for as long as it comes. */
+    /** Holds a few messages of the usual size. A larger frame gets a buffer of its own until it has been read. */
     private static final int READ_BUFFER_BYTES = 4_096;
 
     private final AsynchronousSocketChannel socket;
@@ -42,7 +42,7 @@
         read();
     }
 
-    /** Queues a frame; false when it is too long, the queue is full or the connection has ended. */
+    /** Queues a frame; returns false when it is too long, the queue is full or the connection has ended. */
     boolean send(byte[] frame) {
         if (frame.length > limits.maxFrameBytes()) {
             return false;
@@ -75,7 +75,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // The socket is given up either way.
+            // The socket is not used again either way.
         }
         onClose.accept(why);
     }
@@ -106,7 +106,10 @@
         }
     }
 
-    /** Reads what there is, and hands on each frame that is whole; most are, so that a frame costs one read. */
+    /**
+     * Reads the available bytes and delivers every complete frame. Most frames arrive complete, so that a frame costs
+     * one read.
+     */
     private void read() {
         socket.read(readBuffer, readBuffer, new Completion() {
             @Override
@@ -145,7 +148,10 @@
         return length > 0 && length <= limits.maxFrameBytes();
     }
 
-    /** Makes room for the rest of the frame that has begun. False when it is none, and the connection closed. */
+    /**
+     * Makes room for the rest of a partly received frame. Returns false when its length is invalid; the connection is
+     * closed then.
+     */
     private boolean prepareReadBuffer() {
         int length = readBuffer.remaining() >= HEADER_BYTES ? readBuffer.getInt(readBuffer.position()) : 1;
         if (!isValidLength(length)) {
@@ -162,7 +168,7 @@
         return true;
     }
 
-    /** Ends the connection on any failure, so that the two directions share one way out. */
+    /** Closes the connection when a read or a write fails. */
     private abstract class Completion implements CompletionHandler<Integer, ByteBuffer> {
         abstract void onCompleted(int count, ByteBuffer buffer);
 
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/Handshake.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/Handshake.java
@@ -6,10 +6,10 @@
 import org.elmline.wire.codec.Decoded;
 
 /**
- * Both sides prove the peer key to each other before any message is read: hello, hello, proof, proof.
+ * Mutual authentication by the peer key before any message is read: hello, hello, proof, proof.
  *
- * <p>Each signs both nonces under its own role, so that a proof can't be reflected back to the side that made it nor
- * replayed on another connection.
+ * <p>Each side signs both nonces under the name of its own side, so that a proof can neither be reflected to the side
+ * that made it nor replayed on another connection.
  */
 final class Handshake {
     private static final SecureRandom RANDOM = new SecureRandom();
@@ -20,7 +20,7 @@
     private Hello peerHello;
     private boolean completed;
 
-    /** Which side opened the connection. */
+    /** Side of a connection; the client is the one that opened it. */
     enum Side {
         CLIENT,
         SERVER;
@@ -46,7 +46,7 @@
         return completed;
     }
 
-    /** Takes the other side's next frame and answers what to do. */
+    /** Processes the peer's next frame and returns what the connection has to do. */
     Step receive(byte[] frame) {
         return peerHello == null ? receiveHello(frame) : receiveProof(frame);
     }
@@ -88,7 +88,7 @@
         /** Send this frame. */
         record Send(byte[] frame) implements Step {}
 
-        /** Both sides are proven; messages may flow. */
+        /** Both sides are authenticated; messages may be sent. */
         record Done() implements Step {}
 
         /** Close the connection. */
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerHandlers.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerHandlers.java
@@ -41,7 +41,7 @@
         }
     }
 
-    /** What goes back for one call. */
+    /** Result of handling one call. */
     sealed interface Answer {
         /** The handler's answer, encoded. */
         record Body(byte[] bytes) implements Answer {}
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerKey.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerKey.java
@@ -6,9 +6,9 @@
 import java.util.Arrays;
 
 /**
- * The secret that all processes of one deployment share; proves knowledge of it without sending it, by HMAC with SHA-256
- * (RFC 2104). The platform's own MAC would do, but its framework checks its providers at first use, which takes a process
- * that has just started as long as all that it needs for its first answer.
+ * The secret that all processes of one deployment share; proves knowledge of it without sending it, by HMAC with
+ * SHA-256 (RFC 2104). {@code javax.crypto.Mac} computes the same, but its framework verifies its providers at first
+ * use, which takes as long as everything else that a starting process needs for its first answer.
  */
 public final class PeerKey {
     private static final String DIGEST = "SHA-256";
@@ -53,7 +53,8 @@
         try {
             return MessageDigest.getInstance(DIGEST);
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("every Java platform has " + DIGEST, e);
+            throw new IllegalStateException(
+                    DIGEST + " is not available, although every Java platform has to provide it", e);
         }
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/SocketOptions.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/SocketOptions.java
@@ -4,7 +4,7 @@
 import java.net.StandardSocketOptions;
 import java.nio.channels.AsynchronousSocketChannel;
 
-/** Options of every peer connection: small frames leave at once, and a dead peer is found by the kernel too. */
+/** Options of every peer connection: small frames are sent without delay, and the kernel too detects a dead peer. */
 final class SocketOptions {
     private SocketOptions() {}
 
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
@@ -24,19 +24,23 @@
 import org.elmline.wire.codec.Decoded;
 
 /**
- * Calls other elmline processes, over one connection per address that is opened on first use and again after a loss.
+ * Calls other elmline processes over one connection per address, which is opened on first use and reopened after a
+ * loss.
  *
- * <p>Every call is bounded by its timeout from the moment it is made, the time to connect included, so a peer that is
- * cut off silently costs its callers no more than that.
+ * <p>Every call is bounded by its timeout from the moment it is made, the time to connect included, so a peer that
+ * became unreachable without an error costs its callers no more than that.
  */
 public final class TcpPeerNetwork implements PeerNetwork, AutoCloseable {
-    /** Some tens of the longest round trip. The opening packet to a host without power is lost, and the system repeats it
-     * only after seconds; a new attempt reaches a host that has come back at once. */
+    /**
+     * Several tens of times the longest round trip. The first packet (SYN) to a host without power is lost, and the
+     * kernel retransmits it only after seconds; a new attempt reaches a host that has come back at once.
+     */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
 
     /**
-     * Time without a byte after which a connection with an unanswered call is taken for dead. A host that is held up for a
-     * moment would else lose the connections of all that ask it, and be busy with their handshakes next.
+     * Time without a received frame after which a connection with an unanswered call counts as dead. With a shorter
+     * time, a host that stalls for a moment would lose the connections of all its callers and then be busy with their
+     * handshakes.
      */
     private static final Duration DEAD_CONNECTION_TIMEOUT = Duration.ofMillis(400);
 
@@ -85,7 +89,7 @@
         return result;
     }
 
-    /** Closes the connection to an address that has left, so that its place is freed. */
+    /** Closes the connection to an address that has left the deployment and releases its resources. */
     public void disconnect(Address address) {
         PeerLink link = links.remove(address);
         if (link != null) {
@@ -116,7 +120,7 @@
             this.result = result;
         }
 
-        /** False when this process is stopping; the call has its result then. */
+        /** Returns false when this process is stopping; the call is completed then. */
         boolean scheduleTimeout(Duration timeout) {
             try {
                 ScheduledFuture<?> scheduled =
@@ -209,8 +213,8 @@
     }
 
     /**
-     * Closes a connection on which nothing has come since a call was sent on it: it may be dead without a reset, and every
-     * later call would be lost on it too. A new one costs a round trip.
+     * Closes a connection on which no frame has been received since a call was sent on it. It may be dead without a
+     * reset, and every later call on it would be lost too; a new connection costs a round trip.
      */
     private void closeIfUnresponsive(Connection connection, long sinceNanos) {
         if (connection.closed() || connection.receivedAtNanos() - sinceNanos >= 0) {
@@ -228,7 +232,7 @@
         }
     }
 
-    /** The connection to one address, opened when it is needed and there is none. */
+    /** The connection to one address, opened on demand. */
     private final class PeerLink {
         private final Address address;
         private CompletableFuture<Connection> currentConnection;
@@ -304,7 +308,7 @@
             try {
                 socket.close();
             } catch (IOException e) {
-                // Given up either way.
+                // The socket is not used again either way.
             }
         }
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerServer.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerServer.java
@@ -42,7 +42,7 @@
         this.hybridClock = hybridClock;
     }
 
-    /** Binds and begins to accept; port 0 takes a free port, see {@link #port()}. */
+    /** Binds the address and starts to accept connections; port 0 selects a free port, see {@link #port()}. */
     public static TcpPeerServer start(
             InetSocketAddress bind,
             PeerHandlers handlers,
@@ -88,7 +88,7 @@
         try {
             server.close();
         } catch (IOException e) {
-            // Nothing more can arrive either way.
+            // No further connection is accepted either way.
         }
         connections.forEach(each -> each.close("stopping"));
     }
@@ -107,7 +107,7 @@
             @Override
             public void failed(Throwable e, Void nothing) {
                 if (!closed) {
-                    // Out of file descriptors, most likely: try again a little later.
+                    // Most likely no file descriptor is free; retries after a short delay.
                     timer.schedule(TcpPeerServer.this::accept, ACCEPT_RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
                 }
             }
@@ -127,7 +127,7 @@
                 new Connection(socket, key, Handshake.Side.SERVER, handlers, limits, hybridClock, connections::remove);
         connections.add(connection);
         connection.start();
-        // A peer that connects and says nothing would otherwise hold its place for ever.
+        // A peer that connects and sends nothing would otherwise occupy one of the limited connections for ever.
         timer.schedule(
                 () -> {
                     if (!connection.ready().isDone()) {
@@ -142,7 +142,7 @@
         try {
             socket.close();
         } catch (IOException e) {
-            // Refused either way.
+            // The connection is rejected either way.
         }
     }
 }
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/ControlMessagesTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/ControlMessagesTest.java
@@ -29,8 +29,8 @@
     private static final OrganisationId ORGANISATION = OrganisationId.of("zrno");
     private static final long ISSUED = 1_800_000_000_000L;
 
-    // A control host restarts after hundreds of changes: what it wrote as commands and as a snapshot must bring the
-    // same state back, or it would answer a resent ticket or a repeated fee otherwise than the others.
+    // A control host restarts after hundreds of changes: the commands and the snapshot that it wrote must restore the
+    // same state. Otherwise it would answer a resent ticket or a repeated fee differently from the other hosts.
     @Test
     void commandsAndSnapshotsBringTheSameStateBack() {
         for (Codec codec : List.of(Codecs.MESSAGE_PACK, Codecs.JSON)) {
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/RouteMessagesTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/RouteMessagesTest.java
@@ -32,7 +32,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** The calls between gateway and owner survive the codec, those with several constructors included. */
+/**
+ * Messages between gateway and owner are equal after encoding and decoding, those with several constructors included.
+ */
 class RouteMessagesTest {
     private static final HostId HOST = HostId.of("host-1");
     private static final Incarnation FIRST = Incarnation.of(1);
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/ShapeCodecTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/ShapeCodecTest.java
@@ -62,7 +62,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 
-/** Shapes write what data binding reads and the other way round, so that either may stand at an end of a connection. */
+/** Data binding reads what shapes write and vice versa, so that either may be used at each end of a connection. */
 class ShapeCodecTest {
     private static final HostId HOST = HostId.of("10.1.0.1");
     private static final ReplicaId REPLICA = new ReplicaId(HOST, -7);
@@ -86,9 +86,8 @@
         }
     }
 
-    // A control host that has lost power answers nobody before it has read its log and its peers' messages. Data
-    // binding
-    // takes a third of that time, so none of these messages may need it.
+    // A control host that restarts after a power loss answers no call before it has read its log and its peers'
+    // messages. Data binding would take a third of that time, so none of these messages may need it.
     @Test
     void theMessagesOfAStartNeedNoDataBinding() {
         Shapes shapes = new Shapes(false);
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/FrameChannelTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/FrameChannelTest.java
@@ -20,7 +20,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** How frames are cut out of what a connection brings. */
+/** Splitting of a connection's bytes into frames. */
 class FrameChannelTest {
     private static final int MAX_FRAME = 50_000;
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Guards against frames that are lost, joined or cut as they come in pieces, or many at a time. */
+    /** Guards against frames that are lost, merged or truncated when they arrive in parts or several at a time. */
     @Test
     void framesComeWholeHoweverTheirBytesCome() throws Exception {
         Random random = new Random(9);
@@ -77,13 +77,13 @@
         });
     }
 
-    /** Guards against messages that are taken from a peer after it was found unfit, as they came with the unfit one. */
+    /** Guards against the delivery of messages that arrived together with one for which the connection was closed. */
     @Test
     void nothingIsHandedOnOnceTheConnectionIsClosed() throws Exception {
         BlockingQueue<FrameChannel> channel = new LinkedBlockingQueue<>();
         onFrame = frame -> {
             frames.add(frame);
-            channel.peek().close("unfit");
+            channel.peek().close("rejected by the test");
         };
         onStart = channel::add;
         receive(out -> {
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/HandshakeTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/HandshakeTest.java
@@ -27,7 +27,7 @@
                         assertInstanceOf(Handshake.Step.Send.class, fromServer).frame()));
     }
 
-    /** A host without the key sends back the very proof it was given. It must not pass for a holder of the key. */
+    /** A host without the key sends back the proof that it received. This must not authenticate it. */
     @Test
     void aReflectedProofIsRefused() {
         Handshake server = new Handshake(KEY, Handshake.Side.SERVER);
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/TcpPeerNetworkTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/TcpPeerNetworkTest.java
@@ -69,7 +69,7 @@
             return late;
         });
         handlers.register(THROWS, ask -> {
-            throw new IllegalStateException("broken on purpose");
+            throw new IllegalStateException("failure of the test handler");
         });
         server = closer.register(TcpPeerServer.start(
                 loopback(), handlers, new PeerKey(SECRET), PeerLimits.DEFAULT, group, timer, CLOCK));
@@ -131,8 +131,8 @@
     }
 
     /**
-     * A caller waits on a call whose process stops before it answers. The connection closes, and the caller must learn
-     * at once that the call may have run, not wait its timeout out nor be told that it did not run.
+     * A process stops before it answers a call. The connection closes, and the caller must be notified at once that the
+     * call may have run, neither after its timeout nor with the result that the call did not run.
      */
     @Test
     void saysUnknownWhenTheConnectionCloses() throws Exception {
@@ -143,7 +143,7 @@
         assertInstanceOf(CallResult.Unknown.class, await(pending));
     }
 
-    /** Guards against a host that is held up for a moment losing the connections of all that ask it. */
+    /** Guards against a host that stalls for a moment and loses the connections of all its callers. */
     @Test
     void aCallThatTimesOutSoonDoesNotCostTheConnection() throws Exception {
         TcpPeerNetwork network = network(SECRET, PeerLimits.DEFAULT);
@@ -191,8 +191,8 @@
     }
 
     /**
-     * Something that is no elmline process connects and sends bytes that read as a frame of two gigabytes, or garbage.
-     * The server must close that connection without taking the memory, and go on serving others.
+     * A program that is not an elmline process connects and sends garbage, or bytes that read as a frame of two
+     * gigabytes. The server must close that connection without allocating the memory, and continue to serve others.
      */
     @Test
     void closesOnBytesThatAreNoFrames() throws Exception {
@@ -231,14 +231,14 @@
         assertTrue(Hello.MIN_VERSION <= Hello.MAX_VERSION);
     }
 
-    /** Returns when the other side has closed; a read that times out fails the test. */
+    /** Returns when the other side has closed the connection; a read that times out fails the test. */
     private static void readToEnd(Socket socket) throws IOException {
         try {
             while (socket.getInputStream().read() >= 0) {
-                // The server's own hello comes first.
+                // Skips the server's own hello, which comes first.
             }
         } catch (SocketException e) {
-            // A reset is the kernel's way to close with bytes unread.
+            // The kernel resets a connection that is closed with unread bytes.
         }
     }
 
