--- a/elmline-cli/src/main/java/org/elmline/cli/CommandGroup.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/CommandGroup.java
@@ -1,6 +1,6 @@
 package org.elmline.cli;
 
-/** Commands that plug-ins add to. A group is shown only when a plug-in brings something for it. */
+/** Parent commands to which plug-ins add subcommands. A group is shown only when a plug-in adds a command to it. */
 public enum CommandGroup {
     PROGRAM("", ""),
     BENCH("bench", "Measures elmline and its policies.");
@@ -13,7 +13,7 @@
         this.description = description;
     }
 
-    /** The group's own command; empty for the program. */
+    /** Name of the group's own command; empty for the program. */
     public String commandName() {
         return commandName;
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/ExitCode.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/ExitCode.java
@@ -4,13 +4,13 @@
 public enum ExitCode {
     /** Done. */
     OK(0, "done"),
-    /** It went wrong in a way that no other code tells. */
+    /** A failure that no other code covers. */
     FAILED(1, "failed; the message says how"),
     /** The command line is wrong. */
     USAGE(2, "the command line is wrong"),
     /** The settings, or a file given, are wrong; nothing was opened or sent. */
     INVALID(3, "settings or a given file are wrong; nothing was opened or sent"),
-    /** The deployment decided against it; the same again gives the same answer. */
+    /** The deployment refused the request; a repeat gives the same answer. */
     REFUSED(4, "refused; the same again gives the same answer"),
     /** No host answered, or none can decide now; trying again later is safe. */
     UNREACHABLE(5, "no host answered or none can decide now; trying again is safe"),
--- a/elmline-cli/src/main/java/org/elmline/cli/GroupCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/GroupCommand.java
@@ -5,7 +5,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** A command that only holds others. */
+/** A command that only contains subcommands. */
 @Command
 final class GroupCommand implements Runnable {
     @Spec
--- a/elmline-cli/src/main/java/org/elmline/cli/Main.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/Main.java
@@ -20,7 +20,7 @@
         System.exit(code);
     }
 
-    /** The whole command line with every command that registered itself, in the order of their names. */
+    /** The command line with the commands of all plug-ins, sorted by name. */
     public static CommandLine commandLine() {
         CommandLine root = new CommandLine(new ElmlineCommand());
         Map<CommandGroup, List<Object>> commands = new EnumMap<>(CommandGroup.class);
@@ -52,7 +52,7 @@
         return command.getClass().getAnnotation(Command.class).name();
     }
 
-    /** Gives every command the version and the list of exit codes. */
+    /** Adds the version and the list of exit codes to every command. */
     private static void addVersionAndExitCodes(CommandLine command) {
         Map<String, String> meanings = new LinkedHashMap<>();
         for (ExitCode code : ExitCode.values()) {
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/DecisionBenchCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/DecisionBenchCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures what one placement decision costs. */
+/** Measures the cost of one placement decision. */
 @Command(name = "decision", description = "Times one placement decision by number of replicas.")
 final class DecisionBenchCommand implements ExitingCommand {
     @Spec
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/DeploymentBenchCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/DeploymentBenchCommand.java
@@ -112,7 +112,10 @@
                 && decided.status().inForce();
     }
 
-    /** The same engine behind both, probes taken in turn, so that what else the machine does falls on both alike. */
+    /**
+     * Entry and proxy use the same engine and are probed alternately, so that other load on the machine affects both
+     * alike.
+     */
     private static void compareWithProxy(PrintWriter out, LocalDeployment deployment) throws Exception {
         StreamProbe probe = new StreamProbe(deployment.callerKey());
         Address entry = deployment.entries().get(0).callers();
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/TimelineBenchCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/TimelineBenchCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measures which clock orders the time line, and what a stamp costs. */
+/** Compares the clocks that may order the time line, and measures the cost of a stamp. */
 @Command(name = "timeline", description = "Counts effects shown before their cause by each clock, and times a stamp.")
 final class TimelineBenchCommand implements ExitingCommand {
     private static final double[] SKEWS_MILLIS = {0.5, 1, 2, 5, 10, 20, 50};
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/package-info.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Commands that measure. */
+/** Benchmark commands. */
 package org.elmline.cli.bench;
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/ExplainCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/ExplainCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Prints what the logs tell of one request. */
+/** Prints the log lines that concern one request. */
 @Command(name = "explain", description = "Tells from logs what became of a request, with the inputs of each decision.")
 final class ExplainCommand implements ExitingCommand {
     @Spec
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/LogFileReader.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/LogFileReader.java
@@ -16,13 +16,13 @@
 import org.elmline.wire.codec.Codecs;
 import picocli.CommandLine;
 
-/** Reads the lines of decision logs. */
+/** Reads the JSON lines of log files. */
 final class LogFileReader {
     private static final ObjectMapper MAPPER = Codecs.jsonMapper();
 
     private LogFileReader() {}
 
-    /** Reads files in order; tells on the command's error output which one can't be read. */
+    /** Reads the files in order; reports one that can't be read on the command's error output. */
     static ExitCode read(List<Path> files, CommandLine command, Consumer<JsonNode> taker) {
         for (Path each : files) {
             try (Stream<String> lines = Files.lines(each, StandardCharsets.ISO_8859_1)) {
@@ -35,7 +35,7 @@
         return ExitCode.OK;
     }
 
-    /** What stands before the JSON object, and lines without one, are passed over. */
+    /** Ignores text before the JSON object, and lines without one. */
     private static Optional<JsonNode> parse(String line) {
         int start = line.indexOf('{');
         if (start < 0) {
@@ -45,7 +45,7 @@
             JsonNode parsed = MAPPER.readTree(line.substring(start));
             return Optional.of(parsed).filter(each -> each.path("event").isTextual());
         } catch (JsonProcessingException e) {
-            // Another program's line, or one that was cut off.
+            // A line of another program, or a truncated one.
             return Optional.empty();
         }
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/LossTable.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/LossTable.java
@@ -10,11 +10,12 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Counts by the time at which requests came what became of them, as far as the entries' logs tell: which were answered, for
- * what reason others were not, and how long the longest wait for a place and the longest pause were.
+ * Counts the outcomes of requests by their time of arrival, as far as the entries' logs show them: how many were
+ * answered, for what reason others were not, and how long the longest wait for a placement and the longest pause of a
+ * stream were.
  */
 final class LossTable {
-    /** A request whose entry wrote no last line: it was lost with the entry, or still runs. */
+    /** Outcome of a request whose entry logged no end: it was lost with the entry, or is still running. */
     private static final String NO_END_LOGGED = "no end";
 
     private static final int FIRST_SERVER_ERROR_STATUS = 500;
@@ -63,12 +64,12 @@
                     line.path("event").asText() + ": " + line.path("why").asText();
             case "caller left" -> story.lossReason = "caller left";
             default -> {
-                // Tells nothing of the request's end.
+                // Other events don't change the outcome.
             }
         }
     }
 
-    /** The table, a line a window; empty when no line names a request. */
+    /** The table, one line a window; empty when no line names a request. */
     List<String> format() {
         TreeMap<Long, Row> rows = new TreeMap<>();
         outcomes.values()
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/RequestTrace.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/RequestTrace.java
@@ -10,12 +10,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The log lines that belong to one request: its own, those of its attempts, and what was learnt of the servers it was sent
- * to shortly before and while it ran. Within one process lines keep the order of its monotonic clock; between processes the
- * time of day decides, which may be wrong by as much as the hosts' clocks differ.
+ * The log lines that concern one request: its own, those of its attempts, and those of the servers that it was sent to,
+ * from shortly before it until its end. Lines are sorted by the time of day; those of one process with the same
+ * millisecond keep the order of its monotonic clock. Between processes the order may be wrong by as much as the hosts'
+ * clocks differ.
  */
 final class RequestTrace {
-    /** News of a server up to this long before a request's first line may explain it: some heartbeats. */
+    /**
+     * Lines of a server are included from this long before a request's first line: a change of the server within its
+     * last heartbeats may explain what became of the request.
+     */
     private static final long LOOKBACK_MILLIS = 5_000;
 
     private final String requestId;
@@ -29,7 +33,7 @@
         lines.add(line);
     }
 
-    /** The story in order; empty when no line names the request. */
+    /** The request's lines in order; empty when no line names the request. */
     List<String> format() {
         Set<String> attempts = new HashSet<>();
         Set<String> servers = new HashSet<>();
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/package-info.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/package-info.java
@@ -1,2 +1,2 @@
-/** Reads the logs of several processes and tells what became of one request, or when and why requests were lost. */
+/** Reads the logs of several processes and shows what became of one request, or when and why requests were lost. */
 package org.elmline.cli.explain;
--- a/elmline-cli/src/main/java/org/elmline/cli/local/LocalCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/local/LocalCommand.java
@@ -12,7 +12,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Runs everything in one process, to try elmline out. */
+/** Runs a whole deployment in one process, to try elmline out. */
 @Command(
         name = "local",
         description = "Runs a control host, an entry and stand-ins in one process on loopback, to try elmline out.")
--- a/elmline-cli/src/main/java/org/elmline/cli/local/LocalDeployment.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/local/LocalDeployment.java
@@ -44,8 +44,8 @@
 import org.elmline.standin.service.ServiceServer;
 
 /**
- * Control hosts, entries and stand-ins in this process. Its first ticket creates one model, one plain service and one
- * organisation; the deployment counts as started once that is in force.
+ * Control hosts, entries and stand-ins in this process. The first ticket creates one model, one plain service and one
+ * organisation; the deployment counts as started once that ticket is in force.
  */
 public final class LocalDeployment implements AutoCloseable {
     public static final String MODEL = "elm-small";
@@ -189,7 +189,7 @@
         throw new IOException("the first ticket was not in force within " + START_TIMEOUT.toSeconds() + " s");
     }
 
-    /** On a data folder that has moved on, the first ticket is stale or superseded, which is as good. */
+    /** On a data folder that holds later tickets, the first ticket is stale or superseded, which counts as well. */
     private static boolean isInForce(CallResult<TicketAnswer> answer) {
         return answer instanceof CallResult.Answered<TicketAnswer> answered
                 && answered.value() instanceof TicketAnswer.Decided decided
@@ -229,7 +229,7 @@
         closer.close();
     }
 
-    /** How large the deployment is; one of each when nothing is said. */
+    /** Size and settings of the deployment; by default one process of each kind. */
     public static final class Builder {
         private int controlHosts = 1;
         private int entries = 1;
@@ -259,31 +259,34 @@
             return this;
         }
 
-        /** How many of the engines, the last ones, ignore fencing numbers. */
+        /** Number of engines that ignore fencing numbers; these are the last ones. */
         public Builder enginesWithoutFencing(int value) {
             enginesWithoutFencing = value;
             return this;
         }
 
-        /** Port of the first entry for callers; 0 takes a free one. */
+        /** Port of the first entry for callers; 0 selects a free one. */
         public Builder callerPort(int value) {
             callerPort = value;
             return this;
         }
 
-        /** Port of the first entry for operators; 0 takes a free one. */
+        /** Port of the first entry for operators; 0 selects a free one. */
         public Builder operatorPort(int value) {
             operatorPort = value;
             return this;
         }
 
-        /** Seconds for which callers keep the addresses they were given, and so a stopping entry still serves. */
+        /**
+         * Seconds for which callers keep the entry addresses that they received, and for which a stopping entry
+         * therefore serves on.
+         */
         public Builder keepSeconds(int value) {
             keepSeconds = value;
             return this;
         }
 
-        /** How many times as fast as real time the engines run. */
+        /** Speed of the engines as a multiple of real time. */
         public Builder timeScale(double value) {
             timeScale = value;
             return this;
@@ -295,7 +298,7 @@
             return this;
         }
 
-        /** Where the control hosts keep their state; a new temporary folder when not said. */
+        /** Folder in which the control hosts keep their state; by default a new temporary one. */
         public Builder dataFolder(Path value) {
             dataFolder = value;
             return this;
@@ -316,7 +319,7 @@
             }
         }
 
-        /** A port for a control host's peers. It must stay the same over restarts, so it is kept with the data. */
+        /** The peer port of a control host. It must stay the same over restarts, so it is stored in the data folder. */
         private int controlPort(int number) throws IOException {
             Path file = dataFolder.resolve("control-" + (number + 1) + ".port");
             if (Files.exists(file)) {
--- a/elmline-cli/src/main/java/org/elmline/cli/local/LocalKeys.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/local/LocalKeys.java
@@ -9,7 +9,9 @@
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
-/** The keys of one local deployment. They are kept with its data, since its first ticket holds the caller key's hash. */
+/**
+ * The keys of one local deployment. They are stored with its data, since its first ticket holds the caller key's hash.
+ */
 record LocalKeys(String caller, String operator, String backend, String peer) {
     private static final String FILE_NAME = "local-keys.json";
     private static final int KEY_BYTES = 16;
@@ -18,7 +20,7 @@
         return new LocalKeys(randomKey("caller"), randomKey("operator"), randomKey("backend"), randomKey("peer"));
     }
 
-    /** The keys in a data folder, made anew when it has none. */
+    /** Reads the keys from a data folder; generates and stores them when it has none. */
     static LocalKeys loadOrGenerate(Path folder) throws IOException {
         Path file = folder.resolve(FILE_NAME);
         if (!Files.exists(file)) {
--- a/elmline-cli/src/main/java/org/elmline/cli/local/package-info.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/local/package-info.java
@@ -1,2 +1,5 @@
-/** A whole deployment in one process on loopback, stand-ins included: the embedded default, and what tests drive. */
+/**
+ * A whole deployment in one process on loopback, stand-ins included: the default for embedding, and the deployment that
+ * tests use.
+ */
 package org.elmline.cli.local;
--- a/elmline-cli/src/main/java/org/elmline/cli/log/JsonLogging.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/log/JsonLogging.java
@@ -10,13 +10,16 @@
 import net.logstash.logback.encoder.LogstashEncoder;
 import org.elmline.daemon.settings.LogLevel;
 
-/** Writes log lines as JSON, one object a line. elmline's own lines follow the given level, libraries' only warnings. */
+/**
+ * Writes log lines as JSON, one object a line. elmline's own lines are written from the given level on, those of
+ * libraries from warnings on.
+ */
 final class JsonLogging {
     private static final String OWN_LOGGER = "org.elmline";
 
     private JsonLogging() {}
 
-    /** Sends all lines of the context to the stream, and stops sending them anywhere else. */
+    /** Writes all lines of the context to the stream, and to no other appender. */
     static void install(LoggerContext context, OutputStream out, LogLevel level) {
         LogstashEncoder encoder = new LogstashEncoder();
         encoder.setContext(context);
--- a/elmline-cli/src/main/java/org/elmline/cli/log/JsonLoggingConfigurator.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/log/JsonLoggingConfigurator.java
@@ -5,7 +5,10 @@
 import ch.qos.logback.core.spi.ContextAwareBase;
 import org.elmline.daemon.settings.LogLevel;
 
-/** Found by Logback by {@link java.util.ServiceLoader}: JSON lines on the standard error from the first line on. */
+/**
+ * Configures Logback, which finds it by {@link java.util.ServiceLoader}, to write JSON to the standard error from the
+ * first line on.
+ */
 public final class JsonLoggingConfigurator extends ContextAwareBase implements Configurator {
     @Override
     public ExecutionStatus configure(LoggerContext context) {
--- a/elmline-cli/src/main/java/org/elmline/cli/log/LogConfiguration.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/log/LogConfiguration.java
@@ -12,7 +12,7 @@
 public final class LogConfiguration {
     private LogConfiguration() {}
 
-    /** Sets the level, and puts the process's name and role on every line. */
+    /** Sets the level, and adds the process's name and role to every line. */
     public static void apply(Settings settings) {
         if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
             context.putProperty("host", processName(settings));
--- a/elmline-cli/src/main/java/org/elmline/cli/log/package-info.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/log/package-info.java
@@ -1,2 +1,2 @@
-/** Where log lines go. */
+/** Configures where log lines are written. */
 package org.elmline.cli.log;
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/AnswerPrinter.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/AnswerPrinter.java
@@ -4,7 +4,7 @@
 import org.elmline.cli.ExitCode;
 import picocli.CommandLine;
 
-/** Prints an answer: what was asked for on the standard output, errors on the standard error. */
+/** Prints an answer: the result on the standard output, errors on the standard error. */
 final class AnswerPrinter {
     private final CommandLine command;
 
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/ErrorText.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/ErrorText.java
@@ -2,7 +2,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** The message in an error body, for people. */
+/** Formats the message of an error body for people. */
 final class ErrorText {
     private ErrorText() {}
 
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/EventsPath.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/EventsPath.java
@@ -3,7 +3,7 @@
 import okhttp3.HttpUrl;
 import org.elmline.core.timeline.EventQuery;
 
-/** The path and query that ask a host for events. */
+/** Builds the path and query of a request for a host's events. */
 final class EventsPath {
     private static final HttpUrl ANY_HOST = HttpUrl.get("http://127.0.0.1/v1/events");
 
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/InForcePoller.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/InForcePoller.java
@@ -5,7 +5,7 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.elmline.core.common.TicketNumber;
 
-/** Asks again until a ticket is in force everywhere. */
+/** Polls a ticket until it is in force on all hosts. */
 final class InForcePoller {
     private static final long POLL_INTERVAL_MILLIS = 200;
 
@@ -17,7 +17,7 @@
         this.timeout = limit;
     }
 
-    /** The ticket once it is in force; unreachable when the time limit passes first. */
+    /** Returns the ticket once it is in force or refused; unreachable when the timeout passes first. */
     OperatorAnswer await(TicketNumber number) throws InterruptedException {
         long end = System.nanoTime() + timeout.toNanos();
         OperatorAnswer last;
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/MergedTimeline.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/MergedTimeline.java
@@ -13,7 +13,7 @@
  * @param missingHosts why a host's events are not among them, one line for each such host
  */
 record MergedTimeline(List<StampedEvent> events, List<EventPage> pages, List<String> missingHosts) {
-    /** Events that hosts had already overwritten. */
+    /** Number of events that hosts had already overwritten. */
     long droppedEvents() {
         return pages.stream().mapToLong(EventPage::dropped).sum();
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorAnswer.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorAnswer.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 import org.elmline.cli.ExitCode;
 
-/** What asking an operator port gave. */
+/** Result of a request to an operator port. */
 sealed interface OperatorAnswer {
     ExitCode exitCode();
 
-    /** The host did what was asked. */
+    /** The host carried out the request. */
     record Done(JsonNode body) implements OperatorAnswer {
         @Override
         public ExitCode exitCode() {
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorClient.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorClient.java
@@ -16,8 +16,8 @@
 import org.elmline.wire.codec.Codecs;
 
 /**
- * Asks operator ports. Every request is idempotent, so one that failed at one host is sent to the next: a ticket that
- * was taken gives the recorded answer again.
+ * Sends requests to operator ports. Every request is idempotent, so one that failed at one host is sent to the next: a
+ * ticket that was already decided gives the recorded answer.
  */
 final class OperatorClient {
     private static final MediaType JSON = MediaType.get("application/json");
@@ -50,7 +50,7 @@
         return sendToFirstAvailable(builder -> builder.put(RequestBody.create(body, JSON)), path);
     }
 
-    /** Asks one host only. */
+    /** Sends the request to one host only. */
     OperatorAnswer readFrom(HttpUrl host, String path) {
         return send(host, builder -> builder, path);
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorOptions.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/OperatorOptions.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Spec;
 
-/** Which operator ports to ask, and with what key. */
+/** Options for the operator ports and their key. */
 final class OperatorOptions {
     private static final String KEY_VARIABLE = "ELMLINE_OPERATOR_KEY";
 
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/StatusCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/StatusCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Spec;
 
-/** Shows hosts, leader, backend servers and load as the first host that answers knows them. */
+/** Shows hosts, leader, backend servers and load as the first host that answers reports them. */
 @Command(name = "status", description = "Shows what the first host that answers knows of the deployment.")
 final class StatusCommand implements ExitingCommand {
     private static final String PATH = "/v1/status";
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TicketApplyCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TicketApplyCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Sends a ticket. Sending the same again is safe: it gives the recorded answer. */
+/** Sends a ticket. Sending the same one again is safe: it gives the recorded answer. */
 @Command(name = "apply", description = "Sends a ticket; sending the same one again is safe.")
 final class TicketApplyCommand implements ExitingCommand {
     @Spec
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TicketShowCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TicketShowCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Shows one ticket: taken or refused and why, and where it is in force. */
+/** Shows one ticket: accepted or refused and why, and where it is in force. */
 @Command(name = "show", description = "Shows a ticket: taken or refused and why, and where it is in force.")
 final class TicketShowCommand implements ExitingCommand {
     @Spec
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineReader.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineReader.java
@@ -17,7 +17,7 @@
 import org.elmline.wire.codec.Codecs;
 import org.elmline.wire.codec.Decoded;
 
-/** Asks many hosts for their events at once and merges what they answer. */
+/** Requests the events of many hosts at once and merges the answers. */
 final class TimelineReader {
     private static final String STATUS_PATH = "/v1/status";
     private static final int MAX_CONCURRENT_REQUESTS = 32;
@@ -28,7 +28,7 @@
         this.client = client;
     }
 
-    /** The given hosts, and every entry host that the first of them that answers knows. */
+    /** The given hosts, and every entry host that the first of them to answer lists. */
     Set<HttpUrl> discoverHosts() {
         Set<HttpUrl> known = new LinkedHashSet<>(client.hosts());
         if (client.get(STATUS_PATH) instanceof OperatorAnswer.Done done) {
@@ -55,7 +55,7 @@
                 addAnswer(answer.get(), pages, missing);
             }
         } catch (ExecutionException e) {
-            throw new IllegalStateException("asking a host failed other than by an answer", e);
+            throw new IllegalStateException("request for a host's events failed with an unexpected exception", e);
         } finally {
             asking.shutdownNow();
         }
--- a/elmline-cli/src/main/java/org/elmline/cli/role/ControlBootstrapCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/ControlBootstrapCommand.java
@@ -13,7 +13,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Makes the first control host of a new deployment. */
+/** Initialises the data folder of the first control host of a new deployment. */
 @Command(
         name = "bootstrap",
         description = "Makes this host the first voter of a new deployment. Once, on one host, before its first run.")
--- a/elmline-cli/src/main/java/org/elmline/cli/role/ControlRunCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/ControlRunCommand.java
@@ -30,7 +30,10 @@
         };
     }
 
-    /** A replica that can't keep its promises must not look alive: the process ends, and its supervisor decides. */
+    /**
+     * Ends the process at once when its replica can't keep what it acknowledged, so that it doesn't appear to be alive.
+     * The supervisor decides whether to restart it.
+     */
     private static void haltProcess() {
         Runtime.getRuntime().halt(ExitCode.FAILED.code());
     }
--- a/elmline-cli/src/main/java/org/elmline/cli/role/RoleCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/RoleCommand.java
@@ -40,12 +40,12 @@
         return ExitCode.OK;
     }
 
-    /** Returns only when the process is being stopped. */
+    /** Prints the ready line and blocks until the process is stopped. */
     public static void run(RunningRole role, PrintWriter out) throws InterruptedException {
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(role), "stop"));
         out.println(role.readyLine());
         out.flush();
-        // The signal's shutdown hook ends the process; nothing counts this down.
+        // On a signal the shutdown hook ends the process; the latch is never counted down.
         new CountDownLatch(1).await();
     }
 
--- a/elmline-cli/src/main/java/org/elmline/cli/role/RunningRole.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/RunningRole.java
@@ -1,10 +1,10 @@
 package org.elmline.cli.role;
 
-/** A role that serves, from its start to its graceful stop. */
+/** A running role, until its graceful stop. */
 public interface RunningRole {
-    /** What is printed once it serves: {@code ready} and the addresses bound. */
+    /** The line printed once the role serves: {@code ready} and the bound addresses. */
     String readyLine();
 
-    /** Stops gracefully; returns when nothing is left in flight or its time is up. */
+    /** Stops gracefully; returns when no request is in flight or the drain timeout has passed. */
     void stop() throws InterruptedException;
 }
--- a/elmline-cli/src/main/java/org/elmline/cli/role/package-info.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/role/package-info.java
@@ -1,2 +1,2 @@
-/** Commands that run one role of the system until told to stop. */
+/** Commands that run one role of the system until the process is stopped. */
 package org.elmline.cli.role;
