--- a/elmline-cli/src/test/java/org/elmline/cli/examples/ExamplesTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/examples/ExamplesTest.java
@@ -37,7 +37,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Loads every file of the two example deployments and holds them to what the deployments are. */
+/** Loads every file of the two example deployments and checks hosts, addresses, tickets and keys. */
 class ExamplesTest {
     private static final Path EXAMPLES = Path.of("..", "examples");
 
--- a/elmline-cli/src/test/java/org/elmline/cli/explain/CommandRun.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/explain/CommandRun.java
@@ -6,7 +6,7 @@
 import org.elmline.cli.Main;
 import picocli.CommandLine;
 
-/** Runs commands of the program and keeps what they print. */
+/** Runs commands of the program and collects their output. */
 final class CommandRun {
     private final StringWriter out = new StringWriter();
 
@@ -18,7 +18,7 @@
         return line.execute(args);
     }
 
-    /** What the commands have printed so far. */
+    /** The output of the commands so far. */
     String printed() {
         return out.toString();
     }
--- a/elmline-cli/src/test/java/org/elmline/cli/explain/ExplainCommandTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/explain/ExplainCommandTest.java
@@ -10,14 +10,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** From a request's id to its story, out of the logs of several processes. */
+/** Finds the lines of one request in the logs of several processes. */
 class ExplainCommandTest {
     @TempDir
     private Path folder;
 
     private final CommandRun command = new CommandRun();
 
-    /** The call was sent to a server that had said a second before that it leaves, and was then sent elsewhere. */
+    /** The call was sent to a server that had announced its leaving a second before, and then to another one. */
     @Test
     void theLinesOfARequestItsAttemptsAndItsServersComeInOrder() throws Exception {
         Path entry = Files.writeString(
--- a/elmline-cli/src/test/java/org/elmline/cli/explain/LossesCommandTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/explain/LossesCommandTest.java
@@ -10,7 +10,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** From the logs of entries to the moments at which requests were lost. */
+/** Counts lost requests by time from the logs of entries. */
 class LossesCommandTest {
     @TempDir
     private Path folder;
@@ -22,7 +22,10 @@
                 + "\",\"request\":\"" + request + "\"" + more + "}\n";
     }
 
-    /** Of five requests one is answered, one after a failed try, two are lost for a reason that is told, one has no end. */
+    /**
+     * Of five requests one is answered, one is answered after a failed attempt, two are lost for a logged reason, and
+     * one has no end.
+     */
     @Test
     void countsByTheTimeAtWhichRequestsCame() throws Exception {
         Path log = Files.writeString(
--- a/elmline-cli/src/test/java/org/elmline/cli/local/BadInputTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/BadInputTest.java
@@ -16,14 +16,16 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** What callers and operators may get wrong: each has its status, a type, and "did not run"; nothing stays open. */
+/**
+ * Invalid calls of callers and operators: each gets its status, an error type and "did not run"; no request stays open.
+ */
 class BadInputTest {
     private static final String COMPLETIONS = "/v1/completions";
     private static final String CHAT = "/v1/chat/completions";
 
     private static LocalDeployment deployment;
 
-    /** One bad call of a caller and the answer it must get. */
+    /** One invalid call of a caller and the expected answer. */
     record Case(String method, String path, String body, int status, String type) {}
 
     private static final List<Case> CASES = List.of(
@@ -144,7 +146,7 @@
         assertEquals(404, operator.get(operators() + "/v1/tickets/7").status());
     }
 
-    /** A body over the limit is refused from its declared length, before the caller has to send it. */
+    /** A body over the limit is rejected by its declared length, before the caller has sent it. */
     @Test
     void aBodyOverTheLimitIsRefused() throws Exception {
         String head = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + deployment.callerKey()
@@ -153,7 +155,7 @@
         assertNothingOpen();
     }
 
-    /** A caller hangs up amid its body: nothing was placed, and nothing stays open. */
+    /** A caller disconnects within its request body: nothing may be placed, and no request may stay open. */
     @Test
     void aBodyCutOffLeavesNothingOpen() throws Exception {
         String address = deployment.entries().get(0).callers().toString();
--- a/elmline-cli/src/test/java/org/elmline/cli/local/BrokenStreamsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/BrokenStreamsTest.java
@@ -14,7 +14,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Answers stay whole and exact while engines, connections and entries fail under them. */
+/** Answers stay complete and exact when engines, connections and entries fail while they stream. */
 class BrokenStreamsTest {
     private static final int TOKENS = 400;
     private static final double SLOW = 20;
@@ -39,8 +39,8 @@
     }
 
     /**
-     * One engine's pieces come doubled, swapped, crossed with another caller's, or every fifth never comes, also when
-     * asked for again. The caller gets the exact answer, in the last case continued on the other engine.
+     * One engine's pieces arrive twice, out of order or mixed with another caller's, or every fifth is missing, also
+     * when requested again. The caller must get the exact answer, in the last case continued on the other engine.
      */
     @Test
     void damagedStreamsGiveTheExactAnswer() throws Exception {
@@ -59,7 +59,7 @@
         assertEquals(20, exact);
     }
 
-    /** The connection to the engine breaks amid the answer: it is read on from the first missing piece. */
+    /** The connection to the engine breaks during the answer: reading must resume at the first missing piece. */
     @Test
     void aBrokenConnectionIsResumed() throws Exception {
         CompletableFuture<Client.Stream> answer = streaming("broken connection", TOKENS);
@@ -68,7 +68,9 @@
         assertExact("broken connection", answer.get(), TOKENS);
     }
 
-    /** The engine dies amid the answer: another engine continues from the pieces that the caller has. */
+    /**
+     * The engine dies during the answer: another engine must continue after the pieces that the caller has received.
+     */
     @Test
     void aDeadEngineIsReplaced() throws Exception {
         CompletableFuture<Client.Stream> answer = streaming("dead engine", TOKENS);
@@ -82,7 +84,7 @@
         assertExact("dead engine", answer.get(), TOKENS);
     }
 
-    /** The caller hangs up amid the answer: its engine must not go on, nor keep its memory. */
+    /** The caller disconnects during the answer: its engine must neither continue nor keep the memory. */
     @Test
     void aCallerThatLeavesFreesTheEngine() throws Exception {
         slowEngines(SLOW);
@@ -90,7 +92,7 @@
         awaitStreams(0);
     }
 
-    /** The same for an answer that is not streamed, where nothing is written that could fail. */
+    /** The same for an answer that is not streamed, where no write can fail and reveal the disconnection. */
     @Test
     void aCallerThatLeavesAPlainAnswerFreesTheEngine() throws Exception {
         String body = body("left a plain answer", 4000).replace("\"stream\":true", "\"stream\":false");
@@ -104,8 +106,8 @@
     }
 
     /**
-     * An entry dies with long answers in flight. Nobody cancels them: the owner finds them once the dead entry's lease
-     * is over, and frees their memory.
+     * An entry dies with long answers in flight. No process cancels them: the owner must detect them once the lease of
+     * the dead entry has expired, and free their memory.
      */
     @Test
     void aDeadEntryLeavesNoMemoryTaken() throws Exception {
@@ -118,7 +120,7 @@
         awaitStreams(0);
     }
 
-    /** A planned stop of an entry while it streams: each caller gets its whole answer. */
+    /** An entry is stopped gracefully while it streams: each caller must get its whole answer. */
     @Test
     void aStoppingEntryFinishesItsAnswers() throws Exception {
         CompletableFuture<Client.Stream> answer = streaming("graceful", TOKENS);
@@ -137,7 +139,7 @@
         });
     }
 
-    /** With slow engines, no answer ends by itself while a test waits for memory to be freed. */
+    /** Slows the engines down, so that no answer ends by itself while a test waits for memory to be freed. */
     private void slowEngines(double factor) {
         deployment.engines().forEach(each -> each.faults().slowdown(factor));
     }
--- a/elmline-cli/src/test/java/org/elmline/cli/local/ClaimedCallsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/ClaimedCallsTest.java
@@ -14,7 +14,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Calls that may not be repeated, through two entries of one deployment. The service counts what ran. */
+/** Calls that may not be repeated, through two entries of one deployment. The service counts its executions. */
 class ClaimedCallsTest {
     private static LocalDeployment deployment;
     private static Client caller;
@@ -54,8 +54,8 @@
     }
 
     /**
-     * A guide retries on another entry after the first answered. The answer goes out before it is recorded, so for a
-     * moment the retry hears "may have run"; then it gets the recorded answer. One seat is held.
+     * A client retries on another entry after the first has answered. The answer is sent before it is recorded, so for
+     * a moment the retry gets "may have run"; then it must get the recorded answer. One seat is held.
      */
     @Test
     void aRepeatOnAnotherEntryGetsTheRecordedAnswer() throws Exception {
@@ -68,8 +68,8 @@
     }
 
     /**
-     * The service holds the seat and its answer is lost. The caller is told that it may have run; the retry on another
-     * entry is told the same and nothing is sent again, since a second send could hold a second seat.
+     * The service holds the seat and its answer is lost. The caller gets "may have run"; so does the retry on another
+     * entry, and nothing is sent again, since a second call could hold a second seat.
      */
     @Test
     void aLostAnswerStaysMayHaveRun() throws Exception {
@@ -86,7 +86,10 @@
         assertEquals(before + 1, runs());
     }
 
-    /** The service refuses before anything ran: the caller is told so, and the same key may be used for a later try. */
+    /**
+     * The service refuses before anything ran: the caller is notified of that, and the same key may be used for a later
+     * attempt.
+     */
     @Test
     void aRefusalBeforeRunningMayBeTriedAgain() throws Exception {
         int before = runs();
--- a/elmline-cli/src/test/java/org/elmline/cli/local/EngineOrdersTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/EngineOrdersTest.java
@@ -38,8 +38,8 @@
     }
 
     /**
-     * Both engines are to serve version 2 and one must stay ready: they load one after the other, and callers are
-     * answered all the while.
+     * Both engines are to serve version 2 and one must stay ready: they must load it one after the other, with callers
+     * served throughout.
      */
     @Test
     void aNewVersionIsLoadedOneEngineAfterTheOther() throws Exception {
--- a/elmline-cli/src/test/java/org/elmline/cli/local/LimitsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/LimitsTest.java
@@ -44,7 +44,7 @@
         deployment.close();
     }
 
-    /** Twelve requests at once over three entries under a limit of four: at no moment do more than four run. */
+    /** Twelve requests at once over three entries under a limit of four: never more than four may run at once. */
     @Test
     void requestsAtOnceStayUnderTheLimitOverAllEntries() throws Exception {
         List<CompletableFuture<Client.Reply>> replies = new ArrayList<>();
--- a/elmline-cli/src/test/java/org/elmline/cli/local/LongPromptTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/LongPromptTest.java
@@ -14,7 +14,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** Prompts of more than twice one engine's memory, served by groups of engines. */
+/** Prompts of more than twice one engine's KV memory, served by groups of engines. */
 class LongPromptTest {
     private static final int ENGINE_TOKENS = 20_000;
     private static final int PROMPT_CHARACTERS = 4 * 45_000;
@@ -48,8 +48,9 @@
     }
 
     /**
-     * Two such prompts arrive at once on two entries, and the engines hold only one group at a time. Neither may hold
-     * some engines while it waits for the other's: both are answered, one after the other, and nothing stays reserved.
+     * Two such prompts arrive at once on two entries, and the engines have memory for one group at a time. Neither may
+     * hold some engines while it waits for those of the other: both must be answered, one after the other, and no
+     * memory may stay reserved.
      */
     @Test
     void twoAtOnceDoNotDeadlock() throws Exception {
@@ -71,7 +72,10 @@
         awaitFree();
     }
 
-    /** One of the group's engines dies amid the reading: the caller hears it, and every other engine is freed. */
+    /**
+     * One of the group's engines dies during the prefill: the caller must get an error, and every other engine must be
+     * freed.
+     */
     @Test
     void aDeadEngineFreesTheGroup() throws Exception {
         deployment.engines().forEach(each -> each.faults().slowdown(50));
--- a/elmline-cli/src/test/java/org/elmline/cli/local/UnlikeLengthsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/UnlikeLengthsTest.java
@@ -14,14 +14,14 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Prompts of very unlike lengths on one and the same engine, through the whole path. */
+/** Prompts of very different lengths on the same engine, end to end. */
 class UnlikeLengthsTest {
     private static final int LONG_TOKENS = 200_000;
 
     /**
-     * A member pastes in a whole course archive, and the only engine begins to read it. A guide's question comes a moment
-     * later. It is answered while the read goes on, since the engine is asked to serve the shorter prompt first; without
-     * that it would wait for the whole read, whose answer would then come first.
+     * The only engine has begun the prefill of a very long prompt when a short one arrives. The short one must be
+     * answered during that prefill, since the engine is requested to serve the shorter prompt first; without that it
+     * would wait for the whole prefill, and the long prompt would be answered first.
      */
     @Test
     void aShortQuestionOvertakesALongRead() throws Exception {
--- a/elmline-cli/src/test/java/org/elmline/cli/operator/OperatorCommandsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/operator/OperatorCommandsTest.java
@@ -34,7 +34,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** The operator's commands against fake hosts on loopback. */
+/** The operator's commands against simulated hosts on loopback. */
 class OperatorCommandsTest {
     private static final long NOW = 1_800_000_000_000L;
     private static final String KEY = "operator-key-0123456789";
@@ -101,8 +101,8 @@
     }
 
     /**
-     * The operator sends a ticket; the first host given has died, the second is up. The command goes on to the second,
-     * since a ticket sent twice is decided once, and waits until the deployment says that it is in force.
+     * The first host given is down, the second is up. The command must send the ticket to the second, since a ticket
+     * sent twice is decided once, and wait until the deployment reports it in force.
      */
     @Test
     void aTicketGoesToTheNextHostAndIsAwaited() throws Exception {
@@ -151,7 +151,7 @@
                         List.of(KEY), Handlers.path(this::answer).addExactPath("/v1/events", new EventsHandler(ring))));
     }
 
-    /** A canned body, with the status in front when it isn't 200. */
+    /** Sends the prepared body for the path, with the status in front of it when that isn't 200. */
     private void answer(HttpServerExchange exchange) {
         String canned = answers.getOrDefault(exchange.getRequestPath(), "404{}");
         int body = canned.indexOf('{');
--- a/elmline-cli/src/test/java/org/elmline/cli/process/Client.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/Client.java
@@ -16,7 +16,7 @@
 
 import static org.junit.jupiter.api.Assertions.fail;
 
-/** An ordinary HTTP client with one key. */
+/** An HTTP client of a caller or an operator, with one key. */
 public final class Client {
     private static final Duration LIMIT = Duration.ofSeconds(60);
     private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -37,7 +37,7 @@
         }
     }
 
-    /** What came of a streamed answer, and whether its end mark came. */
+    /** The received part of a streamed answer, and whether its end mark was received. */
     public record Stream(int status, String text, boolean done) {}
 
     public Reply get(String url) throws IOException {
@@ -65,14 +65,14 @@
         }
     }
 
-    /** Sends a request without waiting for its answer; what is returned hangs up. */
+    /** Sends a request without waiting for its answer; running the result cancels the call. */
     public Runnable begin(String url, String json) {
         Request.Builder request = new Request.Builder().url(url).post(RequestBody.create(json, JSON));
         Call call = http.newCall(authorised(request));
         call.enqueue(new Callback() {
             @Override
             public void onFailure(Call failed, IOException e) {
-                // Expected: the caller hung up.
+                // Expected: the test cancelled the call.
             }
 
             @Override
@@ -83,7 +83,7 @@
         return call::cancel;
     }
 
-    /** Reads the first bytes of a streamed answer, then hangs up. */
+    /** Reads the first byte of a streamed answer, then cancels the call. */
     public void leaveDuring(String url, String json) throws IOException {
         Request.Builder request = new Request.Builder().url(url).post(RequestBody.create(json, JSON));
         Call call = http.newCall(authorised(request));
@@ -114,7 +114,7 @@
         return new Stream(response.code(), text.toString(), done);
     }
 
-    /** Waits until the condition holds; a failed try counts as not yet. */
+    /** Waits until the condition holds; an exception counts as not yet. */
     public static void await(String what, Callable<Boolean> condition) throws InterruptedException {
         long deadline = System.nanoTime() + LIMIT.toNanos();
         Exception last = null;
--- a/elmline-cli/src/test/java/org/elmline/cli/process/ControlFailureTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/ControlFailureTest.java
@@ -19,7 +19,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Three control hosts and two entries as real processes over real files, under kills, freezes and lost disks. */
+/**
+ * Three control hosts and two entries as separate processes over files, with killed and frozen processes and lost
+ * disks.
+ */
 class ControlFailureTest {
     private static final String CALLER_KEY = "caller-key-of-control-tests";
     private static final int HOSTS = 3;
@@ -72,8 +75,8 @@
     }
 
     /**
-     * The leader is killed, a change follows at once, and the killed host comes back: the operator's change is accepted
-     * by the new leader, and nothing accepted before is lost.
+     * The leader is killed, a change follows at once, and the killed host restarts: the new leader must accept the
+     * change, and no ticket accepted before may be lost.
      */
     @Test
     void aKilledLeaderLosesNothing() throws Exception {
@@ -88,8 +91,8 @@
     }
 
     /**
-     * The leader freezes for longer than its lease while a new leader takes changes. It wakes with its old leadership
-     * in memory: no entry may hear an older configuration from it, and it must follow.
+     * The leader freezes for longer than its lease while a new leader accepts changes. It continues with its old
+     * leadership in memory: no entry may receive an older configuration from it, and it must become a follower.
      */
     @Test
     void aFrozenLeaderWakesDeposed() throws Exception {
@@ -107,8 +110,8 @@
     }
 
     /**
-     * A host loses its disk and comes back empty, and right after its repair a second host is killed. The first must
-     * not have voted on what it forgot; with it back as a new replica two of three still decide.
+     * A host loses its disk and restarts with an empty one, and right after its repair a second host is killed. The
+     * first must not vote on the state that it lost; with it back as a new replica, two of three must still decide.
      */
     @Test
     void aLostDiskIsRepairedBeforeTheNextLoss() throws Exception {
@@ -128,7 +131,10 @@
         assertAccepted(ticket);
     }
 
-    /** Hundreds of changes pass while a host is down; it comes back and, with another down, decides with the rest. */
+    /**
+     * Hundreds of changes are accepted while a host is down; it must catch up and, with another host down, decide with
+     * the remaining one.
+     */
     @Test
     void hundredsOfChangesWhileAHostIsDown() throws Exception {
         int down = (leader() + 1) % HOSTS;
@@ -145,8 +151,9 @@
     }
 
     /**
-     * Two operators send different changes under one number at once, on two hosts. Exactly one wins; the other hears who
-     * did. The winner's resend, as after a lost answer, gets the recorded answer.
+     * Two operators send different changes under one number at once, to two hosts. Exactly one must be accepted, the
+     * other refused with the winner's name. The same ticket sent again, as after a lost answer, must get the recorded
+     * answer.
      */
     @Test
     void oneOfTwoRacingTicketsWins() throws Exception {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/ElmlineProcess.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/ElmlineProcess.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** One real elmline process that a test starts, with the addresses of its ready line. */
+/** One elmline process started by a test, with the addresses of its ready line. */
 final class ElmlineProcess implements AutoCloseable {
     private static final long STOP_SECONDS = 60;
 
@@ -24,7 +24,7 @@
         this.ready = ready;
     }
 
-    /** Starts the command and returns once its ready line is out. */
+    /** Starts the command and returns once it has printed its ready line. */
     static ElmlineProcess start(Path folder, String name, String... arguments) throws IOException {
         Path log = folder.resolve(name + ".log");
         Process process = new ProcessBuilder(command(arguments))
@@ -89,23 +89,23 @@
         return process.isAlive();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void terminate() {
         process.destroy();
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the end of the process. */
     void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor(STOP_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** SIGSTOP: the process freezes with all its threads. */
+    /** Sends SIGSTOP: the process freezes with all its threads. */
     void freeze() throws IOException, InterruptedException {
         signal("STOP");
     }
 
-    /** SIGCONT. */
+    /** Sends SIGCONT: the frozen process continues. */
     void thaw() throws IOException, InterruptedException {
         signal("CONT");
     }
--- a/elmline-cli/src/test/java/org/elmline/cli/process/EntryFailureTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/EntryFailureTest.java
@@ -19,7 +19,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Entries, engines and services as real processes that are killed, frozen and stopped while they serve. */
+/** Entries, engines and services as separate processes that are killed, frozen and stopped while they serve. */
 class EntryFailureTest {
     private static final int LONG_ANSWER = 300;
 
@@ -43,16 +43,16 @@
     }
 
     /**
-     * A guide holds a seat through an entry that freezes before the service has answered. The guide's client retries on
-     * the other entry under the same key. It must hear "may have run", and when the frozen entry wakes the seat is held
-     * once: the claim was committed before the call was sent, so the second entry sends nothing.
+     * An entry freezes after it sent a call that holds a seat and before the service has answered. The client retries
+     * on the other entry under the same key. It must get "may have run", and when the frozen entry continues the seat
+     * must be held once: the claim was committed before the call was sent, so the second entry sends nothing.
      */
     @Test
     void aFrozenEntryAndARetryHoldOneSeat() throws Exception {
         String key = issueKey();
         deployment.caller.put(deployment.service.ready("service") + "/standin/faults", "{\"delayMillis\":3000}");
         CompletableFuture<Client.Reply> first = holdLater(0, key);
-        // Asked of the first entry: a retry that came before its claim would own the claim itself.
+        // Waits for the claim of the first entry: a retry that came before it would own the claim itself.
         Client.await("the call is sent", () -> sentClaims(0) == 1);
         assertEquals(409, hold(1, key).status());
         deployment.entries.get(0).freeze();
@@ -66,8 +66,8 @@
     }
 
     /**
-     * The entry that sent a seat hold is killed before the service has answered. Nobody knows how the call ended, so a
-     * retry on the other entry hears "may have run", now and later, and the seat is held once.
+     * The entry that sent a seat hold is killed before the service has answered. No process knows the outcome of the
+     * call, so a retry on the other entry gets "may have run", now and later, and the seat must be held once.
      */
     @Test
     void aKilledEntryAndARetryHoldOneSeat() throws Exception {
@@ -86,7 +86,10 @@
         assertEquals(1, runs(key));
     }
 
-    /** An engine freezes amid an answer, its connections open: after its silence the answer goes on elsewhere, exact. */
+    /**
+     * An engine freezes during an answer with its connections open: after the stream timeout the answer continues on
+     * another engine and must be exact.
+     */
     @Test
     void aFrozenEngineDoesNotHoldAnAnswer() throws Exception {
         CompletableFuture<Client.Stream> answer = deployment.stream(0, "frozen engine", LONG_ANSWER);
@@ -95,10 +98,10 @@
         assertExact("frozen engine", answer.get());
     }
 
-    /** An entry is killed with long answers in flight: within seconds the engines hold nothing for them. */
+    /** An entry is killed with long answers in flight: within seconds the engines must hold no memory for them. */
     @Test
     void aKilledEntryLeavesNoMemoryTaken() throws Exception {
-        // Slow, so that no answer ends by itself while the test waits.
+        // Slows the engines down, so that no answer ends by itself while the test waits.
         for (ElmlineProcess each : deployment.engines) {
             deployment.caller.put(each.ready("engine") + "/standin/faults", "{\"slowdown\":20}");
         }
@@ -112,7 +115,7 @@
         assertEquals(4, lost.size());
     }
 
-    /** An engine is killed amid an answer: the caller gets the exact answer, continued on the other engine. */
+    /** An engine is killed during an answer: the caller must get the exact answer, continued on the other engine. */
     @Test
     void aKilledEngineDoesNotBreakAnAnswer() throws Exception {
         CompletableFuture<Client.Stream> answer = deployment.stream(0, "killed engine", LONG_ANSWER);
@@ -121,7 +124,10 @@
         assertExact("killed engine", answer.get());
     }
 
-    /** Each process in turn is asked to stop while answers stream: no answer is cut, and the process ends. */
+    /**
+     * Each process in turn is stopped by SIGTERM while answers stream: no answer may be cut off, and the process must
+     * end.
+     */
     @Test
     void aStopInterruptsNoAnswer() throws Exception {
         int whole = 0;
@@ -152,7 +158,7 @@
                 .asText();
     }
 
-    /** The engine that holds the only open stream. */
+    /** The engine with the only open stream. */
     private ElmlineProcess streamingEngine() throws IOException {
         for (ElmlineProcess each : deployment.engines) {
             if (deployment
@@ -210,8 +216,8 @@
     }
 
     /**
-     * Prompts with long answers. The stand-in ends each prompt's answer where it ends: one that is over after 0.2 s leaves
-     * hardly a moment with all streams open, and on a busy machine none.
+     * Prompts with long answers. The length of a stand-in's answer depends on the prompt: one that is over after 0.2 s
+     * leaves hardly a moment with all streams open, and on a busy machine none.
      */
     private static List<String> longPrompts(int count) {
         List<String> prompts = new ArrayList<>();
--- a/elmline-cli/src/test/java/org/elmline/cli/process/ProcessDeployment.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/ProcessDeployment.java
@@ -12,7 +12,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-/** One control host, two entries, two engines and a service as real processes, with the first ticket in force. */
+/** One control host, two entries, two engines and a service as separate processes, with the first ticket in force. */
 final class ProcessDeployment implements AutoCloseable {
     static final String CALLER_KEY = "caller-key-of-process-tests";
 
@@ -95,7 +95,7 @@
         return entries.get(entry).ready("caller") + "/v1/services/booking/" + path;
     }
 
-    /** Streams that the engines hold, as they say themselves. */
+    /** Number of open streams that the engines report. */
     int openStreams() throws IOException {
         int open = 0;
         for (ElmlineProcess each : engines) {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/SettingsFiles.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/SettingsFiles.java
@@ -17,7 +17,7 @@
         this.folder = folder;
     }
 
-    /** One control host of a cluster whose hosts and peer ports are given in order. */
+    /** Settings of one control host in a cluster; {@code ownPort} is its port for peers. */
     Path control(String host, String domain, List<ControlSeat> seats, int ownPort) throws IOException {
         return write(
                 "control-" + host,
@@ -63,7 +63,7 @@
                         .formatted(id, domain, quoted(entries), BACKEND_KEY, service));
     }
 
-    /** One control host's place in the settings. */
+    /** One control host as the settings list it. */
     record ControlSeat(String host, String peers, String domain) {}
 
     private static String json(List<ControlSeat> seats) {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/Tickets.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/Tickets.java
@@ -2,11 +2,13 @@
 
 import org.elmline.daemon.http.BearerKey;
 
-/** Bodies that process tests send. */
+/** Request bodies of process tests. */
 final class Tickets {
     private Tickets() {}
 
-    /** Creates model {@code elm-small}, service {@code booking} and one organisation with the given key. */
+    /**
+     * A ticket that creates model {@code elm-small}, service {@code booking} and one organisation with the given key.
+     */
     static String first(String callerKey) {
         return """
                 {"author":"tests","objects":[
--- a/elmline-cli/src/test/java/org/elmline/cli/process/TimelineProcessTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/TimelineProcessTest.java
@@ -30,9 +30,9 @@
     }
 
     /**
-     * An operator sends a ticket at one entry, and again at the other because the first answer seemed lost; then a
-     * second, older in number, on the same objects. The time line must show each decision once, an acceptance before
-     * any host follows it, and that it is in force only after every host does.
+     * A ticket is sent to one entry, and again to the other as after a lost answer; then one with a lower number on the
+     * same objects. The time line must show each decision once, an acceptance before any host follows it, and the
+     * ticket in force only after every host follows it.
      */
     @Test
     void aTicketIsAcceptedThenFollowedThenInForce() throws Exception {
@@ -70,8 +70,8 @@
     }
 
     /**
-     * An engine joins and is told to stop; a service joins and dies at once. The operator sees that the engine left and
-     * that the service was lost, which is the one to look after.
+     * An engine joins and is stopped gracefully; a service joins and is killed at once. The time line must show that
+     * the engine left and that the service was lost, since only the latter needs an operator's attention.
      */
     @Test
     void leavingAndLosingABackendServerAreToldApart() throws Exception {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/WholePathTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/WholePathTest.java
@@ -16,8 +16,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * The whole path as separate processes: one control host, two entries, an engine and a service. A ticket creates model
- * and organisation; a caller asks which addresses to use and streams an answer, and gets exactly that answer.
+ * End to end over separate processes: one control host, two entries, an engine and a service. A ticket creates model
+ * and organisation; a caller requests the entry addresses, streams an answer and must get exactly that answer.
  */
 class WholePathTest {
     private static final String CALLER_KEY = "caller-key-of-process-tests";
--- a/elmline-cli/src/test/java/org/elmline/cli/role/RoleCommandTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/role/RoleCommandTest.java
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Two processes of one host are given the same port; the second can't start. The operator finds its log lines
-     * among those of many hosts by the name and role from its settings, which are on every line from the first on, and
-     * at the level that the settings ask for.
+     * Two processes of one host are configured with the same port; the second can't start. An operator must find its
+     * log lines among those of many hosts: every line from the first on carries the name and role of its settings, and
+     * the level of the settings applies.
      */
     @Test
     void linesCarryNameRoleAndLevelOfTheSettingsBeforeAnythingOpens() throws IOException {
