--- a/elmline-wire/src/main/java/org/elmline/wire/codec/ShapeCodec.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/ShapeCodec.java
@@ -93,11 +93,11 @@
     }
 
     private Codec jacksonCodec() {
-        Codec made = jacksonCodec;
-        if (made == null) {
-            made = new JacksonCodec(mapperSupplier.get());
-            jacksonCodec = made;
+        Codec codec = jacksonCodec;
+        if (codec == null) {
+            codec = new JacksonCodec(mapperSupplier.get());
+            jacksonCodec = codec;
         }
-        return made;
+        return codec;
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/EnumShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/EnumShape.java
@@ -26,8 +26,8 @@
 
     private static String name(Class<?> type, Enum<?> constant) {
         try {
-            JsonProperty named = type.getField(constant.name()).getAnnotation(JsonProperty.class);
-            return named == null ? constant.name() : named.value();
+            JsonProperty annotation = type.getField(constant.name()).getAnnotation(JsonProperty.class);
+            return annotation == null ? constant.name() : annotation.value();
         } catch (NoSuchFieldException e) {
             throw new IllegalStateException("enum type has no field for one of its constants", e);
         }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/PrimitiveShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/PrimitiveShape.java
@@ -10,10 +10,10 @@
     private final ScalarShape scalar;
     private final Object absentValue;
 
-    /** @param absent the value of an absent field; null where an absent field is an error */
-    PrimitiveShape(ScalarShape scalar, Object absent) {
+    /** @param absentValue the value of an absent field; null where an absent field is an error */
+    PrimitiveShape(ScalarShape scalar, Object absentValue) {
         this.scalar = scalar;
-        this.absentValue = absent;
+        this.absentValue = absentValue;
     }
 
     @Override
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/RecordShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/RecordShape.java
@@ -85,8 +85,8 @@
             Integer position = positions.get(from.currentName());
             JsonToken token = from.nextToken();
             if (position != null) {
-                boolean none = token == JsonToken.VALUE_NULL && !strict;
-                components[position] = none ? null : shapes[position].read(from);
+                boolean acceptedNull = token == JsonToken.VALUE_NULL && !strict;
+                components[position] = acceptedNull ? null : shapes[position].read(from);
             } else if (strict) {
                 throw new MismatchException("unknown field");
             } else {
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/SealedTypeShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/SealedTypeShape.java
@@ -32,9 +32,9 @@
     }
 
     private RecordShape shape(Class<?> type) {
-        RecordShape known = shapesByType.get(type);
-        if (known != null) {
-            return known;
+        RecordShape cached = shapesByType.get(type);
+        if (cached != null) {
+            return cached;
         }
         RecordShape shape = shapes.record(type);
         shapesByType.put(type, shape);
@@ -49,10 +49,10 @@
 
     @Override
     public Object read(JsonParser from) throws IOException {
-        boolean named = from.currentToken() == JsonToken.START_OBJECT
+        boolean hasTypeName = from.currentToken() == JsonToken.START_OBJECT
                 && field.equals(from.nextFieldName())
                 && from.nextToken() == JsonToken.VALUE_STRING;
-        Class<?> type = named ? types.get(from.getText()) : null;
+        Class<?> type = hasTypeName ? types.get(from.getText()) : null;
         if (type == null) {
             throw new MismatchException("no known case in the first field");
         }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/Shapes.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/Shapes.java
@@ -44,9 +44,9 @@
      * @throws UnsupportedTypeException when the type, or one that it is made of, is not supported
      */
     public Shape of(Type type) {
-        Shape known = shapesByType.get(type);
-        if (known != null) {
-            return known;
+        Shape cached = shapesByType.get(type);
+        if (cached != null) {
+            return cached;
         }
         Shape shape = createShape(type);
         shapesByType.put(type, shape);
@@ -57,30 +57,30 @@
         if (type instanceof ParameterizedType list && list.getRawType() == List.class) {
             return new ListShape(of(list.getActualTypeArguments()[0]));
         }
-        if (!(type instanceof Class<?> plain)) {
+        if (!(type instanceof Class<?> rawType)) {
             throw new UnsupportedTypeException(type);
         }
-        if (plain.isPrimitive()) {
-            return primitive(plain);
+        if (rawType.isPrimitive()) {
+            return primitive(rawType);
         }
-        if (SCALARS.containsKey(plain)) {
-            return SCALARS.get(plain);
+        if (SCALARS.containsKey(rawType)) {
+            return SCALARS.get(rawType);
         }
-        if (plain.isEnum()) {
-            return new EnumShape(plain);
+        if (rawType.isEnum()) {
+            return new EnumShape(rawType);
         }
-        if (plain.isInterface()) {
-            return sealedTypeShape(plain);
+        if (rawType.isInterface()) {
+            return sealedTypeShape(rawType);
         }
-        Method value = annotatedValue(plain);
+        Method value = annotatedValue(rawType);
         if (value != null) {
-            return new ValueShape(value, factory(plain), of(value.getReturnType()));
+            return new ValueShape(value, factory(rawType), of(value.getReturnType()));
         }
-        if (!plain.isRecord()) {
+        if (!rawType.isRecord()) {
             throw new UnsupportedTypeException(type);
         }
-        Class<?> sealed = sealedTypeOf(plain);
-        return sealed == null ? record(plain) : of(sealed);
+        Class<?> sealed = sealedTypeOf(rawType);
+        return sealed == null ? record(rawType) : of(sealed);
     }
 
     private Shape primitive(Class<?> type) {
@@ -139,15 +139,15 @@
         if (!type.isSealed() || info == null || info.use() != JsonTypeInfo.Id.NAME) {
             throw new UnsupportedTypeException(type);
         }
-        SealedTypeShape cases = new SealedTypeShape(info.property(), this);
+        SealedTypeShape sealedType = new SealedTypeShape(info.property(), this);
         for (Class<?> each : type.getPermittedSubclasses()) {
             JsonTypeName name = each.getAnnotation(JsonTypeName.class);
             if (!each.isRecord() || name == null) {
                 throw new UnsupportedTypeException(each);
             }
-            cases.add(each, name.value());
+            sealedType.add(each, name.value());
         }
-        return cases;
+        return sealedType;
     }
 
     RecordShape record(Class<?> type) {
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/ValueShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/ValueShape.java
@@ -24,9 +24,9 @@
     }
 
     @Override
-    public void write(JsonGenerator to, Object of) throws IOException {
+    public void write(JsonGenerator to, Object instance) throws IOException {
         try {
-            inner.write(to, value.invoke(of));
+            inner.write(to, value.invoke(instance));
         } catch (IllegalAccessException | InvocationTargetException e) {
             throw new IllegalStateException("cannot invoke the accessor of a value: " + value, e);
         }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/Connection.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/Connection.java
@@ -31,12 +31,12 @@
     Connection(
             AsynchronousSocketChannel socket,
             PeerKey key,
-            Handshake.Side role,
+            Handshake.Side side,
             PeerHandlers handlers,
             PeerLimits limits,
             HybridClock hybridClock,
             Consumer<Connection> onClose) {
-        this.handshake = new Handshake(key, role);
+        this.handshake = new Handshake(key, side);
         this.handlers = handlers;
         this.limits = limits;
         this.hybridClock = hybridClock;
@@ -131,9 +131,9 @@
     }
 
     private void complete(Envelope envelope, CallResult<byte[]> result) {
-        CompletableFuture<CallResult<byte[]>> waiting = callsInFlight.remove(envelope.call());
-        if (waiting != null) {
-            waiting.complete(result);
+        CompletableFuture<CallResult<byte[]>> pending = callsInFlight.remove(envelope.call());
+        if (pending != null) {
+            pending.complete(result);
         }
     }
 
@@ -169,9 +169,9 @@
         closed = true;
         ready.complete(false);
         for (Long number : callsInFlight.keySet()) {
-            CompletableFuture<CallResult<byte[]>> waiting = callsInFlight.remove(number);
-            if (waiting != null) {
-                waiting.complete(new CallResult.Unknown<>("the connection closed: " + why));
+            CompletableFuture<CallResult<byte[]>> pending = callsInFlight.remove(number);
+            if (pending != null) {
+                pending.complete(new CallResult.Unknown<>("the connection closed: " + why));
             }
         }
         onClose.accept(this);
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/FrameChannel.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/FrameChannel.java
@@ -158,10 +158,10 @@
             close("frame of " + length + " bytes; 1 to " + limits.maxFrameBytes() + " are allowed");
             return false;
         }
-        int wanted = Math.max(READ_BUFFER_BYTES, HEADER_BYTES + length);
-        if (wanted > readBuffer.capacity()
-                || readBuffer.capacity() > READ_BUFFER_BYTES && wanted == READ_BUFFER_BYTES) {
-            readBuffer = ByteBuffer.allocate(wanted).put(readBuffer);
+        int neededBytes = Math.max(READ_BUFFER_BYTES, HEADER_BYTES + length);
+        if (neededBytes > readBuffer.capacity()
+                || readBuffer.capacity() > READ_BUFFER_BYTES && neededBytes == READ_BUFFER_BYTES) {
+            readBuffer = ByteBuffer.allocate(neededBytes).put(readBuffer);
         } else {
             readBuffer.compact();
         }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/Handshake.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/Handshake.java
@@ -15,7 +15,7 @@
     private static final SecureRandom RANDOM = new SecureRandom();
 
     private final PeerKey key;
-    private final Side role;
+    private final Side side;
     private final Hello ownHello;
     private Hello peerHello;
     private boolean completed;
@@ -30,9 +30,9 @@
         }
     }
 
-    Handshake(PeerKey key, Side role) {
+    Handshake(PeerKey key, Side side) {
         this.key = key;
-        this.role = role;
+        this.side = side;
         byte[] nonce = new byte[Hello.NONCE_BYTES];
         RANDOM.nextBytes(nonce);
         ownHello = new Hello(Hello.MAGIC, Hello.MIN_VERSION, Hello.MAX_VERSION, nonce);
@@ -65,14 +65,14 @@
         }
         peerHello = hello.value();
         return new Step.Send(
-                Codecs.MESSAGE_PACK.encode(new Proof(key.sign(role.name(), ownHello.nonce(), peerHello.nonce()))));
+                Codecs.MESSAGE_PACK.encode(new Proof(key.sign(side.name(), ownHello.nonce(), peerHello.nonce()))));
     }
 
     private Step receiveProof(byte[] frame) {
         boolean valid = Codecs.MESSAGE_PACK.decode(frame, Proof.class) instanceof Decoded.Value<Proof> proof
                 && proof.value().signature() != null
                 && key.verify(
-                        role.opposite().name(),
+                        side.opposite().name(),
                         peerHello.nonce(),
                         ownHello.nonce(),
                         proof.value().signature());
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerHandlers.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/PeerHandlers.java
@@ -30,12 +30,13 @@
     }
 
     CompletableFuture<Answer> handle(String channel, byte[] body) {
-        RegisteredHandler<?, ?> entry = channel == null ? null : handlersByChannel.get(channel);
-        if (entry == null) {
+        RegisteredHandler<?, ?> registered = channel == null ? null : handlersByChannel.get(channel);
+        if (registered == null) {
             return CompletableFuture.completedFuture(new Answer.Refused("unknown channel " + channel));
         }
         try {
-            return CompletableFuture.supplyAsync(() -> entry.run(body), workers).thenCompose(stage -> stage);
+            return CompletableFuture.supplyAsync(() -> registered.run(body), workers)
+                    .thenCompose(stage -> stage);
         } catch (RejectedExecutionException e) {
             return CompletableFuture.completedFuture(new Answer.Refused("too busy"));
         }
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
@@ -79,13 +79,13 @@
             return result;
         }
         byte[] body = Codecs.MESSAGE_PACK.encode(request);
-        OutgoingCall<R> sending = new OutgoingCall<>(channel.response(), result);
-        if (!sending.scheduleTimeout(timeout)) {
+        OutgoingCall<R> outgoing = new OutgoingCall<>(channel.response(), result);
+        if (!outgoing.scheduleTimeout(timeout)) {
             return result;
         }
         links.computeIfAbsent(to, PeerLink::new)
                 .connection()
-                .whenComplete((connection, failure) -> sending.send(connection, channel.name(), body));
+                .whenComplete((connection, failure) -> outgoing.send(connection, channel.name(), body));
         return result;
     }
 
@@ -149,12 +149,12 @@
                 return;
             }
             Connection.PendingCall pending = connection.call(channel, body);
-            boolean late;
+            boolean alreadyCompleted;
             synchronized (this) {
                 discardPending = pending.discard();
-                late = completed;
+                alreadyCompleted = completed;
             }
-            if (late) {
+            if (alreadyCompleted) {
                 pending.discard().run();
                 return;
             }
@@ -163,43 +163,43 @@
 
         void onTimeout() {
             boolean wasSent;
-            Connection suspected = null;
-            long since;
+            Connection connectionToCheck = null;
+            long sentNanos;
             synchronized (this) {
                 wasSent = sent;
-                since = sentAtNanos;
+                sentNanos = sentAtNanos;
                 if (sent && !completed) {
-                    suspected = usedConnection;
+                    connectionToCheck = usedConnection;
                 }
             }
-            if (suspected != null) {
-                closeIfUnresponsive(suspected, since);
+            if (connectionToCheck != null) {
+                closeIfUnresponsive(connectionToCheck, sentNanos);
             }
             complete(
                     wasSent ? new CallResult.Unknown<>("timed out") : new CallResult.NotSent<>("timed out connecting"));
         }
 
         private void complete(CallResult<R> outcome) {
-            Runnable cleanUp;
+            Runnable discardTask;
             ScheduledFuture<?> scheduled;
             synchronized (this) {
                 if (completed) {
                     return;
                 }
                 completed = true;
-                cleanUp = discardPending;
+                discardTask = discardPending;
                 scheduled = timeoutTask;
             }
             if (scheduled != null) {
                 scheduled.cancel(false);
             }
-            cleanUp.run();
+            discardTask.run();
             result.complete(outcome);
         }
 
         private CallResult<R> decode(CallResult<byte[]> answer) {
-            if (answer instanceof CallResult.NotSent<byte[]> not) {
-                return new CallResult.NotSent<>(not.reason());
+            if (answer instanceof CallResult.NotSent<byte[]> notSent) {
+                return new CallResult.NotSent<>(notSent.reason());
             }
             if (answer instanceof CallResult.Unknown<byte[]> unknown) {
                 return new CallResult.Unknown<>(unknown.reason());
@@ -287,15 +287,15 @@
             InetSocketAddress target = new InetSocketAddress(address.ip(), address.port());
             socket.connect(target, null, new CompletionHandler<Void, Void>() {
                 @Override
-                public void completed(Void done, Void nothing) {
+                public void completed(Void done, Void attachment) {
                     Connection connection = new Connection(
                             socket, key, Handshake.Side.CLIENT, noHandlers, limits, hybridClock, each -> {});
-                    connection.ready().thenAccept(proven -> opened.complete(proven ? connection : null));
+                    connection.ready().thenAccept(authenticated -> opened.complete(authenticated ? connection : null));
                     connection.start();
                 }
 
                 @Override
-                public void failed(Throwable e, Void nothing) {
+                public void failed(Throwable e, Void attachment) {
                     abandon(socket, opened);
                 }
             });
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerServer.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerServer.java
@@ -99,13 +99,13 @@
         }
         server.accept(null, new CompletionHandler<AsynchronousSocketChannel, Void>() {
             @Override
-            public void completed(AsynchronousSocketChannel socket, Void nothing) {
+            public void completed(AsynchronousSocketChannel socket, Void attachment) {
                 serve(socket);
                 accept();
             }
 
             @Override
-            public void failed(Throwable e, Void nothing) {
+            public void failed(Throwable e, Void attachment) {
                 if (!closed) {
                     // Most likely no file descriptor is free; retries after a short delay.
                     timer.schedule(TcpPeerServer.this::accept, ACCEPT_RETRY_DELAY.toMillis(), TimeUnit.MILLISECONDS);
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/ControlMessagesTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/ControlMessagesTest.java
@@ -32,23 +32,23 @@
     // A control host restarts after hundreds of changes: the commands and the snapshot that it wrote must restore the
     // same state. Otherwise it would answer a resent ticket or a repeated fee differently from the other hosts.
     @Test
-    void commandsAndSnapshotsBringTheSameStateBack() {
+    void decodedCommandsAndSnapshotsRestoreTheSameState() {
         for (Codec codec : List.of(Codecs.MESSAGE_PACK, Codecs.JSON)) {
             ControlState state = new ControlState();
             ControlState replayed = new ControlState();
             for (int i = 1; i <= 300; i++) {
                 Command command = command(i);
                 CommandResult result = state.apply(i, command);
-                assertEquals(result, replayed.apply(i, again(codec, command, Command.class)));
-                assertEquals(result, again(codec, result, CommandResult.class));
+                assertEquals(result, replayed.apply(i, roundTrip(codec, command, Command.class)));
+                assertEquals(result, roundTrip(codec, result, CommandResult.class));
             }
 
             ControlSnapshot snapshot = state.snapshot();
             assertEquals(snapshot, replayed.snapshot());
-            assertEquals(snapshot, again(codec, snapshot, ControlSnapshot.class));
+            assertEquals(snapshot, roundTrip(codec, snapshot, ControlSnapshot.class));
             assertEquals(
                     snapshot,
-                    ControlState.restore(again(codec, snapshot, ControlSnapshot.class))
+                    ControlState.restore(roundTrip(codec, snapshot, ControlSnapshot.class))
                             .snapshot());
         }
     }
@@ -74,7 +74,7 @@
         }
     }
 
-    private static <T> T again(Codec codec, T value, Class<T> type) {
+    private static <T> T roundTrip(Codec codec, T value, Class<T> type) {
         return ((Decoded.Value<T>) codec.decode(codec.encode(value), type)).value();
     }
 }
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/JsonTreesTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/JsonTreesTest.java
@@ -19,7 +19,7 @@
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     @Property(tries = 300)
-    void readsWhatTheMapperReads(@ForAll long seed) throws IOException {
+    void readsTheSameTreeAsTheMapper(@ForAll long seed) throws IOException {
         byte[] document = MAPPER.writeValueAsBytes(random(new SplittableRandom(seed), 5));
         String expected = MAPPER.readTree(document).toString();
         assertEquals(expected, JsonTreeReader.strict().read(document).toString());
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void refusesWhatIsNoDocument() {
+    void rejectsInvalidDocuments() {
         String[] faulty = {"", "{", "[1", "{\"a\":1}{}", "{\"a\" 1}", "tru", "[".repeat(100) + "]".repeat(100)};
         for (String each : faulty) {
             assertThrows(IOException.class, () -> JsonTreeReader.lenient().read(each.getBytes()), each);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void onlyAStrictReaderRefusesTwoFieldsOfOneName() throws IOException {
+    void onlyTheStrictReaderRejectsDuplicateFields() throws IOException {
         byte[] twice = "{\"a\":1,\"a\":2}".getBytes();
         assertThrows(IOException.class, () -> JsonTreeReader.strict().read(twice));
         assertEquals(2, JsonTreeReader.lenient().read(twice).path("a").asInt());
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/RouteMessagesTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/RouteMessagesTest.java
@@ -43,7 +43,7 @@
     private static final ModelName MODEL = ModelName.of("elm-small");
 
     @Test
-    void everyMessageComesBackEqual() {
+    void everyMessageIsEqualAfterARoundTrip() {
         Demand demand = new Demand(MODEL, "", 10, 20, List.of(1L, -2L), 0, 1_000, Set.of(BackendServerId.of("engine")));
         Grant grant = new Grant(
                 ATTEMPT,
@@ -82,15 +82,15 @@
             new ShareRequest(HOST, FIRST, ORGANISATION, 1, 2, 3),
             new ShareAnswer(ORGANISATION, 1, 2, 3),
         };
-        int passed = 0;
+        int equalCount = 0;
         for (Object each : messages) {
             Class<?> type = each instanceof OwnerPlaceAnswer ? OwnerPlaceAnswer.class : each.getClass();
             for (Codec codec : List.of(Codecs.MESSAGE_PACK, Codecs.JSON)) {
                 Decoded<?> decoded = codec.decode(codec.encode(each), type);
                 assertEquals(new Decoded.Value<>(each), decoded);
-                passed++;
+                equalCount++;
             }
         }
-        assertEquals(26, passed);
+        assertEquals(26, equalCount);
     }
 }
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/ShapeCodecTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/ShapeCodecTest.java
@@ -71,17 +71,17 @@
     private static final PackedRouting PACKED = PackedRouting.of(new RoutingText(true, 5, "{}"));
 
     @Property(tries = 200)
-    void bothWaysAgree(@ForAll long seed) {
+    void shapesAndDataBindingDecodeEachOther(@ForAll long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         for (Object each : messages(random)) {
             for (boolean json : List.of(false, true)) {
                 Codec shapes = json ? Codecs.JSON : Codecs.MESSAGE_PACK;
                 Codec binding = new JacksonCodec(
                         json ? Codecs.jsonMapper() : Codecs.lenient(new ObjectMapper(new MessagePackFactory())));
-                Object byBinding = value(binding.decode(shapes.encode(each), each.getClass()));
-                Object byShapes = value(shapes.decode(binding.encode(each), each.getClass()));
-                assertArrayEquals(binding.encode(each), binding.encode(byBinding));
-                assertArrayEquals(shapes.encode(each), shapes.encode(byShapes));
+                Object decodedByBinding = value(binding.decode(shapes.encode(each), each.getClass()));
+                Object decodedByShapes = value(shapes.decode(binding.encode(each), each.getClass()));
+                assertArrayEquals(binding.encode(each), binding.encode(decodedByBinding));
+                assertArrayEquals(shapes.encode(each), shapes.encode(decodedByShapes));
             }
         }
     }
@@ -89,10 +89,10 @@
     // A control host that restarts after a power loss answers no call before it has read its log and its peers'
     // messages. Data binding would take a third of that time, so none of these messages may need it.
     @Test
-    void theMessagesOfAStartNeedNoDataBinding() {
+    void messagesOfAStartNeedNoDataBinding() {
         Shapes shapes = new Shapes(false);
         for (Object each : messages(new SplittableRandom(1))) {
-            assertDoesNotThrow(() -> written(shapes, each), each.getClass().getName());
+            assertDoesNotThrow(() -> encode(shapes, each), each.getClass().getName());
         }
         for (Class<?> each : List.of(CommandResult.class, RoutingSubmitResult.class, Reports.class)) {
             assertDoesNotThrow(() -> shapes.of(each), each.getName());
@@ -100,27 +100,30 @@
     }
 
     @Test
-    void whatIsNotAsExpectedIsMalformed() {
+    void rejectsMalformedValuesAndIgnoresUnknownFields() {
         String[] malformed = {"{\"known\":1}", "{\"version\":\"1\"}", "[]", "", "{\"version\":1", "{\"text\":{}}"};
         for (String each : malformed) {
             assertInstanceOf(Decoded.Malformed.class, Codecs.JSON.decode(each.getBytes(), RoutingText.class), each);
         }
-        String more = "{\"known\":true,\"new\":{\"x\":[1]},\"version\":4}";
-        assertEquals(new RoutingText(true, 4, null), value(Codecs.JSON.decode(more.getBytes(), RoutingText.class)));
+        String withUnknownField = "{\"known\":true,\"new\":{\"x\":[1]},\"version\":4}";
+        assertEquals(
+                new RoutingText(true, 4, null),
+                value(Codecs.JSON.decode(withUnknownField.getBytes(), RoutingText.class)));
     }
 
     @Test
-    void strictReadingTakesNothingBeyondItsValue() {
+    void strictDecodingRejectsTrailingBytesAndAbsentNumbers() {
         Codec strict = new ShapeCodec(new JsonFactory(), true, ObjectMapper::new);
-        String whole = "{\"known\":true,\"version\":4}";
-        assertInstanceOf(Decoded.Value.class, strict.decode(whole.getBytes(), RoutingText.class));
+        String document = "{\"known\":true,\"version\":4}";
+        assertInstanceOf(Decoded.Value.class, strict.decode(document.getBytes(), RoutingText.class));
         assertInstanceOf(
-                Decoded.Malformed.class, Codecs.STRICT_JSON.decode((whole + whole).getBytes(), RoutingText.class));
+                Decoded.Malformed.class,
+                Codecs.STRICT_JSON.decode((document + document).getBytes(), RoutingText.class));
         assertInstanceOf(
                 Decoded.Malformed.class, Codecs.STRICT_JSON.decode("{\"known\":true}".getBytes(), RoutingText.class));
     }
 
-    private static byte[] written(Shapes shapes, Object value) throws IOException {
+    private static byte[] encode(Shapes shapes, Object value) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         try (JsonGenerator to = new MessagePackFactory().createGenerator(bytes)) {
             shapes.of(value.getClass()).write(to, value);
@@ -246,20 +249,20 @@
         byte[] data = new byte[random.nextInt(50)];
         random.nextBytes(data);
         Membership members = Membership.ofVoters(List.of(REPLICA, new ReplicaId(HostId.of("h"), random.nextLong())));
-        long any = random.nextLong();
+        long randomLong = random.nextLong();
         return List.of(
-                new Message.PreVoteRequest(REPLICA, REPLICA, any, 1, 2),
+                new Message.PreVoteRequest(REPLICA, REPLICA, randomLong, 1, 2),
                 new Message.PreVoteResponse(REPLICA, REPLICA, 5, random.nextBoolean()),
-                new Message.VoteRequest(REPLICA, REPLICA, 5, 1, any, random.nextBoolean()),
+                new Message.VoteRequest(REPLICA, REPLICA, 5, 1, randomLong, random.nextBoolean()),
                 new Message.VoteResponse(REPLICA, REPLICA, 5, true),
                 new Message.AppendRequest(
-                        REPLICA, REPLICA, 5, 1, 2, List.of(new Entry(1, 2, EntryKind.COMMAND, data)), 3, any),
-                new Message.AppendResponse(REPLICA, REPLICA, 5, true, 1, 2, any),
-                new Message.Heartbeat(REPLICA, REPLICA, 5, 4, any),
-                new Message.HeartbeatResponse(REPLICA, REPLICA, 5, any),
-                new Message.SnapshotChunk(REPLICA, REPLICA, 5, 1, 2, members, 3, 4, data, any),
-                new Message.SnapshotResponse(REPLICA, REPLICA, 5, 1, 2, any),
-                new Message.TimeoutNow(REPLICA, REPLICA, any));
+                        REPLICA, REPLICA, 5, 1, 2, List.of(new Entry(1, 2, EntryKind.COMMAND, data)), 3, randomLong),
+                new Message.AppendResponse(REPLICA, REPLICA, 5, true, 1, 2, randomLong),
+                new Message.Heartbeat(REPLICA, REPLICA, 5, 4, randomLong),
+                new Message.HeartbeatResponse(REPLICA, REPLICA, 5, randomLong),
+                new Message.SnapshotChunk(REPLICA, REPLICA, 5, 1, 2, members, 3, 4, data, randomLong),
+                new Message.SnapshotResponse(REPLICA, REPLICA, 5, 1, 2, randomLong),
+                new Message.TimeoutNow(REPLICA, REPLICA, randomLong));
     }
 
     private static Address address(SplittableRandom random) {
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/StrictJsonTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/StrictJsonTest.java
@@ -30,7 +30,7 @@
                 "{'kind':'service','name':'booking','timeoutMillis':5,'colour':'red'}",
                 "{'kind':'service','name':'booking','timeoutMillis':5} {}"
             })
-    void allElseIsRefused(String json) {
+    void rejectsAbsentNumbersWrongTypesAndUnknownFields(String json) {
         Decoded<Service> read = decode(json);
         assertInstanceOf(Decoded.Malformed.class, read, read::toString);
     }
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/FrameChannelTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/FrameChannelTest.java
@@ -50,7 +50,7 @@
 
     /** Guards against frames that are lost, merged or truncated when they arrive in parts or several at a time. */
     @Test
-    void framesComeWholeHoweverTheirBytesCome() throws Exception {
+    void deliversWholeFramesForAnySplitOfTheBytes() throws Exception {
         Random random = new Random(9);
         byte[][] sent = new byte[120][];
         int total = 0;
@@ -79,7 +79,7 @@
 
     /** Guards against the delivery of messages that arrived together with one for which the connection was closed. */
     @Test
-    void nothingIsHandedOnOnceTheConnectionIsClosed() throws Exception {
+    void deliversNoFrameAfterClose() throws Exception {
         BlockingQueue<FrameChannel> channel = new LinkedBlockingQueue<>();
         onFrame = frame -> {
             frames.add(frame);
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aFrameOverTheLimitIsNotRead() throws Exception {
+    void closesOnFrameOverTheLimit() throws Exception {
         receive(out -> {
             out.write(ByteBuffer.allocate(4).putInt(MAX_FRAME + 1).array());
             assertTrue(closed.poll(20, TimeUnit.SECONDS).contains("50001 bytes"));
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/HandshakeTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/HandshakeTest.java
@@ -11,7 +11,7 @@
     private static final PeerKey KEY = new PeerKey("a peer key of tests");
 
     @Test
-    void bothSidesProveTheKey() {
+    void bothSidesAuthenticateWithTheSameKey() {
         Handshake client = new Handshake(KEY, Handshake.Side.CLIENT);
         Handshake server = new Handshake(KEY, Handshake.Side.SERVER);
         assertInstanceOf(Decoded.Value.class, Codecs.MESSAGE_PACK.decode(client.hello(), Hello.class));
@@ -29,7 +29,7 @@
 
     /** A host without the key sends back the proof that it received. This must not authenticate it. */
     @Test
-    void aReflectedProofIsRefused() {
+    void rejectsReflectedProof() {
         Handshake server = new Handshake(KEY, Handshake.Side.SERVER);
         Handshake.Step proof = server.receive(server.hello());
         Handshake.Step answer = server.receive(
@@ -38,10 +38,10 @@
     }
 
     @Test
-    void anotherVersionIsRefusedByName() {
+    void rejectsPeerWithoutCommonVersion() {
         Handshake server = new Handshake(KEY, Handshake.Side.SERVER);
-        Hello later = new Hello(Hello.MAGIC, 7, 9, new byte[Hello.NONCE_BYTES]);
-        Handshake.Step step = server.receive(Codecs.MESSAGE_PACK.encode(later));
+        Hello newerRelease = new Hello(Hello.MAGIC, 7, 9, new byte[Hello.NONCE_BYTES]);
+        Handshake.Step step = server.receive(Codecs.MESSAGE_PACK.encode(newerRelease));
         assertEquals(
                 new Handshake.Step.Fail("no protocol version in common: this side speaks 1 to 1, the other 7 to 9"),
                 step);
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/PeerKeyTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/PeerKeyTest.java
@@ -16,7 +16,7 @@
 
 class PeerKeyTest {
     @Property(tries = 300)
-    void signsAsTheStandardSays(
+    void signatureEqualsThePlatformsHmac(
             @ForAll @AlphaChars @StringLength(min = 16, max = 200) String secret,
             @ForAll String purpose,
             @ForAll byte[] first,
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/TcpPeerNetworkTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/TcpPeerNetworkTest.java
@@ -30,20 +30,20 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 class TcpPeerNetworkTest {
-    private static final Duration LONG = Duration.ofSeconds(20);
-    private static final Duration SHORT = Duration.ofMillis(300);
+    private static final Duration LONG_TIMEOUT = Duration.ofSeconds(20);
+    private static final Duration SHORT_TIMEOUT = Duration.ofMillis(300);
     private static final HybridClock CLOCK = new HybridClock(System::currentTimeMillis);
     private static final String SECRET = "a peer key of tests";
 
-    record Ask(String text) {}
+    record Request(String text) {}
 
     record Reply(String text) {}
 
-    private static final Channel<Ask, Reply> ECHO = new Channel<>("test.echo", Ask.class, Reply.class);
-    private static final Channel<Ask, Reply> SILENT = new Channel<>("test.silent", Ask.class, Reply.class);
-    private static final Channel<Ask, Reply> LATE = new Channel<>("test.late", Ask.class, Reply.class);
-    private static final Channel<Ask, Reply> THROWS = new Channel<>("test.throws", Ask.class, Reply.class);
-    private static final Channel<Ask, Reply> ABSENT = new Channel<>("test.absent", Ask.class, Reply.class);
+    private static final Channel<Request, Reply> ECHO = new Channel<>("test.echo", Request.class, Reply.class);
+    private static final Channel<Request, Reply> UNANSWERED = new Channel<>("test.silent", Request.class, Reply.class);
+    private static final Channel<Request, Reply> DELAYED = new Channel<>("test.late", Request.class, Reply.class);
+    private static final Channel<Request, Reply> THROWS = new Channel<>("test.throws", Request.class, Reply.class);
+    private static final Channel<Request, Reply> ABSENT = new Channel<>("test.absent", Request.class, Reply.class);
 
     private final Closer closer = new Closer();
     private AsynchronousChannelGroup group;
@@ -61,14 +61,14 @@
         closer.register(timer::shutdownNow);
         closer.register(workers::shutdownNow);
         PeerHandlers handlers = new PeerHandlers(workers);
-        handlers.register(ECHO, ask -> CompletableFuture.completedFuture(new Reply(ask.text())));
-        handlers.register(SILENT, ask -> new CompletableFuture<>());
-        handlers.register(LATE, ask -> {
-            CompletableFuture<Reply> late = new CompletableFuture<>();
-            timer.schedule(() -> late.complete(new Reply(ask.text())), 150, TimeUnit.MILLISECONDS);
-            return late;
+        handlers.register(ECHO, request -> CompletableFuture.completedFuture(new Reply(request.text())));
+        handlers.register(UNANSWERED, request -> new CompletableFuture<>());
+        handlers.register(DELAYED, request -> {
+            CompletableFuture<Reply> delayed = new CompletableFuture<>();
+            timer.schedule(() -> delayed.complete(new Reply(request.text())), 150, TimeUnit.MILLISECONDS);
+            return delayed;
         });
-        handlers.register(THROWS, ask -> {
+        handlers.register(THROWS, request -> {
             throw new IllegalStateException("failure of the test handler");
         });
         server = closer.register(TcpPeerServer.start(
@@ -86,7 +86,7 @@
         TcpPeerNetwork network = network(SECRET, PeerLimits.DEFAULT);
         List<CompletableFuture<CallResult<Reply>>> results = new ArrayList<>();
         for (int i = 0; i < 500; i++) {
-            results.add(network.call(address, ECHO, new Ask("n" + i), LONG));
+            results.add(network.call(address, ECHO, new Request("n" + i), LONG_TIMEOUT));
         }
         for (int i = 0; i < 500; i++) {
             assertEquals(new CallResult.Answered<>(new Reply("n" + i)), await(results.get(i)));
@@ -94,40 +94,41 @@
     }
 
     @Test
-    void saysNotSentWhenNothingListens() throws Exception {
-        Address nobody;
+    void reportsNotSentWhenNoProcessListens() throws Exception {
+        Address unusedAddress;
         try (ServerSocket free = new ServerSocket(0)) {
-            nobody = new Address("127.0.0.1", free.getLocalPort());
+            unusedAddress = new Address("127.0.0.1", free.getLocalPort());
         }
         assertInstanceOf(
                 CallResult.NotSent.class,
-                await(network(SECRET, PeerLimits.DEFAULT).call(nobody, ECHO, new Ask("x"), LONG)));
+                await(network(SECRET, PeerLimits.DEFAULT).call(unusedAddress, ECHO, new Request("x"), LONG_TIMEOUT)));
     }
 
     @Test
-    void saysNotSentUnderAWrongKey() throws Exception {
+    void reportsNotSentForAWrongKey() throws Exception {
         TcpPeerNetwork network = network("another key of tests", PeerLimits.DEFAULT);
-        assertInstanceOf(CallResult.NotSent.class, await(network.call(address, ECHO, new Ask("x"), LONG)));
+        assertInstanceOf(CallResult.NotSent.class, await(network.call(address, ECHO, new Request("x"), LONG_TIMEOUT)));
     }
 
     @Test
-    void saysNotSentForAnUnknownChannel() throws Exception {
-        CallResult<Reply> result = await(network(SECRET, PeerLimits.DEFAULT).call(address, ABSENT, new Ask("x"), LONG));
+    void reportsNotSentForAnUnknownChannel() throws Exception {
+        CallResult<Reply> result =
+                await(network(SECRET, PeerLimits.DEFAULT).call(address, ABSENT, new Request("x"), LONG_TIMEOUT));
         assertEquals(new CallResult.NotSent<>("unknown channel test.absent"), result);
     }
 
     @Test
-    void saysUnknownWhenTheHandlerFails() throws Exception {
+    void reportsUnknownWhenTheHandlerFails() throws Exception {
         assertInstanceOf(
                 CallResult.Unknown.class,
-                await(network(SECRET, PeerLimits.DEFAULT).call(address, THROWS, new Ask("x"), LONG)));
+                await(network(SECRET, PeerLimits.DEFAULT).call(address, THROWS, new Request("x"), LONG_TIMEOUT)));
     }
 
     @Test
-    void saysUnknownWhenNoAnswerComesInTime() throws Exception {
+    void reportsUnknownWhenTheCallTimesOut() throws Exception {
         assertInstanceOf(
                 CallResult.Unknown.class,
-                await(network(SECRET, PeerLimits.DEFAULT).call(address, SILENT, new Ask("x"), SHORT)));
+                await(network(SECRET, PeerLimits.DEFAULT).call(address, UNANSWERED, new Request("x"), SHORT_TIMEOUT)));
     }
 
     /**
@@ -135,59 +136,60 @@
      * call may have run, neither after its timeout nor with the result that the call did not run.
      */
     @Test
-    void saysUnknownWhenTheConnectionCloses() throws Exception {
+    void reportsUnknownWhenTheConnectionCloses() throws Exception {
         CompletableFuture<CallResult<Reply>> pending =
-                network(SECRET, PeerLimits.DEFAULT).call(address, SILENT, new Ask("x"), LONG);
-        await(network(SECRET, PeerLimits.DEFAULT).call(address, ECHO, new Ask("x"), LONG));
+                network(SECRET, PeerLimits.DEFAULT).call(address, UNANSWERED, new Request("x"), LONG_TIMEOUT);
+        await(network(SECRET, PeerLimits.DEFAULT).call(address, ECHO, new Request("x"), LONG_TIMEOUT));
         server.close();
         assertInstanceOf(CallResult.Unknown.class, await(pending));
     }
 
     /** Guards against a host that stalls for a moment and loses the connections of all its callers. */
     @Test
-    void aCallThatTimesOutSoonDoesNotCostTheConnection() throws Exception {
+    void keepsConnectionAfterAShortTimeout() throws Exception {
         TcpPeerNetwork network = network(SECRET, PeerLimits.DEFAULT);
-        await(network.call(address, ECHO, new Ask("connect first"), LONG));
-        CompletableFuture<CallResult<Reply>> late = network.call(address, LATE, new Ask("x"), LONG);
-        await(network.call(address, SILENT, new Ask("x"), Duration.ofMillis(50)));
-        assertInstanceOf(CallResult.Answered.class, await(late));
+        await(network.call(address, ECHO, new Request("connect first"), LONG_TIMEOUT));
+        CompletableFuture<CallResult<Reply>> delayed = network.call(address, DELAYED, new Request("x"), LONG_TIMEOUT);
+        await(network.call(address, UNANSWERED, new Request("x"), Duration.ofMillis(50)));
+        assertInstanceOf(CallResult.Answered.class, await(delayed));
     }
 
     /** Guards against calls that are lost one after the other on a connection that is dead without a reset. */
     @Test
-    void aConnectionOnWhichNothingComesIsClosed() throws Exception {
+    void closesConnectionWithoutAnswers() throws Exception {
         TcpPeerNetwork network = network(SECRET, PeerLimits.DEFAULT);
-        await(network.call(address, ECHO, new Ask("connect first"), LONG));
-        CompletableFuture<CallResult<Reply>> lost = network.call(address, SILENT, new Ask("x"), LONG);
-        await(network.call(address, SILENT, new Ask("x"), Duration.ofMillis(50)));
+        await(network.call(address, ECHO, new Request("connect first"), LONG_TIMEOUT));
+        CompletableFuture<CallResult<Reply>> lost = network.call(address, UNANSWERED, new Request("x"), LONG_TIMEOUT);
+        await(network.call(address, UNANSWERED, new Request("x"), Duration.ofMillis(50)));
         assertInstanceOf(CallResult.Unknown.class, await(lost), "its connection was closed");
-        assertInstanceOf(CallResult.Answered.class, await(network.call(address, ECHO, new Ask("y"), LONG)));
+        assertInstanceOf(CallResult.Answered.class, await(network.call(address, ECHO, new Request("y"), LONG_TIMEOUT)));
     }
 
     @Test
-    void refusesAFrameOverTheLimitUnsent() throws Exception {
+    void rejectsFrameOverTheLimitBeforeSending() throws Exception {
         PeerLimits small = new PeerLimits(1024, 4096, 10, 10);
-        CallResult<Reply> result = await(network(SECRET, small).call(address, ECHO, new Ask("x".repeat(2000)), LONG));
+        CallResult<Reply> result =
+                await(network(SECRET, small).call(address, ECHO, new Request("x".repeat(2000)), LONG_TIMEOUT));
         assertInstanceOf(CallResult.NotSent.class, result);
     }
 
     @Test
-    void boundsUnansweredCalls() throws Exception {
+    void limitsCallsInFlight() throws Exception {
         TcpPeerNetwork network = network(SECRET, new PeerLimits(1024, 4096, 2, 10));
-        await(network.call(address, ECHO, new Ask("connect first"), LONG));
-        network.call(address, SILENT, new Ask("1"), LONG);
-        network.call(address, SILENT, new Ask("2"), LONG);
+        await(network.call(address, ECHO, new Request("connect first"), LONG_TIMEOUT));
+        network.call(address, UNANSWERED, new Request("1"), LONG_TIMEOUT);
+        network.call(address, UNANSWERED, new Request("2"), LONG_TIMEOUT);
         assertEquals(
                 new CallResult.NotSent<>("too many unanswered calls"),
-                await(network.call(address, ECHO, new Ask("3"), LONG)));
+                await(network.call(address, ECHO, new Request("3"), LONG_TIMEOUT)));
     }
 
     @Test
-    void connectsAgainAfterALoss() throws Exception {
+    void reconnectsAfterDisconnect() throws Exception {
         TcpPeerNetwork network = network(SECRET, PeerLimits.DEFAULT);
-        await(network.call(address, ECHO, new Ask("x"), LONG));
+        await(network.call(address, ECHO, new Request("x"), LONG_TIMEOUT));
         network.disconnect(address);
-        assertInstanceOf(CallResult.Answered.class, await(network.call(address, ECHO, new Ask("y"), LONG)));
+        assertInstanceOf(CallResult.Answered.class, await(network.call(address, ECHO, new Request("y"), LONG_TIMEOUT)));
     }
 
     /**
@@ -195,7 +197,7 @@
      * gigabytes. The server must close that connection without allocating the memory, and continue to serve others.
      */
     @Test
-    void closesOnBytesThatAreNoFrames() throws Exception {
+    void closesConnectionOnInvalidFrames() throws Exception {
         byte[][] inputs = {
             ByteBuffer.allocate(4).putInt(Integer.MAX_VALUE).array(),
             ByteBuffer.allocate(4).putInt(-1).array(),
@@ -206,7 +208,7 @@
         int closed = 0;
         for (byte[] input : inputs) {
             try (Socket socket = new Socket("127.0.0.1", address.port())) {
-                socket.setSoTimeout((int) LONG.toMillis());
+                socket.setSoTimeout((int) LONG_TIMEOUT.toMillis());
                 socket.getOutputStream().write(input);
                 socket.getOutputStream().flush();
                 readToEnd(socket);
@@ -216,7 +218,7 @@
         assertEquals(5, closed);
         assertInstanceOf(
                 CallResult.Answered.class,
-                await(network(SECRET, PeerLimits.DEFAULT).call(address, ECHO, new Ask("x"), LONG)));
+                await(network(SECRET, PeerLimits.DEFAULT).call(address, ECHO, new Request("x"), LONG_TIMEOUT)));
     }
 
     @Test
@@ -251,6 +253,6 @@
     }
 
     private static <T> T await(CompletableFuture<T> future) throws Exception {
-        return future.get(LONG.toSeconds(), TimeUnit.SECONDS);
+        return future.get(LONG_TIMEOUT.toSeconds(), TimeUnit.SECONDS);
     }
 }
