--- a/elmline-cli/src/main/java/org/elmline/cli/CommandGroup.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/CommandGroup.java
@@ -8,8 +8,8 @@
     private final String commandName;
     private final String description;
 
-    CommandGroup(String word, String description) {
-        this.commandName = word;
+    CommandGroup(String commandName, String description) {
+        this.commandName = commandName;
         this.description = description;
     }
 
--- a/elmline-cli/src/main/java/org/elmline/cli/bench/DeploymentBenchCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/bench/DeploymentBenchCommand.java
@@ -86,8 +86,8 @@
             boolean done = submit(deployment, number);
             while (!done) {
                 TimeUnit.MILLISECONDS.sleep(1);
-                EntryDaemon asked = deployment.entries().get(0);
-                done = inForce(asked.control().ticket(TicketNumber.of(number)).join());
+                EntryDaemon entry = deployment.entries().get(0);
+                done = inForce(entry.control().ticket(TicketNumber.of(number)).join());
             }
             millis.add(TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - start));
         }
@@ -97,8 +97,9 @@
     private static boolean submit(LocalDeployment deployment, int number) throws IOException {
         Organisation organisation = new Organisation(OrganisationId.of("timed"), number, 1, List.of(), 0, 0, false);
         Ticket ticket = new Ticket(TicketNumber.of(number), "bench", List.of(organisation));
-        EntryDaemon by = deployment.entries().get(number % deployment.entries().size());
-        CallResult<TicketAnswer> answer = by.control().submit(ticket).join();
+        EntryDaemon entry =
+                deployment.entries().get(number % deployment.entries().size());
+        CallResult<TicketAnswer> answer = entry.control().submit(ticket).join();
         if (answer instanceof CallResult.Answered<TicketAnswer> answered
                 && answered.value() instanceof TicketAnswer.Decided) {
             return inForce(answer);
@@ -124,11 +125,11 @@
             List<Long> byEntry = new ArrayList<>();
             List<Long> byProxy = new ArrayList<>();
             for (int i = 0; i < WARM_UP_PROBES + MEASURED_PROBES; i++) {
-                long one = probe.firstEventMicros(entry, "probe " + i);
-                long other = probe.firstEventMicros(proxy.address(), "probe " + i);
+                long entryMicros = probe.firstEventMicros(entry, "probe " + i);
+                long proxyMicros = probe.firstEventMicros(proxy.address(), "probe " + i);
                 if (i >= WARM_UP_PROBES) {
-                    byEntry.add(one);
-                    byProxy.add(other);
+                    byEntry.add(entryMicros);
+                    byProxy.add(proxyMicros);
                 }
             }
             printTimes(out, "first event through the entry, us", byEntry);
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/ExplainCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/ExplainCommand.java
@@ -25,15 +25,15 @@
 
     @Override
     public ExitCode execute() {
-        RequestTrace story = new RequestTrace(request);
-        ExitCode read = LogFileReader.read(files, spec.commandLine(), story::add);
-        if (read != ExitCode.OK) {
-            return read;
+        RequestTrace trace = new RequestTrace(request);
+        ExitCode readResult = LogFileReader.read(files, spec.commandLine(), trace::add);
+        if (readResult != ExitCode.OK) {
+            return readResult;
         }
         PrintWriter out = spec.commandLine().getOut();
-        List<String> told = story.format();
-        told.forEach(out::println);
-        if (told.isEmpty()) {
+        List<String> traceLines = trace.format();
+        traceLines.forEach(out::println);
+        if (traceLines.isEmpty()) {
             spec.commandLine().getErr().println("no line names the request " + request);
             return ExitCode.NOT_FOUND;
         }
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/LogFileReader.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/LogFileReader.java
@@ -23,10 +23,10 @@
     private LogFileReader() {}
 
     /** Reads the files in order; reports one that can't be read on the command's error output. */
-    static ExitCode read(List<Path> files, CommandLine command, Consumer<JsonNode> taker) {
+    static ExitCode read(List<Path> files, CommandLine command, Consumer<JsonNode> consumer) {
         for (Path each : files) {
             try (Stream<String> lines = Files.lines(each, StandardCharsets.ISO_8859_1)) {
-                lines.forEach(line -> parse(line).ifPresent(taker));
+                lines.forEach(line -> parse(line).ifPresent(consumer));
             } catch (IOException e) {
                 command.getErr().println(each + " cannot be read: " + e);
                 return ExitCode.INVALID;
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/LossTable.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/LossTable.java
@@ -48,21 +48,22 @@
         if (!line.path("request").isTextual()) {
             return;
         }
-        RequestOutcome story = outcomes.computeIfAbsent(line.path("request").asText(), each -> new RequestOutcome());
+        RequestOutcome outcome = outcomes.computeIfAbsent(line.path("request").asText(), each -> new RequestOutcome());
         long age = line.path("ageMs").asLong(0);
-        story.arrivedAtMillis = Math.min(story.arrivedAtMillis, line.path("at").asLong() - age);
+        outcome.arrivedAtMillis =
+                Math.min(outcome.arrivedAtMillis, line.path("at").asLong() - age);
         switch (line.path("event").asText()) {
-            case "placed" -> story.placementWaitMillis = Math.max(story.placementWaitMillis, age);
-            case "attempt failed" -> story.attemptFailure = line.path("why").asText();
+            case "placed" -> outcome.placementWaitMillis = Math.max(outcome.placementWaitMillis, age);
+            case "attempt failed" -> outcome.attemptFailure = line.path("why").asText();
             case "streamed" -> {
-                story.lossReason = "";
-                story.longestPauseMillis = line.path("longestPauseMs").asLong();
+                outcome.lossReason = "";
+                outcome.longestPauseMillis = line.path("longestPauseMs").asLong();
             }
-            case "answered" -> story.lossReason =
+            case "answered" -> outcome.lossReason =
                     line.path("status").asInt() < FIRST_SERVER_ERROR_STATUS ? "" : "a server's own failure";
-            case "refused", "turned away", "stream broken off" -> story.lossReason =
+            case "refused", "turned away", "stream broken off" -> outcome.lossReason =
                     line.path("event").asText() + ": " + line.path("why").asText();
-            case "caller left" -> story.lossReason = "caller left";
+            case "caller left" -> outcome.lossReason = "caller left";
             default -> {
                 // Other events don't change the outcome.
             }
@@ -94,16 +95,16 @@
         return table;
     }
 
-    private static void addToRow(RequestOutcome story, Row row) {
+    private static void addToRow(RequestOutcome outcome, Row row) {
         row.arrived++;
-        row.longestWaitMillis = Math.max(row.longestWaitMillis, story.placementWaitMillis);
-        row.longestPauseMillis = Math.max(row.longestPauseMillis, story.longestPauseMillis);
-        if (!story.lossReason.isEmpty()) {
-            row.losses.merge(story.lossReason, 1, Integer::sum);
+        row.longestWaitMillis = Math.max(row.longestWaitMillis, outcome.placementWaitMillis);
+        row.longestPauseMillis = Math.max(row.longestPauseMillis, outcome.longestPauseMillis);
+        if (!outcome.lossReason.isEmpty()) {
+            row.losses.merge(outcome.lossReason, 1, Integer::sum);
             return;
         }
         row.answered++;
-        row.answeredAfterFailure += story.attemptFailure == null ? 0 : 1;
+        row.answeredAfterFailure += outcome.attemptFailure == null ? 0 : 1;
     }
 
     private static String formatLosses(Row row) {
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/LossesCommand.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/LossesCommand.java
@@ -36,13 +36,13 @@
             return ExitCode.INVALID;
         }
         LossTable table = new LossTable(windowSeconds * MILLIS_PER_SECOND);
-        ExitCode read = LogFileReader.read(files, spec.commandLine(), table::add);
-        if (read != ExitCode.OK) {
-            return read;
+        ExitCode readResult = LogFileReader.read(files, spec.commandLine(), table::add);
+        if (readResult != ExitCode.OK) {
+            return readResult;
         }
-        List<String> told = table.format();
-        told.forEach(spec.commandLine().getOut()::println);
-        if (told.isEmpty()) {
+        List<String> tableLines = table.format();
+        tableLines.forEach(spec.commandLine().getOut()::println);
+        if (tableLines.isEmpty()) {
             spec.commandLine().getErr().println("no line names a request");
             return ExitCode.NOT_FOUND;
         }
--- a/elmline-cli/src/main/java/org/elmline/cli/explain/RequestTrace.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/explain/RequestTrace.java
@@ -25,8 +25,8 @@
     private final String requestId;
     private final List<JsonNode> lines = new ArrayList<>();
 
-    RequestTrace(String request) {
-        this.requestId = request;
+    RequestTrace(String requestId) {
+        this.requestId = requestId;
     }
 
     void add(JsonNode line) {
@@ -47,16 +47,16 @@
                 last = Math.max(last, each.path("at").asLong());
             }
         }
-        List<JsonNode> chosen = new ArrayList<>();
+        List<JsonNode> related = new ArrayList<>();
         for (JsonNode each : lines) {
             if (isRelated(each, attempts, servers, first - LOOKBACK_MILLIS, last)) {
-                chosen.add(each);
+                related.add(each);
             }
         }
-        chosen.sort(Comparator.comparingLong((JsonNode each) -> each.path("at").asLong())
+        related.sort(Comparator.comparingLong((JsonNode each) -> each.path("at").asLong())
                 .thenComparing(each -> each.path("host").asText())
                 .thenComparingLong(each -> each.path("mono").asLong()));
-        return chosen.stream().map(RequestTrace::format).toList();
+        return related.stream().map(RequestTrace::format).toList();
     }
 
     private boolean isRelated(JsonNode line, Set<String> attempts, Set<String> servers, long from, long until) {
--- a/elmline-cli/src/main/java/org/elmline/cli/local/LocalDeployment.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/local/LocalDeployment.java
@@ -67,8 +67,8 @@
     private final List<EngineServer> engines = new ArrayList<>();
     private ServiceServer service;
 
-    private LocalDeployment(Builder plan, LocalKeys keys) {
-        this.options = plan;
+    private LocalDeployment(Builder options, LocalKeys keys) {
+        this.options = options;
         this.keys = keys;
     }
 
@@ -77,16 +77,16 @@
     }
 
     private void open() throws IOException, InterruptedException {
-        List<ControlHost> seats = initialControlHosts();
-        for (ControlHost each : seats) {
-            ControlSettings settings = controlSettings(each, seats);
+        List<ControlHost> configuredHosts = initialControlHosts();
+        for (ControlHost each : configuredHosts) {
+            ControlSettings settings = controlSettings(each, configuredHosts);
             if (controlHosts.isEmpty() && !Files.exists(settings.dataFolder())) {
                 ControlDataFolder.bootstrap(settings);
             }
             controlHosts.add(closer.register(ControlDaemon.start(settings, this::close)));
         }
         for (int i = 0; i < options.entries; i++) {
-            entries.add(closer.register(EntryDaemon.start(entrySettings(i, seats))));
+            entries.add(closer.register(EntryDaemon.start(entrySettings(i, configuredHosts))));
         }
         for (int i = 0; i < options.engines; i++) {
             engines.add(closer.register(startEngine(i)));
@@ -104,29 +104,29 @@
     }
 
     private List<ControlHost> initialControlHosts() throws IOException {
-        List<ControlHost> seats = new ArrayList<>();
+        List<ControlHost> configuredHosts = new ArrayList<>();
         for (int i = 0; i < options.controlHosts; i++) {
             Address peers = new Address("127.0.0.1", options.controlPort(i));
-            seats.add(new ControlHost(HostId.of("control-" + (i + 1)), peers, failureDomain(i)));
+            configuredHosts.add(new ControlHost(HostId.of("control-" + (i + 1)), peers, failureDomain(i)));
         }
-        return seats;
+        return configuredHosts;
     }
 
-    private ControlSettings controlSettings(ControlHost seat, List<ControlHost> seats) {
+    private ControlSettings controlSettings(ControlHost configuredHost, List<ControlHost> configuredHosts) {
         return ControlSettings.builder()
-                .host(seat.host())
+                .host(configuredHost.host())
                 .region(REGION)
-                .failureDomain(seat.failureDomain())
-                .dataFolder(options.dataFolder.resolve(seat.host().value()))
+                .failureDomain(configuredHost.failureDomain())
+                .dataFolder(options.dataFolder.resolve(configuredHost.host().value()))
                 .addresses(new ControlAddresses(
                         ListenAddress.anyLoopbackPort(),
-                        ListenAddress.loopback(seat.peers().port())))
-                .control(seats)
+                        ListenAddress.loopback(configuredHost.peers().port())))
+                .control(configuredHosts)
                 .keys(new ControlKeys(Secret.of(keys.peer()), List.of(Secret.of(keys.operator()))))
                 .build();
     }
 
-    private EntrySettings entrySettings(int number, List<ControlHost> seats) {
+    private EntrySettings entrySettings(int number, List<ControlHost> configuredHosts) {
         int callerPort = number == 0 ? options.callerPort : 0;
         int operatorPort = number == 0 ? options.operatorPort : 0;
         return EntrySettings.builder()
@@ -137,7 +137,7 @@
                         ListenAddress.loopback(callerPort),
                         ListenAddress.loopback(operatorPort),
                         ListenAddress.anyLoopbackPort()))
-                .control(seats)
+                .control(configuredHosts)
                 .keys(new EntryKeys(
                         Secret.of(keys.peer()),
                         List.of(Secret.of(keys.operator())),
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/InForcePoller.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/InForcePoller.java
@@ -12,9 +12,9 @@
     private final OperatorClient client;
     private final Duration timeout;
 
-    InForcePoller(OperatorClient client, Duration limit) {
+    InForcePoller(OperatorClient client, Duration timeout) {
         this.client = client;
-        this.timeout = limit;
+        this.timeout = timeout;
     }
 
     /** Returns the ticket once it is in force or refused; unreachable when the timeout passes first. */
--- a/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineReader.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/operator/TimelineReader.java
@@ -45,11 +45,11 @@
     MergedTimeline read(Set<HttpUrl> hosts, EventQuery query) throws InterruptedException {
         List<EventPage> pages = new ArrayList<>();
         List<String> missing = new ArrayList<>();
-        ExecutorService asking = Executors.newFixedThreadPool(Math.min(MAX_CONCURRENT_REQUESTS, hosts.size()));
+        ExecutorService executor = Executors.newFixedThreadPool(Math.min(MAX_CONCURRENT_REQUESTS, hosts.size()));
         try {
             List<Future<OperatorAnswer>> answers = new ArrayList<>();
             for (HttpUrl host : hosts) {
-                answers.add(asking.submit(() -> client.readFrom(host, EventsPath.of(query))));
+                answers.add(executor.submit(() -> client.readFrom(host, EventsPath.of(query))));
             }
             for (Future<OperatorAnswer> answer : answers) {
                 addAnswer(answer.get(), pages, missing);
@@ -57,7 +57,7 @@
         } catch (ExecutionException e) {
             throw new IllegalStateException("request for a host's events failed with an unexpected exception", e);
         } finally {
-            asking.shutdownNow();
+            executor.shutdownNow();
         }
         return new MergedTimeline(TimelineMerge.merge(pages, query), pages, missing);
     }
--- a/elmline-cli/src/test/java/org/elmline/cli/MainTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/MainTest.java
@@ -44,14 +44,14 @@
             INVALID,ticket apply no-such-file --key k
             UNREACHABLE,status --key k --operator http://127.0.0.1:1
             """)
-    void exitCodes(ExitCode expected, String line) {
+    void returnsDocumentedExitCode(ExitCode expected, String line) {
         assertEquals(
                 expected.code(),
                 run(line == null ? new String[0] : line.split(" ")).code());
     }
 
     @Test
-    void wrongTicketsAreNamedBeforeAnythingIsSent() throws Exception {
+    void reportsInvalidTicketFileWithoutSendingIt() throws Exception {
         List<String> tickets = List.of(
                 "{",
                 "{\"number\":1,\"objects\":[]}",
--- a/elmline-cli/src/test/java/org/elmline/cli/examples/ExamplesTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/examples/ExamplesTest.java
@@ -43,7 +43,8 @@
 
     @ParameterizedTest
     @CsvSource({"snowpaw,th-north,chiangmai-a chiangmai-b lampang-c", "zrno,si-central,lj-a lj-b lj-c"})
-    void eighteenEntriesInThreeFailureDomains(String deployment, String region, String domains) throws IOException {
+    void deploymentHasEighteenEntriesInThreeFailureDomains(String deployment, String region, String domains)
+            throws IOException {
         List<EntrySettings> entries = load(deployment, "entry", EntrySettings.class);
         Map<String, Integer> hostsByDomain = new TreeMap<>();
         Set<Object> names = new HashSet<>();
@@ -61,7 +62,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"snowpaw", "zrno"})
-    void fiveControlHostsAsEveryEntryNamesThem(String deployment) throws IOException {
+    void everyEntryListsTheFiveControlHosts(String deployment) throws IOException {
         Set<ControlHost> running = new HashSet<>();
         Map<String, Integer> hostsByDomain = new HashMap<>();
         for (ControlSettings control : load(deployment, "control", ControlSettings.class)) {
@@ -69,10 +70,10 @@
             running.add(new ControlHost(control.host(), peers.toAddress(peers.port()), control.failureDomain()));
             hostsByDomain.merge(control.failureDomain().value(), 1, Integer::sum);
         }
-        List<ControlHost> named =
+        List<ControlHost> listed =
                 load(deployment, "entry", EntrySettings.class).get(0).control();
         assertEquals(5, running.size());
-        assertEquals(Set.copyOf(named), running);
+        assertEquals(Set.copyOf(listed), running);
         assertEquals(List.of(1, 2, 2), hostsByDomain.values().stream().sorted().toList());
     }
 
@@ -95,7 +96,7 @@
 
     @ParameterizedTest
     @CsvSource({"snowpaw,elm-desk,booking-core", "zrno,elm-brew,desk-app"})
-    void firstTicketsBringModelServiceAndOrganisations(String deployment, String model, String service)
+    void firstTicketsCreateModelServiceAndOrganisations(String deployment, String model, String service)
             throws IOException {
         Map<String, ConfigObject> objects = new HashMap<>();
         List<TicketNumber> numbers = new ArrayList<>();
@@ -114,7 +115,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"snowpaw", "zrno"})
-    void aFewOrganisationsAreLargeAndKeyHashesAreTheStatedSamples(String deployment) throws IOException {
+    void threeOrganisationsHoldMostWeightAndKeyHashesAreOfSampleKeys(String deployment) throws IOException {
         byte[] ticket = Files.readAllBytes(EXAMPLES.resolve(deployment).resolve("tickets/2-organisations.json"));
         Decoded<Ticket> read = Codecs.STRICT_JSON.decode(ticket, Ticket.class);
         int weights = 0;
--- a/elmline-cli/src/test/java/org/elmline/cli/explain/CommandRun.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/explain/CommandRun.java
@@ -19,7 +19,7 @@
     }
 
     /** The output of the commands so far. */
-    String printed() {
+    String output() {
         return out.toString();
     }
 }
--- a/elmline-cli/src/test/java/org/elmline/cli/explain/ExplainCommandTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/explain/ExplainCommandTest.java
@@ -19,7 +19,7 @@
 
     /** The call was sent to a server that had announced its leaving a second before, and then to another one. */
     @Test
-    void theLinesOfARequestItsAttemptsAndItsServersComeInOrder() throws Exception {
+    void printsLinesOfRequestAttemptsAndServersInOrder() throws Exception {
         Path entry = Files.writeString(
                 folder.resolve("entry.log"),
                 "{\"at\":2000,\"mono\":1,\"host\":\"e\",\"role\":\"entry\",\"event\":\"placed\",\"request\":\"q\","
@@ -36,17 +36,17 @@
                 "  -3.2 core-1 {\"at\":1000,\"mono\":9,\"host\":\"c\",\"role\":\"control\",\"event\":\"server left\","
                         + "\"server\":\"s\"}\n");
         assertEquals(0, command.run("explain", "q", entry.toString(), control.toString()));
-        String[] told = command.printed().strip().split("\\R");
-        assertEquals(4, told.length);
-        assertTrue(told[0].startsWith("1000 c server left"), told[0]);
-        assertTrue(told[1].contains("placed") && told[1].contains("server=s"), told[1]);
-        assertTrue(told[2].contains("dispatcher passed over"));
-        assertTrue(told[3].contains("status=200"));
-        assertFalse(command.printed().contains("other"));
+        String[] lines = command.output().strip().split("\\R");
+        assertEquals(4, lines.length);
+        assertTrue(lines[0].startsWith("1000 c server left"), lines[0]);
+        assertTrue(lines[1].contains("placed") && lines[1].contains("server=s"), lines[1]);
+        assertTrue(lines[2].contains("dispatcher passed over"));
+        assertTrue(lines[3].contains("status=200"));
+        assertFalse(command.output().contains("other"));
     }
 
     @Test
-    void anUnknownRequestIsSaidToBeUnknown() throws Exception {
+    void reportsUnknownRequestAndUnreadableFile() throws Exception {
         Path log = Files.writeString(folder.resolve("entry.log"), "{\"event\":\"started\"}\n");
         assertEquals(6, command.run("explain", "q", log.toString()));
         assertEquals(3, command.run("explain", "q", folder.resolve("none").toString()));
--- a/elmline-cli/src/test/java/org/elmline/cli/explain/LossesCommandTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/explain/LossesCommandTest.java
@@ -17,9 +17,9 @@
 
     private final CommandRun command = new CommandRun();
 
-    private static String line(long at, String event, String request, String more) {
+    private static String line(long at, String event, String request, String fields) {
         return "{\"at\":" + at + ",\"mono\":1,\"host\":\"e\",\"role\":\"entry\",\"event\":\"" + event
-                + "\",\"request\":\"" + request + "\"" + more + "}\n";
+                + "\",\"request\":\"" + request + "\"" + fields + "}\n";
     }
 
     /**
@@ -27,7 +27,7 @@
      * one has no end.
      */
     @Test
-    void countsByTheTimeAtWhichRequestsCame() throws Exception {
+    void countsOutcomesByTimeOfArrival() throws Exception {
         Path log = Files.writeString(
                 folder.resolve("entry.log"),
                 line(10_100, "placed", "a", ",\"ageMs\":60")
@@ -39,17 +39,17 @@
                         + line(13_200, "placed", "e", ",\"ageMs\":1")
                         + "not a line of ours\n");
         assertEquals(0, command.run("losses", log.toString()));
-        String[] told = command.printed().strip().split("\\R");
-        assertEquals(3, told.length);
-        assertEquals("0.0 2 2 1 60 210", told[1].strip().replaceAll(" +", " "));
-        assertTrue(told[2].strip().startsWith("2.0"), told[2]);
+        String[] lines = command.output().strip().split("\\R");
+        assertEquals(3, lines.length);
+        assertEquals("0.0 2 2 1 60 210", lines[1].strip().replaceAll(" +", " "));
+        assertTrue(lines[2].strip().startsWith("2.0"), lines[2]);
         assertTrue(
-                told[2].endsWith("1 no end; 1 refused: no place in time; 1 turned away: no routing table yet"),
-                told[2]);
+                lines[2].endsWith("1 no end; 1 refused: no place in time; 1 turned away: no routing table yet"),
+                lines[2]);
     }
 
     @Test
-    void logsWithoutRequestsAreSaidToHaveNone() throws Exception {
+    void reportsLogsWithoutRequests() throws Exception {
         Path log = Files.writeString(folder.resolve("entry.log"), "nothing\n");
         assertEquals(ExitCode.NOT_FOUND.code(), command.run("losses", log.toString()));
     }
--- a/elmline-cli/src/test/java/org/elmline/cli/local/BadInputTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/BadInputTest.java
@@ -75,21 +75,21 @@
     }
 
     @Test
-    void eachBadCallGetsItsAnswer() throws Exception {
-        int right = 0;
+    void rejectsEachInvalidCallWithItsError() throws Exception {
+        int matching = 0;
         for (Case each : CASES) {
             Client.Reply reply = caller().send(request(each));
             assertEquals(each.status(), reply.status(), each + " " + reply.body());
             assertEquals(each.type(), reply.json().path("error").path("type").asText(), each.toString());
             assertEquals("no", reply.json().path("error").path("ran").asText(), each.toString());
-            right++;
+            matching++;
         }
-        assertEquals(26, right);
-        assertNothingOpen();
+        assertEquals(26, matching);
+        assertNoRequestOpen();
     }
 
     @Test
-    void wrongKeysOpenNothing() throws Exception {
+    void rejectsWrongKeys() throws Exception {
         int refused = 0;
         for (String key : List.of("", "wrong", deployment.operatorKey(), deployment.backendKey())) {
             Client.Reply reply = new Client(key).post(url(COMPLETIONS), body("\"max_tokens\":1"));
@@ -112,7 +112,7 @@
     }
 
     @Test
-    void badTimeLimitsAreRefused() throws Exception {
+    void rejectsInvalidTimeouts() throws Exception {
         int refused = 0;
         for (String limit : List.of("0", "-5", "soon", "99999999999999999999")) {
             Request.Builder request = request(new Case("POST", COMPLETIONS, body("\"max_tokens\":1"), 400, ""));
@@ -126,7 +126,7 @@
     }
 
     @Test
-    void badTicketsChangeNothing() throws Exception {
+    void rejectsInvalidTickets() throws Exception {
         Client operator = new Client(deployment.operatorKey());
         List<String> bodies = List.of(
                 "",
@@ -148,16 +148,16 @@
 
     /** A body over the limit is rejected by its declared length, before the caller has sent it. */
     @Test
-    void aBodyOverTheLimitIsRefused() throws Exception {
+    void rejectsBodyOverTheLimit() throws Exception {
         String head = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + deployment.callerKey()
                 + "\r\nContent-Length: 99999999999\r\n\r\n";
-        assertEquals("HTTP/1.1 413", raw(head).substring(0, 12));
-        assertNothingOpen();
+        assertEquals("HTTP/1.1 413", sendRaw(head).substring(0, 12));
+        assertNoRequestOpen();
     }
 
     /** A caller disconnects within its request body: nothing may be placed, and no request may stay open. */
     @Test
-    void aBodyCutOffLeavesNothingOpen() throws Exception {
+    void truncatedBodyLeavesNoRequestOpen() throws Exception {
         String address = deployment.entries().get(0).callers().toString();
         try (Socket socket = new Socket("127.0.0.1", Integer.parseInt(address.split(":")[1]))) {
             String head = "POST /v1/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer " + deployment.callerKey()
@@ -165,10 +165,10 @@
             socket.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
             socket.getOutputStream().flush();
         }
-        assertNothingOpen();
+        assertNoRequestOpen();
     }
 
-    private static String raw(String request) throws IOException {
+    private static String sendRaw(String request) throws IOException {
         String address = deployment.entries().get(0).callers().toString();
         try (Socket socket = new Socket("127.0.0.1", Integer.parseInt(address.split(":")[1]))) {
             socket.setSoTimeout(20_000);
@@ -179,7 +179,7 @@
         }
     }
 
-    private static void assertNothingOpen() throws Exception {
+    private static void assertNoRequestOpen() throws Exception {
         Client operator = new Client(deployment.operatorKey());
         Client.await(
                 "no request is open",
--- a/elmline-cli/src/test/java/org/elmline/cli/local/BrokenStreamsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/BrokenStreamsTest.java
@@ -16,8 +16,8 @@
 
 /** Answers stay complete and exact when engines, connections and entries fail while they stream. */
 class BrokenStreamsTest {
-    private static final int TOKENS = 400;
-    private static final double SLOW = 20;
+    private static final int ANSWER_TOKENS = 400;
+    private static final double SLOWDOWN = 20;
 
     private LocalDeployment deployment;
     private Client caller;
@@ -29,8 +29,8 @@
         caller = new Client(deployment.callerKey());
         Client.await(
                 "an answer from each entry",
-                () -> ask(0, "warm up", 4).status() == 200
-                        && ask(1, "warm up", 4).status() == 200);
+                () -> complete(0, "warm up", 4).status() == 200
+                        && complete(1, "warm up", 4).status() == 200);
     }
 
     @AfterEach
@@ -43,7 +43,7 @@
      * when requested again. The caller must get the exact answer, in the last case continued on the other engine.
      */
     @Test
-    void damagedStreamsGiveTheExactAnswer() throws Exception {
+    void givesExactAnswerFromDamagedStreams() throws Exception {
         int exact = 0;
         for (PieceFault fault : PieceFault.values()) {
             for (EngineServer damaged : deployment.engines()) {
@@ -61,19 +61,19 @@
 
     /** The connection to the engine breaks during the answer: reading must resume at the first missing piece. */
     @Test
-    void aBrokenConnectionIsResumed() throws Exception {
-        CompletableFuture<Client.Stream> answer = streaming("broken connection", TOKENS);
+    void resumesBrokenConnection() throws Exception {
+        CompletableFuture<Client.Stream> answer = streaming("broken connection", ANSWER_TOKENS);
         awaitStreams(1);
         deployment.engines().forEach(each -> each.faults().dropReaders());
-        assertExact("broken connection", answer.get(), TOKENS);
+        assertExact("broken connection", answer.get(), ANSWER_TOKENS);
     }
 
     /**
      * The engine dies during the answer: another engine must continue after the pieces that the caller has received.
      */
     @Test
-    void aDeadEngineIsReplaced() throws Exception {
-        CompletableFuture<Client.Stream> answer = streaming("dead engine", TOKENS);
+    void continuesAnswerOfADeadEngine() throws Exception {
+        CompletableFuture<Client.Stream> answer = streaming("dead engine", ANSWER_TOKENS);
         awaitStreams(1);
         for (EngineServer each : deployment.engines()) {
             if (each.openStreams() > 0) {
@@ -81,28 +81,28 @@
                 break;
             }
         }
-        assertExact("dead engine", answer.get(), TOKENS);
+        assertExact("dead engine", answer.get(), ANSWER_TOKENS);
     }
 
     /** The caller disconnects during the answer: its engine must neither continue nor keep the memory. */
     @Test
-    void aCallerThatLeavesFreesTheEngine() throws Exception {
-        slowEngines(SLOW);
-        caller.leaveDuring(url(0), body("left early", 4000));
+    void disconnectedStreamingCallerFreesTheEngine() throws Exception {
+        slowEngines(SLOWDOWN);
+        caller.cancelDuringStream(url(0), body("left early", 4000));
         awaitStreams(0);
     }
 
     /** The same for an answer that is not streamed, where no write can fail and reveal the disconnection. */
     @Test
-    void aCallerThatLeavesAPlainAnswerFreesTheEngine() throws Exception {
+    void disconnectedWaitingCallerFreesTheEngine() throws Exception {
         String body = body("left a plain answer", 4000).replace("\"stream\":true", "\"stream\":false");
-        slowEngines(SLOW);
-        Runnable hangUp = caller.begin(url(0), body);
+        slowEngines(SLOWDOWN);
+        Runnable cancel = caller.sendAsync(url(0), body);
         awaitStreams(1);
-        hangUp.run();
+        cancel.run();
         awaitStreams(0);
         slowEngines(1);
-        assertEquals(200, ask(0, "after the one who left", 4).status());
+        assertEquals(200, complete(0, "after the one who left", 4).status());
     }
 
     /**
@@ -110,8 +110,8 @@
      * the dead entry has expired, and free their memory.
      */
     @Test
-    void aDeadEntryLeavesNoMemoryTaken() throws Exception {
-        slowEngines(SLOW);
+    void freesEngineMemoryOfADeadEntry() throws Exception {
+        slowEngines(SLOWDOWN);
         for (int i = 0; i < 3; i++) {
             streaming("orphan " + i, 4000).exceptionally(lost -> null);
         }
@@ -122,11 +122,11 @@
 
     /** An entry is stopped gracefully while it streams: each caller must get its whole answer. */
     @Test
-    void aStoppingEntryFinishesItsAnswers() throws Exception {
-        CompletableFuture<Client.Stream> answer = streaming("graceful", TOKENS);
+    void stoppingEntryFinishesItsAnswers() throws Exception {
+        CompletableFuture<Client.Stream> answer = streaming("graceful", ANSWER_TOKENS);
         awaitStreams(1);
         deployment.entries().get(0).stop();
-        assertExact("graceful", answer.get(), TOKENS);
+        assertExact("graceful", answer.get(), ANSWER_TOKENS);
     }
 
     private CompletableFuture<Client.Stream> streaming(String prompt, int tokens) {
@@ -152,7 +152,7 @@
         return deployment.engines().stream().mapToInt(EngineServer::openStreams).sum();
     }
 
-    private Client.Reply ask(int entry, String prompt, int tokens) throws Exception {
+    private Client.Reply complete(int entry, String prompt, int tokens) throws Exception {
         return caller.post(url(entry), body(prompt, tokens).replace("\"stream\":true", "\"stream\":false"));
     }
 
--- a/elmline-cli/src/test/java/org/elmline/cli/local/ClaimedCallsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/ClaimedCallsTest.java
@@ -32,13 +32,13 @@
     }
 
     @AfterEach
-    void mend() {
+    void clearFaults() {
         deployment.service().faults().mode(ServiceFaults.Mode.NONE);
         deployment.service().faults().delayMillis(0);
     }
 
     @Test
-    void aCallWithoutAKeyIsRefusedUnsent() throws Exception {
+    void rejectsCallWithoutAKeyBeforeSending() throws Exception {
         int before = runs();
         Client.Reply reply = hold(0, "s1", null);
         assertEquals(400, reply.status(), reply.body());
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void aKeyThatWasNotIssuedIsRefusedUnsent() throws Exception {
+    void rejectsKeyThatWasNotIssuedBeforeSending() throws Exception {
         int before = runs();
         assertEquals(400, hold(0, "s1", "made-up").status());
         assertEquals(before, runs());
@@ -58,9 +58,9 @@
      * a moment the retry gets "may have run"; then it must get the recorded answer. One seat is held.
      */
     @Test
-    void aRepeatOnAnotherEntryGetsTheRecordedAnswer() throws Exception {
+    void retryOnAnotherEntryGetsTheRecordedAnswer() throws Exception {
         int before = runs();
-        String key = key();
+        String key = issueKey();
         Client.Reply first = hold(0, "s2", key);
         assertEquals(2, first.status() / 100, first.body());
         Client.await("the recorded answer", () -> hold(1, "s2", key).equals(first));
@@ -72,9 +72,9 @@
      * entry, and nothing is sent again, since a second call could hold a second seat.
      */
     @Test
-    void aLostAnswerStaysMayHaveRun() throws Exception {
+    void callWithALostAnswerIsNotSentAgain() throws Exception {
         int before = runs();
-        String key = key();
+        String key = issueKey();
         deployment.service().faults().mode(ServiceFaults.Mode.DROP_ANSWER);
         Client.Reply first = hold(0, "s3", key);
         assertEquals(502, first.status(), first.body());
@@ -91,9 +91,9 @@
      * attempt.
      */
     @Test
-    void aRefusalBeforeRunningMayBeTriedAgain() throws Exception {
+    void callRefusedBeforeRunningMayBeRetried() throws Exception {
         int before = runs();
-        String key = key();
+        String key = issueKey();
         deployment.service().faults().mode(ServiceFaults.Mode.FAIL_BEFORE_RUNNING);
         Client.Reply first = hold(0, "s4", key);
         assertEquals("no", first.json().path("error").path("ran").asText(), first.body());
@@ -103,9 +103,9 @@
     }
 
     @Test
-    void oneKeyDoesNotStandForTwoCalls() throws Exception {
+    void rejectsKeyOfADifferentCall() throws Exception {
         int before = runs();
-        String key = key();
+        String key = issueKey();
         assertEquals(2, hold(0, "s5", key).status() / 100);
         Client.Reply other = hold(0, "s6", key);
         assertEquals(409, other.status(), other.body());
@@ -127,7 +127,7 @@
         return caller.send(request);
     }
 
-    private static String key() throws IOException {
+    private static String issueKey() throws IOException {
         return caller.post(url(0) + "/v1/idempotency-keys", "")
                 .json()
                 .path("key")
--- a/elmline-cli/src/test/java/org/elmline/cli/local/EngineOrdersTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/EngineOrdersTest.java
@@ -42,7 +42,7 @@
      * served throughout.
      */
     @Test
-    void aNewVersionIsLoadedOneEngineAfterTheOther() throws Exception {
+    void enginesLoadNewVersionOneAfterTheOther() throws Exception {
         String ticket =
                 """
                 {"author":"tests","objects":[
@@ -54,16 +54,16 @@
         Client operator = new Client(deployment.operatorKey());
         String url = "http://" + deployment.entries().get(0).operators() + "/v1/tickets/2";
         assertEquals(200, operator.put(url, ticket).status());
-        AtomicBoolean everNone = new AtomicBoolean();
+        AtomicBoolean everUnavailable = new AtomicBoolean();
         Client.await("both serve version 2", () -> {
             List<EngineServer> engines = deployment.engines();
-            everNone.compareAndSet(
+            everUnavailable.compareAndSet(
                     false, engines.stream().noneMatch(each -> each.state().ready()));
             return engines.stream()
                     .allMatch(each ->
                             each.state().ready() && each.state().version().equals("2"));
         });
         assertEquals("long", deployment.engines().get(1).state().role());
-        assertTrue(!everNone.get(), "no engine was ready for a moment");
+        assertTrue(!everUnavailable.get(), "no engine was ready for a moment");
     }
 }
--- a/elmline-cli/src/test/java/org/elmline/cli/local/LongPromptTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/LongPromptTest.java
@@ -16,9 +16,9 @@
 
 /** Prompts of more than twice one engine's KV memory, served by groups of engines. */
 class LongPromptTest {
-    private static final int ENGINE_TOKENS = 20_000;
+    private static final int ENGINE_KV_TOKENS = 20_000;
     private static final int PROMPT_CHARACTERS = 4 * 45_000;
-    private static final int OUTPUT = 16;
+    private static final int MAX_OUTPUT_TOKENS = 16;
 
     private LocalDeployment deployment;
     private Client caller;
@@ -28,11 +28,11 @@
         deployment = LocalDeployment.builder()
                 .entries(2)
                 .engines(6)
-                .engineKvTokens(ENGINE_TOKENS)
+                .engineKvTokens(ENGINE_KV_TOKENS)
                 .timeScale(50)
                 .start();
         caller = new Client(deployment.callerKey());
-        Client.await("six engines take work", () -> ask("short", 0).status() == 200 && ready());
+        Client.await("six engines take work", () -> complete("short", 0).status() == 200 && metricsServed());
     }
 
     @AfterEach
@@ -41,10 +41,10 @@
     }
 
     @Test
-    void aPromptLargerThanTwoEnginesIsAnsweredWhole() throws Exception {
+    void answersPromptLargerThanTwoEngines() throws Exception {
         String prompt = prompt("archive");
-        assertExact(prompt, ask(prompt, 0));
-        awaitFree();
+        assertExact(prompt, complete(prompt, 0));
+        awaitAllEnginesFree();
     }
 
     /**
@@ -53,14 +53,14 @@
      * memory may stay reserved.
      */
     @Test
-    void twoAtOnceDoNotDeadlock() throws Exception {
+    void twoGroupsAtOnceDoNotDeadlock() throws Exception {
         List<CompletableFuture<Void>> answers = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             int entry = i;
             answers.add(CompletableFuture.runAsync(() -> {
                 try {
                     String prompt = prompt("archive " + entry);
-                    assertExact(prompt, ask(prompt, entry));
+                    assertExact(prompt, complete(prompt, entry));
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
@@ -69,7 +69,7 @@
         for (CompletableFuture<Void> each : answers) {
             each.get();
         }
-        awaitFree();
+        awaitAllEnginesFree();
     }
 
     /**
@@ -77,16 +77,16 @@
      * freed.
      */
     @Test
-    void aDeadEngineFreesTheGroup() throws Exception {
+    void deadEngineFreesTheOthersOfItsGroup() throws Exception {
         deployment.engines().forEach(each -> each.faults().slowdown(50));
         CompletableFuture<Client.Reply> answer = CompletableFuture.supplyAsync(() -> {
             try {
-                return ask(prompt("dies"), 0);
+                return complete(prompt("dies"), 0);
             } catch (Exception e) {
                 throw new IllegalStateException(e);
             }
         });
-        Client.await("a segment is read", () -> used() > ENGINE_TOKENS / 4);
+        Client.await("a segment is read", () -> usedKvTokens() > ENGINE_KV_TOKENS / 4);
         EngineServer busy = deployment.engines().stream()
                 .filter(each -> each.usedKvTokens() > 0)
                 .findFirst()
@@ -99,26 +99,26 @@
                 .allMatch(each -> each.usedKvTokens() == 0));
     }
 
-    private boolean ready() throws Exception {
+    private boolean metricsServed() throws Exception {
         String status = new Client(deployment.operatorKey())
                 .get("http://" + deployment.entries().get(0).operators() + "/metrics")
                 .body();
         return !status.isEmpty();
     }
 
-    private long used() {
+    private long usedKvTokens() {
         return deployment.engines().stream()
                 .mapToLong(EngineServer::usedKvTokens)
                 .sum();
     }
 
-    private void awaitFree() throws InterruptedException {
-        Client.await("all engines are free", () -> used() == 0);
+    private void awaitAllEnginesFree() throws InterruptedException {
+        Client.await("all engines are free", () -> usedKvTokens() == 0);
     }
 
-    private Client.Reply ask(String prompt, int entry) throws Exception {
+    private Client.Reply complete(String prompt, int entry) throws Exception {
         String body = "{\"model\":\"%s\",\"prompt\":\"%s\",\"max_tokens\":%d}"
-                .formatted(LocalDeployment.MODEL, prompt, OUTPUT);
+                .formatted(LocalDeployment.MODEL, prompt, MAX_OUTPUT_TOKENS);
         return caller.post("http://" + deployment.entries().get(entry).callers() + "/v1/completions", body);
     }
 
@@ -130,7 +130,7 @@
 
     private static void assertExact(String prompt, Client.Reply reply) throws Exception {
         assertEquals(200, reply.status(), reply.body());
-        String whole = AnswerText.of(ModelName.of(LocalDeployment.MODEL), "", prompt, OUTPUT)
+        String whole = AnswerText.of(ModelName.of(LocalDeployment.MODEL), "", prompt, MAX_OUTPUT_TOKENS)
                 .text();
         assertEquals(whole, reply.json().path("choices").path(0).path("text").asText());
     }
--- a/elmline-cli/src/test/java/org/elmline/cli/local/UnlikeLengthsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/MixedPromptLengthsTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /** Prompts of very different lengths on the same engine, end to end. */
-class UnlikeLengthsTest {
+class MixedPromptLengthsTest {
     private static final int LONG_TOKENS = 200_000;
 
     /**
@@ -24,19 +24,20 @@
      * would wait for the whole prefill, and the long prompt would be answered first.
      */
     @Test
-    void aShortQuestionOvertakesALongRead() throws Exception {
+    void answersShortPromptDuringALongPrefill() throws Exception {
         try (LocalDeployment deployment =
                 LocalDeployment.builder().engines(1).timeScale(2).start()) {
             Client caller = new Client(deployment.callerKey());
             String url = "http://" + deployment.entries().get(0).callers() + "/v1/completions";
             Client.await("an answer", () -> caller.post(url, body("warm up", 1)).status() == 200);
-            String archive = "archive ".repeat(LONG_TOKENS / 2);
-            CompletableFuture<Client.Reply> read = CompletableFuture.supplyAsync(() -> post(caller, url, archive, 1));
+            String longPrompt = "archive ".repeat(LONG_TOKENS / 2);
+            CompletableFuture<Client.Reply> longAnswer =
+                    CompletableFuture.supplyAsync(() -> post(caller, url, longPrompt, 1));
             Client.await("the read to begin", () -> deployment.engines().get(0).openStreams() == 1);
-            Client.Reply question = post(caller, url, "Is the trail open?", 20);
-            assertFalse(read.isDone(), "the question waited for the read");
-            assertExact("Is the trail open?", 20, question);
-            assertExact(archive, 1, read.get(60, TimeUnit.SECONDS));
+            Client.Reply shortAnswer = post(caller, url, "Is the trail open?", 20);
+            assertFalse(longAnswer.isDone(), "the question waited for the read");
+            assertExact("Is the trail open?", 20, shortAnswer);
+            assertExact(longPrompt, 1, longAnswer.get(60, TimeUnit.SECONDS));
         }
     }
 
--- a/elmline-cli/src/test/java/org/elmline/cli/log/JsonLogsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/log/JsonLogsTest.java
@@ -21,15 +21,15 @@
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
     @Test
-    void linesAreJsonObjectsOfTheLevelAsked() throws Exception {
+    void writesJsonLinesFromTheSetLevelOn() throws Exception {
         LoggerContext context = new LoggerContext();
         context.setMDCAdapter(new LogbackMDCAdapter());
         JsonLogging.install(context, out, LogLevel.INFO);
         context.putProperty("host", "e1");
         context.getLogger("org.elmline.daemon").info("serves \"callers\"\nat {}", "127.0.0.1:1");
         context.getLogger("org.elmline.daemon").debug("not a change of state");
-        context.getLogger("io.undertow").info("a library's own news");
-        context.getLogger("io.undertow").warn("trouble");
+        context.getLogger("io.undertow").info("an info line of a library");
+        context.getLogger("io.undertow").warn("a warning of a library");
         JsonLogging.setLevel(context, LogLevel.ERROR);
         context.getLogger("org.elmline.daemon").warn("below the level");
 
--- a/elmline-cli/src/test/java/org/elmline/cli/operator/OperatorCommandsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/operator/OperatorCommandsTest.java
@@ -49,12 +49,12 @@
 
     @BeforeEach
     void startHosts() {
-        HybridClock ahead = new HybridClock(() -> NOW + 40);
-        EventRing control = new EventRing(HostId.of("c1"), Incarnation.of(1), ahead, () -> NOW + 40, 10);
+        HybridClock fastClock = new HybridClock(() -> NOW + 40);
+        EventRing control = new EventRing(HostId.of("c1"), Incarnation.of(1), fastClock, () -> NOW + 40, 10);
         control.record(new TicketEvent.Accepted(TicketNumber.of(7), ConfigVersion.of(3)));
-        HybridClock right = new HybridClock(() -> NOW);
-        right.merge(control.page(EventQuery.all()).events().get(0).time());
-        EventRing entry = new EventRing(HostId.of("e1"), Incarnation.of(1), right, () -> NOW, 1);
+        HybridClock correctClock = new HybridClock(() -> NOW);
+        correctClock.merge(control.page(EventQuery.all()).events().get(0).time());
+        EventRing entry = new EventRing(HostId.of("e1"), Incarnation.of(1), correctClock, () -> NOW, 1);
         entry.record(new TicketEvent.Followed(TicketNumber.of(6), ConfigVersion.of(2)));
         entry.record(new TicketEvent.Followed(TicketNumber.of(7), ConfigVersion.of(3)));
         hosts.add(host(entry));
@@ -70,7 +70,7 @@
     }
 
     @Test
-    void theTimelineShowsCausesFirstFromEveryKnownHost() {
+    void timelineShowsCausesFirstFromEveryKnownHost() {
         Run run = run("timeline", "--key", KEY, "-o", url(1), "--ticket", "7");
         List<String> lines = run.out().lines().toList();
         assertEquals(2, lines.size(), run::toString);
@@ -81,7 +81,7 @@
     }
 
     @Test
-    void aHostThatDoesNotAnswerIsNamed() {
+    void reportsHostThatDoesNotAnswer() {
         String hosts = url(1) + ",http://127.0.0.1:1";
         Run run = run("timeline", "--key", KEY, "-o", hosts, "--json", "--limit", "1", "--only-given");
         assertEquals(1, run.out().lines().count(), run::toString);
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aWrongKeyIsRefused() {
+    void rejectsWrongKey() {
         assertEquals(
                 ExitCode.REFUSED.code(),
                 run("status", "--key", "wrong", "-o", url(0)).code());
@@ -105,7 +105,7 @@
      * sent twice is decided once, and wait until the deployment reports it in force.
      */
     @Test
-    void aTicketGoesToTheNextHostAndIsAwaited() throws Exception {
+    void sendsTicketToTheNextHostAndWaitsUntilInForce() throws Exception {
         Path file = Files.writeString(folder.resolve("7.json"), TICKET);
         answers.put("/v1/tickets/7", "{\"number\":7,\"accepted\":true,\"inForce\":true}");
         String hosts = "http://127.0.0.1:1," + url(0);
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void aTicketThatIsNotInForceInTimeIsNotCalledDone() throws Exception {
+    void reportsUnreachableWhenTicketIsNotInForceInTime() throws Exception {
         Path file = Files.writeString(folder.resolve("7.json"), TICKET);
         answers.put("/v1/tickets/7", "{\"number\":7,\"accepted\":true,\"inForce\":false,\"outstanding\":[\"e9\"]}");
         Run run = run("ticket", "apply", file.toString(), "--key", KEY, "-o", url(0), "--wait-seconds", "1");
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void answersHaveTheirExitCodes() {
+    void mapsAnswersToExitCodes() {
         answers.put("/v1/tickets", "{\"tickets\":[]}");
         answers.put("/v1/tickets/8", "409{\"error\":{\"type\":\"stale_ticket\",\"message\":\"newer is 9\"}}");
         answers.put("/v1/tickets/9", "503{\"error\":{\"type\":\"no_leader\",\"message\":\"later\"}}");
@@ -153,10 +153,10 @@
 
     /** Sends the prepared body for the path, with the status in front of it when that isn't 200. */
     private void answer(HttpServerExchange exchange) {
-        String canned = answers.getOrDefault(exchange.getRequestPath(), "404{}");
-        int body = canned.indexOf('{');
-        exchange.setStatusCode(body == 0 ? 200 : Integer.parseInt(canned.substring(0, body)));
-        exchange.getResponseSender().send(canned.substring(body));
+        String prepared = answers.getOrDefault(exchange.getRequestPath(), "404{}");
+        int body = prepared.indexOf('{');
+        exchange.setStatusCode(body == 0 ? 200 : Integer.parseInt(prepared.substring(0, body)));
+        exchange.getResponseSender().send(prepared.substring(body));
     }
 
     private String url(int host) {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/Client.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/Client.java
@@ -66,7 +66,7 @@
     }
 
     /** Sends a request without waiting for its answer; running the result cancels the call. */
-    public Runnable begin(String url, String json) {
+    public Runnable sendAsync(String url, String json) {
         Request.Builder request = new Request.Builder().url(url).post(RequestBody.create(json, JSON));
         Call call = http.newCall(authorised(request));
         call.enqueue(new Callback() {
@@ -84,7 +84,7 @@
     }
 
     /** Reads the first byte of a streamed answer, then cancels the call. */
-    public void leaveDuring(String url, String json) throws IOException {
+    public void cancelDuringStream(String url, String json) throws IOException {
         Request.Builder request = new Request.Builder().url(url).post(RequestBody.create(json, JSON));
         Call call = http.newCall(authorised(request));
         try (Response response = call.execute()) {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/ControlFailureTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/ControlFailureTest.java
@@ -40,25 +40,25 @@
     @BeforeEach
     void start() throws Exception {
         SettingsFiles files = new SettingsFiles(folder);
-        List<SettingsFiles.ControlSeat> seats = new ArrayList<>();
+        List<SettingsFiles.ControlHostSettings> controlHosts = new ArrayList<>();
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
             ports.add(freePort());
-            seats.add(new SettingsFiles.ControlSeat("c" + i, "127.0.0.1:" + ports.get(i), "d" + i));
+            controlHosts.add(new SettingsFiles.ControlHostSettings("c" + i, "127.0.0.1:" + ports.get(i), "d" + i));
         }
         for (int i = 0; i < HOSTS; i++) {
-            settings.add(files.control("c" + i, "d" + i, seats, ports.get(i)));
+            settings.add(files.control("c" + i, "d" + i, controlHosts, ports.get(i)));
         }
         String first = settings.get(0).toString();
         assertEquals(0, ElmlineProcess.run(folder, "control", "bootstrap", "--settings", first));
         List<CompletableFuture<ElmlineProcess>> starting = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
-            starting.add(startLater(
+            starting.add(startAsync(
                     "c" + i, "control", "run", "--settings", settings.get(i).toString()));
         }
         for (int i = 0; i < 2; i++) {
-            String file = files.entry("e" + i, "d" + i, seats).toString();
-            starting.add(startLater("e" + i, "entry", "--settings", file));
+            String file = files.entry("e" + i, "d" + i, controlHosts).toString();
+            starting.add(startAsync("e" + i, "entry", "--settings", file));
         }
         for (int i = 0; i < HOSTS; i++) {
             controls.add(starting.get(i).get());
@@ -79,7 +79,7 @@
      * change, and no ticket accepted before may be lost.
      */
     @Test
-    void aKilledLeaderLosesNothing() throws Exception {
+    void killedLeaderLosesNoTicket() throws Exception {
         int killed = leader();
         controls.get(killed).kill();
         long ticket = apply();
@@ -95,12 +95,12 @@
      * leadership in memory: no entry may receive an older configuration from it, and it must become a follower.
      */
     @Test
-    void aFrozenLeaderWakesDeposed() throws Exception {
+    void frozenLeaderResumesAsFollower() throws Exception {
         int frozen = leader();
         controls.get(frozen).freeze();
         long ticket = apply();
         long version = configVersion(0);
-        controls.get(frozen).thaw();
+        controls.get(frozen).resume();
         Client.await("the frozen host follows", () -> {
             assertTrue(configVersion(0) >= version, "the configuration went back");
             assertTrue(configVersion(1) >= 1, "the configuration went back");
@@ -114,7 +114,7 @@
      * first must not vote on the state that it lost; with it back as a new replica, two of three must still decide.
      */
     @Test
-    void aLostDiskIsRepairedBeforeTheNextLoss() throws Exception {
+    void replacesReplicaWithALostDisk() throws Exception {
         int lost = (leader() + 1) % HOSTS;
         String before = status(lost).path("replica").asText();
         controls.get(lost).kill();
@@ -122,7 +122,7 @@
         restart(lost);
         Client.await("the new replica votes and the lost one is gone", () -> {
             String now = status(lost).path("replica").asText();
-            return !now.equals(before) && votes(lost, now) && voters(lost) == HOSTS;
+            return !now.equals(before) && isVoter(lost, now) && voters(lost) == HOSTS;
         });
         int second = (lost + 1) % HOSTS;
         controls.get(second).kill();
@@ -136,7 +136,7 @@
      * the remaining one.
      */
     @Test
-    void hundredsOfChangesWhileAHostIsDown() throws Exception {
+    void restartedHostCatchesUpAfterHundredsOfChanges() throws Exception {
         int down = (leader() + 1) % HOSTS;
         controls.get(down).kill();
         for (int i = 0; i < 300; i++) {
@@ -156,24 +156,24 @@
      * answer.
      */
     @Test
-    void oneOfTwoRacingTicketsWins() throws Exception {
-        int wins = 0;
+    void acceptsOneOfTwoTicketsWithTheSameNumber() throws Exception {
+        int rounds = 0;
         for (int i = 0; i < 10; i++) {
             long number = nextTicket++;
-            String one = "left-" + i;
-            String other = "right-" + i;
-            CompletableFuture<Client.Reply> left = putLater(0, number, one);
-            CompletableFuture<Client.Reply> right = putLater(1, number, other);
+            String leftOrganisation = "left-" + i;
+            String rightOrganisation = "right-" + i;
+            CompletableFuture<Client.Reply> left = putAsync(0, number, leftOrganisation);
+            CompletableFuture<Client.Reply> right = putAsync(1, number, rightOrganisation);
             boolean leftWon = left.get().status() == 200;
             boolean rightWon = right.get().status() == 200;
             assertTrue(leftWon ^ rightWon, left.get() + " and " + right.get());
             Client.Reply loser = leftWon ? right.get() : left.get();
             assertEquals(409, loser.status(), loser.body());
-            Client.Reply again = put(leftWon ? 1 : 0, number, leftWon ? one : other);
+            Client.Reply again = put(leftWon ? 1 : 0, number, leftWon ? leftOrganisation : rightOrganisation);
             assertEquals(200, again.status(), again.body());
-            wins++;
+            rounds++;
         }
-        assertEquals(10, wins);
+        assertEquals(10, rounds);
     }
 
     private long apply() throws Exception {
@@ -191,7 +191,7 @@
         assertTrue(ticket(0, number).json().path("accepted").asBoolean());
     }
 
-    private CompletableFuture<Client.Reply> putLater(int entry, long number, String organisation) {
+    private CompletableFuture<Client.Reply> putAsync(int entry, long number, String organisation) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return put(entry, number, organisation);
@@ -202,7 +202,7 @@
     }
 
     private Client.Reply put(int entry, long number, String organisation) throws IOException {
-        String body = Tickets.first(CALLER_KEY + organisation).replace("guides", organisation);
+        String body = RequestBodies.firstTicket(CALLER_KEY + organisation).replace("guides", organisation);
         return operator.put(entries.get(entry).ready("operator") + "/v1/tickets/" + number, body);
     }
 
@@ -236,7 +236,7 @@
         return status(control).path("voters").size();
     }
 
-    private boolean votes(int control, String replica) throws IOException {
+    private boolean isVoter(int control, String replica) throws IOException {
         for (com.fasterxml.jackson.databind.JsonNode each : status(control).path("voters")) {
             if (each.asText().equals(replica)) {
                 return true;
@@ -248,7 +248,7 @@
     private void restart(int control) throws Exception {
         controls.set(
                 control,
-                startLater(
+                startAsync(
                                 "c" + control,
                                 "control",
                                 "run",
@@ -257,7 +257,7 @@
                         .get());
     }
 
-    private CompletableFuture<ElmlineProcess> startLater(String name, String... arguments) {
+    private CompletableFuture<ElmlineProcess> startAsync(String name, String... arguments) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return closer.register(ElmlineProcess.start(folder, name, arguments));
--- a/elmline-cli/src/test/java/org/elmline/cli/process/ElmlineProcess.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/ElmlineProcess.java
@@ -34,7 +34,7 @@
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         for (String line = out.readLine(); line != null; line = out.readLine()) {
             if (line.startsWith("ready ")) {
-                return new ElmlineProcess(process, words(line));
+                return new ElmlineProcess(process, parseReadyLine(line));
             }
         }
         throw new IOException(name + " ended without a ready line; its log:\n" + Files.readString(log));
@@ -60,25 +60,25 @@
         return command;
     }
 
-    private static Map<String, String> words(String line) {
-        Map<String, String> words = new HashMap<>();
+    private static Map<String, String> parseReadyLine(String line) {
+        Map<String, String> values = new HashMap<>();
         for (String each : line.split(" ")) {
             int equals = each.indexOf('=');
             if (equals > 0) {
-                words.put(each.substring(0, equals), each.substring(equals + 1));
+                values.put(each.substring(0, equals), each.substring(equals + 1));
             }
         }
-        return words;
+        return values;
     }
 
     /** A value of the ready line, for example {@code caller}. */
-    String ready(String word) {
-        return ready.get(word);
+    String ready(String key) {
+        return ready.get(key);
     }
 
     /** The IP and port of a URL in the ready line. */
-    String address(String word) {
-        return ready.get(word).replace("http://", "");
+    String address(String key) {
+        return ready.get(key).replace("http://", "");
     }
 
     long pid() {
@@ -106,7 +106,7 @@
     }
 
     /** Sends SIGCONT: the frozen process continues. */
-    void thaw() throws IOException, InterruptedException {
+    void resume() throws IOException, InterruptedException {
         signal("CONT");
     }
 
--- a/elmline-cli/src/test/java/org/elmline/cli/process/WholePathTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/EndToEndTest.java
@@ -19,7 +19,7 @@
  * End to end over separate processes: one control host, two entries, an engine and a service. A ticket creates model
  * and organisation; a caller requests the entry addresses, streams an answer and must get exactly that answer.
  */
-class WholePathTest {
+class EndToEndTest {
     private static final String CALLER_KEY = "caller-key-of-process-tests";
     private static final String PROMPT = "how many dogs are free at ten";
 
@@ -34,17 +34,18 @@
     }
 
     @Test
-    void aStreamedAnswerReachesItsCaller() throws Exception {
+    void callerReceivesExactStreamedAnswer() throws Exception {
         SettingsFiles files = new SettingsFiles(folder);
         int port = freePort();
-        List<SettingsFiles.ControlSeat> seats = List.of(new SettingsFiles.ControlSeat("c1", "127.0.0.1:" + port, "d1"));
-        String control = files.control("c1", "d1", seats, port).toString();
+        List<SettingsFiles.ControlHostSettings> controlHosts =
+                List.of(new SettingsFiles.ControlHostSettings("c1", "127.0.0.1:" + port, "d1"));
+        String control = files.control("c1", "d1", controlHosts, port).toString();
         assertEquals(0, ElmlineProcess.run(folder, "control", "bootstrap", "--settings", control));
         start("c1", "control", "run", "--settings", control);
-        ElmlineProcess a =
-                start("a", "entry", "--settings", files.entry("a", "d1", seats).toString());
-        ElmlineProcess b =
-                start("b", "entry", "--settings", files.entry("b", "d2", seats).toString());
+        ElmlineProcess a = start(
+                "a", "entry", "--settings", files.entry("a", "d1", controlHosts).toString());
+        ElmlineProcess b = start(
+                "b", "entry", "--settings", files.entry("b", "d2", controlHosts).toString());
         List<String> entries = List.of(a.address("caller"), b.address("caller"));
         start(
                 "e1",
@@ -60,7 +61,8 @@
                 files.service("s1", "d2", entries, "booking").toString());
 
         Client operator = new Client(SettingsFiles.OPERATOR_KEY);
-        Client.Reply ticket = operator.put(a.ready("operator") + "/v1/tickets/1", Tickets.first(CALLER_KEY));
+        Client.Reply ticket =
+                operator.put(a.ready("operator") + "/v1/tickets/1", RequestBodies.firstTicket(CALLER_KEY));
         assertEquals(200, ticket.status(), ticket.body());
         Client.await("ticket 1 in force", () -> operator.get(b.ready("operator") + "/v1/tickets/1")
                 .json()
@@ -76,11 +78,13 @@
             String url = "http://" + address.asText() + "/v1/completions";
             Client.await(
                     "a first answer at " + url,
-                    () -> caller.post(url, Tickets.prompt(PROMPT, false)).status() == 200);
-            Client.Reply whole = caller.post(url, Tickets.prompt(PROMPT, false));
+                    () -> caller.post(url, RequestBodies.completion(PROMPT, false))
+                                    .status()
+                            == 200);
+            Client.Reply whole = caller.post(url, RequestBodies.completion(PROMPT, false));
             assertEquals(
                     answer, whole.json().path("choices").path(0).path("text").asText());
-            Client.Stream stream = caller.stream(url, Tickets.prompt(PROMPT, true));
+            Client.Stream stream = caller.stream(url, RequestBodies.completion(PROMPT, true));
             assertEquals(answer, stream.text());
             assertTrue(stream.done(), "the end mark is missing");
         }
--- a/elmline-cli/src/test/java/org/elmline/cli/process/EntryFailureTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/EntryFailureTest.java
@@ -21,10 +21,10 @@
 
 /** Entries, engines and services as separate processes that are killed, frozen and stopped while they serve. */
 class EntryFailureTest {
-    private static final int LONG_ANSWER = 300;
+    private static final int LONG_ANSWER_TOKENS = 300;
 
     /** Characters of an answer that lasts over a second. */
-    private static final int LONG_TEXT = 1_000;
+    private static final int LONG_ANSWER_CHARACTERS = 1_000;
 
     @TempDir
     Path folder;
@@ -48,10 +48,10 @@
      * must be held once: the claim was committed before the call was sent, so the second entry sends nothing.
      */
     @Test
-    void aFrozenEntryAndARetryHoldOneSeat() throws Exception {
+    void retryAfterAFrozenEntryRunsTheCallOnce() throws Exception {
         String key = issueKey();
         deployment.caller.put(deployment.service.ready("service") + "/standin/faults", "{\"delayMillis\":3000}");
-        CompletableFuture<Client.Reply> first = holdLater(0, key);
+        CompletableFuture<Client.Reply> first = holdAsync(0, key);
         // Waits for the claim of the first entry: a retry that came before it would own the claim itself.
         Client.await("the call is sent", () -> sentClaims(0) == 1);
         assertEquals(409, hold(1, key).status());
@@ -60,7 +60,7 @@
         Client.Reply retry = hold(1, key);
         assertEquals(409, retry.status(), retry.body());
         assertEquals("unknown", retry.json().path("error").path("ran").asText());
-        deployment.entries.get(0).thaw();
+        deployment.entries.get(0).resume();
         first.handle((reply, failure) -> reply).get();
         assertEquals(1, runs(key));
     }
@@ -70,13 +70,13 @@
      * call, so a retry on the other entry gets "may have run", now and later, and the seat must be held once.
      */
     @Test
-    void aKilledEntryAndARetryHoldOneSeat() throws Exception {
+    void retryAfterAKilledEntryRunsTheCallOnce() throws Exception {
         String key = issueKey();
         deployment.caller.put(deployment.service.ready("service") + "/standin/faults", "{\"delayMillis\":2000}");
-        CompletableFuture<Client.Reply> lost = holdLater(0, key);
+        CompletableFuture<Client.Reply> interrupted = holdAsync(0, key);
         Client.await("the call is sent", () -> sentClaims(0) == 1);
         deployment.entries.get(0).kill();
-        lost.handle((reply, failure) -> reply).get();
+        interrupted.handle((reply, failure) -> reply).get();
         for (int i = 0; i < 3; i++) {
             Client.Reply retry = hold(1, key);
             assertEquals(409, retry.status(), retry.body());
@@ -91,8 +91,8 @@
      * another engine and must be exact.
      */
     @Test
-    void aFrozenEngineDoesNotHoldAnAnswer() throws Exception {
-        CompletableFuture<Client.Stream> answer = deployment.stream(0, "frozen engine", LONG_ANSWER);
+    void continuesAnswerOfAFrozenEngine() throws Exception {
+        CompletableFuture<Client.Stream> answer = deployment.stream(0, "frozen engine", LONG_ANSWER_TOKENS);
         Client.await("an open stream", () -> deployment.openStreams() == 1);
         streamingEngine().freeze();
         assertExact("frozen engine", answer.get());
@@ -100,25 +100,25 @@
 
     /** An entry is killed with long answers in flight: within seconds the engines must hold no memory for them. */
     @Test
-    void aKilledEntryLeavesNoMemoryTaken() throws Exception {
+    void freesEngineMemoryOfAKilledEntry() throws Exception {
         // Slows the engines down, so that no answer ends by itself while the test waits.
         for (ElmlineProcess each : deployment.engines) {
             deployment.caller.put(each.ready("engine") + "/standin/faults", "{\"slowdown\":20}");
         }
-        List<CompletableFuture<Client.Stream>> lost = new ArrayList<>();
+        List<CompletableFuture<Client.Stream>> interrupted = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            lost.add(deployment.stream(0, "orphan " + i, 4000));
+            interrupted.add(deployment.stream(0, "orphan " + i, 4000));
         }
         Client.await("four open streams", () -> deployment.openStreams() == 4);
         deployment.entries.get(0).kill();
         Client.await("no open streams", () -> deployment.openStreams() == 0);
-        assertEquals(4, lost.size());
+        assertEquals(4, interrupted.size());
     }
 
     /** An engine is killed during an answer: the caller must get the exact answer, continued on the other engine. */
     @Test
-    void aKilledEngineDoesNotBreakAnAnswer() throws Exception {
-        CompletableFuture<Client.Stream> answer = deployment.stream(0, "killed engine", LONG_ANSWER);
+    void continuesAnswerOfAKilledEngine() throws Exception {
+        CompletableFuture<Client.Stream> answer = deployment.stream(0, "killed engine", LONG_ANSWER_TOKENS);
         Client.await("an open stream", () -> deployment.openStreams() == 1);
         streamingEngine().kill();
         assertExact("killed engine", answer.get());
@@ -129,24 +129,24 @@
      * end.
      */
     @Test
-    void aStopInterruptsNoAnswer() throws Exception {
-        int whole = 0;
+    void gracefulStopInterruptsNoAnswer() throws Exception {
+        int completeAnswers = 0;
         List<String> prompts = longPrompts(4);
         for (ElmlineProcess stopping :
                 List.of(deployment.engines.get(0), deployment.control, deployment.entries.get(1))) {
             List<CompletableFuture<Client.Stream>> answers = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                answers.add(deployment.stream(i % 2, prompts.get(i), LONG_ANSWER));
+                answers.add(deployment.stream(i % 2, prompts.get(i), LONG_ANSWER_TOKENS));
             }
             Client.await("open streams", () -> deployment.openStreams() == 4);
             stopping.terminate();
             for (int i = 0; i < 4; i++) {
                 assertExact(prompts.get(i), answers.get(i).get());
-                whole++;
+                completeAnswers++;
             }
             assertTrue(stopping.waitForEnd(), "it did not end");
         }
-        assertEquals(12, whole);
+        assertEquals(12, completeAnswers);
     }
 
     private String issueKey() throws IOException {
@@ -173,7 +173,7 @@
         throw new IOException("no engine streams");
     }
 
-    private CompletableFuture<Client.Reply> holdLater(int entry, String key) {
+    private CompletableFuture<Client.Reply> holdAsync(int entry, String key) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return hold(entry, key);
@@ -223,7 +223,7 @@
         List<String> prompts = new ArrayList<>();
         for (int i = 0; prompts.size() < count; i++) {
             String prompt = "stop " + i;
-            if (wholeAnswer(prompt).length() >= LONG_TEXT) {
+            if (wholeAnswer(prompt).length() >= LONG_ANSWER_CHARACTERS) {
                 prompts.add(prompt);
             }
         }
@@ -231,7 +231,8 @@
     }
 
     private static String wholeAnswer(String prompt) {
-        return AnswerText.of(ModelName.of("elm-small"), "", prompt, LONG_ANSWER).text();
+        return AnswerText.of(ModelName.of("elm-small"), "", prompt, LONG_ANSWER_TOKENS)
+                .text();
     }
 
     private static void assertExact(String prompt, Client.Stream stream) {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/ProcessDeployment.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/ProcessDeployment.java
@@ -32,14 +32,15 @@
     void start() throws Exception {
         SettingsFiles files = new SettingsFiles(folder);
         int port = freePort();
-        List<SettingsFiles.ControlSeat> seats = List.of(new SettingsFiles.ControlSeat("c1", "127.0.0.1:" + port, "d1"));
-        String controlFile = files.control("c1", "d1", seats, port).toString();
+        List<SettingsFiles.ControlHostSettings> controlHosts =
+                List.of(new SettingsFiles.ControlHostSettings("c1", "127.0.0.1:" + port, "d1"));
+        String controlFile = files.control("c1", "d1", controlHosts, port).toString();
         assertEquals(0, ElmlineProcess.run(folder, "control", "bootstrap", "--settings", controlFile));
-        CompletableFuture<ElmlineProcess> controlStart = later("c1", "control", "run", "--settings", controlFile);
+        CompletableFuture<ElmlineProcess> controlStart = startAsync("c1", "control", "run", "--settings", controlFile);
         List<CompletableFuture<ElmlineProcess>> entryStarts = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
-            String file = files.entry("e" + i, "d" + i, seats).toString();
-            entryStarts.add(later("e" + i, "entry", "--settings", file));
+            String file = files.entry("e" + i, "d" + i, controlHosts).toString();
+            entryStarts.add(startAsync("e" + i, "entry", "--settings", file));
         }
         control = controlStart.get();
         for (CompletableFuture<ElmlineProcess> each : entryStarts) {
@@ -48,13 +49,16 @@
         startBackends(files);
         Client.await(
                 "the first ticket is accepted",
-                () -> operator.put(entries.get(0).ready("operator") + "/v1/tickets/1", Tickets.first(CALLER_KEY))
+                () -> operator.put(
+                                        entries.get(0).ready("operator") + "/v1/tickets/1",
+                                        RequestBodies.firstTicket(CALLER_KEY))
                                 .status()
                         == 200);
         for (int i = 0; i < 2; i++) {
             int entry = i;
             Client.await(
-                    "an answer at entry " + i, () -> ask(entry, "warm up", 4).status() == 200);
+                    "an answer at entry " + i,
+                    () -> complete(entry, "warm up", 4).status() == 200);
             Client.await(
                     "the service at entry " + i,
                     () -> caller.get(service(entry, "schedule")).status() == 200);
@@ -67,17 +71,17 @@
         List<CompletableFuture<ElmlineProcess>> starts = new ArrayList<>();
         for (int i = 0; i < 2; i++) {
             String file = files.engine("g" + i, "d" + i, addresses, "elm-small").toString();
-            starts.add(later("g" + i, "standin", "engine", "--settings", file));
+            starts.add(startAsync("g" + i, "standin", "engine", "--settings", file));
         }
         String file = files.service("s1", "d1", addresses, "booking").toString();
-        CompletableFuture<ElmlineProcess> serviceStart = later("s1", "standin", "service", "--settings", file);
+        CompletableFuture<ElmlineProcess> serviceStart = startAsync("s1", "standin", "service", "--settings", file);
         for (CompletableFuture<ElmlineProcess> each : starts) {
             engines.add(each.get());
         }
         service = serviceStart.get();
     }
 
-    Client.Reply ask(int entry, String prompt, int tokens) throws IOException {
+    Client.Reply complete(int entry, String prompt, int tokens) throws IOException {
         return caller.post(completions(entry), body(prompt, tokens, false));
     }
 
@@ -115,7 +119,7 @@
                 .formatted(prompt, tokens, stream);
     }
 
-    private CompletableFuture<ElmlineProcess> later(String name, String... arguments) {
+    private CompletableFuture<ElmlineProcess> startAsync(String name, String... arguments) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return closer.register(ElmlineProcess.start(folder, name, arguments));
--- a/elmline-cli/src/test/java/org/elmline/cli/process/Tickets.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/RequestBodies.java
@@ -3,13 +3,13 @@
 import org.elmline.daemon.http.BearerKey;
 
 /** Request bodies of process tests. */
-final class Tickets {
-    private Tickets() {}
+final class RequestBodies {
+    private RequestBodies() {}
 
     /**
      * A ticket that creates model {@code elm-small}, service {@code booking} and one organisation with the given key.
      */
-    static String first(String callerKey) {
+    static String firstTicket(String callerKey) {
         return """
                 {"author":"tests","objects":[
                  {"kind":"model","name":"elm-small","version":"1","adapters":[],"maxPromptTokens":1000000,
@@ -21,7 +21,7 @@
                 .formatted(BearerKey.hash(callerKey));
     }
 
-    static String prompt(String text, boolean stream) {
+    static String completion(String text, boolean stream) {
         return "{\"model\":\"elm-small\",\"prompt\":\"%s\",\"max_tokens\":64,\"stream\":%s}".formatted(text, stream);
     }
 }
--- a/elmline-cli/src/test/java/org/elmline/cli/process/SettingsFiles.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/SettingsFiles.java
@@ -18,7 +18,7 @@
     }
 
     /** Settings of one control host in a cluster; {@code ownPort} is its port for peers. */
-    Path control(String host, String domain, List<ControlSeat> seats, int ownPort) throws IOException {
+    Path control(String host, String domain, List<ControlHostSettings> controlHosts, int ownPort) throws IOException {
         return write(
                 "control-" + host,
                 """
@@ -27,10 +27,10 @@
                  "control":%s,
                  "keys":{"peerKey":"%s","operatorKeys":["%s"]}}
                 """
-                        .formatted(host, domain, host, ownPort, json(seats), PEER_KEY, OPERATOR_KEY));
+                        .formatted(host, domain, host, ownPort, json(controlHosts), PEER_KEY, OPERATOR_KEY));
     }
 
-    Path entry(String host, String domain, List<ControlSeat> seats) throws IOException {
+    Path entry(String host, String domain, List<ControlHostSettings> controlHosts) throws IOException {
         return write(
                 "entry-" + host,
                 """
@@ -40,7 +40,7 @@
                  "callers":{"keepSeconds":2},
                  "keys":{"peerKey":"%s","operatorKeys":["%s"],"backendKeys":["%s"]}}
                 """
-                        .formatted(host, domain, json(seats), PEER_KEY, OPERATOR_KEY, BACKEND_KEY));
+                        .formatted(host, domain, json(controlHosts), PEER_KEY, OPERATOR_KEY, BACKEND_KEY));
     }
 
     Path engine(String id, String domain, List<String> entries, String model) throws IOException {
@@ -64,11 +64,11 @@
     }
 
     /** One control host as the settings list it. */
-    record ControlSeat(String host, String peers, String domain) {}
+    record ControlHostSettings(String host, String peers, String domain) {}
 
-    private static String json(List<ControlSeat> seats) {
+    private static String json(List<ControlHostSettings> controlHosts) {
         StringBuilder text = new StringBuilder("[");
-        for (ControlSeat each : seats) {
+        for (ControlHostSettings each : controlHosts) {
             text.append(text.length() == 1 ? "" : ",")
                     .append("{\"host\":\"%s\",\"peers\":\"%s\",\"failureDomain\":\"%s\"}"
                             .formatted(each.host(), each.peers(), each.domain()));
@@ -76,8 +76,8 @@
         return text.append("]").toString();
     }
 
-    private static String quoted(List<String> words) {
-        return "[\"" + String.join("\",\"", words) + "\"]";
+    private static String quoted(List<String> values) {
+        return "[\"" + String.join("\",\"", values) + "\"]";
     }
 
     private Path write(String name, String json) throws IOException {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/TimelineProcessTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/TimelineProcessTest.java
@@ -35,17 +35,18 @@
      * ticket in force only after every host follows it.
      */
     @Test
-    void aTicketIsAcceptedThenFollowedThenInForce() throws Exception {
+    void showsTicketAcceptedThenFollowedThenInForce() throws Exception {
         SettingsFiles files = new SettingsFiles(folder);
         int port = freePort();
-        List<SettingsFiles.ControlSeat> seats = List.of(new SettingsFiles.ControlSeat("c1", "127.0.0.1:" + port, "d1"));
-        String settings = files.control("c1", "d1", seats, port).toString();
+        List<SettingsFiles.ControlHostSettings> controlHosts =
+                List.of(new SettingsFiles.ControlHostSettings("c1", "127.0.0.1:" + port, "d1"));
+        String settings = files.control("c1", "d1", controlHosts, port).toString();
         assertEquals(0, ElmlineProcess.run(folder, "control", "bootstrap", "--settings", settings));
         ElmlineProcess control = start("c1", "control", "run", "--settings", settings);
-        ElmlineProcess a =
-                start("a", "entry", "--settings", files.entry("a", "d1", seats).toString());
-        ElmlineProcess b =
-                start("b", "entry", "--settings", files.entry("b", "d2", seats).toString());
+        ElmlineProcess a = start(
+                "a", "entry", "--settings", files.entry("a", "d1", controlHosts).toString());
+        ElmlineProcess b = start(
+                "b", "entry", "--settings", files.entry("b", "d2", controlHosts).toString());
 
         Client operator = new Client(SettingsFiles.OPERATOR_KEY);
         Client.await(
@@ -55,7 +56,7 @@
                                 .path("entryHosts")
                                 .size()
                         == 2);
-        String ticket = Tickets.first("caller-key-of-process-tests");
+        String ticket = RequestBodies.firstTicket("caller-key-of-process-tests");
         assertEquals(
                 200, operator.put(a.ready("operator") + "/v1/tickets/5", ticket).status());
         assertEquals(
@@ -74,15 +75,16 @@
      * the engine left and that the service was lost, since only the latter needs an operator's attention.
      */
     @Test
-    void leavingAndLosingABackendServerAreToldApart() throws Exception {
+    void distinguishesLeavingFromLostBackendServers() throws Exception {
         SettingsFiles files = new SettingsFiles(folder);
         int port = freePort();
-        List<SettingsFiles.ControlSeat> seats = List.of(new SettingsFiles.ControlSeat("c1", "127.0.0.1:" + port, "d1"));
-        String settings = files.control("c1", "d1", seats, port).toString();
+        List<SettingsFiles.ControlHostSettings> controlHosts =
+                List.of(new SettingsFiles.ControlHostSettings("c1", "127.0.0.1:" + port, "d1"));
+        String settings = files.control("c1", "d1", controlHosts, port).toString();
         assertEquals(0, ElmlineProcess.run(folder, "control", "bootstrap", "--settings", settings));
         start("c1", "control", "run", "--settings", settings);
-        ElmlineProcess a =
-                start("a", "entry", "--settings", files.entry("a", "d1", seats).toString());
+        ElmlineProcess a = start(
+                "a", "entry", "--settings", files.entry("a", "d1", controlHosts).toString());
         List<String> entries = List.of(a.address("caller"));
         String engineSettings = files.engine("g1", "d1", entries, "elm-small").toString();
         ElmlineProcess engine = start("g1", "standin", "engine", "--settings", engineSettings);
--- a/elmline-cli/src/test/java/org/elmline/cli/role/RoleCommandTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/role/RoleCommandTest.java
@@ -26,7 +26,7 @@
 
     @AfterEach
     void resetLogs() {
-        own().setLevel(Level.INFO);
+        ownLogger().setLevel(Level.INFO);
         logs.putProperty("host", "");
         logs.putProperty("role", "");
     }
@@ -37,7 +37,7 @@
      * the level of the settings applies.
      */
     @Test
-    void linesCarryNameRoleAndLevelOfTheSettingsBeforeAnythingOpens() throws IOException {
+    void appliesLogSettingsBeforeTheRoleStarts() throws IOException {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Path settings = Files.writeString(
                     folder.resolve("service.json"),
@@ -51,10 +51,10 @@
         }
         assertEquals("s7", logs.getProperty("host"));
         assertEquals("standin-service", logs.getProperty("role"));
-        assertEquals(Level.ERROR, own().getLevel());
+        assertEquals(Level.ERROR, ownLogger().getLevel());
     }
 
-    private Logger own() {
+    private Logger ownLogger() {
         return logs.getLogger("org.elmline");
     }
 }
