--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/FrameChannel.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/FrameChannel.java
@@ -168,7 +168,7 @@
         return true;
     }
 
-    /** Closes the connection when a read or a write fails. */
+    /** Closes the connection when a read or a write fails, so that the two directions end in the same way. */
     private abstract class Completion implements CompletionHandler<Integer, ByteBuffer> {
         abstract void onCompleted(int count, ByteBuffer buffer);
 
