--- a/elmline-cli/src/main/java/org/elmline/cli/ExitCode.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/ExitCode.java
@@ -14,7 +14,7 @@
     REFUSED(4, "refused; the same again gives the same answer"),
     /** No host answered, or none can decide now; trying again later is safe. */
     UNREACHABLE(5, "no host answered or none can decide now; trying again is safe"),
-    /** What was asked for does not exist. */
+    /** The requested object does not exist. */
     NOT_FOUND(6, "not found");
 
     private final int code;
--- a/elmline-cli/src/test/java/org/elmline/cli/process/EntryFailureTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/EntryFailureTest.java
@@ -66,8 +66,8 @@
     }
 
     /**
-     * The entry that sent a seat hold is killed before the service has answered. No process knows the outcome of the
-     * call, so a retry on the other entry gets "may have run", now and later, and the seat must be held once.
+     * The entry that sent a seat hold is killed before the service has answered. No process can determine the outcome
+     * of the call, so a retry on the other entry gets "may have run", now and later, and the seat must be held once.
      */
     @Test
     void retryAfterAKilledEntryRunsTheCallOnce() throws Exception {
