--- a/elmline-cli/src/test/java/org/elmline/cli/explain/LossesCommandTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/explain/LossesCommandTest.java
@@ -10,21 +10,24 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** From the logs of entries to the moments at which requests were lost. */
+/** Counts lost requests by time from the logs of entries. */
 class LossesCommandTest {
     @TempDir
     private Path folder;
 
     private final CommandRun command = new CommandRun();
 
-    private static String line(long at, String event, String request, String more) {
+    private static String line(long at, String event, String request, String fields) {
         return "{\"at\":" + at + ",\"mono\":1,\"host\":\"e\",\"role\":\"entry\",\"event\":\"" + event
-                + "\",\"request\":\"" + request + "\"" + more + "}\n";
+                + "\",\"request\":\"" + request + "\"" + fields + "}\n";
     }
 
-    /** Of five requests one is answered, one after a failed try, two are lost for a reason that is told, one has no end. */
+    /**
+     * Of five requests one is answered, one is answered after a failed attempt, two are lost for a logged reason, and
+     * one has no end.
+     */
     @Test
-    void countsByTheTimeAtWhichRequestsCame() throws Exception {
+    void countsOutcomesByTimeOfArrival() throws Exception {
         Path log = Files.writeString(
                 folder.resolve("entry.log"),
                 line(10_100, "placed", "a", ",\"ageMs\":60")
@@ -36,17 +39,17 @@
                         + line(13_200, "placed", "e", ",\"ageMs\":1")
                         + "not a line of ours\n");
         assertEquals(0, command.run("losses", log.toString()));
-        String[] told = command.printed().strip().split("\\R");
-        assertEquals(3, told.length);
-        assertEquals("0.0 2 2 1 60 210", told[1].strip().replaceAll(" +", " "));
-        assertTrue(told[2].strip().startsWith("2.0"), told[2]);
+        String[] lines = command.output().strip().split("\\R");
+        assertEquals(3, lines.length);
+        assertEquals("0.0 2 2 1 60 210", lines[1].strip().replaceAll(" +", " "));
+        assertTrue(lines[2].strip().startsWith("2.0"), lines[2]);
         assertTrue(
-                told[2].endsWith("1 no end; 1 refused: no place in time; 1 turned away: no routing table yet"),
-                told[2]);
+                lines[2].endsWith("1 no end; 1 refused: no place in time; 1 turned away: no routing table yet"),
+                lines[2]);
     }
 
     @Test
-    void logsWithoutRequestsAreSaidToHaveNone() throws Exception {
+    void reportsLogsWithoutRequests() throws Exception {
         Path log = Files.writeString(folder.resolve("entry.log"), "nothing\n");
         assertEquals(ExitCode.NOT_FOUND.code(), command.run("losses", log.toString()));
     }
--- a/elmline-cli/src/test/java/org/elmline/cli/local/BrokenStreamsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/local/BrokenStreamsTest.java
@@ -14,10 +14,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Answers stay whole and exact while engines, connections and entries fail under them. */
+/** Answers stay complete and exact when engines, connections and entries fail while they stream. */
 class BrokenStreamsTest {
-    private static final int TOKENS = 400;
-    private static final double SLOW = 20;
+    private static final int ANSWER_TOKENS = 400;
+    private static final double SLOWDOWN = 20;
 
     private LocalDeployment deployment;
     private Client caller;
@@ -29,8 +29,8 @@
         caller = new Client(deployment.callerKey());
         Client.await(
                 "an answer from each entry",
-                () -> ask(0, "warm up", 4).status() == 200
-                        && ask(1, "warm up", 4).status() == 200);
+                () -> complete(0, "warm up", 4).status() == 200
+                        && complete(1, "warm up", 4).status() == 200);
     }
 
     @AfterEach
@@ -39,11 +39,11 @@
     }
 
     /**
-     * One engine's pieces come doubled, swapped, crossed with another caller's, or every fifth never comes, also when
-     * asked for again. The caller gets the exact answer, in the last case continued on the other engine.
+     * One engine's pieces arrive twice, out of order or mixed with another caller's, or every fifth is missing, also
+     * when requested again. The caller must get the exact answer, in the last case continued on the other engine.
      */
     @Test
-    void damagedStreamsGiveTheExactAnswer() throws Exception {
+    void givesExactAnswerFromDamagedStreams() throws Exception {
         int exact = 0;
         for (PieceFault fault : PieceFault.values()) {
             for (EngineServer damaged : deployment.engines()) {
@@ -59,19 +59,21 @@
         assertEquals(20, exact);
     }
 
-    /** The connection to the engine breaks amid the answer: it is read on from the first missing piece. */
+    /** The connection to the engine breaks during the answer: reading must resume at the first missing piece. */
     @Test
-    void aBrokenConnectionIsResumed() throws Exception {
-        CompletableFuture<Client.Stream> answer = streaming("broken connection", TOKENS);
+    void resumesBrokenConnection() throws Exception {
+        CompletableFuture<Client.Stream> answer = streaming("broken connection", ANSWER_TOKENS);
         awaitStreams(1);
         deployment.engines().forEach(each -> each.faults().dropReaders());
-        assertExact("broken connection", answer.get(), TOKENS);
+        assertExact("broken connection", answer.get(), ANSWER_TOKENS);
     }
 
-    /** The engine dies amid the answer: another engine continues from the pieces that the caller has. */
+    /**
+     * The engine dies during the answer: another engine must continue after the pieces that the caller has received.
+     */
     @Test
-    void aDeadEngineIsReplaced() throws Exception {
-        CompletableFuture<Client.Stream> answer = streaming("dead engine", TOKENS);
+    void continuesAnswerOfADeadEngine() throws Exception {
+        CompletableFuture<Client.Stream> answer = streaming("dead engine", ANSWER_TOKENS);
         awaitStreams(1);
         for (EngineServer each : deployment.engines()) {
             if (each.openStreams() > 0) {
@@ -79,37 +81,37 @@
                 break;
             }
         }
-        assertExact("dead engine", answer.get(), TOKENS);
+        assertExact("dead engine", answer.get(), ANSWER_TOKENS);
     }
 
-    /** The caller hangs up amid the answer: its engine must not go on, nor keep its memory. */
+    /** The caller disconnects during the answer: its engine must neither continue nor keep the memory. */
     @Test
-    void aCallerThatLeavesFreesTheEngine() throws Exception {
-        slowEngines(SLOW);
-        caller.leaveDuring(url(0), body("left early", 4000));
+    void disconnectedStreamingCallerFreesTheEngine() throws Exception {
+        slowEngines(SLOWDOWN);
+        caller.cancelDuringStream(url(0), body("left early", 4000));
         awaitStreams(0);
     }
 
-    /** The same for an answer that is not streamed, where nothing is written that could fail. */
+    /** The same for an answer that is not streamed, where no write can fail and reveal the disconnection. */
     @Test
-    void aCallerThatLeavesAPlainAnswerFreesTheEngine() throws Exception {
+    void disconnectedWaitingCallerFreesTheEngine() throws Exception {
         String body = body("left a plain answer", 4000).replace("\"stream\":true", "\"stream\":false");
-        slowEngines(SLOW);
-        Runnable hangUp = caller.begin(url(0), body);
+        slowEngines(SLOWDOWN);
+        Runnable cancel = caller.sendAsync(url(0), body);
         awaitStreams(1);
-        hangUp.run();
+        cancel.run();
         awaitStreams(0);
         slowEngines(1);
-        assertEquals(200, ask(0, "after the one who left", 4).status());
+        assertEquals(200, complete(0, "after the one who left", 4).status());
     }
 
     /**
-     * An entry dies with long answers in flight. Nobody cancels them: the owner finds them once the dead entry's lease
-     * is over, and frees their memory.
+     * An entry dies with long answers in flight. No process cancels them: the owner must detect them once the lease of
+     * the dead entry has expired, and free their memory.
      */
     @Test
-    void aDeadEntryLeavesNoMemoryTaken() throws Exception {
-        slowEngines(SLOW);
+    void freesEngineMemoryOfADeadEntry() throws Exception {
+        slowEngines(SLOWDOWN);
         for (int i = 0; i < 3; i++) {
             streaming("orphan " + i, 4000).exceptionally(lost -> null);
         }
@@ -118,13 +120,13 @@
         awaitStreams(0);
     }
 
-    /** A planned stop of an entry while it streams: each caller gets its whole answer. */
+    /** An entry is stopped gracefully while it streams: each caller must get its whole answer. */
     @Test
-    void aStoppingEntryFinishesItsAnswers() throws Exception {
-        CompletableFuture<Client.Stream> answer = streaming("graceful", TOKENS);
+    void stoppingEntryFinishesItsAnswers() throws Exception {
+        CompletableFuture<Client.Stream> answer = streaming("graceful", ANSWER_TOKENS);
         awaitStreams(1);
         deployment.entries().get(0).stop();
-        assertExact("graceful", answer.get(), TOKENS);
+        assertExact("graceful", answer.get(), ANSWER_TOKENS);
     }
 
     private CompletableFuture<Client.Stream> streaming(String prompt, int tokens) {
@@ -137,7 +139,7 @@
         });
     }
 
-    /** With slow engines, no answer ends by itself while a test waits for memory to be freed. */
+    /** Slows the engines down, so that no answer ends by itself while a test waits for memory to be freed. */
     private void slowEngines(double factor) {
         deployment.engines().forEach(each -> each.faults().slowdown(factor));
     }
@@ -150,7 +152,7 @@
         return deployment.engines().stream().mapToInt(EngineServer::openStreams).sum();
     }
 
-    private Client.Reply ask(int entry, String prompt, int tokens) throws Exception {
+    private Client.Reply complete(int entry, String prompt, int tokens) throws Exception {
         return caller.post(url(entry), body(prompt, tokens).replace("\"stream\":true", "\"stream\":false"));
     }
 
--- a/elmline-cli/src/test/java/org/elmline/cli/process/ControlFailureTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/ControlFailureTest.java
@@ -19,7 +19,10 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Three control hosts and two entries as real processes over real files, under kills, freezes and lost disks. */
+/**
+ * Three control hosts and two entries as separate processes over files, with killed and frozen processes and lost
+ * disks.
+ */
 class ControlFailureTest {
     private static final String CALLER_KEY = "caller-key-of-control-tests";
     private static final int HOSTS = 3;
@@ -37,25 +40,25 @@
     @BeforeEach
     void start() throws Exception {
         SettingsFiles files = new SettingsFiles(folder);
-        List<SettingsFiles.ControlSeat> seats = new ArrayList<>();
+        List<SettingsFiles.ControlHostSettings> controlHosts = new ArrayList<>();
         List<Integer> ports = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
             ports.add(freePort());
-            seats.add(new SettingsFiles.ControlSeat("c" + i, "127.0.0.1:" + ports.get(i), "d" + i));
+            controlHosts.add(new SettingsFiles.ControlHostSettings("c" + i, "127.0.0.1:" + ports.get(i), "d" + i));
         }
         for (int i = 0; i < HOSTS; i++) {
-            settings.add(files.control("c" + i, "d" + i, seats, ports.get(i)));
+            settings.add(files.control("c" + i, "d" + i, controlHosts, ports.get(i)));
         }
         String first = settings.get(0).toString();
         assertEquals(0, ElmlineProcess.run(folder, "control", "bootstrap", "--settings", first));
         List<CompletableFuture<ElmlineProcess>> starting = new ArrayList<>();
         for (int i = 0; i < HOSTS; i++) {
-            starting.add(startLater(
+            starting.add(startAsync(
                     "c" + i, "control", "run", "--settings", settings.get(i).toString()));
         }
         for (int i = 0; i < 2; i++) {
-            String file = files.entry("e" + i, "d" + i, seats).toString();
-            starting.add(startLater("e" + i, "entry", "--settings", file));
+            String file = files.entry("e" + i, "d" + i, controlHosts).toString();
+            starting.add(startAsync("e" + i, "entry", "--settings", file));
         }
         for (int i = 0; i < HOSTS; i++) {
             controls.add(starting.get(i).get());
@@ -72,11 +75,11 @@
     }
 
     /**
-     * The leader is killed, a change follows at once, and the killed host comes back: the operator's change is accepted
-     * by the new leader, and nothing accepted before is lost.
+     * The leader is killed, a change follows at once, and the killed host restarts: the new leader must accept the
+     * change, and no ticket accepted before may be lost.
      */
     @Test
-    void aKilledLeaderLosesNothing() throws Exception {
+    void killedLeaderLosesNoTicket() throws Exception {
         int killed = leader();
         controls.get(killed).kill();
         long ticket = apply();
@@ -88,16 +91,16 @@
     }
 
     /**
-     * The leader freezes for longer than its lease while a new leader takes changes. It wakes with its old leadership
-     * in memory: no entry may hear an older configuration from it, and it must follow.
+     * The leader freezes for longer than its lease while a new leader accepts changes. It continues with its old
+     * leadership in memory: no entry may receive an older configuration from it, and it must become a follower.
      */
     @Test
-    void aFrozenLeaderWakesDeposed() throws Exception {
+    void frozenLeaderResumesAsFollower() throws Exception {
         int frozen = leader();
         controls.get(frozen).freeze();
         long ticket = apply();
         long version = configVersion(0);
-        controls.get(frozen).thaw();
+        controls.get(frozen).resume();
         Client.await("the frozen host follows", () -> {
             assertTrue(configVersion(0) >= version, "the configuration went back");
             assertTrue(configVersion(1) >= 1, "the configuration went back");
@@ -107,11 +110,11 @@
     }
 
     /**
-     * A host loses its disk and comes back empty, and right after its repair a second host is killed. The first must
-     * not have voted on what it forgot; with it back as a new replica two of three still decide.
+     * A host loses its disk and restarts with an empty one, and right after its repair a second host is killed. The
+     * first must not vote on the state that it lost; with it back as a new replica, two of three must still decide.
      */
     @Test
-    void aLostDiskIsRepairedBeforeTheNextLoss() throws Exception {
+    void replacesReplicaWithALostDisk() throws Exception {
         int lost = (leader() + 1) % HOSTS;
         String before = status(lost).path("replica").asText();
         controls.get(lost).kill();
@@ -119,7 +122,7 @@
         restart(lost);
         Client.await("the new replica votes and the lost one is gone", () -> {
             String now = status(lost).path("replica").asText();
-            return !now.equals(before) && votes(lost, now) && voters(lost) == HOSTS;
+            return !now.equals(before) && isVoter(lost, now) && voters(lost) == HOSTS;
         });
         int second = (lost + 1) % HOSTS;
         controls.get(second).kill();
@@ -128,9 +131,12 @@
         assertAccepted(ticket);
     }
 
-    /** Hundreds of changes pass while a host is down; it comes back and, with another down, decides with the rest. */
+    /**
+     * Hundreds of changes are accepted while a host is down; it must catch up and, with another host down, decide with
+     * the remaining one.
+     */
     @Test
-    void hundredsOfChangesWhileAHostIsDown() throws Exception {
+    void restartedHostCatchesUpAfterHundredsOfChanges() throws Exception {
         int down = (leader() + 1) % HOSTS;
         controls.get(down).kill();
         for (int i = 0; i < 300; i++) {
@@ -145,28 +151,29 @@
     }
 
     /**
-     * Two operators send different changes under one number at once, on two hosts. Exactly one wins; the other hears who
-     * did. The winner's resend, as after a lost answer, gets the recorded answer.
+     * Two operators send different changes under one number at once, to two hosts. Exactly one must be accepted, the
+     * other refused with the winner's name. The same ticket sent again, as after a lost answer, must get the recorded
+     * answer.
      */
     @Test
-    void oneOfTwoRacingTicketsWins() throws Exception {
-        int wins = 0;
+    void acceptsOneOfTwoTicketsWithTheSameNumber() throws Exception {
+        int rounds = 0;
         for (int i = 0; i < 10; i++) {
             long number = nextTicket++;
-            String one = "left-" + i;
-            String other = "right-" + i;
-            CompletableFuture<Client.Reply> left = putLater(0, number, one);
-            CompletableFuture<Client.Reply> right = putLater(1, number, other);
+            String leftOrganisation = "left-" + i;
+            String rightOrganisation = "right-" + i;
+            CompletableFuture<Client.Reply> left = putAsync(0, number, leftOrganisation);
+            CompletableFuture<Client.Reply> right = putAsync(1, number, rightOrganisation);
             boolean leftWon = left.get().status() == 200;
             boolean rightWon = right.get().status() == 200;
             assertTrue(leftWon ^ rightWon, left.get() + " and " + right.get());
             Client.Reply loser = leftWon ? right.get() : left.get();
             assertEquals(409, loser.status(), loser.body());
-            Client.Reply again = put(leftWon ? 1 : 0, number, leftWon ? one : other);
+            Client.Reply again = put(leftWon ? 1 : 0, number, leftWon ? leftOrganisation : rightOrganisation);
             assertEquals(200, again.status(), again.body());
-            wins++;
+            rounds++;
         }
-        assertEquals(10, wins);
+        assertEquals(10, rounds);
     }
 
     private long apply() throws Exception {
@@ -184,7 +191,7 @@
         assertTrue(ticket(0, number).json().path("accepted").asBoolean());
     }
 
-    private CompletableFuture<Client.Reply> putLater(int entry, long number, String organisation) {
+    private CompletableFuture<Client.Reply> putAsync(int entry, long number, String organisation) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return put(entry, number, organisation);
@@ -195,7 +202,7 @@
     }
 
     private Client.Reply put(int entry, long number, String organisation) throws IOException {
-        String body = Tickets.first(CALLER_KEY + organisation).replace("guides", organisation);
+        String body = RequestBodies.firstTicket(CALLER_KEY + organisation).replace("guides", organisation);
         return operator.put(entries.get(entry).ready("operator") + "/v1/tickets/" + number, body);
     }
 
@@ -229,7 +236,7 @@
         return status(control).path("voters").size();
     }
 
-    private boolean votes(int control, String replica) throws IOException {
+    private boolean isVoter(int control, String replica) throws IOException {
         for (com.fasterxml.jackson.databind.JsonNode each : status(control).path("voters")) {
             if (each.asText().equals(replica)) {
                 return true;
@@ -241,7 +248,7 @@
     private void restart(int control) throws Exception {
         controls.set(
                 control,
-                startLater(
+                startAsync(
                                 "c" + control,
                                 "control",
                                 "run",
@@ -250,7 +257,7 @@
                         .get());
     }
 
-    private CompletableFuture<ElmlineProcess> startLater(String name, String... arguments) {
+    private CompletableFuture<ElmlineProcess> startAsync(String name, String... arguments) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return closer.register(ElmlineProcess.start(folder, name, arguments));
--- a/elmline-cli/src/test/java/org/elmline/cli/process/ElmlineProcess.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/ElmlineProcess.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** One real elmline process that a test starts, with the addresses of its ready line. */
+/** One elmline process started by a test, with the addresses of its ready line. */
 final class ElmlineProcess implements AutoCloseable {
     private static final long STOP_SECONDS = 60;
 
@@ -24,7 +24,7 @@
         this.ready = ready;
     }
 
-    /** Starts the command and returns once its ready line is out. */
+    /** Starts the command and returns once it has printed its ready line. */
     static ElmlineProcess start(Path folder, String name, String... arguments) throws IOException {
         Path log = folder.resolve(name + ".log");
         Process process = new ProcessBuilder(command(arguments))
@@ -34,7 +34,7 @@
                 new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
         for (String line = out.readLine(); line != null; line = out.readLine()) {
             if (line.startsWith("ready ")) {
-                return new ElmlineProcess(process, words(line));
+                return new ElmlineProcess(process, parseReadyLine(line));
             }
         }
         throw new IOException(name + " ended without a ready line; its log:\n" + Files.readString(log));
@@ -60,25 +60,25 @@
         return command;
     }
 
-    private static Map<String, String> words(String line) {
-        Map<String, String> words = new HashMap<>();
+    private static Map<String, String> parseReadyLine(String line) {
+        Map<String, String> values = new HashMap<>();
         for (String each : line.split(" ")) {
             int equals = each.indexOf('=');
             if (equals > 0) {
-                words.put(each.substring(0, equals), each.substring(equals + 1));
+                values.put(each.substring(0, equals), each.substring(equals + 1));
             }
         }
-        return words;
+        return values;
     }
 
     /** A value of the ready line, for example {@code caller}. */
-    String ready(String word) {
-        return ready.get(word);
+    String ready(String key) {
+        return ready.get(key);
     }
 
     /** The IP and port of a URL in the ready line. */
-    String address(String word) {
-        return ready.get(word).replace("http://", "");
+    String address(String key) {
+        return ready.get(key).replace("http://", "");
     }
 
     long pid() {
@@ -89,24 +89,24 @@
         return process.isAlive();
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM. */
     void terminate() {
         process.destroy();
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the end of the process. */
     void kill() throws InterruptedException {
         process.destroyForcibly();
         process.waitFor(STOP_SECONDS, TimeUnit.SECONDS);
     }
 
-    /** SIGSTOP: the process freezes with all its threads. */
+    /** Sends SIGSTOP: the process freezes with all its threads. */
     void freeze() throws IOException, InterruptedException {
         signal("STOP");
     }
 
-    /** SIGCONT. */
-    void thaw() throws IOException, InterruptedException {
+    /** Sends SIGCONT: the frozen process continues. */
+    void resume() throws IOException, InterruptedException {
         signal("CONT");
     }
 
--- a/elmline-cli/src/test/java/org/elmline/cli/process/EntryFailureTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/EntryFailureTest.java
@@ -19,12 +19,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Entries, engines and services as real processes that are killed, frozen and stopped while they serve. */
+/** Entries, engines and services as separate processes that are killed, frozen and stopped while they serve. */
 class EntryFailureTest {
-    private static final int LONG_ANSWER = 300;
+    private static final int LONG_ANSWER_TOKENS = 300;
 
     /** Characters of an answer that lasts over a second. */
-    private static final int LONG_TEXT = 1_000;
+    private static final int LONG_ANSWER_CHARACTERS = 1_000;
 
     @TempDir
     Path folder;
@@ -43,16 +43,16 @@
     }
 
     /**
-     * A guide holds a seat through an entry that freezes before the service has answered. The guide's client retries on
-     * the other entry under the same key. It must hear "may have run", and when the frozen entry wakes the seat is held
-     * once: the claim was committed before the call was sent, so the second entry sends nothing.
+     * An entry freezes after it sent a call that holds a seat and before the service has answered. The client retries
+     * on the other entry under the same key. It must get "may have run", and when the frozen entry continues the seat
+     * must be held once: the claim was committed before the call was sent, so the second entry sends nothing.
      */
     @Test
-    void aFrozenEntryAndARetryHoldOneSeat() throws Exception {
+    void retryAfterAFrozenEntryRunsTheCallOnce() throws Exception {
         String key = issueKey();
         deployment.caller.put(deployment.service.ready("service") + "/standin/faults", "{\"delayMillis\":3000}");
-        CompletableFuture<Client.Reply> first = holdLater(0, key);
-        // Asked of the first entry: a retry that came before its claim would own the claim itself.
+        CompletableFuture<Client.Reply> first = holdAsync(0, key);
+        // Waits for the claim of the first entry: a retry that came before it would own the claim itself.
         Client.await("the call is sent", () -> sentClaims(0) == 1);
         assertEquals(409, hold(1, key).status());
         deployment.entries.get(0).freeze();
@@ -60,23 +60,23 @@
         Client.Reply retry = hold(1, key);
         assertEquals(409, retry.status(), retry.body());
         assertEquals("unknown", retry.json().path("error").path("ran").asText());
-        deployment.entries.get(0).thaw();
+        deployment.entries.get(0).resume();
         first.handle((reply, failure) -> reply).get();
         assertEquals(1, runs(key));
     }
 
     /**
-     * The entry that sent a seat hold is killed before the service has answered. Nobody knows how the call ended, so a
-     * retry on the other entry hears "may have run", now and later, and the seat is held once.
+     * The entry that sent a seat hold is killed before the service has answered. No process can determine the outcome
+     * of the call, so a retry on the other entry gets "may have run", now and later, and the seat must be held once.
      */
     @Test
-    void aKilledEntryAndARetryHoldOneSeat() throws Exception {
+    void retryAfterAKilledEntryRunsTheCallOnce() throws Exception {
         String key = issueKey();
         deployment.caller.put(deployment.service.ready("service") + "/standin/faults", "{\"delayMillis\":2000}");
-        CompletableFuture<Client.Reply> lost = holdLater(0, key);
+        CompletableFuture<Client.Reply> interrupted = holdAsync(0, key);
         Client.await("the call is sent", () -> sentClaims(0) == 1);
         deployment.entries.get(0).kill();
-        lost.handle((reply, failure) -> reply).get();
+        interrupted.handle((reply, failure) -> reply).get();
         for (int i = 0; i < 3; i++) {
             Client.Reply retry = hold(1, key);
             assertEquals(409, retry.status(), retry.body());
@@ -86,61 +86,67 @@
         assertEquals(1, runs(key));
     }
 
-    /** An engine freezes amid an answer, its connections open: after its silence the answer goes on elsewhere, exact. */
+    /**
+     * An engine freezes during an answer with its connections open: after the stream timeout the answer continues on
+     * another engine and must be exact.
+     */
     @Test
-    void aFrozenEngineDoesNotHoldAnAnswer() throws Exception {
-        CompletableFuture<Client.Stream> answer = deployment.stream(0, "frozen engine", LONG_ANSWER);
+    void continuesAnswerOfAFrozenEngine() throws Exception {
+        CompletableFuture<Client.Stream> answer = deployment.stream(0, "frozen engine", LONG_ANSWER_TOKENS);
         Client.await("an open stream", () -> deployment.openStreams() == 1);
         streamingEngine().freeze();
         assertExact("frozen engine", answer.get());
     }
 
-    /** An entry is killed with long answers in flight: within seconds the engines hold nothing for them. */
+    /** An entry is killed with long answers in flight: within seconds the engines must hold no memory for them. */
     @Test
-    void aKilledEntryLeavesNoMemoryTaken() throws Exception {
-        // Slow, so that no answer ends by itself while the test waits.
+    void freesEngineMemoryOfAKilledEntry() throws Exception {
+        // Slows the engines down, so that no answer ends by itself while the test waits.
         for (ElmlineProcess each : deployment.engines) {
             deployment.caller.put(each.ready("engine") + "/standin/faults", "{\"slowdown\":20}");
         }
-        List<CompletableFuture<Client.Stream>> lost = new ArrayList<>();
+        List<CompletableFuture<Client.Stream>> interrupted = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            lost.add(deployment.stream(0, "orphan " + i, 4000));
+            interrupted.add(deployment.stream(0, "orphan " + i, 4000));
         }
         Client.await("four open streams", () -> deployment.openStreams() == 4);
         deployment.entries.get(0).kill();
         Client.await("no open streams", () -> deployment.openStreams() == 0);
-        assertEquals(4, lost.size());
+        assertEquals(4, interrupted.size());
     }
 
-    /** An engine is killed amid an answer: the caller gets the exact answer, continued on the other engine. */
+    /** An engine is killed during an answer: the caller must get the exact answer, continued on the other engine. */
     @Test
-    void aKilledEngineDoesNotBreakAnAnswer() throws Exception {
-        CompletableFuture<Client.Stream> answer = deployment.stream(0, "killed engine", LONG_ANSWER);
+    void continuesAnswerOfAKilledEngine() throws Exception {
+        CompletableFuture<Client.Stream> answer = deployment.stream(0, "killed engine", LONG_ANSWER_TOKENS);
         Client.await("an open stream", () -> deployment.openStreams() == 1);
         streamingEngine().kill();
         assertExact("killed engine", answer.get());
     }
 
-    /** Each process in turn is asked to stop while answers stream: no answer is cut, and the process ends. */
+    /**
+     * Each process in turn is stopped by SIGTERM while answers stream: no answer may be cut off, and the process must
+     * end.
+     */
     @Test
-    void aStopInterruptsNoAnswer() throws Exception {
-        int whole = 0;
+    void gracefulStopInterruptsNoAnswer() throws Exception {
+        int completeAnswers = 0;
         List<String> prompts = longPrompts(4);
         for (ElmlineProcess stopping :
                 List.of(deployment.engines.get(0), deployment.control, deployment.entries.get(1))) {
             List<CompletableFuture<Client.Stream>> answers = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                answers.add(deployment.stream(i % 2, prompts.get(i), LONG_ANSWER));
+                answers.add(deployment.stream(i % 2, prompts.get(i), LONG_ANSWER_TOKENS));
             }
             Client.await("open streams", () -> deployment.openStreams() == 4);
             stopping.terminate();
             for (int i = 0; i < 4; i++) {
                 assertExact(prompts.get(i), answers.get(i).get());
-                whole++;
+                completeAnswers++;
             }
             assertTrue(stopping.waitForEnd(), "it did not end");
         }
-        assertEquals(12, whole);
+        assertEquals(12, completeAnswers);
     }
 
     private String issueKey() throws IOException {
@@ -152,7 +158,7 @@
                 .asText();
     }
 
-    /** The engine that holds the only open stream. */
+    /** The engine with the only open stream. */
     private ElmlineProcess streamingEngine() throws IOException {
         for (ElmlineProcess each : deployment.engines) {
             if (deployment
@@ -167,7 +173,7 @@
         throw new IOException("no engine streams");
     }
 
-    private CompletableFuture<Client.Reply> holdLater(int entry, String key) {
+    private CompletableFuture<Client.Reply> holdAsync(int entry, String key) {
         return CompletableFuture.supplyAsync(() -> {
             try {
                 return hold(entry, key);
@@ -210,14 +216,14 @@
     }
 
     /**
-     * Prompts with long answers. The stand-in ends each prompt's answer where it ends: one that is over after 0.2 s leaves
-     * hardly a moment with all streams open, and on a busy machine none.
+     * Prompts with long answers. The length of a stand-in's answer depends on the prompt: one that is over after 0.2 s
+     * leaves hardly a moment with all streams open, and on a busy machine none.
      */
     private static List<String> longPrompts(int count) {
         List<String> prompts = new ArrayList<>();
         for (int i = 0; prompts.size() < count; i++) {
             String prompt = "stop " + i;
-            if (wholeAnswer(prompt).length() >= LONG_TEXT) {
+            if (wholeAnswer(prompt).length() >= LONG_ANSWER_CHARACTERS) {
                 prompts.add(prompt);
             }
         }
@@ -225,7 +231,8 @@
     }
 
     private static String wholeAnswer(String prompt) {
-        return AnswerText.of(ModelName.of("elm-small"), "", prompt, LONG_ANSWER).text();
+        return AnswerText.of(ModelName.of("elm-small"), "", prompt, LONG_ANSWER_TOKENS)
+                .text();
     }
 
     private static void assertExact(String prompt, Client.Stream stream) {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/Tickets.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/RequestBodies.java
@@ -2,12 +2,14 @@
 
 import org.elmline.daemon.http.BearerKey;
 
-/** Bodies that process tests send. */
-final class Tickets {
-    private Tickets() {}
+/** Request bodies of process tests. */
+final class RequestBodies {
+    private RequestBodies() {}
 
-    /** Creates model {@code elm-small}, service {@code booking} and one organisation with the given key. */
-    static String first(String callerKey) {
+    /**
+     * A ticket that creates model {@code elm-small}, service {@code booking} and one organisation with the given key.
+     */
+    static String firstTicket(String callerKey) {
         return """
                 {"author":"tests","objects":[
                  {"kind":"model","name":"elm-small","version":"1","adapters":[],"maxPromptTokens":1000000,
@@ -19,7 +21,7 @@
                 .formatted(BearerKey.hash(callerKey));
     }
 
-    static String prompt(String text, boolean stream) {
+    static String completion(String text, boolean stream) {
         return "{\"model\":\"elm-small\",\"prompt\":\"%s\",\"max_tokens\":64,\"stream\":%s}".formatted(text, stream);
     }
 }
--- a/elmline-cli/src/test/java/org/elmline/cli/process/SettingsFiles.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/SettingsFiles.java
@@ -17,8 +17,8 @@
         this.folder = folder;
     }
 
-    /** One control host of a cluster whose hosts and peer ports are given in order. */
-    Path control(String host, String domain, List<ControlSeat> seats, int ownPort) throws IOException {
+    /** Settings of one control host in a cluster; {@code ownPort} is its port for peers. */
+    Path control(String host, String domain, List<ControlHostSettings> controlHosts, int ownPort) throws IOException {
         return write(
                 "control-" + host,
                 """
@@ -27,10 +27,10 @@
                  "control":%s,
                  "keys":{"peerKey":"%s","operatorKeys":["%s"]}}
                 """
-                        .formatted(host, domain, host, ownPort, json(seats), PEER_KEY, OPERATOR_KEY));
+                        .formatted(host, domain, host, ownPort, json(controlHosts), PEER_KEY, OPERATOR_KEY));
     }
 
-    Path entry(String host, String domain, List<ControlSeat> seats) throws IOException {
+    Path entry(String host, String domain, List<ControlHostSettings> controlHosts) throws IOException {
         return write(
                 "entry-" + host,
                 """
@@ -40,7 +40,7 @@
                  "callers":{"keepSeconds":2},
                  "keys":{"peerKey":"%s","operatorKeys":["%s"],"backendKeys":["%s"]}}
                 """
-                        .formatted(host, domain, json(seats), PEER_KEY, OPERATOR_KEY, BACKEND_KEY));
+                        .formatted(host, domain, json(controlHosts), PEER_KEY, OPERATOR_KEY, BACKEND_KEY));
     }
 
     Path engine(String id, String domain, List<String> entries, String model) throws IOException {
@@ -63,12 +63,12 @@
                         .formatted(id, domain, quoted(entries), BACKEND_KEY, service));
     }
 
-    /** One control host's place in the settings. */
-    record ControlSeat(String host, String peers, String domain) {}
+    /** One control host as the settings list it. */
+    record ControlHostSettings(String host, String peers, String domain) {}
 
-    private static String json(List<ControlSeat> seats) {
+    private static String json(List<ControlHostSettings> controlHosts) {
         StringBuilder text = new StringBuilder("[");
-        for (ControlSeat each : seats) {
+        for (ControlHostSettings each : controlHosts) {
             text.append(text.length() == 1 ? "" : ",")
                     .append("{\"host\":\"%s\",\"peers\":\"%s\",\"failureDomain\":\"%s\"}"
                             .formatted(each.host(), each.peers(), each.domain()));
@@ -76,8 +76,8 @@
         return text.append("]").toString();
     }
 
-    private static String quoted(List<String> words) {
-        return "[\"" + String.join("\",\"", words) + "\"]";
+    private static String quoted(List<String> values) {
+        return "[\"" + String.join("\",\"", values) + "\"]";
     }
 
     private Path write(String name, String json) throws IOException {
--- a/elmline-cli/src/test/java/org/elmline/cli/process/TimelineProcessTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/TimelineProcessTest.java
@@ -30,22 +30,23 @@
     }
 
     /**
-     * An operator sends a ticket at one entry, and again at the other because the first answer seemed lost; then a
-     * second, older in number, on the same objects. The time line must show each decision once, an acceptance before
-     * any host follows it, and that it is in force only after every host does.
+     * A ticket is sent to one entry, and again to the other as after a lost answer; then one with a lower number on the
+     * same objects. The time line must show each decision once, an acceptance before any host follows it, and the
+     * ticket in force only after every host follows it.
      */
     @Test
-    void aTicketIsAcceptedThenFollowedThenInForce() throws Exception {
+    void showsTicketAcceptedThenFollowedThenInForce() throws Exception {
         SettingsFiles files = new SettingsFiles(folder);
         int port = freePort();
-        List<SettingsFiles.ControlSeat> seats = List.of(new SettingsFiles.ControlSeat("c1", "127.0.0.1:" + port, "d1"));
-        String settings = files.control("c1", "d1", seats, port).toString();
+        List<SettingsFiles.ControlHostSettings> controlHosts =
+                List.of(new SettingsFiles.ControlHostSettings("c1", "127.0.0.1:" + port, "d1"));
+        String settings = files.control("c1", "d1", controlHosts, port).toString();
         assertEquals(0, ElmlineProcess.run(folder, "control", "bootstrap", "--settings", settings));
         ElmlineProcess control = start("c1", "control", "run", "--settings", settings);
-        ElmlineProcess a =
-                start("a", "entry", "--settings", files.entry("a", "d1", seats).toString());
-        ElmlineProcess b =
-                start("b", "entry", "--settings", files.entry("b", "d2", seats).toString());
+        ElmlineProcess a = start(
+                "a", "entry", "--settings", files.entry("a", "d1", controlHosts).toString());
+        ElmlineProcess b = start(
+                "b", "entry", "--settings", files.entry("b", "d2", controlHosts).toString());
 
         Client operator = new Client(SettingsFiles.OPERATOR_KEY);
         Client.await(
@@ -55,7 +56,7 @@
                                 .path("entryHosts")
                                 .size()
                         == 2);
-        String ticket = Tickets.first("caller-key-of-process-tests");
+        String ticket = RequestBodies.firstTicket("caller-key-of-process-tests");
         assertEquals(
                 200, operator.put(a.ready("operator") + "/v1/tickets/5", ticket).status());
         assertEquals(
@@ -70,19 +71,20 @@
     }
 
     /**
-     * An engine joins and is told to stop; a service joins and dies at once. The operator sees that the engine left and
-     * that the service was lost, which is the one to look after.
+     * An engine joins and is stopped gracefully; a service joins and is killed at once. The time line must show that
+     * the engine left and that the service was lost, since only the latter needs an operator's attention.
      */
     @Test
-    void leavingAndLosingABackendServerAreToldApart() throws Exception {
+    void distinguishesLeavingFromLostBackendServers() throws Exception {
         SettingsFiles files = new SettingsFiles(folder);
         int port = freePort();
-        List<SettingsFiles.ControlSeat> seats = List.of(new SettingsFiles.ControlSeat("c1", "127.0.0.1:" + port, "d1"));
-        String settings = files.control("c1", "d1", seats, port).toString();
+        List<SettingsFiles.ControlHostSettings> controlHosts =
+                List.of(new SettingsFiles.ControlHostSettings("c1", "127.0.0.1:" + port, "d1"));
+        String settings = files.control("c1", "d1", controlHosts, port).toString();
         assertEquals(0, ElmlineProcess.run(folder, "control", "bootstrap", "--settings", settings));
         start("c1", "control", "run", "--settings", settings);
-        ElmlineProcess a =
-                start("a", "entry", "--settings", files.entry("a", "d1", seats).toString());
+        ElmlineProcess a = start(
+                "a", "entry", "--settings", files.entry("a", "d1", controlHosts).toString());
         List<String> entries = List.of(a.address("caller"));
         String engineSettings = files.engine("g1", "d1", entries, "elm-small").toString();
         ElmlineProcess engine = start("g1", "standin", "engine", "--settings", engineSettings);
--- a/elmline-cli/src/test/java/org/elmline/cli/role/RoleCommandTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/role/RoleCommandTest.java
@@ -26,18 +26,18 @@
 
     @AfterEach
     void resetLogs() {
-        own().setLevel(Level.INFO);
+        ownLogger().setLevel(Level.INFO);
         logs.putProperty("host", "");
         logs.putProperty("role", "");
     }
 
     /**
-     * Two processes of one host are given the same port; the second can't start. The operator finds its log lines
-     * among those of many hosts by the name and role from its settings, which are on every line from the first on, and
-     * at the level that the settings ask for.
+     * Two processes of one host are configured with the same port; the second can't start. An operator must find its
+     * log lines among those of many hosts: every line from the first on carries the name and role of its settings, and
+     * the level of the settings applies.
      */
     @Test
-    void linesCarryNameRoleAndLevelOfTheSettingsBeforeAnythingOpens() throws IOException {
+    void appliesLogSettingsBeforeTheRoleStarts() throws IOException {
         try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             Path settings = Files.writeString(
                     folder.resolve("service.json"),
@@ -51,10 +51,10 @@
         }
         assertEquals("s7", logs.getProperty("host"));
         assertEquals("standin-service", logs.getProperty("role"));
-        assertEquals(Level.ERROR, own().getLevel());
+        assertEquals(Level.ERROR, ownLogger().getLevel());
     }
 
-    private Logger own() {
+    private Logger ownLogger() {
         return logs.getLogger("org.elmline");
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/PrimitiveShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/PrimitiveShape.java
@@ -5,15 +5,15 @@
 import com.fasterxml.jackson.core.JsonGenerator;
 import com.fasterxml.jackson.core.JsonParser;
 
-/** A number or truth value that can't be null. */
+/** A number or boolean that can't be null. */
 final class PrimitiveShape implements Shape {
     private final ScalarShape scalar;
     private final Object absentValue;
 
-    /** @param absent what it is when left out; null where it must not be */
-    PrimitiveShape(ScalarShape scalar, Object absent) {
+    /** @param absentValue the value of an absent field; null where an absent field is an error */
+    PrimitiveShape(ScalarShape scalar, Object absentValue) {
         this.scalar = scalar;
-        this.absentValue = absent;
+        this.absentValue = absentValue;
     }
 
     @Override
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/SealedTypeShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/SealedTypeShape.java
@@ -9,7 +9,10 @@
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
 
-/** The records of a sealed type, told apart by the name in their first field. Only cases that occur are looked into. */
+/**
+ * Writes the records of a sealed type with their type name in the first field. The shape of each record type is created
+ * when it first occurs.
+ */
 final class SealedTypeShape implements Shape {
     private final String field;
     private final Shapes shapes;
@@ -17,7 +20,7 @@
     private final Map<String, Class<?>> types = new HashMap<>();
     private final Map<Class<?>, RecordShape> shapesByType = new ConcurrentHashMap<>();
 
-    /** @param field the first field, which holds the name */
+    /** @param field name of the first field, which holds the type name */
     SealedTypeShape(String field, Shapes shapes) {
         this.field = field;
         this.shapes = shapes;
@@ -29,9 +32,9 @@
     }
 
     private RecordShape shape(Class<?> type) {
-        RecordShape known = shapesByType.get(type);
-        if (known != null) {
-            return known;
+        RecordShape cached = shapesByType.get(type);
+        if (cached != null) {
+            return cached;
         }
         RecordShape shape = shapes.record(type);
         shapesByType.put(type, shape);
@@ -46,10 +49,10 @@
 
     @Override
     public Object read(JsonParser from) throws IOException {
-        boolean named = from.currentToken() == JsonToken.START_OBJECT
+        boolean hasTypeName = from.currentToken() == JsonToken.START_OBJECT
                 && field.equals(from.nextFieldName())
                 && from.nextToken() == JsonToken.VALUE_STRING;
-        Class<?> type = named ? types.get(from.getText()) : null;
+        Class<?> type = hasTypeName ? types.get(from.getText()) : null;
         if (type == null) {
             throw new MismatchException("no known case in the first field");
         }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/Shapes.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/Shapes.java
@@ -16,7 +16,10 @@
 import com.fasterxml.jackson.annotation.JsonTypeName;
 import com.fasterxml.jackson.annotation.JsonValue;
 
-/** The shapes of all types asked for, each made once. Names and cases follow the same annotations as data binding. */
+/**
+ * Creates shapes and caches them by type. Names and subtypes follow the same annotations as in data binding. Safe for
+ * use by many threads.
+ */
 public final class Shapes {
     private static final Map<Class<?>, ScalarShape> SCALARS = Map.ofEntries(
             Map.entry(String.class, ScalarShape.TEXT),
@@ -30,7 +33,7 @@
     private final Map<Type, Shape> shapesByType = new ConcurrentHashMap<>();
     private final boolean strict;
 
-    /** @param strict whether unknown fields and numbers that are left out are errors */
+    /** @param strict whether unknown fields and absent numbers are errors */
     public Shapes(boolean strict) {
         this.strict = strict;
     }
@@ -38,12 +41,12 @@
     /**
      * The shape of a type.
      *
-     * @throws UnsupportedTypeException when the type, or one that it is made of, is not covered
+     * @throws UnsupportedTypeException when the type, or one that it is made of, is not supported
      */
     public Shape of(Type type) {
-        Shape known = shapesByType.get(type);
-        if (known != null) {
-            return known;
+        Shape cached = shapesByType.get(type);
+        if (cached != null) {
+            return cached;
         }
         Shape shape = createShape(type);
         shapesByType.put(type, shape);
@@ -54,30 +57,30 @@
         if (type instanceof ParameterizedType list && list.getRawType() == List.class) {
             return new ListShape(of(list.getActualTypeArguments()[0]));
         }
-        if (!(type instanceof Class<?> plain)) {
+        if (!(type instanceof Class<?> rawType)) {
             throw new UnsupportedTypeException(type);
         }
-        if (plain.isPrimitive()) {
-            return primitive(plain);
+        if (rawType.isPrimitive()) {
+            return primitive(rawType);
         }
-        if (SCALARS.containsKey(plain)) {
-            return SCALARS.get(plain);
+        if (SCALARS.containsKey(rawType)) {
+            return SCALARS.get(rawType);
         }
-        if (plain.isEnum()) {
-            return new EnumShape(plain);
+        if (rawType.isEnum()) {
+            return new EnumShape(rawType);
         }
-        if (plain.isInterface()) {
-            return sealedTypeShape(plain);
+        if (rawType.isInterface()) {
+            return sealedTypeShape(rawType);
         }
-        Method value = annotatedValue(plain);
+        Method value = annotatedValue(rawType);
         if (value != null) {
-            return new ValueShape(value, factory(plain), of(value.getReturnType()));
+            return new ValueShape(value, factory(rawType), of(value.getReturnType()));
         }
-        if (!plain.isRecord()) {
+        if (!rawType.isRecord()) {
             throw new UnsupportedTypeException(type);
         }
-        Class<?> sealed = sealedTypeOf(plain);
-        return sealed == null ? record(plain) : of(sealed);
+        Class<?> sealed = sealedTypeOf(rawType);
+        return sealed == null ? record(rawType) : of(sealed);
     }
 
     private Shape primitive(Class<?> type) {
@@ -120,7 +123,7 @@
         return method;
     }
 
-    /** The sealed type whose cases are named on the wire and of which the record is one; null without one. */
+    /** The sealed interface with named subtypes that the record implements; null when there is none. */
     private static Class<?> sealedTypeOf(Class<?> type) {
         for (Class<?> each : type.getInterfaces()) {
             Class<?> found = each.isAnnotationPresent(JsonTypeInfo.class) ? each : sealedTypeOf(each);
@@ -136,15 +139,15 @@
         if (!type.isSealed() || info == null || info.use() != JsonTypeInfo.Id.NAME) {
             throw new UnsupportedTypeException(type);
         }
-        SealedTypeShape cases = new SealedTypeShape(info.property(), this);
+        SealedTypeShape sealedType = new SealedTypeShape(info.property(), this);
         for (Class<?> each : type.getPermittedSubclasses()) {
             JsonTypeName name = each.getAnnotation(JsonTypeName.class);
             if (!each.isRecord() || name == null) {
                 throw new UnsupportedTypeException(each);
             }
-            cases.add(each, name.value());
+            sealedType.add(each, name.value());
         }
-        return cases;
+        return sealedType;
     }
 
     RecordShape record(Class<?> type) {
@@ -174,7 +177,7 @@
             canonical.setAccessible(true);
             return canonical;
         } catch (NoSuchMethodException e) {
-            throw new IllegalStateException("a record without its constructor: " + type, e);
+            throw new IllegalStateException("record has no canonical constructor: " + type, e);
         }
     }
 }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/ValueShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/ValueShape.java
@@ -14,8 +14,8 @@
     private final Shape inner;
 
     /**
-     * @param value gives what is written
-     * @param factory static, makes the value of it
+     * @param value accessor of the text or number that is written
+     * @param factory static method that creates an instance from it
      */
     ValueShape(Method value, Method factory, Shape inner) {
         this.value = value;
@@ -24,11 +24,11 @@
     }
 
     @Override
-    public void write(JsonGenerator to, Object of) throws IOException {
+    public void write(JsonGenerator to, Object instance) throws IOException {
         try {
-            inner.write(to, value.invoke(of));
+            inner.write(to, value.invoke(instance));
         } catch (IllegalAccessException | InvocationTargetException e) {
-            throw new IllegalStateException("a value that can't tell itself: " + value, e);
+            throw new IllegalStateException("cannot invoke the accessor of a value: " + value, e);
         }
     }
 
--- a/elmline-wire/src/test/java/org/elmline/wire/tcp/FrameChannelTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/tcp/FrameChannelTest.java
@@ -20,7 +20,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** How frames are cut out of what a connection brings. */
+/** Splitting of a connection's bytes into frames. */
 class FrameChannelTest {
     private static final int MAX_FRAME = 50_000;
 
@@ -48,9 +48,9 @@
         }
     }
 
-    /** Guards against frames that are lost, joined or cut as they come in pieces, or many at a time. */
+    /** Guards against frames that are lost, merged or truncated when they arrive in parts or several at a time. */
     @Test
-    void framesComeWholeHoweverTheirBytesCome() throws Exception {
+    void deliversWholeFramesForAnySplitOfTheBytes() throws Exception {
         Random random = new Random(9);
         byte[][] sent = new byte[120][];
         int total = 0;
@@ -77,13 +77,13 @@
         });
     }
 
-    /** Guards against messages that are taken from a peer after it was found unfit, as they came with the unfit one. */
+    /** Guards against the delivery of messages that arrived together with one for which the connection was closed. */
     @Test
-    void nothingIsHandedOnOnceTheConnectionIsClosed() throws Exception {
+    void deliversNoFrameAfterClose() throws Exception {
         BlockingQueue<FrameChannel> channel = new LinkedBlockingQueue<>();
         onFrame = frame -> {
             frames.add(frame);
-            channel.peek().close("unfit");
+            channel.peek().close("rejected by the test");
         };
         onStart = channel::add;
         receive(out -> {
@@ -95,7 +95,7 @@
     }
 
     @Test
-    void aFrameOverTheLimitIsNotRead() throws Exception {
+    void closesOnFrameOverTheLimit() throws Exception {
         receive(out -> {
             out.write(ByteBuffer.allocate(4).putInt(MAX_FRAME + 1).array());
             assertTrue(closed.poll(20, TimeUnit.SECONDS).contains("50001 bytes"));
