--- a/elmline-cli/src/test/java/org/elmline/cli/log/JsonLogsTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/log/JsonLoggingTest.java
@@ -17,7 +17,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-class JsonLogsTest {
+class JsonLoggingTest {
     private final ByteArrayOutputStream out = new ByteArrayOutputStream();
 
     @Test
--- a/elmline-wire/src/test/java/org/elmline/wire/codec/JsonTreesTest.java
+++ b/elmline-wire/src/test/java/org/elmline/wire/codec/JsonTreeReaderTest.java
@@ -15,7 +15,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
-class JsonTreesTest {
+class JsonTreeReaderTest {
     private static final ObjectMapper MAPPER = new ObjectMapper();
 
     @Property(tries = 300)
