--- a/elmline-core/src/main/java/org/elmline/core/admission/AdmissionQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/admission/AdmissionQueue.java
@@ -106,9 +106,10 @@
     }
 
     /**
-     * Sheds the lowest priority first; among equals, from an organisation that exceeds its weighted share of the queue;
-     * then the longest, then the newest. Without the share, an organisation that fills the queue with short prompts
-     * would displace the longer prompts of all others.
+     * Selects the request with the lowest priority; among equals, one of an organisation that exceeds its weighted
+     * share of the queue; then the one with the highest prefill cost; then the one with the latest virtual start; then
+     * the newest. Without the share, an organisation that fills the queue with short prompts would displace the longer
+     * prompts of all others.
      */
     private QueuedRequest selectToShed() {
         int totalWeight = weights.values().stream().mapToInt(Integer::intValue).sum();
--- a/elmline-core/src/main/java/org/elmline/core/admission/TimingWheel.java
+++ b/elmline-core/src/main/java/org/elmline/core/admission/TimingWheel.java
@@ -9,7 +9,8 @@
 
 /**
  * A hashed timing wheel (Varghese and Lauck, 1987): setting and cancelling a deadline take constant time, independent
- * of their number. A deadline expires at most one tick late and never early. Times are in nanoseconds. Not thread-safe.
+ * of their number. A deadline never expires early, and at most one tick late if {@link #expire} is called once per
+ * tick. Times are in nanoseconds. Not thread-safe.
  *
  * @param <K> key of a deadline
  */
@@ -32,7 +33,7 @@
         }
     }
 
-    /** Sets or moves a deadline; one that has already passed expires at the next tick. */
+    /** Sets or moves a deadline; one that has already passed expires at the next call of {@link #expire}. */
     public void set(K key, long deadline, long now) {
         cancel(key);
         start(now);
--- a/elmline-core/src/main/java/org/elmline/core/backend/AnnounceResult.java
+++ b/elmline-core/src/main/java/org/elmline/core/backend/AnnounceResult.java
@@ -9,7 +9,7 @@
     RESTARTED(true),
     /** The server stopped accepting new work. */
     LEAVING(true),
-    /** An earlier incarnation than the one in the table: delayed in the network or still running; ignored. */
+    /** An earlier incarnation than the latest one recorded: delayed in the network or still running; ignored. */
     STALE_INCARNATION(false),
     /** A malformed name, names and versions of different number, or an engine without KV memory; ignored. */
     INVALID(false);
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DecodeInterference.java
@@ -2,7 +2,7 @@
 
 /**
  * Predicts how a prefill on an engine delays the answers that are decoded there: each pass takes longer by the prefill
- * done in it. Times are in milliseconds unless a name says otherwise.
+ * done in it. Times are in milliseconds, except {@code now}, which is in nanoseconds.
  */
 final class DecodeInterference {
     /**
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchAnswer.java
@@ -46,7 +46,7 @@
 
     /** Why a call was not placed. */
     enum RefusalCause {
-        /** No usable backend server of the service is registered. */
+        /** No backend server that may be used for the call is registered. */
         NO_SERVER,
         /** The call cannot be completed before its deadline. */
         TOO_LATE,
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchCall.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/DispatchCall.java
@@ -13,6 +13,7 @@
  * @param attempt unique over all entries; a repeated request with the same id is the same call
  * @param host the requesting entry
  * @param incarnation incarnation of the requesting entry
+ * @param failureDomain failure domain of the requesting entry
  * @param shard shard of the service that should place the call; null means the whole service
  * @param priority 0 is the most urgent
  * @param promptTokens tokens of the prompt, 0 for a plain service
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/Dispatcher.java
@@ -18,8 +18,8 @@
 
 /**
  * Decides for one shard of a service where calls run and in which order they wait. Keeps every granted attempt until
- * its end is reported, its entry is gone, or its deadline has passed. Times named {@code now} are monotonic, in
- * nanoseconds. Not safe for concurrent use.
+ * its end is reported, its entry is gone or no longer runs it, or a retention time after its deadline has passed. Times
+ * named {@code now} are monotonic, in nanoseconds. Not safe for concurrent use.
  */
 public final class Dispatcher {
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -48,7 +48,9 @@
      */
     private static final long SECONDARY_HOLD_NANOS = 1_000 * NANOS_PER_MILLI;
 
-    /** One in so many engines, at least one, is reserved for a waiting long prompt. */
+    /**
+     * One in so many engines, at least one, is reserved for a waiting long prompt beside those that suit it already.
+     */
     private static final int ENGINES_PER_RESERVATION = 5;
 
     /**
@@ -135,7 +137,10 @@
         rateLimits.onServersChanged();
     }
 
-    /** Places or queues a call. A repeated request for the same attempt gets the same answer while it waits or runs. */
+    /**
+     * Places or queues a call. A repeated request for an attempt that waits or runs is answered again, but neither
+     * queued nor placed again.
+     */
     public DispatchAnswer place(DispatchCall call, long now) {
         ActiveGrant existing = grants.get(call.attempt());
         if (existing != null) {
@@ -233,11 +238,11 @@
     }
 
     private static long totalMemoryTokens(List<ServerLoad> servers) {
-        long all = 0;
+        long totalTokens = 0;
         for (ServerLoad each : servers) {
-            all += each.timing().memoryTokens();
+            totalTokens += each.timing().memoryTokens();
         }
-        return all;
+        return totalTokens;
     }
 
     private static Optional<DispatchAnswer> refuse(DispatchCall call, DispatchAnswer.RefusalCause why, long millis) {
@@ -313,8 +318,9 @@
     }
 
     /**
-     * Reserves for long prompts the engines that are free of short calls or nearest to it. Without it, engines that are
-     * all packed with short answers never suit a long prompt, and it waits until its caller times out.
+     * Reserves for long prompts the engines that suit them and some others, those with the fewest running calls.
+     * Without the latter, engines that are all packed with short answers never suit a long prompt, and it waits until
+     * its caller times out.
      */
     private void reserveEnginesForLong(List<ServerLoad> usable, long now) {
         List<ServerLoad> unsuitable = new ArrayList<>();
@@ -366,7 +372,8 @@
     }
 
     /**
-     * Records the first token or end of an attempt; an unknown attempt or a second report of the same changes nothing.
+     * Records the first token or end of an attempt. A report of an attempt that still waits removes it from the queue;
+     * one of an attempt that is unknown or has ended changes nothing.
      */
     public void report(AttemptReport report, long now) {
         ActiveGrant granted = grants.get(report.attempt());
@@ -442,7 +449,7 @@
         grants.put(call.attempt(), new ActiveGrant(call, open.granted(), members, expiresAtNanos));
     }
 
-    /** Frees what an incarnation of an entry that is gone held or waited for. */
+    /** Ends the grants, and removes the waiting calls, of an incarnation of an entry that is gone. */
     public void removeEntry(HostId host, long incarnation, long now) {
         List<String> ofEntry = new ArrayList<>();
         for (ActiveGrant each : grants.values()) {
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/EnginePlacement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/EnginePlacement.java
@@ -164,9 +164,11 @@
     }
 
     /**
-     * Chooses the smallest group whose parts exceed no answer's allowed gap; a larger group has shorter parts and so
-     * may find more suitable engines. If no group is free the call waits, unless it is late already: then any engines
-     * whose answers are not disturbed are accepted.
+     * Chooses a group whose parts exceed no answer's allowed gap: the smallest of at least the target size, as a larger
+     * group has shorter parts and so may find more suitable engines; else the largest of the smaller ones. The first
+     * token must meet the aim, with a margin in a smaller group; that of a late call must only come before the caller
+     * disconnects. If there is no such group, the call waits, unless its aim is near but not missed yet: then answers
+     * may be disturbed.
      */
     private Optional<PlacementPlan> planLong(
             DispatchCall call, List<ServerLoad> servers, double prefillMillis, long now) {
@@ -298,7 +300,8 @@
 
     /**
      * The engine that generates the answer: among those with memory for the whole prompt the one with the most running
-     * calls, so that others stay free of decoding; if none has, the one with the most free memory.
+     * calls, so that others stay free of decoding; if none has, the one with the most free memory. Null if none has a
+     * free slot.
      */
     private static ServerLoad choosePrimary(DispatchCall call, List<ServerLoad> eligible) {
         ServerLoad best = null;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/GrantHolders.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/GrantHolders.java
@@ -11,8 +11,8 @@
 /**
  * Records which dispatchers count an attempt of this entry, so that each of them is notified of its end. While the
  * dispatcher of a service changes, a call is requested at two of them. A dispatcher that granted it and was not
- * notified that it ran elsewhere would count a call that does not exist for twelve seconds, and an engine with such a
- * call accepts no long prompts. Not safe for concurrent use.
+ * notified that it ran elsewhere would count a call that does not exist until two seconds after its deadline (twelve
+ * seconds with a timeout of ten), and an engine with such a call accepts no long prompts. Not safe for concurrent use.
  */
 public final class GrantHolders {
     private final Map<String, Set<HostId>> holders = new HashMap<>();
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/PlainPlacement.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/PlainPlacement.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * Places calls of a plain service on the server with the smallest part of its slots taken; of equally loaded ones, a
- * server in the caller's own failure domain is preferred.
+ * Places calls of a plain service on the server with the smallest part of its slots taken, where servers outside the
+ * requesting entry's failure domain count as more loaded by a tenth of their slots.
  */
 final class PlainPlacement implements Placement {
     /** Load added to a server in another failure domain, as part of its slots. */
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/RateLimitEnforcer.java
@@ -74,12 +74,13 @@
         if (reportedLimits.isEmpty()) {
             return 0;
         }
-        double perMilli = 0;
-        double first = Double.MAX_VALUE;
+        double requestsPerMilli = 0;
+        double shortestWaitMillis = Double.MAX_VALUE;
         for (ServerLoad each : usable) {
-            perMilli += each.requestPacer().requestsPerMilli();
-            first = Math.min(first, each.requestPacer().waitMillis(now));
+            requestsPerMilli += each.requestPacer().requestsPerMilli();
+            shortestWaitMillis =
+                    Math.min(shortestWaitMillis, each.requestPacer().waitMillis(now));
         }
-        return first + ahead / perMilli;
+        return shortestWaitMillis + ahead / requestsPerMilli;
     }
 }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerHealth.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerHealth.java
@@ -6,7 +6,7 @@
  * by itself, so that a recovered server is detected. Not safe for concurrent use.
  */
 final class ServerHealth {
-    /** First backoff after a failed connection: about the time a process takes to restart. */
+    /** First backoff: about the time a process takes to restart. */
     private static final long INITIAL_BACKOFF_NANOS = 1_000_000_000L;
 
     /** Longest backoff; a recovered server is detected within this time. */
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoad.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServerLoad.java
@@ -196,7 +196,9 @@
         }
     }
 
-    /** Keeps new short calls away, so that a waiting long prompt finds an engine without short answers. */
+    /**
+     * Ranks this engine low for new short calls, so that a waiting long prompt finds an engine without short answers.
+     */
     void reserveForLong(long untilNanos) {
         reservedForLongUntilNanos = untilNanos;
     }
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ServiceRetryBudget.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ServiceRetryBudget.java
@@ -2,8 +2,8 @@
 
 /**
  * Bounds how many calls are retried, over all entries together: without a bound a fault of a few servers doubles the
- * load on the rest. Counts in two half windows, so that the sum over any window stays within the bound. Not safe for
- * concurrent use.
+ * load on the rest. Counts in half windows; the bound applies to the current and the previous one together. Not safe
+ * for concurrent use.
  */
 final class ServiceRetryBudget {
     private final RetryLimit limit;
@@ -35,11 +35,11 @@
     }
 
     private void advanceWindow(long now) {
-        long half = limit.windowNanos() / 2;
-        if (now - halfWindowStartNanos < half) {
+        long halfWindowNanos = limit.windowNanos() / 2;
+        if (now - halfWindowStartNanos < halfWindowNanos) {
             return;
         }
-        boolean adjacent = now - halfWindowStartNanos < 2 * half;
+        boolean adjacent = now - halfWindowStartNanos < 2 * halfWindowNanos;
         previousFirstSends = adjacent ? currentFirstSends : 0;
         previousRetries = adjacent ? currentRetries : 0;
         currentFirstSends = 0;
--- a/elmline-core/src/main/java/org/elmline/core/dispatch/ShardChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/dispatch/ShardChoice.java
@@ -17,17 +17,17 @@
      * @param servers all servers of the service that may be used
      */
     public static List<Shard> order(List<BackendServerId> servers, RandomGenerator random) {
-        List<Shard> left = new ArrayList<>(Shard.forServerCount(servers.size()));
-        if (left.size() == 1) {
-            return left;
+        List<Shard> shards = new ArrayList<>(Shard.forServerCount(servers.size()));
+        if (shards.size() == 1) {
+            return shards;
         }
         List<Shard> order = new ArrayList<>();
-        int count = left.size();
+        int count = shards.size();
         int index = Shard.indexOf(servers.get(random.nextInt(servers.size())), count);
         int step = 1 + 2 * random.nextInt(count / 2);
         for (int i = 0; i < count; i++) {
             // The count is a power of two, so an odd step visits each shard once.
-            order.add(left.get(Math.floorMod(index + i * step, count)));
+            order.add(shards.get(Math.floorMod(index + i * step, count)));
         }
         return order;
     }
--- a/elmline-core/src/main/java/org/elmline/core/fairness/LimitDecision.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/LimitDecision.java
@@ -5,7 +5,7 @@
     ADMITTED,
     /** Too many requests in flight on this entry. */
     TOO_MANY_REQUESTS,
-    /** Too many tokens in the last minute on this entry. */
+    /** The token bucket of the organisation on this entry is empty. */
     TOO_MANY_TOKENS,
     /**
      * No share is held, or the share is too small and may be requested again: send
--- a/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
+++ b/elmline-core/src/main/java/org/elmline/core/fairness/OrganisationLimits.java
@@ -102,7 +102,10 @@
         usage.renewAtNanos = requestedAtNanos + (expiresAtNanos - requestedAtNanos) / 2;
     }
 
-    /** Organisations in use whose share should be renewed now, before its lease ends. */
+    /**
+     * Organisations in use whose share should be renewed now, before its lease ends. Also removes the records of
+     * organisations that have been idle for a minute.
+     */
     public synchronized List<OrganisationId> dueRenewals(long now) {
         List<OrganisationId> dueOrganisations = new ArrayList<>();
         usages.values().removeIf(each -> each.inFlight == 0 && now - each.lastUsedNanos >= IDLE_NANOS);
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupPlan.java
@@ -89,7 +89,7 @@
                 : Optional.empty();
     }
 
-    /** Rounds down to whole blocks and leaves at least the minimum to the following segments. */
+    /** Rounds down to whole blocks, leaving the minimum to the following segments, but never below one block. */
     private static int alignToBlocks(int tokens, int remainingTokens) {
         int maxTokens = Math.min(tokens, remainingTokens - MIN_SEGMENT_TOKENS);
         return Math.max(MIN_SEGMENT_TOKENS, maxTokens / PromptBlocks.BLOCK_TOKENS * PromptBlocks.BLOCK_TOKENS);
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupReservation.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupReservation.java
@@ -19,7 +19,7 @@
  * Reserves the engines of one plan, all or nothing: one after another in the order of the owners' ids; on the first
  * refusal, all reservations are released. A group never waits for an engine while it holds another, so two groups that
  * each hold an engine the other needs cannot deadlock. The common order makes one of two competing groups fail at the
- * first engine that they share, before it has reserved most of its plan. Not thread-safe.
+ * first engine that they share, not at a later one. Not thread-safe.
  */
 public final class GroupReservation {
     private final PlaceRequest wholeRequest;
--- a/elmline-core/src/main/java/org/elmline/core/group/GroupRun.java
+++ b/elmline-core/src/main/java/org/elmline/core/group/GroupRun.java
@@ -22,8 +22,8 @@
  * Runs a reserved group. Each engine in turn imports the preceding segments, then prefills its own segment and exports
  * it; the last engine streams the answer instead. Exports are kept until the answer is complete, since later engines
  * attend to them. When the run ends for any reason, each engine receives cancels for everything that it might hold,
- * also for calls that were never answered; a grant is released only after its engine has acknowledged all of them. Not
- * thread-safe.
+ * also for calls that were never answered; a grant is released only after its engine has acknowledged all of them or
+ * was lost. Not thread-safe.
  */
 public final class GroupRun {
     private final PlaceRequest wholeRequest;
@@ -108,7 +108,10 @@
                 .findFirst();
     }
 
-    /** Records that the engine's incarnation ended, and with it all its memory. Returns the grant to release. */
+    /**
+     * After {@link #end}, records that the engine's incarnation ended, and with it all its memory. Returns the grant to
+     * release, empty if it was returned before. Before {@link #end} it does nothing.
+     */
     public Optional<Grant> engineLost(BackendServerId server) {
         Set<Cancel> pending = unacknowledged.get(server);
         if (pending == null || !released.add(server)) {
--- a/elmline-core/src/main/java/org/elmline/core/placement/PlacementPolicy.java
+++ b/elmline-core/src/main/java/org/elmline/core/placement/PlacementPolicy.java
@@ -6,7 +6,7 @@
 
 /**
  * Chooses one replica for a request. Implementations are registered with {@link java.util.ServiceLoader} and hold no
- * engine state of their own; they decide from the arguments alone.
+ * engine state of their own: the state of the engines is passed in.
  */
 public interface PlacementPolicy {
     /** The name used in settings and on the command line, for example {@code two-ended}. */
--- a/elmline-core/src/main/java/org/elmline/core/routing/CallRoute.java
+++ b/elmline-core/src/main/java/org/elmline/core/routing/CallRoute.java
@@ -44,7 +44,10 @@
         weightedServices = List.copyOf(weightedServices);
     }
 
-    /** Time after which callers cancel a stream that has sent no first event, or no next one. */
+    /**
+     * Time after which callers cancel a stream that has sent no first event, or no next one; never more than {@code
+     * timeoutMillis}.
+     */
     public int eventTimeoutMillis() {
         int byAim = Math.max(MIN_EVENT_TIMEOUT_MILLIS, EVENT_TIMEOUT_AIMS * aimMillis);
         return Math.min(timeoutMillis, Math.max(byAim, EVENT_TIMEOUT_GAPS * gapMillis));
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoad.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/AlternatingLoad.java
@@ -36,7 +36,7 @@
     /** Time after the start at which callers of held calls disconnect without a first token. */
     private static final int HELD_FIRST_TOKEN_MILLIS = 1_000;
 
-    /** Shards that a call requests before it waits. */
+    /** Shards at which a call requests placement before it waits. */
     private static final int MAX_SHARDS_REQUESTED = 2;
 
     /** Interval at which a waiting call is requested again. */
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/DispatcherTest.java
@@ -341,8 +341,8 @@
     }
 
     /**
-     * Guards against short answers that pause while a long prompt is prefilled: an entry that lost a packet requests
-     * the secondary dispatcher, which has no records of the primary's short calls and places the prompt on all their
+     * Guards against short answers that pause while a long prompt is prefilled: an entry that lost a packet calls the
+     * secondary dispatcher, which has no records of the primary's short calls and places the prompt on all their
      * engines. So a long call waits there until the primary would have been found to be gone; short calls don't.
      */
     @Test
@@ -359,7 +359,7 @@
      * Guards against thirty short calls that are late at once: a prompt of 450 thousand tokens waits at the primary,
      * which is being stopped and receives cancellations of its running calls from all entries. It would then consider
      * all engines free and place the prompt on them. So it holds the prompt for as long as the prompt's entry needs to
-     * request the next dispatcher.
+     * request placement from the next dispatcher.
      */
     @Test
     void holdsWaitingLongCallAfterBecomingSecondary() {
--- a/elmline-core/src/test/java/org/elmline/core/dispatch/ShardTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/dispatch/ShardTest.java
@@ -13,7 +13,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** How a service's servers are divided into shards, and in which order a call requests them. */
+/** How a service's servers are divided into shards, and in which order a call requests placement at them. */
 class ShardTest {
     private static List<BackendServerId> servers(int count) {
         List<BackendServerId> servers = new ArrayList<>();
