--- a/elmline-core/src/main/java/org/elmline/core/common/CallResult.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/CallResult.java
@@ -8,7 +8,10 @@
     /** No byte of the call left this process, or the other process rejected it without reading it. */
     record NotSent<R>(String reason) implements CallResult<R> {}
 
-    /** The call was sent and no answer arrived in time. */
+    /**
+     * The call may have been sent and may have run. No result arrived, for example because of a timeout, a closed
+     * connection or a failure in the other process.
+     */
     record Unknown<R>(String reason) implements CallResult<R> {}
 
     /** Whether the other process executed the call. */
--- a/elmline-core/src/main/java/org/elmline/core/common/FencingNumber.java
+++ b/elmline-core/src/main/java/org/elmline/core/common/FencingNumber.java
@@ -4,8 +4,8 @@
 import com.fasterxml.jackson.annotation.JsonValue;
 
 /**
- * Number that increases with each control leader. Receivers reject an order with a lower number, as it is from a
- * deposed leader.
+ * Number that increases with each control leader. An order with a lower number than an earlier one is from a deposed
+ * leader.
  */
 public record FencingNumber(@JsonValue long value) implements Comparable<FencingNumber> {
     public FencingNumber {
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimAnswer.java
@@ -11,7 +11,11 @@
     @JsonTypeName("decided")
     record Decided(ClaimOutcome outcome) implements ClaimAnswer {}
 
-    /** Nothing was proposed; the request belongs to the leader. Null when this control host has no current leader. */
+    /**
+     * Nothing was proposed, as only the leader accepts the request.
+     *
+     * @param leader address to send the request to, null when unknown
+     */
     @JsonTypeName("not-leader")
     record NotLeader(Address leader) implements ClaimAnswer {}
 
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimBegin.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimBegin.java
@@ -3,7 +3,6 @@
 /**
  * Requests the right to send a call once.
  *
- * @param requestDigest SHA-256 of method, target and body, in lower-case hexadecimal; it detects one key used for two
- *     different calls
+ * @param requestDigest SHA-256 of method, target and body; it detects one key used for two different calls
  */
 public record ClaimBegin(ClaimKey key, String requestDigest, ClaimOwner owner) {}
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimReply.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimReply.java
@@ -11,6 +11,6 @@
      */
     record Answered(RecordedAnswer answer, boolean repeated) implements ClaimReply {}
 
-    /** No answer; the refusal says whether the call ran. */
+    /** No answer; the refusal states whether the call ran. */
     record Refused(Refusal refusal) implements ClaimReply {}
 }
--- a/elmline-core/src/main/java/org/elmline/core/control/ClaimSession.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/ClaimSession.java
@@ -12,7 +12,7 @@
  * duplicated or lost. Safe for concurrent use.
  *
  * <p>Until its claim is decided, a session has no information about earlier attempts under the key, so it refuses with
- * "unknown" instead of "did not run": a caller told that the call did not run could use a new key and pay twice. A
+ * "unknown" instead of "did not run": a caller that received "did not run" could use a new key and pay twice. A
  * retry under the same key is safe in every case.
  */
 public final class ClaimSession {
--- a/elmline-core/src/main/java/org/elmline/core/control/LeaseAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/LeaseAnswer.java
@@ -21,7 +21,11 @@
     record Granted(long leaseMillis, ConfigDelta config, MembersDelta members, List<Address> controlHosts)
             implements LeaseAnswer {}
 
-    /** The request belongs to the leader. Null when this control host has no current leader. */
+    /**
+     * No lease was granted, as only the leader grants leases, and only while its own lease holds.
+     *
+     * @param leader address to send the request to, null when unknown
+     */
     @JsonTypeName("not-leader")
     record NotLeader(Address leader) implements LeaseAnswer {}
 
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderPlanner.java
@@ -25,8 +25,8 @@
  */
 public final class OrderPlanner {
     /**
-     * The timeout of an order is at most half of the remaining lease; below this fraction of the configured timeout the
-     * order is not sent.
+     * The time limit of an order is at most half of the remaining lease; if that is less than the configured timeout
+     * divided by this number, the order is not sent.
      */
     private static final int MIN_TIMEOUT_DIVISOR = 10;
 
@@ -50,7 +50,7 @@
     /**
      * Plans the orders to send now.
      *
-     * @param engines all announced engines; one that is missing is treated as gone
+     * @param engines all announced engines; the earlier orders and rejections of one that is missing are discarded
      * @param nowNanos the leader's monotonic clock
      * @param leaderUntilNanos end of the leader's own lease, on the same clock
      */
--- a/elmline-core/src/main/java/org/elmline/core/control/OrderSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/OrderSettings.java
@@ -17,7 +17,8 @@
 
     public OrderSettings {
         if (timeoutMillis < 1 || repeatMillis < timeoutMillis || maxStateAgeMillis < 1) {
-            throw new IllegalArgumentException("timeoutMillis must be at least 1 and at most repeatMillis");
+            throw new IllegalArgumentException(
+                    "timeoutMillis must be at least 1 and at most repeatMillis, maxStateAgeMillis at least 1");
         }
         if (loadsPerMinute <= 0 || loadBurst < 1) {
             throw new IllegalArgumentException("loadsPerMinute must be above 0, loadBurst at least 1");
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketAnswer.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketAnswer.java
@@ -16,7 +16,11 @@
     @JsonTypeName("unknown")
     record Unknown(TicketNumber number) implements TicketAnswer {}
 
-    /** Nothing was proposed; the request belongs to the leader. Null when this control host has no current leader. */
+    /**
+     * Nothing was proposed, as this control host is not the leader or accepts no proposals now.
+     *
+     * @param leader address to send the request to, null when unknown
+     */
     @JsonTypeName("not-leader")
     record NotLeader(Address leader) implements TicketAnswer {}
 
--- a/elmline-core/src/main/java/org/elmline/core/control/TicketStore.java
+++ b/elmline-core/src/main/java/org/elmline/core/control/TicketStore.java
@@ -20,7 +20,7 @@
  *
  * <p>Kept indefinitely: each object's highest ticket number, which alone prevents an older ticket from reverting the
  * object. Kept for a bounded number of tickets: the decision, to answer a resend. A number at or below the highest one
- * dropped is refused, so that a ticket whose record is gone is never applied a second time.
+ * dropped is refused, so that a ticket whose record was dropped is never applied a second time.
  */
 final class TicketStore {
     private final TreeMap<TicketNumber, List<TicketRecord>> records = new TreeMap<>();
--- a/elmline-core/src/main/java/org/elmline/core/raft/Elector.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Elector.java
@@ -108,7 +108,7 @@
         state.send(new Message.PreVoteResponse(state.self(), request.from(), term, granted));
     }
 
-    /** Counts a pre-vote. Returns whether it started an election that is won already, as with a single voter. */
+    /** Counts a pre-vote and starts the election once a majority has granted one. Returns whether it is won already. */
     boolean onPreVoteResponse(Message.PreVoteResponse response) {
         boolean isValid =
                 response.granted() && state.role() == Role.PRE_CANDIDATE && response.term() == state.term() + 1;
--- a/elmline-core/src/main/java/org/elmline/core/raft/MembershipChange.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/MembershipChange.java
@@ -18,7 +18,7 @@
         }
     }
 
-    /** Makes a learner a voter once it holds all committed entries. */
+    /** Makes a learner a voter; refused while the learner lacks committed entries. */
     record Promote(ReplicaId replica) implements MembershipChange {
         @Override
         public Membership applyTo(Membership before) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/Message.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/Message.java
@@ -9,7 +9,7 @@
 /**
  * Messages between replicas. They may be lost, repeated, reordered or delayed without harm.
  *
- * <p>{@code sentNanos} is the sender's monotonic clock at the time of the request, in nanoseconds. The answer returns
+ * <p>{@code sentNanos} is the leader's monotonic clock when it sent the request, in nanoseconds. The answer returns
  * it unchanged, so that the leader's lease is measured from the send time and clocks of two hosts are never compared.
  */
 @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "type")
@@ -80,8 +80,9 @@
     record Heartbeat(ReplicaId from, ReplicaId to, long term, long commit, long sentNanos) implements Message {}
 
     /**
-     * Acknowledges a heartbeat. The sender grants no other replica a vote until the shortest election timeout has
-     * passed.
+     * Acknowledges a heartbeat: the sender grants no other replica a vote until the shortest election timeout has
+     * passed, except in a leadership transfer. A replica with a newer term also sends it to a deposed leader, in answer
+     * to any of its requests and with {@code sentNanos} 0.
      */
     @JsonTypeName("heartbeat-answer")
     record HeartbeatResponse(ReplicaId from, ReplicaId to, long term, long sentNanos) implements Message {}
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftLog.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftLog.java
@@ -243,7 +243,8 @@
     }
 
     /**
-     * Returns the index that a leader should try next as the previous one when the entry at {@code prevIndex} differs.
+     * Returns the index that a leader should try next as the previous one when the entry at {@code prevIndex} differs
+     * or is missing.
      */
     long conflictHint(long prevIndex) {
         if (prevIndex > lastIndex()) {
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftNode.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftNode.java
@@ -135,8 +135,8 @@
     }
 
     /**
-     * Requests a read of the latest committed state. {@link Ready#confirmedReads()} returns the index to read at once
-     * the leader is confirmed.
+     * Requests a read of the latest committed state. Once a quorum has confirmed the leader, {@link
+     * Ready#confirmedReads()} contains the read with the index that must be applied before it is answered.
      */
     public ReadOutcome readIndex(long nowNanos) {
         beginInput(nowNanos);
--- a/elmline-core/src/main/java/org/elmline/core/raft/RaftSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RaftSettings.java
@@ -27,7 +27,9 @@
             throw new IllegalArgumentException("lease margin out of 1 to 99 percent: " + leaseMarginPercent);
         }
         if (maxAppendBytes < 1 || maxCommandBytes < 1 || snapshotChunkBytes < 1 || retainedEntries < 0) {
-            throw new IllegalArgumentException("bounds must be positive");
+            throw new IllegalArgumentException(
+                    "maxAppendBytes, maxCommandBytes and snapshotChunkBytes must be at least 1,"
+                            + " retainedEntries at least 0");
         }
     }
 
--- a/elmline-core/src/main/java/org/elmline/core/raft/RestoredState.java
+++ b/elmline-core/src/main/java/org/elmline/core/raft/RestoredState.java
@@ -12,7 +12,7 @@
  *     be the newest: it only lets a restarted replica provide its last known state before a leader is elected
  */
 public record RestoredState(HardState hardState, Snapshot snapshot, List<Entry> entries, long committedIndex) {
-    /** An empty data folder. The replica waits to be added as a learner and never starts an election. */
+    /** An empty data folder. The replica waits to be added as a learner and starts no election until promoted. */
     public static final RestoredState EMPTY = new RestoredState(HardState.NONE, null, List.of());
 
     private static final long FIRST_INDEX_AND_TERM = 1;
--- a/elmline-core/src/test/java/org/elmline/core/raft/RaftNodeTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/RaftNodeTest.java
@@ -11,7 +11,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-/** Each test plays one failure and checks its safeguard, in the simulated cluster. */
+/** Each test simulates one failure in a cluster and checks its safeguard. */
 class RaftNodeTest {
     private static final long TIMEOUT_NANOS = SimCluster.TIMEOUT_NANOS;
 
--- a/elmline-core/src/test/java/org/elmline/core/raft/SafeguardTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/raft/SafeguardTest.java
@@ -12,7 +12,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 /**
- * Event sequences too rare for random schedules, played message by message against replica A of the voters A, B and C.
+ * Event sequences too rare for random schedules, run message by message against replica A of the voters A, B and C.
  */
 class SafeguardTest {
     private static final ReplicaId A = new ReplicaId(HostId.of("a"), 1);
--- a/elmline-storage/src/main/java/org/elmline/storage/DataFolder.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/DataFolder.java
@@ -17,9 +17,9 @@
 import org.elmline.core.raft.Snapshot;
 
 /**
- * One replica's durable log, hard state and snapshots: files {@code lock}, {@code identity}, {@code log-*.seg} and
- * {@code snapshot-*.snap}. A file lock excludes a second process: two processes that append to one log would overwrite
- * each other's acknowledged entries and votes. Not safe for concurrent use.
+ * One replica's durable log, hard state and snapshots: files {@code lock}, {@code identity}, {@code committed},
+ * {@code log-*.seg} and {@code snapshot-*.snap}. A file lock excludes a second process: two processes that append to
+ * one log would overwrite each other's acknowledged entries and votes. Not safe for concurrent use.
  */
 public final class DataFolder implements AutoCloseable {
     private static final String LOCK = "lock";
--- a/elmline-storage/src/main/java/org/elmline/storage/FileOperations.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/FileOperations.java
@@ -45,6 +45,6 @@
     /** Makes creations, renames and deletions in the folder durable. */
     void syncFolder(Path folder) throws IOException;
 
-    /** Acquires a lock on a file, held until closed or until the process ends; null when another process holds it. */
+    /** Acquires a lock on a file, held until closed or until the process ends; null when it is held already. */
     AutoCloseable tryLock(Path file) throws IOException;
 }
--- a/elmline-storage/src/main/java/org/elmline/storage/FolderScan.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/FolderScan.java
@@ -84,11 +84,12 @@
     private void checkIdentity() {
         boolean holdsState = snapshot != null || replay.hardState().term() > 0;
         if (identity == null && holdsState) {
-            corruptions.add(new Corruption(IdentityFile.NAME, 0, "missing beside a log"));
+            corruptions.add(
+                    new Corruption(IdentityFile.NAME, 0, "missing although the folder holds a log or a snapshot"));
         }
         // Without this check, a replica whose log was deleted could vote a second time under the same identity.
         if (identity != null && segments.isEmpty()) {
-            corruptions.add(new Corruption(IdentityFile.NAME, 0, "stands without a log"));
+            corruptions.add(new Corruption(IdentityFile.NAME, 0, "present without a log"));
         }
     }
 
--- a/elmline-storage/src/main/java/org/elmline/storage/OpenResult.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/OpenResult.java
@@ -9,7 +9,7 @@
     /** The folder is open and locked; {@code restored} is the state it held. */
     record Opened(DataFolder folder, RestoredState restored) implements OpenResult {}
 
-    /** Another process has the folder open. */
+    /** The folder is open already, in this or another process. */
     record Locked(Path folder) implements OpenResult {}
 
     /**
@@ -18,7 +18,7 @@
      */
     record Corrupt(Corruption corruption) implements OpenResult {}
 
-    /** The disk has no space for the first segment. */
+    /** The disk has no space for the files that opening writes: a new segment and, in an empty folder, the identity. */
     record DiskFull(String reason) implements OpenResult {}
 
     /** A file operation failed. */
--- a/elmline-storage/src/main/java/org/elmline/storage/SegmentFile.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/SegmentFile.java
@@ -17,6 +17,7 @@
     private static final String PREFIX = "log-";
     private static final String SUFFIX = ".seg";
     private static final int HEX_DIGITS = 16;
+    private static final int HEX_RADIX = 16;
 
     private final FileOperations.OutputFile file;
     private int length;
@@ -35,7 +36,7 @@
     }
 
     static long sequenceOf(String name) {
-        return Long.parseUnsignedLong(name.substring(PREFIX.length(), name.length() - SUFFIX.length()), HEX_DIGITS);
+        return Long.parseUnsignedLong(name.substring(PREFIX.length(), name.length() - SUFFIX.length()), HEX_RADIX);
     }
 
     /** Returns the corruption of a segment's header, null when the header is valid. */
