--- a/elmline-storage/src/main/java/org/elmline/storage/StoreResult.java
+++ b/elmline-storage/src/main/java/org/elmline/storage/StoreResult.java
@@ -5,7 +5,10 @@
     /** The write is synced and durable. */
     record Done() implements StoreResult {}
 
-    /** The disk is full. Nothing of the write is kept, and the same write can be retried later. */
+    /**
+     * The disk is full. No record of the write is kept, though the file of a snapshot may be, and the same write can be
+     * retried later.
+     */
     record DiskFull(String reason) implements StoreResult {}
 
     /**
