--- a/elmline-core/src/main/java/org/elmline/core/ledger/Ledger.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/Ledger.java
@@ -90,7 +90,8 @@
     }
 
     /**
-     * Reserves a grant's memory and counts its prompt as backlog.
+     * Reserves a grant's memory and counts its prompt as backlog; that of a segment counts only from
+     * {@link #beginPrefill} on.
      *
      * @param contextTokens imported tokens before a segment; they raise the cost of its prefill
      * @return false when the attempt is known or was released before, or its engine's incarnation is not owned
--- a/elmline-core/src/main/java/org/elmline/core/ledger/LedgerEntry.java
+++ b/elmline-core/src/main/java/org/elmline/core/ledger/LedgerEntry.java
@@ -81,8 +81,8 @@
         return prefill;
     }
 
-    void setPrefill(PrefillBacklog.Prefill place) {
-        prefill = place;
+    void setPrefill(PrefillBacklog.Prefill prefill) {
+        this.prefill = prefill;
     }
 
     void finishPrefill() {
--- a/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/ModelPlacer.java
@@ -88,7 +88,7 @@
         return queue.find(attempt).isPresent();
     }
 
-    /** Removes a queued request whose caller disconnected; false when it is not queued. */
+    /** Removes a queued request without a decision on it; false when it is not queued. */
     boolean withdraw(AttemptId attempt) {
         Optional<QueuedRequest> waiting = queue.find(attempt);
         waiting.ifPresent(this::removeAndRefund);
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Refuses every queued request that can no longer meet its deadline, so that its caller can use another owner. */
+    /** Refuses every queued request that can no longer meet its deadline, so that its entry can try another owner. */
     void refuseInfeasible(long now) {
         long[] work = new long[LengthClass.values().length];
         for (QueuedRequest each : queue.inPlacementOrder()) {
@@ -285,7 +285,7 @@
         return best;
     }
 
-    /** Empty when an engine's cooldown is so short that waiting for it is better than another owner. */
+    /** Empty when an engine's cooldown is so short that waiting for it is better than trying another owner. */
     private Optional<Refusal> noEngineRefusal(Demand demand, long now) {
         long shortestCooldown = Long.MAX_VALUE;
         for (EngineLedger each : ledger.engines(model)) {
--- a/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/Owner.java
@@ -370,7 +370,7 @@
 
     /**
      * KV tokens of an engine's streams and exports without a grant here. After a change of owner the engine still
-     * serves what the old owner granted; without counting it, the new owner would promise memory that is taken. Exports
+     * serves what the old owner granted; without counting it, the new owner would grant memory that is in use. Exports
      * of live hosts are left out: segments reserve their imports.
      */
     private long unregisteredKvTokens(
--- a/elmline-core/src/main/java/org/elmline/core/owner/OwnerCounts.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/OwnerCounts.java
@@ -12,7 +12,8 @@
  * @param placed grants given since the start
  * @param refused requests refused since the start
  * @param reclaimed grants reclaimed because their entry was lost or did not release them after the deadline
- * @param unknownReports first tokens and releases for grants not held: late, repeated, or after a loss
+ * @param unknownReports segments begun, first tokens and releases for grants not held: late, repeated, or after
+ *     a loss
  */
 public record OwnerCounts(
         AnnounceCounts announcements,
--- a/elmline-core/src/main/java/org/elmline/core/owner/OwnerSettings.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/OwnerSettings.java
@@ -50,7 +50,10 @@
         return reclaimGraceMillis;
     }
 
-    /** Minimum time between two listings that must both show an orphaned stream before it is cancelled. */
+    /**
+     * Minimum time between two listings that must both show an orphaned stream before it is cancelled; also the time
+     * for which a host must be missing from the member list before its grants are reclaimed.
+     */
     public long orphanGraceMillis() {
         return orphanGraceMillis;
     }
--- a/elmline-core/src/main/java/org/elmline/core/owner/PendingAudits.java
+++ b/elmline-core/src/main/java/org/elmline/core/owner/PendingAudits.java
@@ -42,7 +42,7 @@
         return requests;
     }
 
-    /** Returns the cancels that follow from an entry's answer. */
+    /** Ends the audit of the requested attempts; returns the cancels of those that the entry is not running. */
     List<Cancel> resolve(AuditRequest request, AuditAnswer answer) {
         List<Cancel> cancels = new ArrayList<>();
         for (AttemptId each : answer.notRunning()) {
--- a/elmline-core/src/main/java/org/elmline/core/registry/FollowRequest.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/FollowRequest.java
@@ -3,8 +3,8 @@
 import org.elmline.core.common.HostId;
 
 /**
- * A long poll for changes, answered without delay when an urgent change is pending and otherwise after a hold time; see
- * {@link PendingPoll}.
+ * A long poll for changes: answered without delay when an urgent change is pending, after a short batching time when
+ * there are other changes, and otherwise after a hold time; see {@link PendingPoll}.
  *
  * @param host the polling host
  * @param entry the record of the polling entry, null when a control host polls
--- a/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/LiveEntries.java
@@ -24,7 +24,7 @@
     private final Map<HostId, LiveEntry> entries = new HashMap<>();
     private final Map<HostId, ExpiredEntry> expired = new HashMap<>();
     private long lastChange;
-    private long oldestListedChange;
+    private long lastUnlistedChange;
 
     private record LiveEntry(EntryRecord entry, long expiresAtNanos, long changeNumber) {}
 
@@ -60,7 +60,7 @@
         }
         if (expired.size() > entries.size() + EXPIRED_ENTRIES_MARGIN) {
             expired.clear();
-            oldestListedChange = lastChange;
+            lastUnlistedChange = lastChange;
         }
         return changed;
     }
@@ -77,7 +77,7 @@
 
     /** Whether all changes after a number can still be listed; if not, a follower needs the whole list. */
     public boolean canListChangesSince(long number) {
-        return number >= oldestListedChange && number <= lastChange;
+        return number >= lastUnlistedChange && number <= lastChange;
     }
 
     /** Entries that have changed after a number, in no particular order. */
--- a/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
@@ -44,7 +44,7 @@
         }
     }
 
-    /** Returns the document; empty when the bytes are damaged or do not match the stated length. */
+    /** Returns the document; empty when the bytes are damaged, or the stated length is wrong or out of range. */
     public Optional<RoutingText> unpack() {
         if (version < 0) {
             return Optional.of(RoutingText.NONE);
--- a/elmline-core/src/main/java/org/elmline/core/registry/PendingPoll.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/PendingPoll.java
@@ -27,8 +27,8 @@
     private static final long EXTRA_HOLD_MILLIS_PER_HOST = 250;
 
     /**
-     * Share of the additional hold by which the batching time is extended. Meanwhile the other control hosts report the
-     * same changes.
+     * Share of the hold beyond {@link #HOLD_MILLIS} for which changes are batched, if that is longer than
+     * {@link #BATCH_MILLIS}. Meanwhile the other control hosts report the same changes.
      */
     private static final double BATCH_SHARE = 0.4;
 
@@ -70,7 +70,7 @@
 
     /**
      * Whether a change must not wait: the follower has no state of this start of the control host, a new routing table
-     * must take effect soon, or a leaving server waits for its acknowledgement.
+     * must take effect soon, or a leaving server waits until followers have acknowledged that it leaves.
      */
     private boolean isUrgent(RegistryVersions versions) {
         boolean first = request.epoch() != versions.epoch();
--- a/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/EntryHostChoice.java
@@ -18,7 +18,7 @@
 public final class EntryHostChoice {
     private EntryHostChoice() {}
 
-    /** Up to {@code most} entries, best first; fewer when fewer are live. */
+    /** Up to {@code limit} entries, best first; fewer when fewer are live. */
     public static List<HostRecord> choose(
             Collection<HostRecord> members, Region callerRegion, int limit, Random random) {
         List<HostRecord> sameRegion = new ArrayList<>();
@@ -37,7 +37,7 @@
         return chosen;
     }
 
-    /** Adds entries at random, each from another failure domain than the one before while there is one. */
+    /** Adds entries in their order, preferring one of another failure domain than the entry added before. */
     private static void addAlternatingDomains(List<HostRecord> from, List<HostRecord> chosen, int limit) {
         List<HostRecord> remaining = new ArrayList<>(from);
         while (chosen.size() < limit && !remaining.isEmpty()) {
--- a/elmline-core/src/main/java/org/elmline/core/route/Grant.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/Grant.java
@@ -19,7 +19,7 @@
  * @param cachedTokens leading prompt tokens estimated to be in the engine's prefix cache
  * @param predictedFirstTokenMillis predicted milliseconds from the grant to the first token
  * @param remainingMillis milliseconds from the grant to the request's deadline; the owner reclaims a grant that its
- *     entry has not released some time after it
+ *     entry has not released within a grace period after it
  * @param awaitingFirstToken whether the prompt still counts as prefill backlog
  */
 public record Grant(
--- a/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/OwnerTable.java
@@ -50,9 +50,7 @@
         owners.values().removeIf(each -> !isLive(each.summary));
     }
 
-    /**
-     * Stores a summary; the answer is false for one older than the one held, or of an earlier incarnation than that.
-     */
+    /** Stores a summary; the answer is false for one that is not newer than the one held, and then nothing changes. */
     public synchronized SummaryAnswer accept(OwnerSummary summary, long now) {
         OwnerState known = owners.get(summary.owner());
         if (known != null && !isNewer(summary, known.summary)) {
@@ -62,7 +60,11 @@
         return new SummaryAnswer(true);
     }
 
-    /** Updates a model's state from an owner's answer; null when the owner has no engine of the model any more. */
+    /**
+     * Updates a model's state from an owner's answer.
+     *
+     * @param summary null when the owner has no engine of the model any more
+     */
     public synchronized void refresh(HostId owner, Demand demand, ModelSummary summary) {
         OwnerState known = owners.get(owner);
         if (known != null) {
--- a/elmline-core/src/main/java/org/elmline/core/route/RouteChannels.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/RouteChannels.java
@@ -12,7 +12,7 @@
     public static final Channel<PlaceRequest, OwnerPlaceAnswer> PLACE =
             new Channel<>("route.place", PlaceRequest.class, OwnerPlaceAnswer.class);
 
-    /** Gateway to owner: first tokens and releases. */
+    /** Gateway to owner: segments begun, first tokens and releases. */
     public static final Channel<GrantReport, GrantReportAnswer> RELEASE =
             new Channel<>("route.release", GrantReport.class, GrantReportAnswer.class);
 
--- a/elmline-core/src/main/java/org/elmline/core/route/SummarySchedule.java
+++ b/elmline-core/src/main/java/org/elmline/core/route/SummarySchedule.java
@@ -116,8 +116,8 @@
     }
 
     /**
-     * Whether the entry comes before those of the owner's region: otherwise entries of other regions would receive no
-     * summary while the near ones use up the budget.
+     * Whether the last summary to an entry is {@link #STARVATION_INTERVALS} intervals old or older. Such an entry comes
+     * before those of the owner's region, which could otherwise use up the whole budget.
      */
     private boolean isStarved(HostRecord host, long now) {
         LastSend last = lastSends.get(host.id());
--- a/elmline-core/src/main/java/org/elmline/core/stream/CancelQueue.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/CancelQueue.java
@@ -48,7 +48,7 @@
         return removed;
     }
 
-    /** Removes a server's cancels once its incarnation has ended and its memory is freed. */
+    /** Removes the cancels of a server that has restarted, which freed its memory, or that counts as lost. */
     public void removeServer(BackendServerId server) {
         if (countByServer.remove(server) != null) {
             unacknowledged.keySet().removeIf(each -> each.server().equals(server));
--- a/elmline-core/src/main/java/org/elmline/core/stream/OrphanFinder.java
+++ b/elmline-core/src/main/java/org/elmline/core/stream/OrphanFinder.java
@@ -17,8 +17,8 @@
 
 /**
  * Finds streams and exports that an engine holds for a lost entry. One is an orphan only when two listings at least
- * {@code graceNanos} apart show it with its host missing in both: a host that has just joined may be missing from this
- * process's member list. Not thread-safe.
+ * {@code graceNanos} apart show it and its host's incarnation is not live at either: a host that has just joined may
+ * be missing from this process's member list. Not thread-safe.
  */
 public final class OrphanFinder {
     private final long graceNanos;
--- a/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/owner/HandOverTest.java
@@ -30,7 +30,7 @@
     private final OwnerFixture after = new OwnerFixture().engines(1, CAPACITY);
 
     /**
-     * The old owner is lost while an answer streams. The new one has no grant for it and would promise its memory
+     * The old owner is lost while an answer streams. The new one has no grant for it and would grant its memory
      * again. It must count the memory from the engine's listing as taken; once the gateway has registered, exactly the
      * grant is reserved, and its release frees it once.
      */
--- a/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
+++ b/elmline-core/src/test/java/org/elmline/core/registry/PackedRoutingTest.java
@@ -26,8 +26,8 @@
     }
 
     /**
-     * Guards against traffic between failure domains: a document is sent to each entry, uncompressed at many times the
-     * length.
+     * Guards against needless traffic between failure domains: a document is sent to each entry, and uncompressed it
+     * is many times as long.
      */
     @Test
     void compressesDocumentOfManyRoutes() {
--- a/elmline-wire/src/main/java/org/elmline/wire/codec/ShapeCodec.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/codec/ShapeCodec.java
@@ -70,7 +70,7 @@
                 return new Decoded.Value<>(value);
             }
         } catch (IOException | RuntimeException e) {
-            // Data binding decodes the bytes again and reports the position of the error.
+            // Data binding decodes the bytes again and describes the error.
         }
         return jacksonCodec().decode(bytes, type);
     }
--- a/elmline-wire/src/main/java/org/elmline/wire/shape/RecordShape.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/shape/RecordShape.java
@@ -38,7 +38,7 @@
         write(to, value, null, null);
     }
 
-    /** Writes the record, preceded by a text field unless {@code firstName} is null. */
+    /** Writes the record with a text field before its own fields, or without one when {@code firstName} is null. */
     void write(JsonGenerator to, Object value, String firstName, String firstText) throws IOException {
         Object[] components = components(value);
         int count = firstName == null ? 0 : 1;
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
@@ -220,13 +220,13 @@
         if (connection.closed() || connection.receivedAtNanos() - sinceNanos >= 0) {
             return;
         }
-        long left = DEAD_CONNECTION_TIMEOUT.toNanos() - (System.nanoTime() - sinceNanos);
-        if (left <= 0) {
+        long remainingNanos = DEAD_CONNECTION_TIMEOUT.toNanos() - (System.nanoTime() - sinceNanos);
+        if (remainingNanos <= 0) {
             connection.close("silent for the time of a call");
             return;
         }
         try {
-            timer.schedule(() -> closeIfUnresponsive(connection, sinceNanos), left, TimeUnit.NANOSECONDS);
+            timer.schedule(() -> closeIfUnresponsive(connection, sinceNanos), remainingNanos, TimeUnit.NANOSECONDS);
         } catch (RejectedExecutionException e) {
             connection.close("stopping");
         }
