--- a/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
+++ b/elmline-core/src/main/java/org/elmline/core/registry/PackedRouting.java
@@ -14,7 +14,7 @@
  *
  * @param version version of the document, -1 when there is none
  * @param bytes length of the uncompressed document in bytes
- * @param deflated the document in UTF-8, compressed in zlib format (RFC 1950)
+ * @param deflated the document in UTF-8, compressed in zlib format
  */
 public record PackedRouting(long version, int bytes, byte[] deflated) {
     /**
--- a/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
+++ b/elmline-wire/src/main/java/org/elmline/wire/tcp/TcpPeerNetwork.java
@@ -32,7 +32,7 @@
  */
 public final class TcpPeerNetwork implements PeerNetwork, AutoCloseable {
     /**
-     * Several tens of times the longest round trip. The first packet (SYN) to a host without power is lost, and the
+     * Several tens of times the longest round trip. The first packet to a host without power is lost, and the
      * kernel retransmits it only after seconds; a new attempt reaches a host that has come back at once.
      */
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
