--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/LeadershipMonitor.java
@@ -77,7 +77,10 @@
                 .orElseGet(System::currentTimeMillis);
     }
 
-    /** Applies a function to the lease manager under the state machine's lock; empty when this host does not lead. */
+    /**
+     * Applies a function to the lease manager under the state machine's lock. Empty when this host does not lead or its
+     * leadership is not yet committed.
+     */
     <T> Optional<T> withLeases(Function<LeaseManager, T> use) {
         return currentTerm().map(each -> machine.read(state -> use.apply(each.leases())));
     }
@@ -105,7 +108,7 @@
         }
     }
 
-    /** Returns true once per term. */
+    /** Returns true once per term, and again after {@link #clearProposedTerm}. */
     private synchronized boolean markTermProposed(long number) {
         if (lastProposedTerm == number) {
             return false;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/ProposalOutcome.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/ProposalOutcome.java
@@ -8,7 +8,7 @@
     /** Committed by a quorum and applied. */
     record Applied(CommandResult result) implements ProposalOutcome {}
 
-    /** Not proposed, as this host does not lead; {@code leader} is null when none is known. */
+    /** Not committed and never will be, as this host does not lead; {@code leader} is null when none is known. */
     record NotLeader(Address leader) implements ProposalOutcome {}
 
     /** Not proposed, as the log refused it: its queue or disk is full, for example. */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/control/TicketEventRecorder.java
@@ -103,7 +103,7 @@
         }
     }
 
-    /** Returns the ticket's status, empty when this host no longer leads. */
+    /** Returns the ticket's status, empty when this host no longer leads or keeps no record of the ticket. */
     private Optional<TicketStatus> status(TicketNumber number) {
         Optional<TicketRecord> record = machine.read(state -> state.ticket(number));
         return record.flatMap(
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/Coordinator.java
@@ -276,10 +276,7 @@
         }
     }
 
-    /**
-     * Applies settings that changed while this process runs; only the addresses of the control hosts to join can
-     * change.
-     */
+    /** Applies changed settings to this running process: the control hosts to join; all other changes are ignored. */
     public void reload(NodeSettings next) {
         configuredControlHosts = next.controlPeerAddresses();
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RegistryService.java
@@ -132,9 +132,9 @@
 
     /**
      * Records a heartbeat. Completes with true when it may be acknowledged. A leaving server measures its remaining
-     * time from the acknowledgement, so every live entry must have received the change before. A change can't spread
-     * from a control host that nobody polls: a server that accepts work is acknowledged only with a live entry or a
-     * quorum, a leaving one only with both.
+     * time from the acknowledgement, which therefore waits until every live entry has received the change or the wait
+     * times out. A change can't spread from a control host that nobody polls: a server that accepts work is
+     * acknowledged only with a live entry or a quorum, a leaving one only with both.
      */
     public CompletableFuture<Boolean> register(Registration registration) {
         long now = clock.nanos();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingProvider.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/coordinator/RoutingProvider.java
@@ -9,8 +9,8 @@
 /**
  * Provides a control host's routing document: that of its log, or the persisted one while the log is not open or is
  * older. After a loss of all hosts, entries serve no callers without a routing document, and opening and replaying the
- * log takes a small host longer than the rest of its start. The persisted document was committed, so it can be stale
- * but not wrong, as the log's own first state can. Thread-safe, but for {@link #persist}, which one thread calls.
+ * log takes a small host longer than the rest of its start. The persisted document was committed, so it can be stale,
+ * as the log's own first state can, but not wrong. Thread-safe, but for {@link #persist}, which one thread calls.
  */
 final class RoutingProvider {
     /** Delay before the next write after one that failed. */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Attempt.java
@@ -24,12 +24,10 @@
     /** Time allowed for a stream's first event beyond twice the predicted time; the worst case on a busy engine. */
     private static final long FIRST_EVENT_SLACK_MILLIS = 500;
 
-    /** Time after which an engine reports that a helper has failed, and a round trip. */
+    /** Time after which an engine reports that a helper has failed, plus a round trip. */
     private static final long HELPER_TIMEOUT_MILLIS = 1_600;
 
-    /**
-     * Time-out of a stream between events, in multiples of the route's allowed gap; then its server is treated as failed.
-     */
+    /** Time-out between events of a stream, in allowed gaps of the route; its server then counts as failed. */
     private static final int STREAM_TIMEOUT_GAPS = 3;
 
     /** Shortest such time-out; engines stall for a moment when many prompts arrive at once. */
@@ -131,9 +129,7 @@
         inactivityTimer.restart(timeoutMillis);
     }
 
-    /**
-     * Additional time for an engine to report that a helper has failed; with less, a slow group would be treated as failed.
-     */
+    /** Additional time for an engine to report a failed helper; with less, a slow group would count as failed. */
     private long helperSlackMillis() {
         return granted.helpers().isEmpty() ? 0 : HELPER_TIMEOUT_MILLIS;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnectionPool.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/BackendConnectionPool.java
@@ -32,7 +32,7 @@
      */
     private static final long CONNECT_TIMEOUT_MILLIS = 250;
 
-    /** Keep-alive time of servers that state none. */
+    /** Time for which an idle connection is used when its server states no keep-alive time. */
     private static final long DEFAULT_KEEP_ALIVE_MILLIS = 2_500;
 
     /**
@@ -174,8 +174,8 @@
 
     /**
      * Closes a connection so that the server detects it at once. The client's own close waits for the end of the answer
-     * and sends the server nothing, so that an engine would go on
-     * working on an abandoned call until its answer was complete. {@code performUpgrade} hands over the socket itself, as for a change of protocol; the server detects
+     * and sends the server nothing, so that an engine would go on working on an abandoned call until its answer was
+     * complete. {@code performUpgrade} hands over the socket itself, as for a change of protocol; the server detects
      * its closing after 4 ms.
      */
     static void closeNow(ClientConnection connection) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/Call.java
@@ -378,7 +378,7 @@
         exchange.getResponseSender().send(ByteBuffer.wrap(bytes.toByteArray()));
     }
 
-    /** Handles a stream whose last byte has been written to the caller. */
+    /** Handles the end of a complete stream: its last byte was written, or the connection failed before that. */
     void onStreamComplete() {
         if (ended) {
             return;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallerChannel.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/CallerChannel.java
@@ -28,7 +28,8 @@
     private boolean closed;
 
     /**
-     * @param onWritable called when the pending bytes have been written to the caller
+     * @param onWritable called when a flush has written all pending bytes, and there were {@link #MAX_PENDING_BYTES} or
+     *     more of them before it
      * @param onEnd called once, when the last byte is written or the connection to the caller is closed
      */
     CallerChannel(HttpServerExchange exchange, Runnable onWritable, Runnable onEnd) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DeploymentFollower.java
@@ -45,8 +45,8 @@
      */
     private static final long CONTROL_TIMEOUT_MILLIS = 1_200;
 
-    /** Three heartbeat intervals of a backend server, after which one without a heartbeat is silent. */
-    private static final long HEARTBEAT_TIMEOUT_NANOS = Duration.ofMillis(3_600).toNanos();
+    /** Three heartbeat intervals, after which a restarted control host has a record of all live backend servers. */
+    private static final long SERVER_DISCOVERY_NANOS = Duration.ofMillis(3_600).toNanos();
 
     /** Two polls of each entry, after which a restarted control host has a record of all live entries. */
     private static final long ENTRY_DISCOVERY_NANOS = Duration.ofMillis(1_000).toNanos();
@@ -72,7 +72,7 @@
     private final Runnable onRoutingTable;
     private final Runnable onChange;
     private final RegistryView view = new RegistryView(
-            controlTimeoutNanos(PendingPoll.HOLD_MILLIS), HEARTBEAT_TIMEOUT_NANOS, ENTRY_DISCOVERY_NANOS);
+            controlTimeoutNanos(PendingPoll.HOLD_MILLIS), SERVER_DISCOVERY_NANOS, ENTRY_DISCOVERY_NANOS);
     private final Map<Address, RegistryPoller> pollers = new HashMap<>();
     private final StaggeredStart<Address> followStarter;
     private final Map<ServiceName, List<BackendServerId>> serversByService = new HashMap<>();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchClient.java
@@ -51,13 +51,13 @@
      */
     private static final int ANSWER_TIMEOUT_DIVISOR = 5;
 
-    /** Interval at which a waiting call repeats its request, which replaces a dispatcher that died with its queue. */
+    /** Interval at which a waiting call repeats its request, in case its dispatcher has failed and lost its queue. */
     private static final long REPEAT_REQUEST_MILLIS = 250;
 
     /** Dispatchers that may fail to answer before this entry decides by itself. */
     private static final int MAX_DISPATCHERS_TRIED = 2;
 
-    /** Shards requested at once for a call that must wait or is refused; the others follow while it waits. */
+    /** Shards tried at once for a call that must wait or is refused; the others follow while it waits. */
     private static final int MAX_SHARDS_REQUESTED = 2;
 
     /**
@@ -156,13 +156,13 @@
         }
     }
 
-    /** Reports the end of a granted call that got no answer. */
+    /** Reports the end of a call that got no answer, whether it was granted a place or not. */
     void reportEnd(DispatchCall call, AttemptEnd end) {
         reportEnd(call, end, null);
     }
 
     /**
-     * Reports the end of a granted call.
+     * Reports the end of a call to all dispatchers that may hold a place or a queue entry for it.
      *
      * @param limit the rate limit that the answer carries, null without an answer
      */
@@ -265,9 +265,8 @@
     }
 
     /**
-     * Sends the open grants to a dispatcher requested in place of the first one, once for each time that the first one
-     * is passed over. Without them it would place calls on full engines. It has those of all entries within a few calls
-     * of each.
+     * Sends the open grants to a dispatcher used in place of the first one, once each time the first one is passed
+     * over. Without them it would place calls on full engines. It has all entries' grants within a few calls of each.
      */
     private void sendOpenGrants(ServiceShard shard, EntryRecord dispatcher) {
         if (!informedDispatchers.computeIfAbsent(shard, each -> new HashSet<>()).add(dispatcher.host())) {
@@ -371,7 +370,7 @@
         }
 
         /**
-         * Returns the next dispatcher to request. The first dispatcher of every shard, which has the state of all that
+         * Returns the next dispatcher to try. The first dispatcher of every shard, which has the state of all that
          * runs there, comes before the second one of any. Null where this entry is to decide by itself.
          */
         private Target nextTarget() {
@@ -433,8 +432,8 @@
                 return;
             }
             if (answer instanceof DispatchAnswer.Queued) {
-                // The former dispatcher must not place the call: with cancellations of all running attempts received,
-                // it treats engines in use as free.
+                // The former dispatcher must not place the call: it has received cancellations of all running attempts
+                // and so treats engines in use as free.
                 retainOnly(dispatcher, call);
                 isQueued = true;
             }
@@ -449,8 +448,9 @@
             }
         }
 
-        /** Whether the answer holds for all shards: they share the retry budget, but no servers and no queues. */
+        /** Whether no other shard is to be tried; the retry budget is one for all shards. */
         private static boolean isFinal(DispatchAnswer answer) {
+            // A shard that is full or has no server says nothing about the others.
             return answer instanceof DispatchAnswer.Granted
                     || answer instanceof DispatchAnswer.Refused refused
                             && refused.why() == DispatchAnswer.RefusalCause.RETRY_BUDGET;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatchService.java
@@ -32,8 +32,8 @@
  */
 final class DispatchService {
     /**
-     * Largest part of the thread's time for passes over waiting calls. In a burst every call and every report would
-     * cause a pass over the whole queue, and this host would answer nothing for a second.
+     * Largest part of the thread's time for one dispatcher's passes over its waiting calls. In a burst every call and
+     * every report would cause a pass over the whole queue, and this host would answer nothing for a second.
      */
     private static final double TICK_TIME_SHARE = 0.2;
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/DispatcherDirectory.java
@@ -53,7 +53,7 @@
                 service, Shard.forServerCount(servers.apply(service).size()));
     }
 
-    /** The shards of a service in the order in which one call requests them. */
+    /** The shards of a service in the order in which one call tries them. */
     List<ServiceShard> shardsByPreference(ServiceName service) {
         return serviceShards(service, ShardChoice.order(servers.apply(service), random));
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EntryGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/EntryGateway.java
@@ -86,9 +86,7 @@
         this.shutdown = new GracefulShutdown(process.clock(), settings.drainMillis());
     }
 
-    /**
-     * Opens the ports and starts to serve. Throws IOException when a port cannot be opened; nothing stays open then.
-     */
+    /** Opens the ports and starts to serve; on failure, closes what was opened. */
     public static EntryGateway start(
             NodeSettings settings,
             CallProtocol protocol,
@@ -257,9 +255,7 @@
         }
     }
 
-    /**
-     * Applies settings that have changed while this process runs. Only the control hosts to follow may have changed.
-     */
+    /** Applies changed settings to this running process: follows new control hosts, and ignores all other changes. */
     public void reload(NodeSettings next) {
         thread.execute(() -> deployment.followAll(next.controlPeerAddresses()));
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HelperReservations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/HelperReservations.java
@@ -53,7 +53,7 @@
 
     /**
      * Reserves the memory on all helpers and reports whether all of them granted it; at once when there is nothing to
-     * reserve.
+     * reserve, and never when {@link #release} is called before the last answer.
      */
     void reserve(Consumer<Boolean> onResult) {
         if (helpers.isEmpty()) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/RoutingTableWaitQueue.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/RoutingTableWaitQueue.java
@@ -41,7 +41,7 @@
     /**
      * Queues a call until the table has arrived.
      *
-     * @param deadlineMillis time until the caller's deadline
+     * @param deadlineMillis time until the caller's deadline; a call without one (negative) waits for 1 ms only
      * @param onTable run when the table has arrived in time
      * @param onTimeout run instead when it has not, or when the queue is full
      */
--- a/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ServerSentEventParser.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/gateway/ServerSentEventParser.java
@@ -11,7 +11,7 @@
  * been forwarded, it could not be withdrawn when another server resumes with that event from its start. Not safe for
  * use by several threads.
  *
- * <p>Source: the event stream format of the WHATWG HTML standard, section "Server-sent events".
+ * <p>Lines end with LF or CRLF. An id that is not a whole number counts as none.
  */
 final class ServerSentEventParser {
     private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.US_ASCII);
@@ -34,8 +34,8 @@
     record Event(byte[] bytes, long id) {}
 
     /**
-     * Consumes bytes and returns the events that they complete. Throws IllegalStateException when an event exceeds
-     * {@link #MAX_EVENT_BYTES}.
+     * Consumes bytes and returns the events that they complete. Throws IllegalStateException when more than
+     * {@link #MAX_EVENT_BYTES} of an incomplete event are buffered.
      */
     List<Event> parse(ByteBuffer bytes) {
         List<Event> events = new ArrayList<>();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftMessageSender.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftMessageSender.java
@@ -21,7 +21,7 @@
 
 /**
  * Sends messages to the hosts of other replicas, those of one step to one host in one call. Lost messages are not
- * resent. Thread-safe.
+ * resent. Used by the log's thread; answers arrive on the network's threads.
  */
 final class RaftMessageSender {
     /**
--- a/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/gateway/DispatchClientTest.java
@@ -133,9 +133,10 @@
 
     /**
      * Guards against a prompt that stays queued at a former dispatcher. An entry stops: its dispatcher has a long
-     * prompt queued, and the caller's entry repeats the request at the next dispatcher, where it is queued as well. The former dispatcher has received cancellations of all running attempts, treats every engine as free
-     * and places the prompt on engines in use, where dozens of answers stall for a third of a second. So it must remove the prompt as soon as that
-     * is queued elsewhere.
+     * prompt queued, and the caller's entry repeats the request at the next dispatcher, where it is queued as well. The
+     * former dispatcher has received cancellations of all running attempts, treats every engine as free and places the
+     * prompt on engines in use, where dozens of answers stall for a third of a second. So it must remove the prompt as
+     * soon as that is queued elsewhere.
      */
     @Test
     void cancelsQueuedCallAtFormerDispatcherWhenQueuedAtNext() {
