--- a/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/raft/RaftDriver.java
@@ -130,8 +130,8 @@
 
     /**
      * Transfers leadership to the voter that holds most of the log. Completes with true once this replica no longer
-     * leads, which takes about one lease, and with false when there is no voter to transfer to. A planned stop waits
-     * for it.
+     * leads, which takes about one lease, and with false when no transfer is started: this replica does not lead, a
+     * transfer is under way, or there is no voter to transfer to. A planned stop waits for it.
      */
     public CompletableFuture<Boolean> transferLeadership() {
         return transferLeadership(null);
