--- a/elmline-cli/src/main/java/org/elmline/cli/local/LocalDeployment.java
+++ b/elmline-cli/src/main/java/org/elmline/cli/local/LocalDeployment.java
@@ -229,7 +229,7 @@
         closer.close();
     }
 
-    /** Size and settings of the deployment; by default one process of each kind. */
+    /** Size and settings of the deployment; by default one control host, one entry and one engine. */
     public static final class Builder {
         private int controlHosts = 1;
         private int entries = 1;
--- a/elmline-cli/src/test/java/org/elmline/cli/process/ControlFailureTest.java
+++ b/elmline-cli/src/test/java/org/elmline/cli/process/ControlFailureTest.java
@@ -111,7 +111,7 @@
 
     /**
      * A host loses its disk and restarts with an empty one, and right after its repair a second host is killed. The
-     * first must not vote on the state that it lost; with it back as a new replica, two of three must still decide.
+     * first must not vote without the state that it lost; with it back as a new replica, two of three must still decide.
      */
     @Test
     void replacesReplicaWithALostDisk() throws Exception {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerMaintenance.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerMaintenance.java
@@ -128,7 +128,7 @@
         });
     }
 
-    /** Requests from an entry whether it runs the attempts for which an engine holds memory. */
+    /** Sends an audit to an entry, whose answer names the attempts among them that it doesn't run. */
     private void audit(AuditRequest request) {
         service.audit(request)
                 .thenAccept(answer -> answer.ifPresent(known -> owner.onAuditAnswer(request, known, clock.nanos())));
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/OwnerService.java
@@ -122,7 +122,10 @@
         return CompletableFuture.completedFuture(owner.announce(announcement, clock.nanos()));
     }
 
-    /** Decides one placement on the engines owned here; completes no later than the request's deadline. */
+    /**
+     * Decides one placement on the engines owned here; completes no later than the request's deadline, or never when
+     * its entry has released the attempt before.
+     */
     public CompletableFuture<OwnerPlaceAnswer> place(PlaceRequest request) {
         CompletableFuture<OwnerPlaceAnswer> answer =
                 pendingAnswers.computeIfAbsent(request.attempt(), attempt -> new CompletableFuture<>());
--- a/elmline-daemon/src/main/java/org/elmline/daemon/backend/SummarySender.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/backend/SummarySender.java
@@ -19,7 +19,7 @@
 import org.elmline.wire.codec.Codecs;
 import org.jboss.logging.Logger;
 
-/** Sends this owner's summary to other entries when {@link SummarySchedule} makes them due. */
+/** Sends this owner's summary to the entries for which {@link SummarySchedule} makes it due. */
 public final class SummarySender {
     private static final Logger LOG = Logger.getLogger(SummarySender.class);
     private static final long CHECK_INTERVAL_MILLIS = 200;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/BufferingSink.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/BufferingSink.java
@@ -13,7 +13,7 @@
 import org.elmline.daemon.http.JsonResponses;
 import org.elmline.daemon.openai.CompletionWriter;
 
-/** Buffers an answer and sends it whole. Checks every 500 ms whether the caller is still connected. */
+/** Buffers an answer and sends it whole. Checks at most every 500 ms whether the caller is still connected. */
 final class BufferingSink implements AnswerSink {
     private static final long CHECK_INTERVAL_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/CompletionExecution.java
@@ -27,8 +27,8 @@
 
 /**
  * Executes one request from its first placement to its final answer, over as many attempts as needed. Runs on one
- * worker. Every way to end releases the grant: at once when the engine has finished, else once it has acknowledged the
- * cancel.
+ * worker. Every way to end releases the grant: at once when the engine has finished, or before a retry when the attempt
+ * did not run; else once the engine has acknowledged the cancel.
  */
 final class CompletionExecution {
     private static final long RETRY_AFTER_MILLIS = 1_000;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancellations.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/EngineCancellations.java
@@ -22,9 +22,8 @@
 import org.jboss.logging.Logger;
 
 /**
- * Cancels attempts on engines, and repeats each cancel until it is acknowledged. A cancel that is lost would leave the
- * engine's memory allocated, so each is repeated until the engine acknowledges it or no owner lists the engine any
- * more; only then is the grant released. Thread-safe.
+ * Cancels attempts on engines. A cancel that is lost would leave the engine's memory allocated, so each is repeated
+ * until the engine acknowledges it or no owner lists the engine any more; only then is the grant released. Thread-safe.
  */
 public final class EngineCancellations {
     private static final Logger LOG = Logger.getLogger(EngineCancellations.class);
@@ -109,13 +108,13 @@
         boolean timedOut = clock.millis() - pendingCancel.requestedAtMillis() > UNOWNED_ENGINE_TIMEOUT_MILLIS;
         if (timedOut && owners.ownerOf(grant.server()).isEmpty()) {
             // Every owner has removed the engine: it is gone, and its memory with it.
-            onAcknowledged(cancel);
+            complete(cancel);
             return;
         }
         Optional<EngineClient> engine = engines.client(grant.protocol(), grant.engine());
         engine.ifPresent(client -> release(client, cancel).thenAccept(result -> {
             if (result instanceof CallResult.Answered<Boolean>) {
-                onAcknowledged(cancel);
+                complete(cancel);
             }
         }));
     }
@@ -124,7 +123,7 @@
         return cancel.targetsExport() ? engine.freeKv(cancel.exportId()) : engine.cancel(cancel.attempt());
     }
 
-    private void onAcknowledged(Cancel cancel) {
+    private void complete(Cancel cancel) {
         PendingCancel pendingCancel;
         synchronized (this) {
             queue.acknowledge(cancel);
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantTracker.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GrantTracker.java
@@ -36,10 +36,11 @@
 
 /**
  * Tracks the grants that this entry holds and the reports on them that owners haven't acknowledged. Every report is
- * repeated until the owner has answered: a lost release would leave engine memory reserved without use. When an engine
- * gets a new owner, the open grants on it are registered there.
+ * repeated until the owner has answered or is no longer a member: a lost release would leave engine memory reserved
+ * without use. When an engine gets a new owner, the open grants on it are registered there.
  *
- * <p>Thread-safe: one lock guards all state; no other lock is taken and nothing is sent under it.
+ * <p>Thread-safe: one lock guards all state. Nothing is sent under it, and no other lock is taken but that of the owner
+ * table.
  */
 public final class GrantTracker {
     private static final Logger LOG = Logger.getLogger(GrantTracker.class);
@@ -151,7 +152,8 @@
     }
 
     /**
-     * Those of the attempts that this entry doesn't run; an owner sends an audit when an engine holds memory for them.
+     * Those of the attempts that this entry doesn't run; none when the request is for another incarnation of this host.
+     * An owner sends an audit when an engine holds memory for the attempts.
      */
     public synchronized AuditAnswer audit(AuditRequest request) {
         List<AttemptId> notRunning = new ArrayList<>();
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/GroupExecution.java
@@ -36,8 +36,8 @@
  */
 final class GroupExecution {
     /**
-     * Memory that importing a segment takes on another engine, as a fraction of the segment's memory; the upper bound
-     * that engines announce.
+     * Memory that importing a segment takes at most on another engine, as a fraction of the segment's memory; see
+     * docs/ENGINE-PROTOCOL.md.
      */
     private static final double IMPORT_MEMORY_SHARE = 1.0 / 16;
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/caller/Placer.java
@@ -69,7 +69,7 @@
         this.requestsLost = metrics.counter("gateway.owners.lost");
     }
 
-    /** Waits for a placement until the demand's time is up. */
+    /** Blocks until the attempt is placed or refused; it is refused when the call's time is up. */
     PlacementResult place(AdmittedCall call, int placement, Demand demand) throws InterruptedException {
         Set<HostId> tried = new HashSet<>();
         Refusal lastRefusal = null;
--- a/elmline-daemon/src/main/java/org/elmline/daemon/log/DecisionLog.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/log/DecisionLog.java
@@ -95,7 +95,7 @@
         return true;
     }
 
-    /** Depends on the request id alone, so that a request is logged with all its lines or with none. */
+    /** Depends on the request id alone, so that sampling keeps either all lines of a request or none. */
     private static boolean isSampled(String request) {
         return Math.floorMod(request.hashCode(), SAMPLING_INTERVAL_REQUESTS) == 0;
     }
--- a/elmline-daemon/src/main/java/org/elmline/daemon/node/RetrySettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/node/RetrySettings.java
@@ -16,7 +16,7 @@
 
     /**
      * Share of the slack that one dispatcher grants: while entries briefly disagree on which of them dispatches, two
-     * dispatchers may each grant theirs, which together stays below the limit.
+     * dispatchers may each grant theirs, together less than the slack.
      */
     private static final double DISPATCHER_SLACK_SHARE = 0.4;
 
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceClient.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceClient.java
@@ -46,7 +46,10 @@
             .connectionPool(new ConnectionPool(MAX_IDLE_CONNECTIONS, IDLE_CONNECTION_SECONDS, TimeUnit.SECONDS))
             .build();
 
-    /** Headers that are not forwarded: those of a single connection, and those that this process sets itself. */
+    /**
+     * Headers that are not forwarded: those of a single connection, those that this process sets itself, and the key in
+     * {@code Authorization}.
+     */
     static Set<String> hopByHopHeaders() {
         Set<String> names = new TreeSet<>(String.CASE_INSENSITIVE_ORDER);
         names.addAll(List.of(
--- a/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/service/ServiceGateway.java
@@ -53,7 +53,7 @@
         this.retries = metrics.counter("service.retries");
     }
 
-    /** Sends a repeatable call; tries other replicas while the time and the retry budget last. */
+    /** Sends a repeatable call; tries up to two other replicas while the time and the retry budget last. */
     ClaimReply callRepeatable(Service service, ServiceCall call, long deadlineNanos) {
         retryBudget.onFirstAttempt();
         Set<BackendServerId> tried = new HashSet<>();
@@ -76,8 +76,8 @@
 
     /**
      * Sends a call that may run at most once. Executes the session's steps in order, so that the call is sent only
-     * after a quorum has committed the claim and is never sent a second time. The reply is delivered as soon as it is
-     * known.
+     * after a quorum has committed the claim, and to another replica only when it did not run. The reply is delivered as
+     * soon as it is known.
      */
     void callOnce(
             Service service, ServiceCall call, ClaimSession session, long deadlineNanos, Consumer<ClaimReply> reply) {
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinEngineSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinEngineSettings.java
@@ -11,7 +11,7 @@
 /**
  * Settings of a stand-in for a model engine.
  *
- * @param entries addresses for callers of entries, to which it announces itself first
+ * @param entries the callers' addresses of entries, to which it announces itself first
  * @param kvTokens size of the KV cache in tokens
  * @param prefillTokensPerSecond prompt tokens that an idle engine prefills per second
  * @param checksFencing whether it rejects an order with an old fencing number
--- a/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinServiceSettings.java
+++ b/elmline-daemon/src/main/java/org/elmline/daemon/settings/StandinServiceSettings.java
@@ -11,7 +11,7 @@
 /**
  * Settings of a stand-in for a plain service.
  *
- * @param entries addresses for callers of entries, to which it announces itself first
+ * @param entries the callers' addresses of entries, to which it announces itself first
  */
 public record StandinServiceSettings(
         BackendServerId id,
