--- a/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowCostMeasurement.java
+++ b/elmline-daemon/src/test/java/org/elmline/daemon/node/FollowCostMeasurement.java
@@ -57,8 +57,11 @@
     }
 
     private static FollowAnswer answer(
-            List<ServerUpdate> servers, List<EntryRecord> entries, List<EntryUpdate> news, List<Address> controls) {
-        return new FollowAnswer(1, 9_000, servers, 5, List.of(), entries, news, 6, controls, 7, null, null);
+            List<ServerUpdate> servers,
+            List<EntryRecord> entries,
+            List<EntryUpdate> entryUpdates,
+            List<Address> controls) {
+        return new FollowAnswer(1, 9_000, servers, 5, List.of(), entries, entryUpdates, 6, controls, 7, null, null);
     }
 
     private static EntryRecord entry(int i) {
